--- a/applehub/node/call.py
+++ b/applehub/node/call.py
@@ -8,6 +8,7 @@
 from typing import Protocol
 
 from applehub.interface import Load, Status
+from applehub.node.memory_budget import MemoryBudget
 from applehub.node.resp import MOST_VALUE
 from applehub.node.stream import Source, Stream
 from applehub.settings import LOAD, Names
@@ -59,7 +60,7 @@
     """How an attempt ended; a value only where it was served."""
 
     status: Status
-    value: bytes = b""
+    value: bytes | bytearray = b""
     note: int = 0
     load: Load | None = None
 
@@ -82,6 +83,7 @@
     done: Callable[[Ending], None]
     # Called when a long value begins, with its size: where its pieces go, or none if nobody waits.
     opened: Callable[[int, Source], Stream | None] = lambda size, source: None
+    room: MemoryBudget | None = None  # where what is held of a long answer counts
     carrier: Carrier | None = None
     begin_by: float = math.inf  # monotonic ns from which on none of it may be written any more
 
--- a/applehub/node/driver.py
+++ b/applehub/node/driver.py
@@ -229,6 +229,7 @@
             now + wait,
             lambda ending: self._ended(attempt, ending),
             lambda size, source: self._opened(attempt, size, source),
+            self.room,
             begin_by=action.begin_by or math.inf,
         )
         if not pool.start(attempt.exchange):
--- a/applehub/node/http1.py
+++ b/applehub/node/http1.py
@@ -24,13 +24,19 @@
 class Http:
     """The client's side of one connection."""
 
-    __slots__ = ("answer", "connection", "host", "long", "most", "sink")
+    __slots__ = ("answer", "connection", "grow", "host", "long", "most", "sink")
 
     def __init__(
-        self, host: str, most: int, long: Callable[[int], Callable[[bytes], None] | None] | None = None
+        self,
+        host: str,
+        most: int,
+        long: Callable[[int], Callable[[bytes], None] | None] | None = None,
+        grow: Callable[[int], bool] = lambda length: False,
     ) -> None:
         # Called with the length of a body that is longer than what is held whole: where its pieces go.
         self.long = long
+        # Called with the length so far of such a body that announces none: whether it may be held whole.
+        self.grow = grow
         self.sink: Callable[[bytes], None] | None = None
         self.connection = h11.Connection(h11.CLIENT)
         self.host, self.most = host.encode(), most
@@ -69,9 +75,7 @@
                 elif isinstance(event, h11.Data) and self.sink is not None:
                     self.sink(bytes(event.data))
                 elif isinstance(event, h11.Data) and self.answer is not None:
-                    self.answer.body += event.data
-                    if len(self.answer.body) > self.most:
-                        raise HttpError("answer too large")
+                    self._hold(self.answer, event.data)
                 elif isinstance(event, h11.EndOfMessage):
                     return self.answer
                 elif not isinstance(event, h11.InformationalResponse):
@@ -79,6 +83,13 @@
         except h11.RemoteProtocolError as problem:
             raise HttpError(str(problem)) from None
 
+    def _hold(self, answer: Answer, data: bytes) -> None:
+        """Adds a piece to a body that is held whole; one that announces no length may grow long."""
+        answer.body += data
+        held, announced = len(answer.body), b"content-length" in answer.headers
+        if held > self.most and (announced or answer.status != 200 or not self.grow(held)):
+            raise HttpError("answer too large")
+
     def _open(self, answer: Answer) -> None:
         length = answer.headers.get(b"content-length", b"0")  # digits alone, as h11 has checked
         if self.long is None or answer.status != 200 or int(length) <= self.most:
--- a/applehub/node/resp.py
+++ b/applehub/node/resp.py
@@ -22,8 +22,8 @@
     """What came is no RESP2, or larger than the router takes: the stream is of no further use."""
 
 
-def bulk(value: bytes) -> bytes:
-    return b"$%d\r\n%b\r\n" % (len(value), value)
+def bulk(value: bytes | bytearray) -> bytes:
+    return b"".join((b"$%d\r\n" % len(value), value, b"\r\n"))
 
 
 def command(*parts: bytes) -> bytes:
