--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -34,6 +34,7 @@
     "test_a_load_reaches_the_router_and_each_request_is_counted_once",
     "test_the_demo_shows_a_newcomer_what_the_router_does",
     "test_the_program_s_routers_take_up_lists_on_the_machine_s_own_clock",
+    "test_all_that_is_read_is_answered_before_sigkill_though_servers_hang_all_the_time",
 )
 
 
