--- a/applehub/lab/fleet/variants.py
+++ b/applehub/lab/fleet/variants.py
@@ -16,6 +16,7 @@
 from applehub.node.http1 import Answer
 from applehub.node.list_connection import ListConnection
 from applehub.node.shared import Override, Shared
+from applehub.node.start_times import ClockReading
 from applehub.peers.records import Body, Book
 from applehub.peers.records import Told as Record
 from applehub.peers.swim import Membership
@@ -89,8 +90,9 @@
     """Goes on with a server that is draining."""
     right = Directory._target
 
-    def target(self: Directory, entry: Json) -> Any:
-        return right(self, {**entry, "state": "Ready"} if entry.get("state") == "Terminating" else entry)
+    def target(self: Directory, entry: Json, now: ClockReading) -> Any:
+        ready = {**entry, "state": "Ready"} if entry.get("state") == "Terminating" else entry
+        return right(self, ready, now)
 
     Directory._target = target  # type: ignore[method-assign]
 
--- a/applehub/node/discovery.py
+++ b/applehub/node/discovery.py
@@ -10,8 +10,10 @@
 from applehub.node.caches import CacheConnection
 from applehub.node.origin import OriginConnection
 from applehub.node.pool import Endpoint, Pools
+from applehub.node.start_times import ClockReading, StartTimes
 from applehub.settings import Json, Names
 
+NS_PER_S = 1e9
 STATES = {"Ready": api.State.READY, "Terminating": api.State.DRAINING, "Gone": api.State.GONE}
 log = logging.getLogger("applehub")
 
@@ -26,7 +28,7 @@
 
     member: api.Member
     endpoint: Endpoint
-    boot: float  # the time of its latest start on the loop's clock, 0 for long ago
+    boot_ms: int  # its latest start as the list tells it (Unix time), 0 for long ago
 
 
 def read_endpoint(text: object) -> Endpoint:
@@ -47,7 +49,7 @@
         self.targets: dict[str, Target] = {}
         self.out: set[str] = set()  # left out by hand
         self.took: Callable[[Json, bool], None] = lambda answer, whole: None  # told what discovery said
-        self.origin_of_time = time.time_ns() - time.monotonic_ns()  # once, so that a start keeps its time
+        self.start_times = StartTimes()
 
     @property
     def can_serve(self) -> bool:
@@ -74,10 +76,16 @@
         rev, whole = answer.get("rev"), answer.get("all") is True or cached
         if type(rev) is not int:
             raise ListError(f"no version: {rev!r}")
-        if rev < self.rev or (rev == self.rev and not whole):
-            return rev == self.rev
+        now = ClockReading(time.monotonic_ns(), time.time_ns())
+        if rev < self.rev:
+            return False
+        if rev == self.rev and not whole:
+            self.start_times.confirm(now)
+            return True
         self.rev = rev
-        entries = [target for one in answer["targets"] if (target := self._read(one)) is not None]
+        entries = [target for one in answer["targets"] if (target := self._read(one, now)) is not None]
+        if not cached:
+            self.start_times.confirm(now)
         named = {target.member.server for target in entries}
         gone = [name for name in self.targets if name not in named] if whole else []
         if not whole and not entries:
@@ -92,33 +100,34 @@
             self._drop(name)
         for target in entries:
             self._settle(target, before.get(target.member.server))
+        self.start_times.forget_unlisted(self.targets, len(self.targets))
         if not cached:
             self.took(answer, whole)
         return True
 
-    def _read(self, entry: Any) -> Target | None:
+    def _read(self, entry: Any, now: ClockReading) -> Target | None:
         """Reads an entry; one that makes no sense is skipped, and the others stand."""
         try:
-            return self._target(entry)
+            return self._target(entry, now)
         except (ListError, KeyError, TypeError, ValueError, AttributeError) as problem:
             log.warning("an entry of the list is skipped: %s: %s", type(problem).__name__, problem)
             return None
 
-    def _target(self, entry: Json) -> Target:
+    def _target(self, entry: Json, now: ClockReading) -> Target:
         name, boot, weight = entry["uid"], entry.get("boot_ms") or 0, entry.get("capacity_hint", 1.0)
         if not isinstance(name, str) or not name:
             raise ListError("no uid")
-        since = 0 if boot <= 0 else max(1, int(boot) * 1_000_000 - self.origin_of_time)
+        boot_ms = int(boot) if boot > 0 else 0
         member = api.Member(
             name,
             STATES[entry["state"]],
             self.names.kinds[entry["model"]],
             self.names.zones[entry["az"]],
             int(entry.get("pod_group") or 0),
-            since,
+            self.start_times.since(name, boot_ms, now),
             1.0 if weight is None else float(weight),
         )
-        return Target(member, read_endpoint(entry["endpoint"]), since / 1e9)
+        return Target(member, read_endpoint(entry["endpoint"]), boot_ms)
 
     def _place(self, target: Target) -> None:
         """Makes ready what the decisions may send to once they are told."""
@@ -135,8 +144,8 @@
         if target.member.state is api.State.GONE:
             self._drop(name)
             return
-        if before is not None and before.boot != target.boot:
-            self.pools.pools[name].forget_before(target.boot)
+        if before is not None and target.boot_ms > 0 and target.boot_ms != before.boot_ms:
+            self.pools.pools[name].forget_before(target.member.since / NS_PER_S)
         self._open_or_retire(target)
 
     def _open_or_retire(self, target: Target) -> None:
--- a/applehub/node/operator_overrides.py
+++ b/applehub/node/operator_overrides.py
@@ -1,6 +1,7 @@
 """Operator overrides: cache servers that operators take out of service, whatever the list of servers says."""
 
 import logging
+import time
 from collections.abc import Callable
 
 from applehub import interface as api
@@ -56,7 +57,8 @@
                 continue
             self.overrides[name] = override
             log.info("server %s is %s by hand", name, "left out" if override.out else "put back")
-            since = max(1, override.at * NS_PER_MS - self.directory.origin_of_time)
+            age = max(0, time.time_ns() - override.at * NS_PER_MS)
+            since = max(1, time.monotonic_ns() - age)
             # The decisions may choose a server only while its connection pool is open. Closing the pool
             # returns attempts to them, so they must know by then that the server is out.
             if not override.out:
