--- a/applehub/lab/fleet/variants.py
+++ b/applehub/lab/fleet/variants.py
@@ -131,7 +131,7 @@
     """Says yes to an operator's call and keeps it in memory alone."""
 
     def write(self: OverrideFile, server: str, out: bool) -> dict[str, Override]:
-        return {server: Override(out, 1)}
+        return {server: Override(out, 1, 1)}
 
     OverrideFile.write = write  # type: ignore[method-assign]
 
--- a/applehub/node/operator_overrides.py
+++ b/applehub/node/operator_overrides.py
@@ -15,7 +15,6 @@
 from applehub.node.override_file import Override, OverrideFileError
 from applehub.node.shared import Shared
 
-NS_PER_MS = 1_000_000
 SYNCHRONISE_AGAIN = 1.0  # s between two tries to synchronise: each may hold up the event loop
 log = logging.getLogger("applehub")
 
@@ -108,12 +107,10 @@
                 continue
             self.overrides[name] = override
             log.info("server %s is %s by hand", name, "left out" if override.out else "put back")
-            age = max(0, time.time_ns() - override.at * NS_PER_MS)
-            since = max(1, time.monotonic_ns() - age)
             # The decisions may choose a server only while its connection pool is open. Closing the pool
             # returns attempts to them, so they must know by then that the server is out.
             if not override.out:
                 self.directory.leave_out(name, False)
-            self.tell(api.ByHand(name, override.out, since))
+            self.tell(api.ByHand(name, override.out, max(1, override.made)))
             if override.out:
                 self.directory.leave_out(name, True)
--- a/applehub/node/override_file.py
+++ b/applehub/node/override_file.py
@@ -1,6 +1,15 @@
 """The file in which operators' calls last, shared by the processes of one router on one machine.
 
-`applehub-by-hand.json` holds `{server: [out, at]}`: the calls, synchronised before they are acknowledged.
+Two files of JSON lie side by side:
+
+- `applehub-by-hand.json`, `{server: [out, at]}`: the calls, synchronised before they are acknowledged. Older
+  versions read and write this one alone.
+- `applehub-by-hand.times.json`, `{"boot_id": ID, "made": {server: [at, made]}}`: when the calls were made on
+  the machine's monotonic clock (ns), since wall clocks may be stepped. It only dates calls and is not
+  synchronised: past a restart of the machine its times mean nothing.
+
+A call without such a time (an older version made it, or the machine has restarted) counts as made when this
+process first reads it, which is the careful side: its server is taken as cold from then on.
 
 A file that cannot be read is never replaced by one without the calls in it.
 """
@@ -11,11 +20,14 @@
 import os
 import time
 from collections.abc import Iterator
-from dataclasses import dataclass
+from dataclasses import dataclass, field
+from typing import Any
 
 import orjson
 
-ONLINE_KEPT_MS = 600_000  # a call back into service is remembered: by then the server is warm
+from applehub.node.machine_time import boot_id
+
+ONLINE_KEPT_NS = 600 * 1_000_000_000  # a call back into service is remembered: by then the server is warm
 NS_PER_MS = 1_000_000
 Identity = tuple[int, int, int]  # of a file's content: inode, size, modification time
 log = logging.getLogger("applehub")
@@ -29,11 +41,13 @@
 class Override:
     """The latest call of an operator for a cache server.
 
-    out: whether the server was taken out of service. at: when the call was accepted (Unix time, ms).
+    out: whether the server was taken out of service. at: when the call was accepted (Unix time, ms); it tells
+    calls apart, and no span is taken from it. made: the same moment (ns on the monotonic clock).
     """
 
     out: bool
     at: int
+    made: int = field(compare=False)
 
 
 class OverrideFile:
@@ -42,7 +56,9 @@
     def __init__(self, folder: str) -> None:
         """folder: where the files lie; nothing is read or written yet."""
         self.path = os.path.join(folder, "applehub-by-hand.json")
+        self.times_path = os.path.join(folder, "applehub-by-hand.times.json")
         self.lock_path = os.path.join(folder, "applehub-by-hand.lock")
+        self._boot_id = boot_id()
         self._known: dict[str, Override] | None = None  # what the file held when last read or written
         self._returned: Identity | None = None  # of what `changed` returned last
         self._synchronised: Identity | None = None
@@ -66,14 +82,17 @@
         From then on it outlives this process, and once `synchronise` returns a loss of power. Raises OSError,
         and OverrideFileError if the file was damaged before this process had read it: nothing took effect.
         """
-        now = time.time_ns() // NS_PER_MS
+        now = time.monotonic_ns()
         with self._exclusive():
             overrides = {
-                name: one for name, one in self._present().items() if one.out or one.at > now - ONLINE_KEPT_MS
+                name: one
+                for name, one in self._present().items()
+                if one.out or one.made > now - ONLINE_KEPT_NS
             }
-            overrides[server] = Override(out, now)
+            overrides[server] = Override(out, time.time_ns() // NS_PER_MS, now)
+            self._write_times(overrides)  # first: whoever sees a call sees its time
             content = orjson.dumps({name: [one.out, one.at] for name, one in overrides.items()})
-            _replace(self.path, content)
+            _replace(self.path, content, synchronised=True)
         self._known = overrides
         return overrides
 
@@ -119,27 +138,59 @@
         with open(self.path, "rb") as file:
             identity, content = _identity(os.fstat(file.fileno())), file.read()
         try:
-            overrides = {
-                name: Override(bool(out), int(at)) for name, (out, at) in orjson.loads(content).items()
-            }
+            calls = {name: (bool(out), int(at)) for name, (out, at) in orjson.loads(content).items()}
         except (ValueError, TypeError, AttributeError) as problem:
             raise OverrideFileError(f"{self.path}: {problem}") from problem
-        self._known = overrides
-        return overrides, identity
+        times, now = self._read_times(), time.monotonic_ns()
+        self._known = {
+            name: Override(out, at, self._made(name, out, at, times.get(name), now))
+            for name, (out, at) in calls.items()
+        }
+        return self._known, identity
+
+    def _made(self, name: str, out: bool, at: int, stored: Any, now: int) -> int:
+        """When a call was made: as known here, as stored with it, or now at the latest."""
+        known = (self._known or {}).get(name)
+        if known is not None and (known.out, known.at) == (out, at):
+            return known.made
+        match stored:
+            case [int() as of_call, int() as made] if of_call == at:
+                return min(made, now)
+        return now
+
+    def _read_times(self) -> dict[str, Any]:
+        """The stored times by server; none if they cannot be read or come from before a restart."""
+        try:
+            with open(self.times_path, "rb") as file:
+                content = orjson.loads(file.read())
+            times = content["made"] if content["boot_id"] == self._boot_id != "" else {}
+        except (OSError, ValueError, TypeError, KeyError):
+            return {}
+        return times if isinstance(times, dict) else {}
+
+    def _write_times(self, overrides: dict[str, Override]) -> None:
+        """Stores when calls were made. Without it they count as made later, so a failure is only logged."""
+        made = {name: [one.at, one.made] for name, one in overrides.items()}
+        try:
+            content = orjson.dumps({"boot_id": self._boot_id, "made": made})
+            _replace(self.times_path, content, synchronised=False)
+        except OSError as problem:
+            log.warning("when operators made their calls can't be kept: %s", problem)
 
 
 def _identity(status: os.stat_result) -> Identity:
     return status.st_ino, status.st_size, status.st_mtime_ns
 
 
-def _replace(path: str, content: bytes) -> None:
+def _replace(path: str, content: bytes, synchronised: bool) -> None:
     """Replaces a file in one step. Raises OSError: then the file before is there as it was."""
     replacement = path + ".new"
     try:
         with open(replacement, "wb") as file:
             file.write(content)
             file.flush()
-            os.fsync(file.fileno())
+            if synchronised:
+                os.fsync(file.fileno())
         os.replace(replacement, path)
     except OSError:
         with contextlib.suppress(OSError):
--- a/tests/test_override_file.py
+++ b/tests/test_override_file.py
@@ -1,5 +1,5 @@
-"""Operators' calls on a disk that refuses, and over kills: what was acknowledged is owed, and an error answer
-means that nothing took effect or says what is not known."""
+"""Operators' calls on a disk that refuses, over kills, and while wall clocks are stepped: what was
+acknowledged is owed, and an error answer means that nothing took effect or says what is not known."""
 
 import json
 import os
@@ -13,7 +13,7 @@
 
 from applehub import interface as api
 from applehub.lab.fleet.system_call_faults import SystemCall, SystemCallFault, SystemCallFaults
-from applehub.node import operator_overrides
+from applehub.node import operator_overrides, override_file
 from applehub.node.console import CallError
 from applehub.node.discovery import Directory
 from applehub.node.operator_overrides import OperatorOverrides
@@ -23,6 +23,7 @@
 from applehub.settings import read_names
 
 ROOT = Path(__file__).parent.parent
+SECOND = 1_000_000_000
 NO_EFFECT = "had no effect"
 IN_EFFECT = "is in effect, but a loss of power may undo it"
 
@@ -147,7 +148,7 @@
     "rename": ["ENOSPC", "EIO"],
     "fsync_folder": ["ENOSPC", "EIO"],
 }
-STEPS = [(call, error, nth) for call, errors in ERRORS.items() for error in errors for nth in range(1, 8)]
+STEPS = [(call, error, nth) for call, errors in ERRORS.items() for error in errors for nth in range(1, 13)]
 
 
 @pytest.mark.parametrize(("call", "error", "nth"), STEPS)
@@ -187,18 +188,25 @@
         ("fsync", "applehub-by-hand.json.new", NO_EFFECT),
         ("rename", "applehub-by-hand.json", NO_EFFECT),
         ("fsync_folder", "", IN_EFFECT),
+        ("open", "applehub-by-hand.times.json.new", ""),
+        ("write", "applehub-by-hand.times.json.new", ""),
+        ("rename", "applehub-by-hand.times.json", ""),
     ],
 )
 def test_each_step_that_fails_for_a_while_has_its_answer(
     tmp_path: Path, call: SystemCall, path: str, answer: str
 ) -> None:
     """Set up: one step fails with ENOSPC during three calls. Expected: the answer of that step three times,
-    then +OK."""
+    then +OK; that the times can't be kept refuses no call."""
     one = Process(tmp_path)
     with SystemCallFaults(SystemCallFault(call, "ENOSPC", path=str(tmp_path / path))) as faults:
         for _ in range(3):
-            with pytest.raises(CallError, match=answer):
-                one.hands.offline("c0")
+            if answer:
+                with pytest.raises(CallError, match=answer):
+                    one.hands.offline("c0")
+            else:
+                assert one.hands.offline("c0") == "+OK"
+                assert one.hands.online("c0") == "+OK"
         assert faults.count() >= 3
         faults.replace()
         assert one.hands.offline("c0") == "+OK"
@@ -310,10 +318,13 @@
     ("step", "nth"),
     [
         ("half a write", 1),
+        ("half a write", 2),
         ("fsync before", 1),
         ("fsync after", 1),
         ("replace before", 1),
         ("replace after", 1),
+        ("replace before", 2),
+        ("replace after", 2),
         ("fsync before", 2),
         ("fsync after", 2),
     ],
@@ -329,8 +340,110 @@
         env={**os.environ, "PYTHONPATH": str(ROOT)},
     )
     assert (done.returncode, done.stdout) == (-9, "acknowledged\n"), done.stderr
-    renamed = (step, nth) in [("replace after", 1), ("fsync before", 2), ("fsync after", 2)]
+    renamed = (step, nth) in [("replace after", 2), ("fsync before", 2), ("fsync after", 2)]
     after = Process(tmp_path)
     assert after.out() == stored_out(tmp_path) == ({"c0", "c1"} if renamed else {"c0"})
     assert after.hands.offline("c2") == "+OK"
     assert Process(tmp_path).out() == after.out() == {*stored_out(tmp_path)} >= {"c0", "c2"}
+
+
+# Times
+
+
+class Clocks:
+    """Both clocks of the machine, moved by hand."""
+
+    def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        self.monotonic, self.wall = 1_000 * SECOND, 1_790_000_000 * SECOND
+        monkeypatch.setattr(time, "monotonic_ns", lambda: self.monotonic)
+        monkeypatch.setattr(time, "time_ns", lambda: self.wall)
+
+    def wait(self, seconds: float) -> None:
+        self.monotonic += int(seconds * SECOND)
+        self.wall += int(seconds * SECOND)
+
+
+@pytest.mark.parametrize("seconds", [3, -3, 3_600, -3_600])
+def test_a_call_back_keeps_its_time_in_every_process_whatever_the_wall_clock_does(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seconds: int
+) -> None:
+    """Set up: c0 is taken out and called back, the wall clock stepped before, between and after. Expected: in
+    this process, in the other, and in one that starts 5 s later, it is cold since the call back."""
+    clocks = Clocks(monkeypatch)
+    one, other = Process(tmp_path), Process(tmp_path)
+    one.hands.offline("c0")
+    clocks.wall += seconds * SECOND
+    clocks.wait(20)
+    called = clocks.monotonic
+    one.hands.online("c0")
+    clocks.wall += seconds * SECOND
+    clocks.wait(0.1)
+    other.hands.look()
+    clocks.wait(5)
+    late = Process(tmp_path)
+    assert [process.told[-1] for process in (one, other, late)] == [api.ByHand("c0", False, called)] * 3
+
+
+@pytest.mark.parametrize("seconds", [3, -3, 3_600, -3_600])
+def test_a_call_back_is_remembered_for_ten_minutes_of_real_time(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seconds: int
+) -> None:
+    clocks = Clocks(monkeypatch)
+    one = Process(tmp_path)
+    one.hands.offline("c0")
+    one.hands.online("c0")
+    clocks.wall += seconds * SECOND
+    clocks.wait(599)
+    one.hands.offline("c1")
+    assert set(stored(tmp_path)) == {"c0", "c1"}
+    clocks.wait(2)
+    one.hands.offline("c2")
+    assert set(stored(tmp_path)) == {"c1", "c2"}  # what is out is never forgotten
+
+
+@pytest.mark.parametrize("at_ms", [1_790_000_000_000 - 300_000, 1_790_000_000_000 + 3_600_000, 1])
+@pytest.mark.parametrize(
+    "reason", ["an older version's", "before a restart", "no boot id", "of another call"]
+)
+def test_a_call_back_with_no_time_of_this_machines_clock_counts_as_made_when_it_is_first_read(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, at_ms: int, reason: str
+) -> None:
+    """Whatever its Unix time says: the careful side is that the server is cold. It keeps this time, and is
+    forgotten ten minutes later."""
+    clocks = Clocks(monkeypatch)
+    (tmp_path / "applehub-by-hand.json").write_text(json.dumps({"c0": [False, at_ms], "c1": [True, 5]}))
+    if reason != "an older version's":
+        identifier = "" if reason == "no boot id" else "another" if reason == "before a restart" else "this"
+        monkeypatch.setattr(override_file, "boot_id", lambda: "" if reason == "no boot id" else "this")
+        at = at_ms - 1 if reason == "of another call" else at_ms
+        times = {"boot_id": identifier, "made": {"c0": [at, 5 * SECOND], "c1": [5, 5 * SECOND]}}
+        (tmp_path / "applehub-by-hand.times.json").write_text(json.dumps(times))
+    one = Process(tmp_path)
+    assert api.ByHand("c0", False, clocks.monotonic) in one.told and one.out() == {"c1"}
+    clocks.wait(590)
+    one.hands.offline("c2")
+    assert set(stored(tmp_path)) == {"c0", "c1", "c2"}
+    clocks.wait(20)
+    one.hands.offline("c3")
+    assert set(stored(tmp_path)) == {"c1", "c2", "c3"}
+
+
+def test_an_older_version_reads_the_file_as_before(tmp_path: Path) -> None:
+    one = Process(tmp_path)
+    before = time.time_ns() // 1_000_000
+    one.hands.offline("c0")
+    one.hands.online("c0")
+    one.hands.offline("c1")
+    after = time.time_ns() // 1_000_000
+    calls = stored(tmp_path)
+    assert {name: out for name, (out, _) in calls.items()} == {"c0": False, "c1": True}
+    for _, at in calls.values():
+        assert type(at) is int and before <= at <= after
+
+
+@pytest.mark.parametrize("content", [b"{", b"[]", b'{"boot_id": 1}', b'{"boot_id": "x", "made": []}'])
+def test_damaged_times_cost_no_call(tmp_path: Path, content: bytes) -> None:
+    one = Process(tmp_path)
+    one.hands.offline("c0")
+    (tmp_path / "applehub-by-hand.times.json").write_bytes(content)
+    assert Process(tmp_path).out() == {"c0"}
