--- a/applehub/node/pool.py
+++ b/applehub/node/pool.py
@@ -6,6 +6,7 @@
 import socket
 import time
 from abc import abstractmethod
+from collections import OrderedDict
 from collections.abc import Callable, Iterator
 from typing import cast
 
@@ -203,6 +204,7 @@
             return False
         connection = self.make(self)
         self.all.add(connection)
+        self.pools.opened += 1
         connection.exchange, exchange.carrier = exchange, connection
         connection.since = asyncio.get_running_loop().time()
         connection.dialling = asyncio.get_running_loop().create_task(self._dial(connection))
@@ -215,7 +217,7 @@
             connection = self.idle[at]
             if connection.idle_since > before:
                 continue
-            del self.idle[at]
+            self._end_idling(connection)
             if connection.quiet:
                 return connection
         return None
@@ -237,11 +239,18 @@
             return
         connection.idle_since = asyncio.get_running_loop().time()
         self.idle.append(connection)
+        self.pools.idle[connection] = None
         self.pools.plan_sweep()
 
     def drop(self, connection: Connection) -> None:
-        self.all.discard(connection)
-        if connection in self.idle:
+        if connection in self.all:
+            self.all.remove(connection)
+            self.pools.opened -= 1
+        self._end_idling(connection)
+
+    def _end_idling(self, connection: Connection) -> None:
+        if connection in self.pools.idle:
+            del self.pools.idle[connection]
             self.idle.remove(connection)
 
     def retire(self) -> None:
@@ -263,13 +272,16 @@
 
 
 class Pools:
-    """All pools: their number of sockets, and the sweep that closes what has idled too long."""
+    """All pools: their number of sockets, and the sweep that closes what has idled too long.
+
+    What a dial, an answer or a sweep costs here does not grow with the servers: there may be thousands."""
 
     def __init__(self, most: int, dial_timeout: float, keepalive: float) -> None:
         self.most = most
         self.limit_times(dial_timeout, keepalive)
         self.pools: dict[str, Pool] = {}
-        self.leaving: list[Pool] = []  # replaced, with attempts still out
+        self.opened = 0  # connections of all pools, up or coming up, of those that were replaced too
+        self.idle: OrderedDict[Connection, None] = OrderedDict()  # of all pools, the longest idle first
         self.sweeping = False
         self.written = 0  # attempts whose last byte is with the system
 
@@ -282,29 +294,23 @@
         if pool is None or pool.endpoint != endpoint:
             before, pool = pool, Pool(self, endpoint, make)
             self.pools[name] = pool  # first: what the old one hands back may come here
-            self._leave(before)
+            if before is not None:
+                before.retire()
         return pool
 
     def remove(self, name: str) -> None:
-        self._leave(self.pools.pop(name, None))
-
-    def _leave(self, pool: Pool | None) -> None:
+        pool = self.pools.pop(name, None)
         if pool is not None:
-            self.leaving = [one for one in self.leaving if one.all] + [pool]
             pool.retire()
 
     def room(self) -> bool:
         """Whether one more connection may be opened; the longest idle one makes room for it."""
-        if sum(len(pool.all) for pool in [*self.pools.values(), *self.leaving]) < self.most:
+        if self.opened < self.most:
             return True
-        oldest = min(
-            (pool.idle[0] for pool in self.pools.values() if pool.idle),
-            key=lambda one: one.idle_since,
-            default=None,
-        )
-        if oldest is None:
+        longest_idle = next(iter(self.idle), None)
+        if longest_idle is None:
             return False
-        oldest.close()
+        longest_idle.close()
         return True
 
     def plan_sweep(self) -> None:
@@ -315,8 +321,7 @@
     def _sweep(self) -> None:
         self.sweeping = False
         before = asyncio.get_running_loop().time() - self.idle_most
-        for pool in self.pools.values():
-            for connection in [one for one in pool.idle if one.idle_since < before]:
-                connection.close()
-        if any(pool.idle for pool in self.pools.values()):
+        while self.idle and (longest_idle := next(iter(self.idle))).idle_since < before:
+            longest_idle.close()
+        if self.idle:
             self.plan_sweep()
