--- a/applehub/lab/fleet/checks.py
+++ b/applehub/lab/fleet/checks.py
@@ -9,7 +9,7 @@
 from applehub.events import Event, Record
 from applehub.lab.fleet.history import History, Span
 from applehub.lab.fleet.plan import NEW, OLD, Plan
-from applehub.peers.records import BOUNDS
+from applehub.peers.records import RETENTION, type_name
 
 MILLI = 1_000_000
 MOST_SHOWN = 14  # events of one broken rule
@@ -322,7 +322,7 @@
     """What counts of that which a router hears is within its bound; and once nothing has struck for a while,
     each router knows of just the routers that are there."""
     settled = int(plan.rules.peers_ms * MILLI)
-    bounds = {kind.__name__.lower(): bound.age // MILLI for kind, bound in BOUNDS.items()}
+    bounds = {type_name(kind): bound.max_age // MILLI for kind, bound in RETENTION.items()}
     names = [f"router-{number}" for number in range(plan.fleet.routers)]
     lives = [life for name in names for life in history.lives.get(name, [])]
     moments = [moment for life in lives for moment in (life.begin, life.ready, life.end)]
--- a/applehub/lab/fleet/variants.py
+++ b/applehub/lab/fleet/variants.py
@@ -16,9 +16,9 @@
 from applehub.node.http1 import Answer
 from applehub.node.list_connection import ListConnection
 from applehub.node.shared import Override, Shared
-from applehub.peers.records import Body, Book
-from applehub.peers.records import Told as Record
-from applehub.peers.swim import Membership
+from applehub.peers.member_table import MemberTable
+from applehub.peers.record_store import RecordStore
+from applehub.peers.records import Body, Record, RecordKey
 from applehub.settings import Json
 
 EVERY = 20  # requests, of which one is spoilt
@@ -186,17 +186,18 @@
 
 def never_buries() -> None:
     """Holds a router that has ended to be there for ever."""
-    Membership._age = lambda self, now: None  # type: ignore[method-assign]
+    MemberTable.expire = lambda self, now: None  # type: ignore[method-assign]
 
 
 def never_forgets() -> None:
     """Counts what it heard of others however old it is."""
 
-    def of(self: Book, kind: type[Body], subject: int, now: int) -> Iterator[Record]:
-        return (self.told[kind, subject, writer] for writer in self.writers.get((kind, subject), ()))
+    def fresh_records(self: RecordStore, body_type: type[Body], subject: int, now: int) -> Iterator[Record]:
+        writers = self.writers.get((body_type, subject), ())
+        return (self.records[RecordKey(body_type, subject, writer)] for writer in writers)
 
-    Book.of = of  # type: ignore[method-assign]
-    Book.expire = lambda self, now: []  # type: ignore[method-assign]
+    RecordStore.fresh_records = fresh_records  # type: ignore[method-assign]
+    RecordStore.expire = lambda self, now: []  # type: ignore[method-assign]
 
 
 VARIANTS: dict[str, Callable[[], None]] = {
--- a/applehub/lab/gossip.py
+++ b/applehub/lab/gossip.py
@@ -1,4 +1,4 @@
-"""Speakers alone on a simulated network: how fast what routers share gets round, and what it costs."""
+"""Gossip agents alone on a simulated network: how fast what routers share gets round, and what it costs."""
 
 import time
 from collections.abc import Iterator
@@ -6,9 +6,9 @@
 
 from applehub.lab.clock import MILLI, SECOND, Clock
 from applehub.lab.streams import Draws, generator
-from applehub.peers.codec import Peer, Standing
-from applehub.peers.records import BOUNDS, Limit, Shares, Told, Verdict, digest
-from applehub.peers.speaker import Out, Speaker
+from applehub.peers.agent import GossipAgent, Outgoing
+from applehub.peers.codec import Peer, PeerState
+from applehub.peers.records import RETENTION, Limit, Record, RecordKey, Shares, Verdict, digest
 from applehub.settings import Json
 
 FLEET = "lab"
@@ -43,20 +43,20 @@
     healed_s: float = -1.0
     buried_s: float = -1.0  # until the living hold all that ended for gone, and nobody else
     missing: int = 0  # changes of a verdict that a router never had
-    records: int = 0  # most that a book held
+    records: int = 0  # most that a store held
 
 
 class Talk:
-    """Speakers, a clock and a network."""
+    """Gossip agents, a clock and a network."""
 
     def __init__(self, plan: Gossip, seed: int) -> None:
         self.plan, self.clock, self.draws = plan, Clock(), Draws(seed, "gossip")
         self.period = int(plan.period_ms * MILLI)
         names = [f"n{number}" for number in range(plan.routers)]
         lives = generator(seed, "lives").integers(1, 1 << 63, plan.routers).tolist()
-        self.speakers = [
-            Speaker(
-                Peer(life, 0, Standing.ALIVE, number.to_bytes(4), 1, name),
+        self.agents = [
+            GossipAgent(
+                Peer(life, 0, PeerState.ALIVE, number.to_bytes(4), 1, name),
                 FLEET,
                 [one for one in names[:SEEDS] if one != name],
                 int(life),
@@ -82,12 +82,12 @@
     def _tick(self, number: int) -> None:
         if self.alive[number]:
             begin = time.process_time()
-            out = self.speakers[number].tick(self.clock.now)
+            out = self.agents[number].tick(self.clock.now)
             self.cpu += time.process_time() - begin
             self._send(number, out)
             self.clock.after(self.period, self._tick, number)
 
-    def _send(self, number: int, out: list[Out]) -> None:
+    def _send(self, number: int, out: list[Outgoing]) -> None:
         plan = self.plan
         for to, data in out:
             other = self.at[to.name if isinstance(to, Peer) else to]
@@ -102,10 +102,10 @@
         if not self.alive[number]:
             return
         begin = time.process_time()
-        speaker = self.speakers[number]
-        out = speaker.heard(self.clock.now, data)
+        agent = self.agents[number]
+        out = agent.receive(self.clock.now, data)
         self.cpu += time.process_time() - begin
-        found = [key for key in self.lacking[number] if (Verdict, *key) in speaker.book.told]
+        found = [key for key in self.lacking[number] if RecordKey(Verdict, *key) in agent.store.records]
         for key in found:
             self.lacking[number].discard(key)
             self.measured.verdict_ms.append((self.clock.now - self.accused[key]) / MILLI)
@@ -115,7 +115,7 @@
         living = sum(self.alive)
         return all(
             one.membership.alive == living
-            for one, up in zip(self.speakers, self.alive, strict=True) if up
+            for one, up in zip(self.agents, self.alive, strict=True) if up
         )  # fmt: skip
 
     def _until_agreed(self) -> float:
@@ -127,48 +127,48 @@
             self.clock.run(self.clock.now + self.period // 2)
         return (self.clock.now - begin) / SECOND
 
-    def _told(self, number: int) -> Iterator[Told]:
+    def _told(self, number: int) -> Iterator[Record]:
         """What a router has of the others."""
-        speaker = self.speakers[number]
-        return (one for key, one in speaker.book.told.items() if key[2] != speaker.life)
+        agent = self.agents[number]
+        return (one for key, one in agent.store.records.items() if key[2] != agent.member_id)
 
     def _tell(self, number: int) -> None:
         """What a router has to tell, each quarter of a second."""
-        speaker, now = self.speakers[number], self.clock.now
-        for (kind, subject), own in list(speaker.own.items()):
+        agent, now = self.agents[number], self.clock.now
+        for (kind, subject), own in list(agent.published.items()):
             if kind is Verdict and own.body is not None:
-                speaker.tell(now, Verdict(True, 3), subject)
-        if speaker.tells_limits:
-            speaker.tell(now, Limit(10.0, 5.0))
-            speaker.tell(now, Shares(((1, 0.5), (2, 1.0))))
+                agent.publish(now, Verdict(True, 3), subject)
+        if agent.publishes_limits:
+            agent.publish(now, Limit(10.0, 5.0))
+            agent.publish(now, Shares(((1, 0.5), (2, 1.0))))
             for kind in (Limit, Shares):
-                own = speaker.own[kind, 0]
-                self.births[speaker.life, kind.__name__, own.version] = own.at
+                own = agent.published[kind, 0]
+                self.births[agent.member_id, kind.__name__, own.version] = own.published_at
         self.clock.after(SECOND // 4, self._tell, number)
 
     def _accuse(self, count: int) -> None:
         """A router finds that a server fails it."""
-        number = self.draws.below(len(self.speakers))
-        speaker, subject = self.speakers[number], digest(f"server {count}")
-        speaker.tell(self.clock.now, Verdict(True, 3), subject)
-        key = subject, speaker.life
+        number = self.draws.below(len(self.agents))
+        agent, subject = self.agents[number], digest(f"server {count}")
+        agent.publish(self.clock.now, Verdict(True, 3), subject)
+        key = subject, agent.member_id
         self.accused[key] = self.clock.now
         for one, lacking in enumerate(self.lacking):
             if one != number:
                 lacking.add(key)
-        self.clock.after(3 * SECOND, lambda _: speaker.forget(Verdict, subject))
+        self.clock.after(3 * SECOND, lambda _: agent.withdraw(Verdict, subject))
         if self.clock.now < self.until:
             self.clock.after(SECOND // 5, self._accuse, count + 1)
 
     def _look(self, _: None) -> None:
         """The true ages of what counts, at one router."""
-        number, now = self.draws.below(len(self.speakers)), self.clock.now
-        book = self.speakers[number].book
-        self.measured.records = max(self.measured.records, len(book.told))
+        number, now = self.draws.below(len(self.agents)), self.clock.now
+        store = self.agents[number].store
+        self.measured.records = max(self.measured.records, len(store.records))
         for one in self._told(number):
             kind = type(one.body)
             born = self.births.get((one.writer, kind.__name__, one.version))
-            if born is not None and now - one.born <= BOUNDS[kind].age:
+            if born is not None and now - one.created_at <= RETENTION[kind].max_age:
                 self.measured.ages_ms.setdefault(kind.__name__, []).append((now - born) / MILLI)
         if now < self.until:
             self.clock.after(SECOND // 20, self._look, None)
@@ -185,14 +185,14 @@
         self.until = self.clock.now + int(plan.seconds * SECOND)
         self.clock.after(0, self._look, None)
         self.clock.after(0, self._accuse, 0)
-        self.cpu, sent = 0.0, [(one.bytes, one.sent) for one in self.speakers]
+        self.cpu, sent = 0.0, [(one.bytes_sent, one.sent) for one in self.agents]
         self.clock.run(self.clock.now + int(plan.seconds * SECOND))
         each = plan.routers * plan.seconds
         measured.cpu_ms = self.cpu * 1000 / each
-        pairs = list(zip(self.speakers, sent, strict=True))
-        measured.bytes_out = sum(one.bytes - before[0] for one, before in pairs) / each
+        pairs = list(zip(self.agents, sent, strict=True))
+        measured.bytes_out = sum(one.bytes_sent - before[0] for one, before in pairs) / each
         measured.datagrams = sum(one.sent - before[1] for one, before in pairs) / each
-        settled = self.clock.now - BOUNDS[Verdict].age
+        settled = self.clock.now - RETENTION[Verdict].max_age
         measured.missing = sum(self.accused[key] < settled for lacking in self.lacking for key in lacking)
         if plan.cut_s:
             self.cut = True
--- a/applehub/lab/peering.py
+++ b/applehub/lab/peering.py
@@ -1,4 +1,4 @@
-"""The routers' datagrams in the lab: each router's speaker, on the network of the day."""
+"""The routers' datagrams in the lab: each router's gossip agent, on the network of the day."""
 
 from collections.abc import Iterable
 from typing import Protocol
@@ -8,9 +8,9 @@
 from applehub.lab.clock import MILLI, Clock
 from applehub.lab.network import Net
 from applehub.lab.streams import Draws
-from applehub.peers.codec import Peer, Standing
-from applehub.peers.speaker import Out, Speaker
-from applehub.peers.voice import Voice
+from applehub.peers.agent import GossipAgent, Outgoing
+from applehub.peers.codec import Peer, PeerState
+from applehub.peers.policy_adapter import PolicyAdapter
 
 FLEET = "lab"
 HEARD_EACH = 5  # periods between two tellings of the module
@@ -34,7 +34,7 @@
 
 
 class Peering:
-    """All speakers of a play."""
+    """All gossip agents of a play."""
 
     def __init__(self, clock: Clock, told: spec.Peers, kinds: list[str], net: Net, draws: Draws) -> None:
         """kinds: the names of all kinds of servers, in the order of their indexes."""
@@ -43,7 +43,7 @@
         self.period = int(told.period_ms * MILLI)
         self.cost = int(told.datagram_us * 1000)
         self.talkers: dict[str, Talker] = {}
-        self.voices: dict[int, Voice] = {}
+        self.adapters: dict[int, PolicyAdapter] = {}
         self.liars: set[int] = set()
         self.datagrams = self.bytes = 0
 
@@ -58,19 +58,19 @@
     def start(self, talker: Talker) -> None:
         """A process begins to speak, under a number of its own."""
         name, life = f"n{talker.index}", int(self.draws.uniform() * (1 << 53)) + 1
-        me = Peer(life, 0, Standing.ALIVE, talker.index.to_bytes(4), 1, name)
+        me = Peer(life, 0, PeerState.ALIVE, talker.index.to_bytes(4), 1, name)
         names = [one for one in self.talkers if one != name]
-        self.voices[talker.index] = Voice(Speaker(me, FLEET, names, life, self.period))
+        self.adapters[talker.index] = PolicyAdapter(GossipAgent(me, FLEET, names, life, self.period))
         self.clock.after(int(self.draws.uniform() * self.period), self._tick, (talker, talker.life, 0))
 
     def _tick(self, what: tuple[Talker, int, int]) -> None:
         talker, life, count = what
         if talker.life != life or not talker.up:
             return
-        voice, now = self.voices[talker.index], self.clock.now
-        self._send(talker, voice.speaker.tick(now))
+        adapter, now = self.adapters[talker.index], self.clock.now
+        self._send(talker, adapter.agent.tick(now))
         if count % HEARD_EACH == 0:
-            fleet = voice.hear(now, talker.known, self.kinds)
+            fleet = adapter.fleet_event(now, talker.known, self.kinds)
             if not self.told.shares:
                 fleet.shares.clear()
             if not self.told.verdicts:
@@ -83,9 +83,9 @@
         if talker.index in self.liars:
             shares, failing = dict.fromkeys(tell.shares, LEAST_SHARE), dict.fromkeys(talker.known, 9)
             tell = api.Tell(1e6, 1e6, shares, failing, [])
-        self.voices[talker.index].say(self.clock.now, tell, self.kinds)
+        self.adapters[talker.index].publish(self.clock.now, tell, self.kinds)
 
-    def _send(self, talker: Talker, out: list[Out]) -> None:
+    def _send(self, talker: Talker, out: list[Outgoing]) -> None:
         for to, data in out:
             other = self.talkers[to.name if isinstance(to, Peer) else to]
             self.datagrams += 1
@@ -101,4 +101,4 @@
         talker, data = what
         if talker.up:
             talker.work(self.cost)
-            self._send(talker, self.voices[talker.index].speaker.heard(self.clock.now, data))
+            self._send(talker, self.adapters[talker.index].agent.receive(self.clock.now, data))
--- a/applehub/node/peering.py
+++ b/applehub/node/peering.py
@@ -1,4 +1,4 @@
-"""The socket between routers: carries what the speaker wants sent, and brings the module what is heard."""
+"""The UDP socket between routers: carries gossip datagrams, and reports the fleet to the decisions."""
 
 import asyncio
 import logging
@@ -11,9 +11,9 @@
 
 from applehub import interface as api
 from applehub.node.pool import Endpoint
-from applehub.peers.codec import MOST_NAME, Peer, Standing
-from applehub.peers.speaker import Out, Speaker
-from applehub.peers.voice import Voice
+from applehub.peers.agent import GossipAgent, Outgoing
+from applehub.peers.codec import MAX_NAME_BYTES, Peer, PeerState
+from applehub.peers.policy_adapter import PolicyAdapter
 from applehub.settings import SettingError, setting
 
 HEAR = 0.25  # s between two tellings of the module
@@ -52,13 +52,13 @@
         if isinstance(problem, SettingError):
             raise
         raise SettingError(f"peers: expected IPv4 addresses with ports: {problem}") from None
-    if any(len(name.encode()) > MOST_NAME for name in addresses):
-        raise SettingError(f"peers.routers: expected names of at most {MOST_NAME} bytes")
+    if any(len(name.encode()) > MAX_NAME_BYTES for name in addresses):
+        raise SettingError(f"peers.routers: expected names of at most {MAX_NAME_BYTES} bytes")
     return PeersTold(setting(source, "peers.fleet", str), listen, addresses, period / 1000)
 
 
 class Peering(asyncio.DatagramProtocol):
-    """One process's speaker on a datagram socket."""
+    """The gossip agent of one process on a datagram socket."""
 
     def __init__(
         self,
@@ -73,9 +73,9 @@
         # A number of its own for each process, whatever the seed: a restart is another member.
         life = int.from_bytes(os.urandom(8)) | 1
         host, port = told.listen
-        me = Peer(life, 0, Standing.ALIVE, socket.inet_aton(host), port, name)
+        me = Peer(life, 0, PeerState.ALIVE, socket.inet_aton(host), port, name)
         others = [one for one in told.routers if one != name]
-        self.voice = Voice(Speaker(me, told.fleet, others, life, int(told.period * 1e9)))
+        self.adapter = PolicyAdapter(GossipAgent(me, told.fleet, others, life, int(told.period * 1e9)))
         self.transport: asyncio.DatagramTransport | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.heard_at = 0.0
@@ -102,7 +102,7 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        self._send(self.voice.speaker.heard(time.monotonic_ns(), data))
+        self._send(self.adapter.agent.receive(time.monotonic_ns(), data))
 
     def error_received(self, exc: Exception) -> None:
         """A peer's machine refuses: its silence tells as much."""
@@ -110,12 +110,12 @@
     def _tick(self) -> None:
         loop, now = asyncio.get_running_loop(), time.monotonic_ns()
         self.timer = loop.call_later(self.told.period, self._tick)  # first: whatever fails below, it goes on
-        self._send(self.voice.speaker.tick(now))
+        self._send(self.adapter.agent.tick(now))
         if loop.time() - self.heard_at >= HEAR:
             self.heard_at = loop.time()
-            self.tell(self.voice.hear(now, self.servers(), self.kinds()))
+            self.tell(self.adapter.fleet_event(now, self.servers(), self.kinds()))
 
-    def _send(self, out: list[Out]) -> None:
+    def _send(self, out: list[Outgoing]) -> None:
         if self.transport is None or self.transport.is_closing():
             return
         for to, data in out:
@@ -128,19 +128,19 @@
 
     def say(self, tell: api.Tell) -> None:
         """What the module tells."""
-        self.voice.say(time.monotonic_ns(), tell, self.kinds())
+        self.adapter.publish(time.monotonic_ns(), tell, self.kinds())
 
     def move(self, told: PeersTold) -> None:
         """Takes up other addresses of the others and another period; its own address and fleet stay."""
         self.told = PeersTold(self.told.fleet, self.told.listen, told.routers, told.period)
-        membership = self.voice.speaker.membership
-        membership.names = [one for one in told.routers if one != membership.me.name]
-        membership.period = int(told.period * 1e9)
+        membership = self.adapter.agent.membership
+        membership.configured_names = [one for one in told.routers if one != membership.me.name]
+        membership.set_period(int(told.period * 1e9))
 
     def lines(self) -> list[str]:
         """Figures for operators: who is there, how old what counts is, what was dropped and why."""
-        speaker = self.voice.speaker
-        view = speaker.view(time.monotonic_ns())
+        agent = self.adapter.agent
+        view = agent.view(time.monotonic_ns())
         told: dict[str, int] = {
             "routers": view.routers,
             "limits_heard": view.limits,
@@ -148,10 +148,10 @@
             "spent": round(view.spent),
             "accused": len(view.accused),
             **{f"age_ms.{name}": age // MILLI for name, age in view.ages.items()},
-            "sent": speaker.sent,
-            "taken": speaker.taken,
-            "bytes": speaker.bytes,
-            **{f"dropped.{why}": count for why, count in sorted(speaker.dropped.items())},
+            "sent": agent.sent,
+            "taken": agent.accepted,
+            "bytes": agent.bytes_sent,
+            **{f"dropped.{why}": count for why, count in sorted(agent.dropped.items())},
         }
         return [f"peers.{name}={value}" for name, value in told.items()]
 
@@ -160,6 +160,6 @@
         self.stopped = True
         if self.timer is not None:
             self.timer.cancel()
-        self._send(self.voice.speaker.leave(time.monotonic_ns()))
+        self._send(self.adapter.agent.leave(time.monotonic_ns()))
         if self.transport is not None:
             self.transport.close()
--- a/applehub/peers/codec.py
+++ b/applehub/peers/codec.py
@@ -1,8 +1,9 @@
-"""Datagrams between routers. What is not whole, of another fleet or of a newer format is told apart by name.
+"""The wire form of the datagrams between routers.
 
-Layout, network order: magic 2s, format B, kind B, fleet I (CRC-32 of its name), sender Q, seq I, target Q;
-then items, each type B, length B, body; at last a CRC-32 of all before. CRC-32 finds every flip of a burst up
-to 32 bits and costs nothing beside the rest; whoever can forge it can forge any sum without a key.
+Layout, in network byte order: magic 2s, format version B, message kind B, fleet I (CRC-32 of its name),
+sender Q, sequence number I, target Q; then items, each with type B, length B and body; at last the CRC-32 of
+all before. CRC-32 detects every burst error of up to 32 bits; it is no protection against forgery, which the
+network between routers has to exclude.
 """
 
 import struct
@@ -11,35 +12,40 @@
 from enum import IntEnum
 from zlib import crc32
 
-from applehub.peers.records import BOUNDS, Body, Limit, Shares, Told, Verdict
-
-MAGIC, FORMAT = b"aH", 1
-MOST = 1200  # bytes of a datagram, so that no network cuts it in two
-MOST_NAME = 48  # bytes of a router's name
-MOST_KINDS = 16  # of servers in one record, whose length is a byte
-MILLI = 1_000_000
-HEAD = struct.Struct("!2sBBIQIQ")
-SUM = struct.Struct("!I")
-ITEM = struct.Struct("!BB")
-PEER = struct.Struct("!QIB4sH")
-STAMP = struct.Struct("!QQIH")  # writer, subject, version, age in ms
-LIMIT = struct.Struct("!2f")
-SHARE = struct.Struct("!Qf")
-VERDICT = struct.Struct("!?H")
-
-
-class Kind(IntEnum):
-    """What a datagram asks."""
-
-    PROBE = 1  # answer me
-    ANSWER = 2  # to a probe, or passed on for one that was asked for
-    ASK = 3  # probe the target for me
+from applehub.peers.records import RETENTION, Body, Limit, Record, Shares, Verdict
+
+MAGIC = b"aH"
+FORMAT_VERSION = 1
+MAX_DATAGRAM_BYTES = 1200  # within the least MTU of IPv6 (1,280), so that no network fragments it
+MAX_NAME_BYTES = 48  # of a router's name
+MAX_KINDS_PER_RECORD = 16  # of servers: an item's length is one byte
+MAX_AGE_MS = 0xFFFF  # ages are sent in 16 bits
+MAX_ATTEMPTS = 0xFFFF
+MAX_FIGURE = 1e9  # tokens a second beyond which a limit is no router's
+NS_PER_MS = 1_000_000
+FORMAT_VERSION_OFFSET = 2
+HEADER = struct.Struct("!2sBBIQIQ")
+CHECKSUM = struct.Struct("!I")
+ITEM_HEADER = struct.Struct("!BB")
+PEER_FIELDS = struct.Struct("!QIB4sH")
+RECORD_HEADER = struct.Struct("!QQIH")  # writer, subject, version, age in ms
+LIMIT_FIELDS = struct.Struct("!2f")
+SHARE_FIELDS = struct.Struct("!Qf")
+VERDICT_FIELDS = struct.Struct("!?H")
+
+
+class MessageKind(IntEnum):
+    """The message of a datagram, in SWIM's terms."""
+
+    PING = 1
+    ACK = 2  # to a ping, or passed on to whom had it requested
+    PING_REQUEST = 3  # ping the target on the sender's behalf
     LEAVE = 4  # the sender ends
-    TELL = 5  # no answer is wanted
+    GOSSIP = 5  # records and members alone; no answer is expected
 
 
-class Item(IntEnum):
-    """What a datagram carries beside."""
+class ItemType(IntEnum):
+    """What an item of a datagram carries."""
 
     PEER = 1
     LIMIT = 2
@@ -47,8 +53,8 @@
     VERDICT = 4
 
 
-class Standing(IntEnum):
-    """What is held of a peer; of one incarnation the greater wins."""
+class PeerState(IntEnum):
+    """What is known of a peer; within one incarnation the greater state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -58,140 +64,184 @@
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """One process of a router, as it is told of. host: four bytes of an IPv4 address."""
+    """One process of a router, as datagrams describe it.
 
-    life: int
+    member_id: drawn at random at each start, so that a restarted process is another member.
+    incarnation: raised by the process itself to refute a suspicion (SWIM).
+    host: the four bytes of an IPv4 address.
+    """
+
+    member_id: int
     incarnation: int
-    standing: Standing
+    state: PeerState
     host: bytes
     port: int
     name: str
 
     @property
-    def rank(self) -> tuple[int, int]:
-        """The order of two tellings of one life."""
-        return self.incarnation, self.standing
+    def rank(self) -> tuple[int, PeerState]:
+        """The order of two descriptions of one process: the higher one is the newer."""
+        return self.incarnation, self.state
 
 
 @dataclass(slots=True)
 class Datagram:
-    """A datagram as it was read. ages: with each record, ns."""
+    """A decoded datagram.
+
+    target: the member id that is meant, 0 for whoever listens at the address.
+    records: each with minus its age (ns) as `created_at`.
+    """
 
-    kind: Kind
+    kind: MessageKind
     sender: int
-    seq: int
+    sequence: int
     target: int
     peers: list[Peer] = field(default_factory=list)
-    told: list[Told] = field(default_factory=list)  # born: minus the age, ns
+    records: list[Record] = field(default_factory=list)
 
 
 class DatagramError(ValueError):
-    """A datagram that is dropped; its text is the name it is counted under."""
+    """A datagram that is dropped; its text is the reason under which it is counted."""
 
 
-KINDS_OF: dict[type[Body], Item] = {Limit: Item.LIMIT, Shares: Item.SHARES, Verdict: Item.VERDICT}
-MOST_AGE = 0xFFFF
+ITEM_TYPES: dict[type[Body], ItemType] = {
+    Limit: ItemType.LIMIT,
+    Shares: ItemType.SHARES,
+    Verdict: ItemType.VERDICT,
+}
 
 
 def encode_peer(peer: Peer) -> bytes:
-    """The item for a peer."""
-    name = peer.name.encode()[:MOST_NAME]
-    body = PEER.pack(peer.life, peer.incarnation, peer.standing, peer.host, peer.port) + name
-    return ITEM.pack(Item.PEER, len(body)) + body
+    """Return the item that describes a peer."""
+    fields = PEER_FIELDS.pack(peer.member_id, peer.incarnation, peer.state, peer.host, peer.port)
+    content = fields + peer.name.encode()[:MAX_NAME_BYTES]
+    return ITEM_HEADER.pack(ItemType.PEER, len(content)) + content
 
 
-def encode_told(one: Told, now: int) -> bytes:
-    """The item for a record, with its age by now."""
-    age = min(max(0, now - one.born) // MILLI, MOST_AGE)
-    body = STAMP.pack(one.writer, one.subject, one.version, age)
-    match one.body:
-        case Limit(rate, spent):
-            body += LIMIT.pack(rate, spent)
-        case Shares(by_kind):
-            body += b"".join(SHARE.pack(kind, share) for kind, share in by_kind[:MOST_KINDS])
-        case Verdict(failing, attempts):
-            body += VERDICT.pack(failing, min(attempts, 0xFFFF))
-    return ITEM.pack(KINDS_OF[type(one.body)], len(body)) + body
+def encode_record(record: Record, now: int) -> bytes:
+    """Return the item for a record, with the age that it has at `now` (ns)."""
+    age_ms = min(max(0, now - record.created_at) // NS_PER_MS, MAX_AGE_MS)
+    header = RECORD_HEADER.pack(record.writer, record.subject, record.version, age_ms)
+    content = header + _encode_body(record.body)
+    return ITEM_HEADER.pack(ITEM_TYPES[type(record.body)], len(content)) + content
 
 
-class Packer:
-    """Fills one datagram up to its bound."""
-
-    def __init__(self, fleet: int, kind: Kind, sender: int, seq: int, target: int) -> None:
-        self.parts = [HEAD.pack(MAGIC, FORMAT, kind, fleet, sender, seq, target)]
-        self.size = HEAD.size + SUM.size
-
-    def add(self, item: bytes, room: int = MOST) -> bool:
-        """Adds an item if the datagram stays within so many bytes; whether it did."""
-        if self.size + len(item) > room:
+def decode(data: bytes, fleet: int) -> Datagram:
+    """Decode a datagram; `fleet` is the CRC-32 of the receiver's own fleet name.
+
+    Raises DatagramError with the reason: foreign, format, checksum, fleet, cut, figures or malformed.
+    Items of unknown types are skipped, so that two versions of the program can share what both know.
+    """
+    _check_envelope(data)
+    _, _, kind, sender_fleet, sender, sequence, target = HEADER.unpack_from(data)
+    if sender_fleet != fleet:
+        raise DatagramError("fleet")
+    try:
+        datagram = Datagram(MessageKind(kind), sender, sequence, target)
+        for item_type, content in _items(data):
+            _decode_item(datagram, item_type, content)
+    except DatagramError:
+        raise
+    except (struct.error, ValueError) as problem:
+        raise DatagramError("malformed") from problem
+    return datagram
+
+
+class DatagramBuilder:
+    """Assembles one datagram up to a size limit."""
+
+    def __init__(self, fleet: int, kind: MessageKind, sender: int, sequence: int, target: int) -> None:
+        """Begin a datagram; the fields are those of `Datagram`, fleet is the CRC-32 of its name."""
+        self.parts = [HEADER.pack(MAGIC, FORMAT_VERSION, kind, fleet, sender, sequence, target)]
+        self.size = HEADER.size + CHECKSUM.size
+
+    def add(self, item: bytes, max_size: int = MAX_DATAGRAM_BYTES) -> bool:
+        """Add an item if the datagram then has at most `max_size` bytes; return whether it was added."""
+        if self.size + len(item) > max_size:
             return False
         self.parts.append(item)
         self.size += len(item)
         return True
 
-    def whole(self) -> bytes:
+    def build(self) -> bytes:
+        """Return the datagram with its checksum."""
         content = b"".join(self.parts)
-        return content + SUM.pack(crc32(content))
+        return content + CHECKSUM.pack(crc32(content))
+
+
+def _encode_body(body: Body) -> bytes:
+    match body:
+        case Limit(rate, spent):
+            return LIMIT_FIELDS.pack(rate, spent)
+        case Shares(by_kind):
+            return b"".join(SHARE_FIELDS.pack(kind, share) for kind, share in by_kind[:MAX_KINDS_PER_RECORD])
+        case Verdict(failing, attempts):
+            return VERDICT_FIELDS.pack(failing, min(attempts, MAX_ATTEMPTS))
+
+
+def _check_envelope(data: bytes) -> None:
+    """Raise DatagramError unless magic, format version and checksum are right."""
+    if len(data) < HEADER.size + CHECKSUM.size or data[: len(MAGIC)] != MAGIC:
+        raise DatagramError("foreign")
+    if data[FORMAT_VERSION_OFFSET] != FORMAT_VERSION:
+        raise DatagramError("format")
+    (checksum,) = CHECKSUM.unpack_from(data, len(data) - CHECKSUM.size)
+    if checksum != crc32(data[: -CHECKSUM.size]):
+        raise DatagramError("checksum")
 
 
 def _items(data: bytes) -> Iterator[tuple[int, bytes]]:
-    at, end = HEAD.size, len(data) - SUM.size
-    while at < end:
-        if at + ITEM.size > end:
+    """Yield the type and the content of each item."""
+    position = HEADER.size
+    end = len(data) - CHECKSUM.size
+    while position < end:
+        if position + ITEM_HEADER.size > end:
             raise DatagramError("cut")
-        kind, length = ITEM.unpack_from(data, at)
-        at += ITEM.size
-        if at + length > end:
+        item_type, length = ITEM_HEADER.unpack_from(data, position)
+        position += ITEM_HEADER.size
+        if position + length > end:
             raise DatagramError("cut")
-        yield kind, data[at : at + length]
-        at += length
+        yield item_type, data[position : position + length]
+        position += length
+
+
+def _decode_item(datagram: Datagram, item_type: int, content: bytes) -> None:
+    if item_type == ItemType.PEER:
+        datagram.peers.append(_decode_peer(content))
+    elif item_type in ITEM_TYPES.values():
+        record = _decode_record(item_type, content)
+        if -record.created_at <= RETENTION[type(record.body)].max_age:
+            datagram.records.append(record)
+
+
+def _decode_peer(content: bytes) -> Peer:
+    member_id, incarnation, state, host, port = PEER_FIELDS.unpack_from(content)
+    name = content[PEER_FIELDS.size :].decode()
+    return Peer(member_id, incarnation, PeerState(state), host, port, name)
+
+
+def _decode_record(item_type: int, content: bytes) -> Record:
+    writer, subject, version, age_ms = RECORD_HEADER.unpack_from(content)
+    body = _decode_body(item_type, content[RECORD_HEADER.size :])
+    if not _is_plausible(body) or (subject and not isinstance(body, Verdict)):
+        raise DatagramError("figures")
+    return Record(writer, subject, version, -age_ms * NS_PER_MS, body)
 
 
-def _body(kind: int, rest: bytes) -> Body:
-    if kind == Item.LIMIT:
-        return Limit(*LIMIT.unpack_from(rest))
-    if kind == Item.SHARES:
-        return Shares(tuple(SHARE.iter_unpack(rest)))
-    return Verdict(*VERDICT.unpack_from(rest))
+def _decode_body(item_type: int, content: bytes) -> Body:
+    if item_type == ItemType.LIMIT:
+        return Limit(*LIMIT_FIELDS.unpack_from(content))
+    if item_type == ItemType.SHARES:
+        return Shares(tuple(SHARE_FIELDS.iter_unpack(content)))
+    return Verdict(*VERDICT_FIELDS.unpack_from(content))
 
 
-def _sensible(body: Body) -> bool:
-    """Whether the figures are such as a router could have."""
+def _is_plausible(body: Body) -> bool:
+    """Whether a router could have these figures; not-a-number is none."""
     match body:
         case Limit(rate, spent):
-            return 0 <= rate < 1e9 and 0 <= spent < 1e9
+            return 0 <= rate < MAX_FIGURE and 0 <= spent < MAX_FIGURE
         case Shares(by_kind):
             return all(0 < share <= 1 for _, share in by_kind)
-    return True
-
-
-def decode(data: bytes, fleet: int) -> Datagram:
-    """Reads a datagram. Raises DatagramError."""
-    if len(data) < HEAD.size + SUM.size or data[:2] != MAGIC:
-        raise DatagramError("foreign")
-    if data[2] != FORMAT:
-        raise DatagramError("format")
-    if SUM.unpack_from(data, len(data) - SUM.size)[0] != crc32(data[: -SUM.size]):
-        raise DatagramError("checksum")
-    _, _, kind, of, sender, seq, target = HEAD.unpack_from(data)
-    if of != fleet:
-        raise DatagramError("fleet")
-    try:
-        read = Datagram(Kind(kind), sender, seq, target)
-        for item, body in _items(data):
-            if item == Item.PEER:
-                life, incarnation, standing, host, port = PEER.unpack_from(body)
-                name = body[PEER.size :].decode()
-                read.peers.append(Peer(life, incarnation, Standing(standing), host, port, name))
-            elif item in KINDS_OF.values():
-                writer, subject, version, age = STAMP.unpack_from(body)
-                what = _body(item, body[STAMP.size :])
-                if not _sensible(what) or (subject and not isinstance(what, Verdict)):
-                    raise DatagramError("figures")
-                if age * MILLI <= BOUNDS[type(what)].age:
-                    read.told.append(Told(writer, subject, version, -age * MILLI, what))
-    except (struct.error, UnicodeDecodeError, ValueError) as problem:
-        if isinstance(problem, DatagramError):
-            raise
-        raise DatagramError("malformed") from None
-    return read
+        case Verdict():
+            return True
--- a/applehub/peers/records.py
+++ b/applehub/peers/records.py
@@ -1,27 +1,30 @@
-"""What routers tell of themselves, and the book of what was heard.
+"""What routers publish by gossip: origin limits, range shares and health verdicts.
 
-The merge keeps, by writer and subject, the highest version, of one version the elder birth, and of each
-subject the writers with the lowest numbers: commutative, associative, idempotent. Times are ns of the
-holder's own monotonic clock.
+Times are nanoseconds of the holder's own monotonic clock.
 """
 
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable
 from dataclasses import dataclass
 from hashlib import blake2b
 from heapq import nsmallest
+from typing import NamedTuple
 
 SECOND = 1_000_000_000
-MOST_SUBJECTS = 2048  # servers that verdicts are kept of; those with the lowest digests
+DIGEST_BYTES = 8
 
 
 def digest(name: str) -> int:
-    """Eight bytes that stand for a name, the same at every router."""
-    return int.from_bytes(blake2b(name.encode(), digest_size=8).digest())
+    """Return the 64-bit number that stands for a name in datagrams, the same at every router."""
+    return int.from_bytes(blake2b(name.encode(), digest_size=DIGEST_BYTES).digest())
 
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """What a router may draw from the origin and what it draws, tokens a second; rate 0: no limit."""
+    """What a router may draw from the origin, and what it draws.
+
+    rate: tokens a second that the router's throttle admits; 0 means that the throttle is off.
+    spent: tokens a second that it spends.
+    """
 
     rate: float
     spent: float
@@ -29,125 +32,91 @@
 
 @dataclass(frozen=True, slots=True)
 class Shares:
-    """The part of an equal range that servers of each kind bear, by the kind's digest."""
+    """The part of an equal key range that servers of each kind can bear.
+
+    by_kind: pairs of a kind's digest and its part, above 0 and at most 1.
+    """
 
     by_kind: tuple[tuple[int, float], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """Whether a server fails this router, and on how many attempts in a row that rests."""
+    """Whether a server fails the writer.
+
+    attempts: failed attempts in a row on which the verdict rests.
+    """
 
     failing: bool
     attempts: int
 
 
 Body = Limit | Shares | Verdict
-Key = tuple[type[Body], int, int]  # type, subject (a server's digest; 0 where there is none), writer
+
+
+class RecordKey(NamedTuple):
+    """What identifies a record; a newer version with the same key replaces it.
+
+    subject: digest of the server that a verdict is about, 0 for the other types.
+    writer: member id of the process that published the record.
+    """
+
+    body_type: type[Body]
+    subject: int
+    writer: int
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
-    """How old a type may be, ns, and how many writers of one subject are kept."""
+class Retention:
+    """How long records of one type count, and how many are held.
 
-    age: int
-    writers: int
+    max_age: ns after which a record no longer counts.
+    max_writers: records held for one subject.
+    """
 
+    max_age: int
+    max_writers: int
 
-BOUNDS: dict[type[Body], Bounds] = {
-    Limit: Bounds(2 * SECOND, 32),
-    Shares: Bounds(6 * SECOND, 32),
-    Verdict: Bounds(2 * SECOND, 8),
+
+RETENTION: dict[type[Body], Retention] = {
+    Limit: Retention(2 * SECOND, 32),
+    Shares: Retention(6 * SECOND, 32),
+    Verdict: Retention(2 * SECOND, 8),
 }
 
 
+def type_name(body_type: type[Body]) -> str:
+    """Return the name under which operators see a type of record: `limit`, `shares` or `verdict`."""
+    return body_type.__name__.lower()
+
+
 @dataclass(frozen=True, slots=True)
-class Told:
-    """One record: born is when its writer made it, reckoned here."""
+class Record:
+    """One published record.
+
+    version: raised by the writer with each publication.
+    created_at: when the writer published it, in the holder's clock; in a decoded datagram minus its age.
+    """
 
     writer: int
     subject: int
     version: int
-    born: int
+    created_at: int
     body: Body
 
     @property
-    def key(self) -> Key:
-        return type(self.body), self.subject, self.writer
-
-    def beats(self, other: "Told") -> bool:
-        return (self.version, -self.born) > (other.version, -other.born)
-
-
-class Book:
-    """What was heard and is not too old. Bounded: writers of a subject, and subjects."""
-
-    def __init__(self) -> None:
-        self.told: dict[Key, Told] = {}
-        self.writers: dict[tuple[type[Body], int], list[int]] = {}
-        self.subjects: set[int] = set()  # servers that there are verdicts of
-
-    def merge(self, one: Told) -> bool:
-        """Takes up a record; whether it was news."""
-        key = one.key
-        held = self.told.get(key)
-        if held is not None:
-            if not one.beats(held):
-                return False
-            self.told[key] = one
-            return one.version > held.version
-        kind, subject, writer = key
-        writers = self.writers.setdefault((kind, subject), [])
-        if len(writers) >= BOUNDS[kind].writers:
-            last = max(writers)
-            if writer > last:
-                return False
-            self._drop((kind, subject, last))
-            writers = self.writers.setdefault((kind, subject), [])
-        writers.append(writer)
-        self.told[key] = one
-        if kind is Verdict:
-            self.subjects.add(subject)
-        return not self._crowded_out(kind, subject)
-
-    def _crowded_out(self, kind: type[Body], subject: int) -> bool:
-        """Keeps to the bound on subjects; whether this one went."""
-        if kind is not Verdict or len(self.subjects) <= MOST_SUBJECTS:
-            return False
-        last = max(self.subjects)
-        for writer in list(self.writers[Verdict, last]):
-            self._drop((Verdict, last, writer))
-        return last == subject
-
-    def _drop(self, key: Key) -> None:
-        kind, subject, writer = key
-        del self.told[key]
-        writers = self.writers[kind, subject]
-        writers.remove(writer)
-        if not writers:
-            del self.writers[kind, subject]
-            if kind is Verdict:
-                self.subjects.discard(subject)
-
-    def expire(self, now: int) -> list[Key]:
-        """Drops what has passed its bound; gives the keys."""
-        old = [key for key, one in self.told.items() if now - one.born > BOUNDS[key[0]].age]
-        for key in old:
-            self._drop(key)
-        return old
-
-    def of(self, kind: type[Body], subject: int, now: int) -> Iterator[Told]:
-        """The records of a subject that are within their bound."""
-        for writer in self.writers.get((kind, subject), ()):
-            one = self.told[kind, subject, writer]
-            if now - one.born <= BOUNDS[kind].age:
-                yield one
-
-    def accused(self) -> list[int]:
-        """The digests of servers that there are verdicts of."""
-        return list(self.subjects)
-
-
-def sample(lives: Iterable[int]) -> set[int]:
-    """The lives whose limits and shares are told: as many as a book keeps."""
-    return set(nsmallest(BOUNDS[Limit].writers, lives))
+    def key(self) -> RecordKey:
+        """What identifies the record among others."""
+        return RecordKey(type(self.body), self.subject, self.writer)
+
+    def supersedes(self, other: "Record") -> bool:
+        """Whether this record replaces another with the same key: a higher version, or the same, older."""
+        return (self.version, -self.created_at) > (other.version, -other.created_at)
+
+
+def sampled_writers(member_ids: Iterable[int]) -> set[int]:
+    """Return the processes whose limits and shares the fleet holds: those with the lowest ids.
+
+    Ids are drawn evenly, so the lowest ones are an even sample of the fleet.
+    """
+    return set(nsmallest(RETENTION[Limit].max_writers, member_ids))
--- a/tests/measure_sizes.py
+++ b/tests/measure_sizes.py
@@ -23,9 +23,9 @@
 from applehub.node.driver import Driver
 from applehub.node.figures import Figures
 from applehub.node.pool import Pools
-from applehub.peers.codec import Peer, Standing
-from applehub.peers.records import BOUNDS, Limit, Shares, Told, Verdict, digest
-from applehub.peers.speaker import Speaker
+from applehub.peers.agent import GossipAgent
+from applehub.peers.codec import Peer, PeerState
+from applehub.peers.records import RETENTION, Limit, Record, Shares, Verdict, digest
 from applehub.policy import Balancer
 from applehub.policy.keys import DEALS_KEPT
 from applehub.settings import read_names, read_settings
@@ -120,20 +120,20 @@
 
 def measure_peers(members: int) -> Measured:
     """What a process holds of its peers, and its ticks; once more with verdicts of as many servers."""
-    me = Peer(members, 0, Standing.ALIVE, bytes(4), 1, "n0")
+    me = Peer(members, 0, PeerState.ALIVE, bytes(4), 1, "n0")
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    one = Speaker(me, "fleet", [], 1, 50 * MILLI)
+    one = GossipAgent(me, "fleet", [], 1, 50 * MILLI)
     for number in range(1, members):
-        peer = Peer(number, 0, Standing.ALIVE, number.to_bytes(4), 1, f"n{number}")
+        peer = Peer(number, 0, PeerState.ALIVE, number.to_bytes(4), 1, f"n{number}")
         one.membership.merge(SECOND, peer)
     for writer in range(1, members):
-        one.book.merge(Told(writer, 0, 1, SECOND, Limit(10.0, 5.0)))
-        one.book.merge(Told(writer, 0, 1, SECOND, Shares(((1, 0.5), (2, 0.5)))))
+        one.store.merge(Record(writer, 0, 1, SECOND, Limit(10.0, 5.0)))
+        one.store.merge(Record(writer, 0, 1, SECOND, Shares(((1, 0.5), (2, 0.5)))))
     there = tracemalloc.get_traced_memory()[0] - before
     for number in range(members):
-        for writer in range(1, BOUNDS[Verdict].writers + 1):
-            one._know(Told(writer, digest(f"c{number}"), 1, SECOND, Verdict(True, 1)))
+        for writer in range(1, RETENTION[Verdict].max_writers + 1):
+            one._merge(Record(writer, digest(f"c{number}"), 1, SECOND, Verdict(True, 1)))
     accused = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
 
@@ -143,8 +143,8 @@
 
     urgent = cost_of(tick) / TICKS * 1e3
     view = cost_of(lambda: one.view(SECOND)) * 1e3
-    one.book.expire(100 * SECOND)
-    one.hot.clear()
+    one.store.expire(100 * SECOND)
+    one.pending.clear()
     return {
         "members and their records, kB": there / KILOBYTE,
         "with all servers accused, kB": accused / KILOBYTE,
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -15,75 +15,85 @@
 from applehub.node.configuration import ConfigurationError, read_peers_of
 from applehub.node.discovery import read_endpoint
 from applehub.node.peering import read_peers
-from applehub.peers.codec import MOST, DatagramError, Kind, Packer, Peer, Standing, decode, encode_told
-from applehub.peers.records import BOUNDS, Book, Limit, Shares, Told, Verdict, digest
-from applehub.peers.speaker import Speaker
-from applehub.peers.swim import Membership
-from applehub.peers.voice import Voice
+from applehub.peers.agent import GossipAgent
+from applehub.peers.codec import (
+    MAX_DATAGRAM_BYTES,
+    DatagramBuilder,
+    DatagramError,
+    MessageKind,
+    Peer,
+    PeerState,
+    decode,
+    encode_record,
+)
+from applehub.peers.membership import Membership
+from applehub.peers.policy_adapter import PolicyAdapter
+from applehub.peers.record_store import RecordStore
+from applehub.peers.records import RETENTION, Limit, Record, Shares, Verdict, digest
 from applehub.settings import SettingError
 
 PERIOD = 50 * MILLI
 
 
-def speaker(number: int) -> Speaker:
-    me = Peer(number + 1, 0, Standing.ALIVE, number.to_bytes(4), 1, f"n{number}")
-    return Speaker(me, "fleet", [f"n{one}" for one in range(3) if one != number], number, PERIOD)
+def agent(number: int) -> GossipAgent:
+    me = Peer(number + 1, 0, PeerState.ALIVE, number.to_bytes(4), 1, f"n{number}")
+    return GossipAgent(me, "fleet", [f"n{one}" for one in range(3) if one != number], number, PERIOD)
 
 
-def made(writer: int, subject: int, version: int) -> Told:
+def made(writer: int, subject: int, version: int) -> Record:
     """One writer's record of one version is one record: only its reckoned birth may differ."""
     kind = subject % 3
     bodies = Limit(version, writer), Shares(((1, 0.5),)), Verdict(version % 2 == 0, version)
-    return Told(writer, subject if kind == 2 else 0, version, 0, bodies[kind])
+    return Record(writer, subject if kind == 2 else 0, version, 0, bodies[kind])
 
 
 RECORDS = st.builds(
     replace,
     st.builds(made, st.integers(1, 50), st.integers(0, 6), st.integers(1, 4)),
-    born=st.integers(0, 5),
+    created_at=st.integers(0, 5),
 )
 
 
 @given(st.lists(RECORDS, max_size=120), st.randoms(use_true_random=False))
 @settings(max_examples=200, deadline=None)
-def test_the_merge_does_not_care_for_order_or_repetition(records: list[Told], drawn: random.Random) -> None:
-    one, other = Book(), Book()
+def test_the_merge_does_not_care_for_order_or_repetition(records: list[Record], drawn: random.Random) -> None:
+    one, other = RecordStore(), RecordStore()
     for record in records:
         one.merge(record)
     again = records + [drawn.choice(records) for _ in records]
     drawn.shuffle(again)
-    half = Book()  # what is merged by way of another book
+    half = RecordStore()  # what is merged by way of another store
     for record in again[: len(again) // 2]:
         half.merge(record)
-    for record in [*again[len(again) // 2 :], *half.told.values()]:
+    for record in [*again[len(again) // 2 :], *half.records.values()]:
         other.merge(record)
-    assert one.told == other.told
-    assert all(len(writers) <= BOUNDS[kind].writers for (kind, _), writers in one.writers.items())
+    assert one.records == other.records
+    assert all(len(writers) <= RETENTION[kind].max_writers for (kind, _), writers in one.writers.items())
 
 
 def test_what_has_passed_its_bound_counts_no_more_and_is_dropped() -> None:
-    heard, other = speaker(0), speaker(1)
-    other.tell(0, Verdict(True, 5), 7)
+    heard, other = agent(0), agent(1)
+    other.publish(0, Verdict(True, 5), 7)
     introduce(0, heard, other)
     assert heard.view(SECOND).accused[7].failing == 1
     assert not heard.view(3 * SECOND).accused
     heard.tick(3 * SECOND)
-    assert not heard.book.told
+    assert not heard.store.records
 
 
-def introduce(now: int, one: Speaker, other: Speaker) -> None:
+def introduce(now: int, one: GossipAgent, other: GossipAgent) -> None:
     """Lets two hear of each other, with all that the other has to tell."""
     for first, second in ((other, one), (one, other), (other, one)):
         for _, data in first.tick(now):
-            second.heard(now, data)
+            second.receive(now, data)
     assert one.membership.alive == other.membership.alive == 2
 
 
 @given(st.data())
 @settings(max_examples=300, deadline=None)
 def test_a_datagram_that_is_not_whole_is_dropped_and_counted(data: st.DataObject) -> None:
-    one, other = speaker(0), speaker(1)
-    other.tell(0, Limit(3.0, 2.0))
+    one, other = agent(0), agent(1)
+    other.publish(0, Limit(3.0, 2.0))
     whole = bytearray(other.tick(0)[0][1])
     how = data.draw(st.sampled_from(["flip", "cut", "noise"]))
     if how == "flip":
@@ -93,46 +103,46 @@
         "cut": bytes(whole[: data.draw(st.integers(0, len(whole) - 1))]),
         "noise": data.draw(st.binary(max_size=80)),
     }[how]
-    assert one.heard(0, spoilt) == []
-    assert sum(one.dropped.values()) == 1 and one.membership.alive == 1 and not one.book.told
+    assert one.receive(0, spoilt) == []
+    assert sum(one.dropped.values()) == 1 and one.membership.alive == 1 and not one.store.records
 
 
 def test_another_fleet_a_newer_format_and_a_former_life_are_told_apart() -> None:
-    one = speaker(0)
-    newer = bytearray(Packer(one.fleet, Kind.PROBE, 9, 1, 0).whole())
+    one = agent(0)
+    newer = bytearray(DatagramBuilder(one.fleet, MessageKind.PING, 9, 1, 0).build())
     newer[2] += 1
     spoilt = {
-        "fleet": Packer(1, Kind.PROBE, 9, 1, 0).whole(),
+        "fleet": DatagramBuilder(1, MessageKind.PING, 9, 1, 0).build(),
         "format": bytes(newer),
-        "stranger": Packer(one.fleet, Kind.PROBE, 9, 1, 12345).whole(),
-        "own": Packer(one.fleet, Kind.PROBE, one.life, 1, 0).whole(),
+        "stranger": DatagramBuilder(one.fleet, MessageKind.PING, 9, 1, 12345).build(),
+        "own": DatagramBuilder(one.fleet, MessageKind.PING, one.member_id, 1, 0).build(),
     }
     for data in spoilt.values():
-        one.heard(0, data)
+        one.receive(0, data)
     assert one.dropped == dict.fromkeys(spoilt, 1)
 
 
 def test_figures_that_no_router_has_are_not_believed_and_a_datagram_keeps_to_its_bound() -> None:
-    packer = Packer(5, Kind.TELL, 9, 0, 0)
-    packer.add(encode_told(Told(9, 0, 1, 0, Limit(float("nan"), 1.0)), 0))
+    packer = DatagramBuilder(5, MessageKind.GOSSIP, 9, 0, 0)
+    packer.add(encode_record(Record(9, 0, 1, 0, Limit(float("nan"), 1.0)), 0))
     with pytest.raises(DatagramError, match="figures"):
-        decode(packer.whole(), 5)
-    full = Packer(5, Kind.TELL, 9, 0, 0)
-    while full.add(encode_told(Told(9, 0, 1, 0, Limit(1.0, 1.0)), 0)):
+        decode(packer.build(), 5)
+    full = DatagramBuilder(5, MessageKind.GOSSIP, 9, 0, 0)
+    while full.add(encode_record(Record(9, 0, 1, 0, Limit(1.0, 1.0)), 0)):
         pass
-    assert len(full.whole()) <= MOST
+    assert len(full.build()) <= MAX_DATAGRAM_BYTES
 
 
 def test_a_process_that_slept_blames_nobody_and_refutes_what_was_said_of_it() -> None:
-    me = Peer(1, 0, Standing.ALIVE, bytes(4), 1, "n0")
+    me = Peer(1, 0, PeerState.ALIVE, bytes(4), 1, "n0")
     there = Membership(me, [], 1, PERIOD)
-    there.merge(0, Peer(2, 0, Standing.ALIVE, bytes(4), 1, "n1"))
+    there.merge(0, Peer(2, 0, PeerState.ALIVE, bytes(4), 1, "n1"))
     for tick in range(4):
         there.tick(tick * PERIOD)  # probes go out; nobody answers
     there.tick(30 * SECOND)
-    assert [one.standing for one in there.members()] == [Standing.ALIVE]
-    there.merge(30 * SECOND, replace(me, standing=Standing.DEAD))
-    assert there.me.rank > (0, Standing.DEAD)
+    assert [one.state for one in there.members()] == [PeerState.ALIVE]
+    there.merge(30 * SECOND, replace(me, state=PeerState.DEAD))
+    assert there.me.rank > (0, PeerState.DEAD)
     for tick in range(1, 60):
         there.tick(30 * SECOND + tick * PERIOD)
     assert not list(there.members())
@@ -145,7 +155,9 @@
     assert measured.missing == 0 and measured.records < 100
     assert 0 < measured.known_s < 5 and 0 < measured.healed_s < 10 and 0 < measured.buried_s < 10
     for kind, ages in measured.ages_ms.items():
-        assert max(ages) <= max(bound.age for of, bound in BOUNDS.items() if of.__name__ == kind) / MILLI
+        assert (
+            max(ages) <= max(bound.max_age for of, bound in RETENTION.items() if of.__name__ == kind) / MILLI
+        )
 
 
 # What the module makes of it
@@ -199,15 +211,17 @@
     router.end(first, api.Status.CONNECT_FAILED)
     (told, *_) = [one for one in router.wait(SECOND) if isinstance(one, api.Tell)]
     assert told.failing == {first.server: 1}
-    voice, kinds = Voice(speaker(0)), {"cache": 0}
-    voice.say(0, told, kinds)
-    assert voice.speaker.own[Verdict, digest(first.server)].body == Verdict(True, 1)
-    voice.say(SECOND, replace(told, failing={}), kinds)
-    (record,) = [one for key, one in voice.speaker.book.told.items() if key[0] is Verdict]
+    adapter, kinds = PolicyAdapter(agent(0)), {"cache": 0}
+    adapter.publish(0, told, kinds)
+    assert adapter.agent.published[Verdict, digest(first.server)].body == Verdict(True, 1)
+    adapter.publish(SECOND, replace(told, failing={}), kinds)
+    (record,) = [one for key, one in adapter.agent.store.records.items() if key[0] is Verdict]
     assert record.body == Verdict(False, 0)
-    voice.say(SECOND + 1, told, kinds)
-    (again,) = [one for key, one in voice.speaker.book.told.items() if key[0] is Verdict]
-    assert again.body == Verdict(True, 1) and again.beats(record)  # for those who hold the one before, too
+    adapter.publish(SECOND + 1, told, kinds)
+    (again,) = [one for key, one in adapter.agent.store.records.items() if key[0] is Verdict]
+    assert again.body == Verdict(True, 1) and again.supersedes(
+        record
+    )  # for those who hold the one before, too
 
 
 def test_a_router_that_starts_takes_over_the_fleets_shares_and_then_draws_near() -> None:
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -23,11 +23,29 @@
 from applehub.node.discovery import Directory, read_endpoint
 from applehub.node.pool import Pools
 from applehub.node.watch import Watch
-from applehub.peers.codec import MOST, MOST_KINDS, MOST_NAME, Kind, Packer, Peer, Standing, decode
-from applehub.peers.records import BOUNDS, MOST_SUBJECTS, Book, Limit, Shares, Told, Verdict, digest
-from applehub.peers.speaker import Speaker
-from applehub.peers.swim import FORGET, Membership
-from applehub.peers.voice import Voice
+from applehub.peers.agent import GossipAgent
+from applehub.peers.codec import (
+    MAX_DATAGRAM_BYTES,
+    MAX_KINDS_PER_RECORD,
+    MAX_NAME_BYTES,
+    DatagramBuilder,
+    MessageKind,
+    Peer,
+    PeerState,
+    decode,
+)
+from applehub.peers.member_table import FORGET_AFTER
+from applehub.peers.membership import Membership
+from applehub.peers.policy_adapter import PolicyAdapter
+from applehub.peers.record_store import MAX_SUBJECTS, RecordStore
+from applehub.peers.records import (
+    RETENTION,
+    Limit,
+    Record,
+    Shares,
+    Verdict,
+    digest,
+)
 from applehub.policy.keys import DEALS_KEPT, KeyRanges
 from applehub.policy.servers import Server
 from applehub.registry import watches
@@ -167,35 +185,35 @@
 
 
 def member(number: int, name: str = "") -> Peer:
-    return Peer(number + 1, 0, Standing.ALIVE, number.to_bytes(4), 1, name or f"n{number}")
+    return Peer(number + 1, 0, PeerState.ALIVE, number.to_bytes(4), 1, name or f"n{number}")
 
 
-def speaker(number: int, known: int = 0, name: str = "") -> Speaker:
-    """A speaker; it knows so many others, and has told of them all."""
+def agent(number: int, known: int = 0, name: str = "") -> GossipAgent:
+    """An agent that knows so many others and has no changes left to gossip."""
     me = member(number, name)
-    one = Speaker(me, "fleet", [], number + 1, TICK)
+    one = GossipAgent(me, "fleet", [], number + 1, TICK)
     for other in range(known):
         one.membership.merge(0, member(other, name))
-    one.membership.news.clear()
+    one.membership.table.updates.clear()
     return one
 
 
 def long_name() -> str:
-    return "r" * MOST_NAME
+    return "r" * MAX_NAME_BYTES
 
 
-def talk(now: int, speakers: dict[int, Speaker]) -> None:
+def talk(now: int, agents: dict[int, GossipAgent]) -> None:
     """One tick of all, with every answer."""
-    letters = [out for one in speakers.values() for out in one.tick(now)]
-    while letters:
-        to, data = letters.pop(0)
-        assert len(data) <= MOST
-        if isinstance(to, Peer) and to.life in speakers:
-            letters += speakers[to.life].heard(now, data)
+    datagrams = [out for one in agents.values() for out in one.tick(now)]
+    while datagrams:
+        to, data = datagrams.pop(0)
+        assert len(data) <= MAX_DATAGRAM_BYTES
+        if isinstance(to, Peer) and to.member_id in agents:
+            datagrams += agents[to.member_id].receive(now, data)
 
 
-def pair(name: str = "") -> tuple[Speaker, Speaker]:
-    one, other = speaker(0, name=name), speaker(1, name=name)
+def pair(name: str = "") -> tuple[GossipAgent, GossipAgent]:
+    one, other = agent(0, name=name), agent(1, name=name)
     one.membership.merge(0, other.membership.me)
     other.membership.merge(0, one.membership.me)
     return one, other
@@ -203,23 +221,25 @@
 
 def test_of_many_routers_each_is_told_of_in_turn_however_long_the_names() -> None:
     """Of 1,024 others one datagram holds 15 at the most: none is passed over in each round."""
-    one = speaker(LARGE, LARGE, long_name())
+    one = agent(LARGE, LARGE, long_name())
     told: set[int] = set()
     for _ in range(2 * LARGE // 15):
         for _, data in one.tick(0)[-1:]:
-            told |= {peer.life for peer in decode(data, one.fleet).peers}
+            told |= {peer.member_id for peer in decode(data, one.fleet).peers}
     assert told >= {number + 1 for number in range(LARGE)}
 
 
 def test_many_routers_that_join_at_once_are_all_told_of_before_one_is_told_twice() -> None:
-    one = speaker(LARGE, name=long_name())
+    one = agent(LARGE, name=long_name())
     for number in range(LARGE):
         one.membership.merge(0, member(number, long_name()))
     told: Counter[int] = Counter()
     while sum(told.values()) < LARGE:
         for _, data in one.tick(0)[-1:]:
-            lives = [peer.life for peer in decode(data, one.fleet).peers if peer.life != one.life]
-            told.update(lives[: LARGE - sum(told.values())])
+            member_ids = [
+                peer.member_id for peer in decode(data, one.fleet).peers if peer.member_id != one.member_id
+            ]
+            told.update(member_ids[: LARGE - sum(told.values())])
     assert len(told) > LARGE * 9 // 10  # whom it probes it may name beside
 
 
@@ -231,13 +251,13 @@
     probed = set()
     for tick in range(LARGE):
         for call in one.tick(tick * TICK):
-            if call.kind is Kind.PROBE:
+            if call.kind is MessageKind.PING:
                 probed.add(call.target)
-                one.asked(tick * TICK, Kind.ANSWER, call.target, call.seq, one.me.life)
+                one.handle(tick * TICK, MessageKind.ACK, call.target, call.sequence, one.me.member_id)
     assert len(probed) == LARGE and one.alive == LARGE + 1
     for tick in range(LARGE, LARGE + 400):  # now nobody answers
         one.tick(tick * TICK)
-    gone = sum(peer.standing is Standing.DEAD for peer in one.peers.values())
+    gone = sum(peer.state is PeerState.DEAD for peer in one.table.peers.values())
     assert 200 < gone < 400 and one.alive == LARGE + 1 - gone
 
 
@@ -245,20 +265,23 @@
     one = Membership(member(LARGE), [], 1, TICK)
     for number in range(LARGE):
         one.merge(0, member(number))
-    asked = [one.asked(0, Kind.ASK, number + 1, 7, (number + 1) % LARGE + 1) for number in range(LARGE)]
-    assert all(call.kind is Kind.PROBE for calls in asked for call in calls)
+    asked = [
+        one.handle(0, MessageKind.PING_REQUEST, number + 1, 7, (number + 1) % LARGE + 1)
+        for number in range(LARGE)
+    ]
+    assert all(call.kind is MessageKind.PING for calls in asked for call in calls)
     assert sum(map(len, asked)) == LARGE
-    (answer,) = one.asked(0, Kind.ANSWER, 2, asked[0][0].seq, one.me.life)
-    assert answer.kind is Kind.ANSWER and answer.target == 1 and answer.seq == 7
+    (answer,) = one.handle(0, MessageKind.ACK, 2, asked[0][0].sequence, one.me.member_id)
+    assert answer.kind is MessageKind.ACK and answer.target == 1 and answer.sequence == 7
 
 
-@pytest.mark.parametrize("name", ["n1", "r" * MOST_NAME])
+@pytest.mark.parametrize("name", ["n1", "r" * MAX_NAME_BYTES])
 def test_verdicts_of_many_servers_take_turns_until_all_are_heard(name: str) -> None:
     one, other = pair(name)
     for number in range(LARGE):
-        one.tell(0, Verdict(True, 1), digest(f"c{number}"))
+        one.publish(0, Verdict(True, 1), digest(f"c{number}"))
     for tick in range(25):  # a record may be 2 s old
-        talk(tick * TICK, {one.life: one, other.life: other})
+        talk(tick * TICK, {one.member_id: one, other.member_id: other})
     accused = other.view(25 * TICK).accused
     assert accused.keys() == {digest(f"c{number}") for number in range(LARGE)}
 
@@ -267,54 +290,54 @@
     one, other = pair(long_name())
     for number in range(2, LARGE):
         one.membership.merge(0, member(number, long_name()))  # news: all want to be told of
-    shares, now = dict.fromkeys(range(MOST_KINDS), 0.5), 10 * SECOND
-    one.tell(now, Shares(tuple(shares.items())))
+    shares, now = dict.fromkeys(range(MAX_KINDS_PER_RECORD), 0.5), 10 * SECOND
+    one.publish(now, Shares(tuple(shares.items())))
     for seq in range(1, 4):
-        probe = Packer(one.fleet, Kind.PROBE, other.life, seq, one.life).whole()
-        for _, answer in one.heard(now, probe):
-            other.heard(now, answer)
+        probe = DatagramBuilder(one.fleet, MessageKind.PING, other.member_id, seq, one.member_id).build()
+        for _, answer in one.receive(now, probe):
+            other.receive(now, answer)
     assert other.view(now).shares == shares
 
 
 def test_more_kinds_than_one_record_holds_take_turns() -> None:
     one, other = pair()
-    voice, ear = Voice(one), Voice(other)
-    kinds = {f"kind-{number}": number for number in range(3 * MOST_KINDS)}
+    adapter, ear = PolicyAdapter(one), PolicyAdapter(other)
+    kinds = {f"kind-{number}": number for number in range(3 * MAX_KINDS_PER_RECORD)}
     heard: set[int] = set()
     for tick in range(240):  # shares are told each 2 s
         now = tick * TICK
-        voice.say(now, api.Tell(0.0, 0.0, dict.fromkeys(kinds.values(), 0.5), {}, []), kinds)
-        talk(now, {one.life: one, other.life: other})
-        heard |= ear.hear(now, [], kinds).shares.keys()
+        adapter.publish(now, api.Tell(0.0, 0.0, dict.fromkeys(kinds.values(), 0.5), {}, []), kinds)
+        talk(now, {one.member_id: one, other.member_id: other})
+        heard |= ear.fleet_event(now, [], kinds).shares.keys()
     assert heard == set(kinds.values())
 
 
 def test_what_is_heard_of_many_servers_by_many_routers_is_bounded() -> None:
-    book = Book()
-    for subject in range(MOST_SUBJECTS + 500, 0, -1):
+    store = RecordStore()
+    for subject in range(MAX_SUBJECTS + 500, 0, -1):
         for writer in range(1, 4):
-            book.merge(Told(writer, subject, 1, 0, Verdict(True, 1)))
-    assert sorted(book.accused()) == list(range(1, MOST_SUBJECTS + 1))
-    assert MOST_SUBJECTS >= LARGE and len(book.told) == 3 * MOST_SUBJECTS
-    book.expire(10 * SECOND)
-    assert not book.accused() and not book.told and not book.writers
+            store.merge(Record(writer, subject, 1, 0, Verdict(True, 1)))
+    assert sorted(store.judged_servers()) == list(range(1, MAX_SUBJECTS + 1))
+    assert MAX_SUBJECTS >= LARGE and len(store.records) == 3 * MAX_SUBJECTS
+    store.expire(10 * SECOND)
+    assert not store.judged_servers() and not store.records and not store.writers
     for writer in range(LARGE, 0, -1):
-        book.merge(Told(writer, 0, 1, 0, Limit(5.0, 1.0)))
-    assert sorted(book.writers[Limit, 0]) == list(range(1, BOUNDS[Limit].writers + 1))
+        store.merge(Record(writer, 0, 1, 0, Limit(5.0, 1.0)))
+    assert sorted(store.writers[Limit, 0]) == list(range(1, RETENTION[Limit].max_writers + 1))
 
 
 def test_what_was_told_of_long_ago_is_let_go_and_what_is_told_now_is_kept() -> None:
-    one = speaker(0)
+    one = agent(0)
     for number in range(2 * LARGE):
-        one.tell(0, Verdict(True, 1), digest(f"old-{number}"))
-    now = 2 * FORGET
+        one.publish(0, Verdict(True, 1), digest(f"old-{number}"))
+    now = 2 * FORGET_AFTER
     for number in range(LARGE):
-        one.tell(now, Verdict(True, 1), digest(f"c{number}"))
-    assert one.own.keys() == {(Verdict, digest(f"c{number}")) for number in range(LARGE)}
-    versions = [own.version for own in one.own.values()]
+        one.publish(now, Verdict(True, 1), digest(f"c{number}"))
+    assert one.published.keys() == {(Verdict, digest(f"c{number}")) for number in range(LARGE)}
+    versions = [own.version for own in one.published.values()]
     for number in range(LARGE):
-        one.tell(now + SECOND, Verdict(True, 1), digest(f"c{number}"))
-    assert [own.version for own in one.own.values()] == [version + 1 for version in versions]
+        one.publish(now + SECOND, Verdict(True, 1), digest(f"c{number}"))
+    assert [own.version for own in one.published.values()] == [version + 1 for version in versions]
 
 
 # The list service
