--- a/applehub/peers/membership.py
+++ b/applehub/peers/membership.py
@@ -129,19 +129,15 @@
         if peer is None:
             return []
         match kind:
-            case MessageKind.PING:
-                if target not in (0, self.me.member_id):
-                    return []
+            case MessageKind.PING if target in (0, self.me.member_id):
                 return [OutgoingMessage(peer, MessageKind.ACK, sequence, sender)]
             case MessageKind.ACK:
                 return self._handle_ack(sequence)
             case MessageKind.PING_REQUEST:
-                return self._relay_ping(now, RelayedPing(sender, sequence, now), target)
+                return self._relay_ping(RelayedPing(sender, sequence, now), target)
             case MessageKind.LEAVE:
                 self.merge(now, replace(peer, state=PeerState.LEFT))
-                return []
-            case MessageKind.GOSSIP:
-                return []
+        return []
 
     def gossip_messages(self, count: int) -> list[OutgoingMessage]:
         """Return messages to a few members besides the one that is probed, for urgent records."""
@@ -219,7 +215,7 @@
             return []
         return [OutgoingMessage(requester, MessageKind.ACK, relayed.sequence, requester.member_id)]
 
-    def _relay_ping(self, now: int, request: RelayedPing, target: int) -> list[OutgoingMessage]:
+    def _relay_ping(self, request: RelayedPing, target: int) -> list[OutgoingMessage]:
         subject = self.table.peers.get(target)
         if subject is None or len(self.relayed) >= MAX_RELAYED_PINGS:
             return []
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -3,6 +3,7 @@
 import random
 import re
 from dataclasses import replace
+from zlib import crc32
 
 import pytest
 from hypothesis import given, settings
@@ -24,6 +25,7 @@
     Peer,
     PeerState,
     decode,
+    encode_peer,
     encode_record,
 )
 from applehub.peers.membership import Membership
@@ -107,6 +109,34 @@
     assert sum(one.dropped.values()) == 1 and one.membership.alive == 1 and not one.store.records
 
 
+# A datagram of the program's version 0447801, with each type of item.
+DATAGRAM_OF_VERSION_0447801 = bytes.fromhex(
+    "61480103a05e1e47000000000000000700000009112233445566778801151122334455667788000000"
+    "03017f00000110926e31021e000000000000000700000000000000000000000500fa41480000405000"
+    "00032e000000000000000700000000000000000000000600fa00000000000000013f00000000000000"
+    "000000023f800000041900000000000000079c10dd1948b9aeb80000000800fa01000403c699d3"
+)
+
+
+def test_the_wire_form_is_that_of_the_version_before() -> None:
+    suspect = Peer(0x1122334455667788, 3, PeerState.SUSPECT, bytes([127, 0, 0, 1]), 4242, "n1")
+    records = [
+        Record(7, 0, 5, 0, Limit(12.5, 3.25)),
+        Record(7, 0, 6, 0, Shares(((1, 0.5), (2, 1.0)))),
+        Record(7, digest("cache-1"), 8, 0, Verdict(True, 4)),
+    ]
+    fleet, age = crc32(b"fleet"), 250 * MILLI
+    builder = DatagramBuilder(fleet, MessageKind.PING_REQUEST, 7, 9, suspect.member_id)
+    builder.add(encode_peer(suspect))
+    for record in records:
+        builder.add(encode_record(record, age))
+    assert builder.build() == DATAGRAM_OF_VERSION_0447801
+    read = decode(DATAGRAM_OF_VERSION_0447801, fleet)
+    assert (read.kind, read.sender, read.sequence) == (MessageKind.PING_REQUEST, 7, 9)
+    assert read.target == suspect.member_id and read.peers == [suspect]
+    assert read.records == [replace(record, created_at=-age) for record in records]
+
+
 def test_another_fleet_a_newer_format_and_a_former_life_are_told_apart() -> None:
     one = agent(0)
     newer = bytearray(DatagramBuilder(one.fleet, MessageKind.PING, 9, 1, 0).build())
