--- a/applehub/release/__main__.py
+++ b/applehub/release/__main__.py
@@ -105,7 +105,7 @@
 def _show(kept: Kept, as_json: bool) -> None:
     record = kept.record
     if as_json:
-        click.echo(orjson.dumps(record.plain()).decode())
+        click.echo(kept.saved.decode())
         return
     versions = Counter(unit.version for unit in record.units.values())
     click.echo(f"{record.old} to {record.new}: {record.mode}" + (f", {record.why}" if record.why else ""))
--- a/applehub/release/controller.py
+++ b/applehub/release/controller.py
@@ -6,7 +6,8 @@
 
 import asyncio
 import logging
-import time
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
 from pathlib import Path
 from typing import Any
 
@@ -97,32 +98,46 @@
         self.release, self.gate = Release(kept.record), Gate(plan.gates, kept.record)
         self.wishes, self.metrics = Wishes(folder), Metrics()
         self.told: dict[str, Figures | None] = {}
+        self.clock = kept.clock
         self.evidence_kept = 0.0
         self.unwell = ""
         self.held = True
+        self.unsent: list[Order] = []
 
     async def run(self) -> Mode:
         """Goes on until the release has ended or is halted with nothing on its way."""
-        async with aiohttp.ClientSession(timeout=CALL) as session:
-            self.session = session
-            self.lock = Lock(session, list(self.plan.lists), self.record.id)
-            self.kept.keep()
-            orders = self.release.pending(time.time())
+        async with self.connected():
             while True:
-                begun = time.monotonic()
-                self._hold(await self.lock.hold(begun))
-                if self.held:
-                    orders += await self._look()
-                    self._keep(begun)
-                    if self.record.mode not in (Mode.RUNNING, Mode.BACK) and not self._out():
-                        break
-                    await asyncio.gather(*(self._send(order) for order in orders))
-                    orders = []
-                await asyncio.sleep(max(0.0, begun + self.plan.gates.look_s - time.monotonic()))
+                begun = self.clock.now()
+                if await self.round(begun):
+                    break
+                await asyncio.sleep(max(0.0, begun + self.plan.gates.look_s - self.clock.now()))
             if self.record.mode in ENDED:
                 await self.lock.let_go()
             return Mode(self.record.mode)
 
+    @asynccontextmanager
+    async def connected(self) -> AsyncIterator[None]:
+        """Holds the connections; the orders that are out are due again."""
+        async with aiohttp.ClientSession(timeout=CALL) as self.session:
+            self.lock = Lock(self.session, list(self.plan.lists), self.record.id)
+            self.kept.keep()
+            self.unsent = self.release.pending(self.clock.now())
+            yield
+
+    async def round(self, begun: float) -> bool:
+        """One look and what follows from it; whether the release has ended or is halted."""
+        self._hold(await self.lock.hold(begun))
+        if not self.held:
+            return False
+        self.unsent += await self._look()
+        self._keep(begun)
+        if self.record.mode not in (Mode.RUNNING, Mode.BACK) and not self._out():
+            return True
+        await asyncio.gather(*(self._send(order) for order in self.unsent))
+        self.unsent = []
+        return False
+
     def _out(self) -> list[str]:
         return [
             name for name, unit in self.record.units.items() if unit.target and name not in self.record.stuck
@@ -146,13 +161,13 @@
                 self.kept.events.say(
                     Event.STEPPED, unit=unit, number=order["number"], good=order["good"], why=order["why"]
                 )
-                orders += self.release.answered(time.time(), unit, order["number"], order["good"])
-        verdict = self.gate.look(time.monotonic(), self.told)
+                orders += self.release.answered(self.clock.now(), unit, order["number"], order["good"])
+        verdict = self.gate.look(self.clock.now(), self.told)
         if verdict.halt and self.record.mode is Mode.RUNNING:
             self.kept.events.say(Event.CONDEMNED, why=verdict.halt)
             self.release.condemn(verdict.halt)
         self._note(verdict)
-        return orders + self.release.tick(time.time(), not verdict.unwell, verdict.spare)
+        return orders + self.release.tick(self.clock.now(), not verdict.unwell, verdict.spare)
 
     def _note(self, verdict: Verdict) -> None:
         if verdict.unwell != self.unwell and bool(verdict.unwell) is not bool(self.unwell):
--- a/applehub/release/kept.py
+++ b/applehub/release/kept.py
@@ -10,8 +10,10 @@
 from applehub.durable.folder import Folder
 from applehub.durable.store import Store, StoreError
 from applehub.events import Event, Writer
+from applehub.release.clock import Clock, SystemClock
 from applehub.release.machine import Mode, Record, Release, Unit
 from applehub.release.plan import Plan, PlanError
+from applehub.release.stored_record import RecordCodec
 
 FORM = 1
 ENDED = (Mode.DONE, Mode.RETURNED)
@@ -32,11 +34,11 @@
     )  # fmt: skip
 
 
-def read_store(store: Store, hold: bool, make: Callable[[Any], Any]) -> Any:
-    """What a store holds, made of its JSON; none where there is nothing. Raises StoreError, PlanError."""
+def read_store(store: Store, hold: bool, make: Callable[[bytes], Any]) -> Any:
+    """What a store holds, made of its bytes; none where there is nothing. Raises StoreError, PlanError."""
     value = (store.open() if hold else store.load()).value
     try:
-        return None if value is None else make(orjson.loads(value))
+        return None if value is None else make(value)
     except (ValueError, KeyError, TypeError) as problem:
         raise PlanError(f"{store.name}: what is kept makes no sense: {problem!r}") from None
 
@@ -44,11 +46,13 @@
 class Kept:
     """A release's record, in a folder that one process holds to change it."""
 
-    def __init__(self, folder: Path, hold: bool = True) -> None:
+    def __init__(self, folder: Path, hold: bool = True, clock: Clock | None = None) -> None:
         """Raises StoreError where another process holds it, PlanError where what is kept is of no use."""
         self.disk = Folder(str(folder))
         self.records = Store(self.disk, "release", FORM)
-        self.record = read_store(self.records, hold, Record.of)
+        self.clock = SystemClock() if clock is None else clock
+        self.codec = RecordCodec(self.clock)
+        self.record = read_store(self.records, hold, self.codec.decode)
         self.saved = self._plain()
         self.events = Writer(folder / "events.jsonl", "release", 0)
         self.mode: Mode | None = None if self.record is None else self.record.mode
@@ -72,7 +76,7 @@
         return True
 
     def _plain(self) -> bytes:
-        return b"" if self.record is None else orjson.dumps(self.record.plain())
+        return b"" if self.record is None else self.codec.encode(self.record)
 
     def keep(self) -> None:
         """Keeps what the controller knows, where it has changed; tells how the release stands."""
--- a/applehub/release/machine.py
+++ b/applehub/release/machine.py
@@ -3,12 +3,13 @@
 Whoever hosts it keeps the record before it sends an order, and sends `pending` again at each start. Agents
 carry out an order once by its number, answer a number that they know with what came of it, and refuse a lower
 one: so neither a crash between any two steps nor a message that comes twice or late does a step twice.
+Each `now` is a reading of a clock that never steps, see clock.py.
 
 What is begun is finished, also at a halt; what can't be finished is returned to the old version. A way back
 takes the same steps with the versions the other way round, in the opposite order and without watching.
 """
 
-from dataclasses import asdict, dataclass, field
+from dataclasses import dataclass, field
 from enum import StrEnum
 from typing import Any
 
@@ -63,23 +64,14 @@
     units: dict[str, Unit]
     mode: Mode = Mode.RUNNING
     stage: int = 0
-    watched: float = -1.0  # when the watch of this stage began; under 0: it has not
+    watched: float = -1.0  # when the watch of this stage began, by the host's clock; under 0: it has not
     number: int = 0
     why: str = ""
     stuck: list[str] = field(default_factory=list)  # units that neither came up nor could be returned
     id: str = ""  # of this release, by which agents know its orders from another's
     back_on_halt: bool = False  # what is found bad is returned without staff
     evidence: dict[str, Any] = field(default_factory=dict)  # of the gates, see gates.py
-
-    def plain(self) -> dict[str, Any]:
-        """For JSON."""
-        return asdict(self)
-
-    @classmethod
-    def of(cls, told: dict[str, Any]) -> "Record":
-        """From JSON; raises KeyError, TypeError, ValueError."""
-        units = {name: Unit(**unit) for name, unit in told["units"].items()}
-        return cls(**{**told, "units": units, "mode": Mode(told["mode"])})
+    request_taken: int | None = None  # the last request of staff that was carried out; none: not recorded
 
 
 class Release:
--- a/applehub/release/model.py
+++ b/applehub/release/model.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass, field, replace
+from dataclasses import asdict, dataclass, field, replace
 
 import orjson
 
@@ -79,7 +79,7 @@
             name: [one.version, one.out, self.memory[name].plain()] for name, one in self.agents.items()
         }
         may = self.fails, self.crashes, self.halts, self.backs, self.fence, self.wrong
-        told = self.record.plain(), agents, orders, sorted(self.answers), may
+        told = asdict(self.record), agents, orders, sorted(self.answers), may
         return orjson.dumps(told, option=orjson.OPT_SORT_KEYS)
 
 
--- a/applehub/release/rehearsal.py
+++ b/applehub/release/rehearsal.py
@@ -10,6 +10,7 @@
 
 from applehub.durable.store import Store, StoreError
 from applehub.events import Event
+from applehub.release.clock import ScaledClock, SystemClock
 from applehub.release.kept import FORM, Kept, read_store
 from applehub.release.machine import Mode, Order, Release
 from applehub.release.model import Agent
@@ -22,7 +23,11 @@
     def __init__(self, kept: Kept) -> None:
         self.store = Store(kept.disk, "machines", FORM)
         self.agents: dict[str, Agent] = (
-            read_store(self.store, True, lambda told: {name: Agent(**one) for name, one in told.items()})
+            read_store(
+                self.store,
+                True,
+                lambda value: {name: Agent(**one) for name, one in orjson.loads(value).items()},
+            )
             or {}
         )
 
@@ -48,13 +53,10 @@
         self.pace, self.broken, self.step_s = pace, broken, step_s
         self.release = Release(kept.record)
 
-    def _now(self) -> float:
-        return time.time() * self.pace
-
     def run(self) -> Mode:
         """Goes on until the release has ended or is halted with nothing on its way."""
         record = self.kept.record
-        orders = self.release.pending(self._now()) + self.release.tick(self._now())
+        orders = self.release.pending(self.kept.clock.now()) + self.release.tick(self.kept.clock.now())
         while True:
             self.kept.keep()
             for order in orders:
@@ -63,7 +65,7 @@
                 return Mode(record.mode)
             if not orders:
                 time.sleep(min(0.2, 1 / self.pace))
-                orders = self.release.tick(self._now())
+                orders = self.release.tick(self.kept.clock.now())
                 continue
             time.sleep(self.step_s / self.pace)
             answers = [(order, self._carry(order)) for order in orders]
@@ -71,7 +73,7 @@
             orders = []
             for order, good in answers:
                 self._say(Event.STEPPED, order, good=good)
-                orders += self.release.answered(self._now(), order.unit, order.number, good)
+                orders += self.release.answered(self.kept.clock.now(), order.unit, order.number, good)
 
     def _say(self, event: Event, order: Order, **more: Any) -> None:
         self.kept.events.say(event, unit=order.unit, number=order.number, **more)
@@ -90,7 +92,7 @@
     folder: Path, plan: Plan, again: bool, pace: float, broken: set[str], step_s: float
 ) -> tuple[Mode, Kept]:
     """Plays a plan in a folder, or goes on with it. Raises StoreError, PlanError."""
-    kept = Kept(folder)
+    kept = Kept(folder, clock=ScaledClock(SystemClock(), pace))
     machines = Machines(kept)
     try:
         if kept.begin(plan, again) or not machines.agents:
--- /dev/null
+++ b/tests/release_support.py
@@ -0,0 +1,124 @@
+"""What tests of releases share: a clock that tests move, machines that obey, agents on loopback."""
+
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any
+
+from aiohttp import web
+
+from applehub.durable.folder import Folder
+from applehub.durable.store import Store
+from applehub.release.agent import FORM, Agent
+from applehub.release.controller import Controller
+from applehub.release.kept import Kept
+from applehub.release.machine import Order
+from applehub.release.plan import Plan
+
+WALL_STEPS = (-3600.0, -3.0, 3.0, 3600.0)  # s that the wall clock is stepped by
+
+
+@dataclass
+class SteppedClock:
+    """Its wall clock is stepped by tests, the other one only runs."""
+
+    identity: str = "boot-1"
+    reading: float = 5_000.0
+    offset: float = 1_790_000_000.0
+
+    def now(self) -> float:
+        return self.reading
+
+    def unix_time(self) -> float:
+        return self.reading + self.offset
+
+
+class ObedientMachine:
+    """Carries out every order at once, and counts how often each was carried out."""
+
+    def __init__(self, units: list[str]) -> None:
+        self.units = units
+        self.carried: list[Order] = []
+        self.fails: set[str] = set()
+        self.figures_of: dict[str, dict[str, float]] = {name: {"life": 1.0} for name in units}
+
+    async def carry(self, order: Order) -> str:
+        self.carried.append(order)
+        return "it failed" if order.unit in self.fails else ""
+
+    async def figures(self, unit: str) -> dict[str, float] | None:
+        return self.figures_of.get(unit)
+
+
+def make_plan(units: int = 2, **more: Any) -> Plan:
+    """A plan without agents: the units u0, u1, ..., all in one zone and in one stage, watched for 20 s."""
+    gates = {"look_s": 0.05, "before_s": 0.0, **more.pop("gates", {})}
+    return Plan.model_validate(
+        {
+            "name": "cache-1.8",
+            "what": "servers",
+            "old": "1.7",
+            "new": "1.8",
+            "stages": [{"name": "all", "part": 1.0, "watch_s": 20}],
+            "fleet": [{"name": f"u{number}", "zone": "a"} for number in range(units)],
+            "gates": gates,
+            **more,
+        }
+    )
+
+
+@asynccontextmanager
+async def running_agent(machine: ObedientMachine, folder: Path) -> AsyncIterator[tuple[Agent, str]]:
+    """An agent on loopback, and its address."""
+    agent = Agent(machine, Store(Folder(str(folder)), "orders", FORM))
+    try:
+        yield agent, await agent.start("127.0.0.1", 0)
+    finally:
+        await agent.stop()
+
+
+@dataclass
+class ListService:
+    """A list service's lock, as a controller sees it."""
+
+    fence: int = 7
+    refuses: bool = False
+    taken: int = 0
+    bodies: list[dict[str, Any]] = field(default_factory=list)
+
+    async def put(self, request: web.Request) -> web.Response:
+        self.bodies.append(await request.json())
+        if self.refuses:
+            return web.json_response({"error": "busy"}, status=503)
+        self.taken += 1
+        return web.json_response({"fence": self.fence})
+
+
+@asynccontextmanager
+async def running_list_service() -> AsyncIterator[tuple[ListService, str]]:
+    """The service on loopback, and its address."""
+    service, app = ListService(), web.Application()
+    app.router.add_put("/v1/locks/release", service.put)
+    runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
+    await runner.setup()
+    try:
+        await web.TCPSite(runner, "127.0.0.1", 0).start()
+        yield service, "{}:{}".format(*runner.addresses[0][:2])
+    finally:
+        await runner.cleanup()
+
+
+@asynccontextmanager
+async def controlling(folder: Path, plan: Plan, clock: SteppedClock, agent: str) -> AsyncIterator[Controller]:
+    """A controller of a plan whose units all have one agent. Tests call its `round`."""
+    units = [unit.model_copy(update={"agent": agent}) for unit in plan.fleet]
+    plan = plan.model_copy(update={"fleet": units})
+    kept = Kept(folder, clock=clock)
+    try:
+        kept.begin(plan, False)
+        controller = Controller(kept, plan, folder)
+        async with controller.connected():
+            yield controller
+    finally:
+        kept.close()
--- /dev/null
+++ b/tests/test_release_time.py
@@ -0,0 +1,273 @@
+"""Releases while the wall clock is stepped, and a controller that follows another: after a kill, after a
+restart of the machine, and on a record of the version before."""
+
+import json
+import shutil
+from pathlib import Path
+
+import pytest
+from release_support import (
+    WALL_STEPS,
+    ObedientMachine,
+    SteppedClock,
+    controlling,
+    make_plan,
+    running_agent,
+    running_list_service,
+)
+
+from applehub.release.clock import ScaledClock, SystemClock
+from applehub.release.controller import Controller
+from applehub.release.gates import Gate
+from applehub.release.kept import Kept, record_of
+from applehub.release.machine import Mode, Record, Release
+from applehub.release.plan import Gates
+from applehub.release.stored_record import RecordCodec
+
+STORED = Path(__file__).parent / "stored" / "release_0447801"  # written by the controller of that commit
+
+
+def mode_of(record: Record) -> Mode:
+    """Its mode by now (a type checker takes it for unchanged between two reads)."""
+    return record.mode
+
+
+async def play_until_watched(controller: Controller, machine: ObedientMachine, clock: SteppedClock) -> None:
+    """Plays a release until all its units have the new version and are watched."""
+    while controller.record.watched < 0:
+        assert not await controller.round(clock.now())
+        assert len(machine.carried) <= 3 * len(machine.units)
+
+
+@pytest.mark.parametrize("step_s", WALL_STEPS)
+async def test_a_stage_is_watched_for_its_time_whatever_the_wall_clock_does(
+    tmp_path: Path, step_s: float
+) -> None:
+    clock, machine = SteppedClock(), ObedientMachine(["u0", "u1"])
+    async with (
+        running_agent(machine, tmp_path / "agent") as (_, address),
+        controlling(tmp_path / "state", make_plan(), clock, address) as controller,
+    ):
+        await play_until_watched(controller, machine, clock)
+        clock.reading += 10.0
+        assert not await controller.round(clock.now())
+        clock.offset += step_s
+        clock.reading += 9.9
+        assert not await controller.round(clock.now()) and mode_of(controller.record) is Mode.RUNNING
+        clock.reading += 0.2
+        assert await controller.round(clock.now()) and mode_of(controller.record) is Mode.DONE
+
+
+@pytest.mark.parametrize("step_s", WALL_STEPS)
+async def test_an_order_without_an_answer_is_sent_again_after_its_time(
+    tmp_path: Path, step_s: float, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    clock, sent = SteppedClock(), []
+    async with controlling(tmp_path / "state", make_plan(1), clock, "127.0.0.1:1") as controller:
+
+        async def send(order: object) -> None:
+            sent.append(order)
+
+        monkeypatch.setattr(controller, "_send", send)
+        await controller.round(clock.now())
+        clock.reading += 30.0
+        clock.offset += step_s
+        await controller.round(clock.now())
+        clock.reading += 29.9
+        await controller.round(clock.now())
+        assert len(sent) == 1  # 60 s is the plan's step_s
+        clock.reading += 0.2
+        await controller.round(clock.now())
+        assert len(sent) == 2 and sent[0] == sent[1]
+
+
+@pytest.mark.parametrize("step_s", WALL_STEPS)
+async def test_the_lock_is_held_for_its_lease_and_no_longer(tmp_path: Path, step_s: float) -> None:
+    clock, machine = SteppedClock(), ObedientMachine(["u0"])
+    async with (
+        running_agent(machine, tmp_path / "agent") as (_, address),
+        running_list_service() as (service, lists),
+        controlling(tmp_path / "state", make_plan(1, lists=[lists]), clock, address) as controller,
+    ):
+        await controller.round(clock.now())
+        assert controller.held and service.taken == 1
+        service.refuses = True
+        clock.offset += step_s
+        clock.reading += 7.1  # of 8 s, a tenth short
+        await controller.round(clock.now())
+        assert controller.held
+        clock.reading += 0.2
+        await controller.round(clock.now())
+        assert not controller.held
+        before = len(machine.carried)
+        clock.reading += 100.0  # an order would be due again
+        await controller.round(clock.now())
+        assert len(machine.carried) == before
+
+
+def gate_of(plan_gates: Gates) -> tuple[Gate, Record]:
+    """A gate over five units, u0 of the new version."""
+    record = record_of(make_plan(5))
+    record.units["u0"].version = "1.8"
+    return Gate(plan_gates, record), record
+
+
+def figures(record: Record, look: int, **of_new: float) -> dict[str, dict[str, float] | None]:
+    """What agents report at a look: all units alike, but for what is given of u0."""
+    told = {"life": 1.0, "requests": 100.0 * look, "failed": 0.0, "cpu_s": 0.1 * look, "missed": 0.0}
+    return {name: {**told, **(of_new if name == "u0" else {})} for name in record.units}
+
+
+@pytest.mark.parametrize("step_s", WALL_STEPS)
+def test_the_gates_wait_by_the_clock_that_never_steps(step_s: float) -> None:
+    """before_s, silent_s, cost_s, settle_s: each is stepped into in its middle, and ends when it is over."""
+    clock = SteppedClock()
+
+    def pass_time(seconds: float) -> float:
+        clock.reading += seconds / 2
+        clock.offset += step_s
+        clock.reading += seconds / 2
+        return clock.now()
+
+    gate, record = gate_of(Gates(before_s=0.0, silent_s=10.0))
+    whole = figures(record, 1)
+    gate.look(clock.now(), whole)
+    assert not gate.look(pass_time(9.9), {**whole, "u0": None}).halt
+    assert gate.look(pass_time(0.2), {**whole, "u0": None}).halt == "u0: tells nothing for 10 s"
+
+    gate, record = gate_of(Gates(before_s=0.0, cost_s=10.0))
+    for look, seconds in enumerate((1.0, 1.0, 9.8), start=1):
+        assert not gate.look(pass_time(seconds), figures(record, look, cpu_s=0.5 * look)).halt
+    assert gate.look(pass_time(0.4), figures(record, 4, cpu_s=2.0)).halt.startswith("processor time")
+
+    record = record_of(make_plan(5))
+    gate = Gate(Gates(before_s=1.9, look_s=1.0), record)
+    assert gate.look(clock.now(), figures(record, 1)).unwell
+    assert gate.look(pass_time(1.8), figures(record, 2)).unwell
+    assert not gate.look(pass_time(0.2), figures(record, 3)).unwell
+
+    gate, record = gate_of(Gates(before_s=0.0, settle_s=10.0, cost=100.0))
+    gate.look(clock.now(), figures(record, 1))
+    gate.look(pass_time(9.9), figures(record, 2, missed=100.0))
+    assert gate.evidence["missed"].odds == 1.0  # not settled: its misses don't count
+    gate.look(pass_time(0.2), figures(record, 3, missed=200.0))
+    assert gate.evidence["missed"].odds > 1.0
+
+
+def watched_record(clock: SteppedClock) -> Record:
+    """All units have the new version, and are watched from now on."""
+    record = record_of(make_plan())
+    for unit in record.units.values():
+        unit.version = "1.8"
+    assert Release(record).tick(clock.now()) == [] and record.watched == clock.now()
+    return record
+
+
+@pytest.mark.parametrize("step_s", WALL_STEPS)
+def test_a_controller_that_follows_on_the_same_machine_goes_on_with_the_watch(step_s: float) -> None:
+    clock = SteppedClock()
+    stored = RecordCodec(clock).encode(watched_record(clock))
+    clock.reading += 15.0
+    clock.offset += step_s
+    record = RecordCodec(clock).decode(stored)
+    Release(record).tick(clock.now())
+    clock.reading += 4.9
+    Release(record).tick(clock.now())
+    assert mode_of(record) is Mode.RUNNING
+    clock.reading += 0.2
+    Release(record).tick(clock.now())
+    assert mode_of(record) is Mode.DONE
+
+
+@pytest.mark.parametrize(
+    ("identity", "reading"),
+    [("boot-2", 6_000.0), ("boot-2", 9.0), ("", 6_000.0), ("boot-1", 4_000.0)],
+    ids=["restarted, up for longer", "restarted", "unknown", "a reading that lies ahead"],
+)
+def test_a_watch_by_a_clock_that_can_not_be_compared_begins_anew(identity: str, reading: float) -> None:
+    first = SteppedClock()
+    stored = RecordCodec(first).encode(watched_record(first))
+    clock = SteppedClock(identity, reading)
+    record = RecordCodec(clock).decode(stored)
+    Release(record).tick(clock.now())
+    assert record.watched == clock.now() and mode_of(record) is Mode.RUNNING
+    clock.reading += 19.9
+    Release(record).tick(clock.now())
+    assert mode_of(record) is Mode.RUNNING
+    clock.reading += 0.2
+    Release(record).tick(clock.now())
+    assert mode_of(record) is Mode.DONE
+
+
+def test_a_clock_that_can_not_be_identified_is_comparable_with_none() -> None:
+    clock = SteppedClock(identity="")
+    assert RecordCodec(clock).decode(RecordCodec(clock).encode(watched_record(clock))).watched < 0
+    assert ScaledClock(clock, 60.0).identity == ""
+
+
+def test_the_same_record_has_the_same_stored_form_after_a_step_of_the_wall_clock() -> None:
+    """Else each look would write it anew, and an older controller would see another begin of the watch."""
+    clock = SteppedClock()
+    record, codec = watched_record(clock), RecordCodec(clock)
+    first = codec.encode(record)
+    clock.reading += 3.0
+    clock.offset -= 3600.0
+    assert codec.encode(record) == first
+    assert json.loads(first)["watched"] == 1_790_005_000.0
+
+
+def test_the_system_clock_does_not_follow_the_wall_clock(monkeypatch: pytest.MonkeyPatch) -> None:
+    clock, before = SystemClock(), SystemClock().now()
+    monkeypatch.setattr("time.time", lambda: 1.0)
+    assert clock.unix_time() == 1.0 and before <= clock.now() < before + 60.0
+    assert clock.identity and clock.identity == SystemClock().identity
+    assert ScaledClock(clock, 60.0).identity not in ("", clock.identity)
+
+
+# Stored data of the version before
+
+
+def stored_folder(tmp_path: Path, name: str) -> Path:
+    return Path(shutil.copytree(STORED / name, tmp_path / name))
+
+
+def test_a_record_that_the_version_before_wrote_is_read_and_its_watch_begins_anew(tmp_path: Path) -> None:
+    clock = SteppedClock(offset=1_796_207_300.0 - 5_000.0)  # 7 s after the old controller began to watch
+    kept = Kept(stored_folder(tmp_path, "watched"), clock=clock)
+    record = kept.record
+    assert record.units["c0"].version == "1.8" and record.number == 3 and record.watched < 0
+    assert record.evidence["watched_s"] == 4.0 and record.evidence["failed"]["known"]["c0"] == [4.0, 4]
+    assert Release(record).tick(clock.now()) == [] and record.watched == clock.now()
+    kept.close()
+    kept = Kept(stored_folder(tmp_path, "in_flight"), clock=clock)
+    pending = Release(kept.record).pending(clock.now())
+    assert [(one.unit, one.step, one.version, one.number) for one in pending] == [("c0", "admit", "1.8", 3)]
+    kept.close()
+
+
+def test_a_record_of_this_version_has_what_the_version_before_reads(tmp_path: Path) -> None:
+    """The version before passes every key to its dataclass, and refuses one that it does not know."""
+    clock = SteppedClock()
+    kept = Kept(stored_folder(tmp_path, "watched"), clock=clock)
+    before = json.loads(kept.saved)
+    Release(kept.record).tick(clock.now())
+    kept.record.request_taken = 3
+    kept.keep()
+    kept.close()
+    after = json.loads(Kept(tmp_path / "watched", hold=False, clock=clock).saved)
+    assert after.keys() == before.keys()
+    assert all(after["units"][name].keys() == before["units"][name].keys() for name in before["units"])
+    assert after["watched"] == clock.unix_time()
+    assert set(after["evidence"]) - set(before["evidence"]) == {"clock", "request_taken"}
+    again = Kept(tmp_path / "watched", hold=False, clock=clock).record
+    assert again.watched == clock.now() and again.request_taken == 3
+    assert set(again.evidence) == set(before["evidence"])
+
+
+def test_the_watch_begins_anew_after_an_older_controller_has_written(tmp_path: Path) -> None:
+    """It keeps `evidence` for up to a second, so the reading in there may belong to another watch."""
+    clock = SteppedClock()
+    stored = json.loads(RecordCodec(clock).encode(watched_record(clock)))
+    stored["watched"] += 40.0
+    clock.reading += 60.0
+    assert RecordCodec(clock).decode(json.dumps(stored).encode()).watched < 0
