--- a/applehub/release/controller.py
+++ b/applehub/release/controller.py
@@ -15,7 +15,9 @@
 import orjson
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
+from applehub.durable.store import StoreError
 from applehub.events import Event
+from applehub.release.backoff import Backoff
 from applehub.release.gates import Figures, Gate, Verdict
 from applehub.release.kept import ENDED, Kept, Wishes
 from applehub.release.machine import Mode, Order, Release
@@ -40,6 +42,11 @@
             "release_odds", "Likelihood that the new version is worse", ["failure"], registry=self.registry
         )
         self.orders = Counter("release_orders", "Orders sent, by step", ["step"], registry=self.registry)
+        self.refused = Gauge(
+            "release_record_refused",
+            "Times in a row that the disk refused the record",
+            registry=self.registry,
+        )
         self.silent = Gauge("release_agents_silent", "Agents that did not answer", registry=self.registry)
 
 
@@ -71,7 +78,11 @@
                 break
             if answer.status == 409:
                 break
-        return self.until > now
+        return self.held_at(now)
+
+    def held_at(self, now: float) -> bool:
+        """Whether the lease covers a moment; always where no list service is named."""
+        return not self.lists or self.until > now
 
     async def let_go(self) -> None:
         for address in self.lists:
@@ -102,7 +113,8 @@
         self.evidence_kept = 0.0
         self.unwell = ""
         self.held = True
-        self.unsent: list[Order] = []
+        self.unsent: dict[int, Order] = {}  # by number
+        self.disk = Backoff()
 
     async def run(self) -> Mode:
         """Goes on until the release has ended or is halted with nothing on its way."""
@@ -121,8 +133,8 @@
         """Holds the connections; the orders that are out are due again."""
         async with aiohttp.ClientSession(timeout=CALL) as self.session:
             self.lock = Lock(self.session, list(self.plan.lists), self.record.id)
-            self.kept.keep()
-            self.unsent = self.release.pending(self.clock.now())
+            self._keep(self.clock.now())
+            self._queue(self.release.pending(self.clock.now()))
             yield
 
     async def round(self, begun: float) -> bool:
@@ -130,14 +142,22 @@
         self._hold(await self.lock.hold(begun))
         if not self.held:
             return False
-        self.unsent += await self._look()
-        self._keep(begun)
+        self._queue(await self._look())
+        if not self._keep(begun):
+            return False  # an order goes out, and the release ends, only as the record on the disk has it
         if self.record.mode not in (Mode.RUNNING, Mode.BACK) and not self._out():
             return True
-        await asyncio.gather(*(self._send(order) for order in self.unsent))
-        self.unsent = []
+        if self.lock.held_at(self.clock.now()):  # it was not while the disk or an agent kept it waiting
+            unsent, self.unsent = self.unsent, {}
+            await asyncio.gather(*(self._send(order) for order in unsent.values()))
         return False
 
+    def _queue(self, orders: list[Order]) -> None:
+        """Has orders sent once the record is kept; one that has an answer by now is no longer due."""
+        self.unsent.update((order.number, order) for order in orders)
+        out = {unit.number for unit in self.record.units.values()}
+        self.unsent = {number: order for number, order in self.unsent.items() if number in out}
+
     def _out(self) -> list[str]:
         return [
             name for name, unit in self.record.units.items() if unit.target and name not in self.record.stuck
@@ -180,10 +200,24 @@
         for name, one in self.gate.evidence.items():
             self.metrics.odds.labels(name).set(one.odds)
 
-    def _keep(self, now: float) -> None:
+    def _keep(self, now: float) -> bool:
+        """Keeps the record; False while the disk refuses it, which is tried again by itself."""
+        if not self.disk.due(now):
+            return False
         if now - self.evidence_kept >= KEEP:
             self.evidence_kept, self.record.evidence = now, self.gate.plain()
-        self.kept.keep()
+        try:
+            self.kept.keep()
+        except (OSError, StoreError) as problem:
+            if not self.disk.failures:
+                log.warning("the record can't be kept, so no order goes out: %r", problem)
+            self.disk.failed(now)
+        else:
+            if self.disk.failures:
+                log.warning("the record is kept again, after %d refusals", self.disk.failures)
+            self.disk.succeeded()
+        self.metrics.refused.set(self.disk.failures)
+        return not self.disk.failures
 
     async def _ask(self) -> dict[str, dict[str, Any]]:
         """Asks all agents; gives each unit's last order. An agent that does not answer tells of no unit."""
--- a/tests/release_support.py
+++ b/tests/release_support.py
@@ -1,6 +1,6 @@
 """What tests of releases share: a clock that tests move, machines that obey, agents on loopback."""
 
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -41,9 +41,11 @@
         self.units = units
         self.carried: list[Order] = []
         self.fails: set[str] = set()
+        self.check: Callable[[Order], None] = lambda order: None  # called before an order is carried out
         self.figures_of: dict[str, dict[str, float]] = {name: {"life": 1.0} for name in units}
 
     async def carry(self, order: Order) -> str:
+        self.check(order)
         self.carried.append(order)
         return "it failed" if order.unit in self.fails else ""
 
