--- a/applehub/interface.py
+++ b/applehub/interface.py
@@ -28,6 +28,14 @@
     CANCELLED = "cancelled"
     MOOT = "moot"
     MISS = "miss"
+    # This machine could not begin the attempt: it lacked descriptors, buffers, memory or local ports.
+    LOCAL_FAILURE = "local_failure"
+    # This machine knows no way to the server's address now: the server's trouble, or that of the machine.
+    UNREACHABLE = "unreachable"
+
+
+# The attempt never ran, no byte of it was sent, and the server has not refused it.
+NOT_BEGUN = frozenset((Status.LOCAL_FAILURE, Status.UNREACHABLE))
 
 
 class State(StrEnum):
@@ -170,7 +178,8 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """An attempt has ended; closed: the request has its final answer."""
+    """An attempt has ended; closed: the request has its final answer. connected: a connection to the server
+    was opened for it, and came up."""
 
     id: str
     attempt: int
@@ -180,6 +189,7 @@
     elapsed: int
     note: int = 0
     load: Load | None = None
+    connected: bool = False
 
 
 @dataclass(slots=True)
--- a/applehub/node/call.py
+++ b/applehub/node/call.py
@@ -69,6 +69,10 @@
 
     unsent: bool  # what is asked is not yet wholly with the system: it has not run
 
+    @property
+    def connected(self) -> bool:
+        """Whether it came up for the attempt that it carries, or carried last."""
+
     def give_up(self) -> bool:
         """Ends the attempt that is out; whether it may have run."""
 
--- a/applehub/node/driver.py
+++ b/applehub/node/driver.py
@@ -60,6 +60,7 @@
     open: bool = True  # its answer has neither been given nor begun
     stream: Stream | None = None  # its answer, once begun and until ended
     made: int = 0
+    not_begun: int = 0  # attempts among them that failed on this machine
     attempt: Attempt | None = None
     guard: asyncio.TimerHandle | None = None
 
@@ -218,7 +219,8 @@
         left = held.deadline - now
         wait = min(action.timeout, left) if action.timeout else left
         pool = self.pools.pools.get(action.server)
-        allowed = held.open and held.attempt is None and number < self.balancer.settings.max_attempts
+        begun, most = number - held.not_begun, self.balancer.settings.max_attempts
+        allowed = held.open and held.attempt is None and begun < most
         if pool is None or pool.retired or not allowed or wait <= 0:
             self._outcome(attempt, Ending(api.Status.MOOT))
             return
@@ -270,17 +272,20 @@
         held = attempt.held
         if held.attempt is not attempt:
             return
+        carrier = self._carrier(attempt)
+        connected = carrier is not None and carrier.connected
         held.attempt = attempt.exchange = None  # attempt and exchange hold each other
+        held.not_begun += ending.status in api.NOT_BEGUN
         if attempt.timer is not None:
             attempt.timer.cancel()
         if held.stream is not None:
             self._end_stream(held, held.stream, ending.status)
         elif ending.status is api.Status.OK and held.open:
             self._answer(held, resp.bulk(ending.value), Answered.OK)
-        self._outcome(attempt, ending)
+        self._outcome(attempt, ending, connected)
         self._forget(held)
 
-    def _outcome(self, attempt: Attempt, ending: Ending) -> None:
+    def _outcome(self, attempt: Attempt, ending: Ending, connected: bool = False) -> None:
         held, elapsed = attempt.held, (attempt.opened or time.monotonic_ns()) - attempt.sent
         of, where, how = attempt.number, attempt.server, ending.status
         log.debug("%s attempt %d at %s: %s after %.1f ms", held.id, of, where, how, elapsed / MILLI)
@@ -294,6 +299,7 @@
                 elapsed,
                 ending.note,
                 ending.load,
+                connected,
             )
         )
 
--- a/applehub/node/pool.py
+++ b/applehub/node/pool.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import contextlib
+import errno
 import logging
 import socket
 import time
@@ -21,10 +22,31 @@
 # s for which a connection rests after an answer. A second answer came up to 4 ms after the first, and nothing
 # in it tells whose it is (docs/findings/standing.md): the next request must not be there yet.
 REST = 0.01
+# Errors of socket and connect by which this machine says what it lacks. None comes from the server.
+LOCAL_FAILURES = frozenset(
+    (
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+        errno.EADDRNOTAVAIL,
+        errno.EADDRINUSE,
+        errno.EAGAIN,
+    )
+)
+# Errors by which it says that it knows no way to an address, to this alone or to all of them.
+NO_ROUTE = frozenset((errno.ENETUNREACH, errno.ENETDOWN, errno.EHOSTUNREACH))
 Endpoint = tuple[str, int]
 log = logging.getLogger("applehub")
 
 
+def status_of_failed_connect(problem: OSError) -> Status:
+    """How an attempt ended whose connection never came up."""
+    if problem.errno in LOCAL_FAILURES:
+        return Status.LOCAL_FAILURE
+    return Status.UNREACHABLE if problem.errno in NO_ROUTE else Status.CONNECT_FAILED
+
+
 class Connection(Reader):
     """A connection that carries one attempt at a time and tells how it ended."""
 
@@ -34,6 +56,8 @@
         self.transport: asyncio.Transport | None = None
         self.dialling: asyncio.Task[None] | None = None
         self.taken = False  # the server accepted it
+        self.failure = Status.CONNECT_FAILED  # how an attempt ends where it never does
+        self.carried = 0  # attempts that were asked on it
         self.full = False  # the system takes no more for now
         self.pieces: Iterator[bytes | memoryview] = iter(())  # what of it is still to be written
         self.begun = False  # some of what is asked was handed to the system
@@ -53,6 +77,7 @@
     def ask(self, exchange: Exchange) -> None:
         """Begins an attempt on a connection that is up."""
         self.exchange, self.begun, self.unsent = exchange, False, True
+        self.carried += 1
         self.pieces = self.encode(exchange)
         self._write_on()
 
@@ -100,6 +125,11 @@
             self.transport.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
         self.transport.abort()
 
+    @property
+    def connected(self) -> bool:
+        """Whether it came up for the attempt that it carries, or carried last."""
+        return self.taken and self.carried <= 1
+
     @property
     def quiet(self) -> bool:
         """Whether nothing has come that was not asked for. Guards against an end, or a second answer, that
@@ -136,7 +166,7 @@
         status = Status.RESET
         if self.unsent:
             # Guards against a network that breaks connections: a server that took this one can be reached.
-            status = Status.MOOT if self.taken else Status.CONNECT_FAILED
+            status = Status.MOOT if self.taken else self.failure
         log.debug("%s: the connection to %s:%d is lost", self._asked(), *self.pool.endpoint)
         self.pool.drop(self)
         exchange, self.exchange = self.exchange, None
@@ -148,6 +178,12 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
+        if self.transport.get_extra_info("peername") is None:
+            # asyncio takes EAGAIN for a connect that goes on, and the closed socket for one that is
+            # up. It has no peer.
+            self.failure = Status.LOCAL_FAILURE
+            self.transport.abort()
+            return
         self.taken = True
         self.unread = Unread(self.transport.get_extra_info("socket"))
         self.transport.set_write_buffer_limits(0)  # so that every byte that waits here is told
@@ -230,6 +266,7 @@
         except (OSError, TimeoutError) as problem:
             # Reset, not refused: it was accepted and then broke, before the system told us that it was up.
             connection.taken = isinstance(problem, ConnectionResetError)
+            connection.failure = status_of_failed_connect(problem)
             if connection.transport is None:
                 connection.lost()
 
--- a/applehub/policy/balancer.py
+++ b/applehub/policy/balancer.py
@@ -1,8 +1,10 @@
 """Admission and retries: what becomes of each request, from its arrival to its one final answer."""
 
 from collections.abc import Callable
+from dataclasses import replace
 
 from applehub import interface as api
+from applehub.policy.failed_starts import FailedStarts
 from applehub.policy.hearsay import Hearsay
 from applehub.policy.job import Job
 from applehub.policy.keys import KeyMemory, Popularity
@@ -34,6 +36,7 @@
         self.hearsay = Hearsay(turn, self.roster, self.monitor)
         self.reads: dict[tuple[str, int], tuple[int, int]] = {}  # likely misses out: sent, slow from
         self.fetches: dict[str, list[Job]] = {}  # keys being read from the origin, and who waits for them
+        self.failed_starts = FailedStarts(turn, self._start_again, self._stop_waiting)
         self.release_at = 0
         self.handlers: dict[type, Callable[..., None]] = {
             api.Request: self._on_request,
@@ -154,14 +157,14 @@
         """The throttle's gate: a likely miss, and each origin read, takes a token here."""
         throttle = self.monitor.throttle
         if throttle is None:
-            self.monitor.spent.add(self.turn.now)
+            self._pay(job)
             self._proceed(job)
             return
         self._release(None)
         wait = throttle.wait_for(1 - throttle.level)
         verdict = None if job.marked or self.turn.now + wait > job.due else throttle.offer(job)
         if verdict:
-            self.monitor.spent.add(self.turn.now)
+            self._pay(job)
             self._proceed(job)
         elif job.request.id in throttle.queue:
             self._plan_release(throttle)
@@ -179,14 +182,19 @@
         if throttle is None:
             return
         for job in throttle.refill(self.turn.now):
-            self.monitor.spent.add(self.turn.now)
+            self._pay(job)
             self._proceed(job)
         self._plan_release(throttle)
 
+    def _pay(self, job: Job) -> None:
+        """Notes that a job has taken a token, or needed none; it is kept until an attempt uses it."""
+        self.monitor.spent.add(self.turn.now)
+        job.paid = True
+
     def _proceed(self, job: Job | None) -> None:
         if job is None or job.request.id not in self.jobs or job.out:
             return  # ended meanwhile; and never are two attempts out
-        server = self.roster.origin if job.at_origin else self.placement.place(job) or self._spare(job)
+        server = self.roster.origin if job.at_origin else self._place(job) or self._spare(job)
         # Guards against work that keeps a jammed origin jammed: the rule for swamped servers holds here too.
         # Guards against reads that crowd writes out: a write has nowhere else to go, so reads are shed first.
         limit = job.spec.aim * (WRITE_SLACK if job.request.write else SLOW)
@@ -196,26 +204,33 @@
         else:
             self._send(job, server)
 
+    def _place(self, job: Job) -> Server | None:
+        server = self.placement.place(job)
+        if server is None and job.unreached:  # no other will do: the trouble may be over where it was
+            job.pass_by_none()
+            server = self.placement.place(job)
+        return server
+
     def _spare(self, job: Job) -> Server | None:
         """The origin, for a read that no cache may take, while it is idle. Guards against a fleet short of
         warm servers beside an origin with room. It spends a token, as each origin read does."""
         origin, throttle = self.roster.origin, self.monitor.throttle
         idle = origin is not None and origin.predict() <= SPARE * origin.base
-        if not idle or job.request.key is None or job.request.write or job.marked or job.made:
+        if not idle or job.request.key is None or job.request.write or job.marked or job.begun:
             return None
         if throttle is not None:
             self._release(None)
             if throttle.queue or not throttle.offer(job):
                 throttle.leave(job)
                 return None
-        self.monitor.spent.add(self.turn.now)
+        self._pay(job)
         job.at_origin = job.apart = True
         return origin
 
     def _too_late(self, job: Job, server: Server) -> bool:
         """Guards against second tries that can't be timely: they take from those that can. What the origin
         reads is kept for others, and what still earns something late is worth a try."""
-        if job.at_origin or not job.made or job.spec.late_worth:
+        if job.at_origin or not job.begun or job.spec.late_worth:
             return False
         return server.predict() > job.due - self.turn.now
 
@@ -230,7 +245,7 @@
         # Guards against a dial that outlasts the window: the repeat would begin when its id is forgotten.
         begin_by = self._window_ends(job) if job.live and job.spec.effect is api.Effect.KEYED else 0
         server.out += 1
-        server.sent_at = now
+        server.sent_before, server.sent_at = server.sent_at, now
         job.live[job.made] = (server, now)
         job.out.add(job.made)
         job.made += 1
@@ -245,7 +260,7 @@
 
     def _may_send(self, job: Job, server: Server) -> bool:
         """Rules 1 and 2: whether this attempt is allowed, by what the earlier ones proved."""
-        if job.made >= self.turn.settings.max_attempts or self.turn.now >= job.request.deadline:
+        if job.begun >= self.turn.settings.max_attempts or self.turn.now >= job.request.deadline:
             return False
         if job.spec.effect is api.Effect.SAFE or not job.live:
             return True
@@ -273,16 +288,19 @@
 
     def _end(self, job: Job) -> None:
         self.jobs.pop(job.request.id, None)
+        job.waiting = False
+        if job.paid and job.not_begun and not job.out:
+            self.monitor.give_back(self.turn.now)
         if self.monitor.throttle is not None:
             self.monitor.throttle.leave(job)
 
     def _on_withdrawn(self, event: api.Withdrawn) -> None:
         job = self.jobs.get(event.id)
         if job is not None:
+            reading = job.reads_origin and (job.out or job.waiting)
             self._end(job)
-            read = job.at_origin and not job.apart and not job.request.write
-            if read and job.out and job.request.key is not None:
-                self._fetched(job.request.key, False)  # what nobody waits for is not stored
+            if reading:
+                self._fetched(job.request.key or "", False)  # what nobody waits for is not stored
 
     def _on_opened(self, event: api.Opened) -> None:
         """The attempt is the client's from now on. Who waits for its key need not wait for its last byte."""
@@ -291,14 +309,23 @@
             self.monitor.note(self.turn.now < read[1], read[0])
         if (job := self.jobs.get(event.id)) is None:
             return
-        if job.at_origin and not job.apart and job.request.key is not None and not job.request.write:
-            self.memory.put(job.request.key, self.turn.now)
-            self._fetched(job.request.key, True)
+        if job.reads_origin:
+            self.memory.put(job.request.key or "", self.turn.now)
+            self._fetched(job.request.key or "", True)
         job.apart = True
 
     def _on_outcome(self, event: api.Outcome) -> None:
         job = self.jobs.get(event.id)
         server = self.roster.servers.get(event.server)
+        status = self.roster.reachability.status(server, event)
+        if status in api.NOT_BEGUN:
+            self.reads.pop((event.id, event.attempt), None)
+            if server is not None:
+                self.roster.never_sent(server, event)
+            if job is not None:
+                self.failed_starts.take(job, event)
+            return
+        event = event if status is event.status else replace(event, status=status)
         if server is not None:
             self.roster.observe(server, event)
         read = self.reads.pop((event.id, event.attempt), None)
@@ -307,8 +334,24 @@
         if job is None:
             return
         job.out.discard(event.attempt)
+        job.paid = False
         (self._closed if event.closed else self._unanswered)(job, event)
 
+    def _start_again(self, job: Job) -> None:
+        """A further try of what this machine could not begin."""
+        self._proceed(job)
+        self._free_readers(job)
+
+    def _stop_waiting(self, job: Job) -> None:
+        """This machine could not begin an attempt in time."""
+        self._give_up(job)
+        self._free_readers(job)
+
+    def _free_readers(self, job: Job) -> None:
+        """Where a job has ended without a read, who waits for that takes its own turn."""
+        if job.reads_origin and self.jobs.get(job.request.id) is not job:
+            self._fetched(job.request.key or "", False)
+
     def _closed(self, job: Job, event: api.Outcome) -> None:
         self._end(job)
         key, answered = job.request.key, event.status is api.Status.OK
@@ -344,14 +387,14 @@
                 self._after_origin(job)
             if key is not None and read and not job.out and not job.apart:
                 self._fetched(key, False)
-        elif unfetched or late or (status is api.Status.FULL and (job.marked or job.made > 1)):
+        elif unfetched or late or (status is api.Status.FULL and (job.marked or job.begun > 1)):
             self._give_up(job)
         else:
             self._proceed(job)
 
     def _after_origin(self, job: Job) -> None:
         """A read the origin failed is refused, to shield it; a write tries again while its aim lasts."""
-        wait = int((job.spec.aim << job.made) * self.turn.random.uniform(0.5, 1)) // 32
+        wait = int((job.spec.aim << job.begun) * self.turn.random.uniform(0.5, 1)) // 32
         timely = job.request.write and self.turn.now + wait < job.due
         if timely and self.roster.origin and self._may_send(job, self.roster.origin):
             self.turn.later(wait, self._proceed, job)
--- a/applehub/policy/job.py
+++ b/applehub/policy/job.py
@@ -19,6 +19,25 @@
     at_origin: bool = False  # a write, or a read that missed
     apart: bool = False  # what becomes of its origin read tells nothing of the caches
     made: int = 0  # attempts so far
+    not_begun: int = 0  # attempts among them that failed on this machine
+    unreached: set[str] = field(default_factory=set)  # servers that are passed by for one of those
+    waiting: bool = False  # for this machine to be able to begin an attempt
+    paid: bool = False  # it holds a token that no attempt has used yet
     live: dict[int, tuple[Server, int]] = field(default_factory=dict)  # may have run: where, when sent
     out: set[int] = field(default_factory=set)
     tried: set[str] = field(default_factory=set)
+
+    @property
+    def begun(self) -> int:
+        """Attempts so far that count: those that this machine could begin."""
+        return self.made - self.not_begun
+
+    def pass_by_none(self) -> None:
+        """Servers that this machine could not begin an attempt at may be tried again."""
+        self.tried -= self.unreached
+        self.unreached.clear()
+
+    @property
+    def reads_origin(self) -> bool:
+        """Whether others may wait for what it reads from the origin."""
+        return self.at_origin and not self.apart and not self.request.write and self.request.key is not None
--- a/applehub/policy/rates.py
+++ b/applehub/policy/rates.py
@@ -47,3 +47,7 @@
         given = tokens >= 1 or (most < 1 and luck < tokens)
         self.tokens, self.at = max(0.0, tokens - 1) if given or most < 1 else tokens, now
         return given
+
+    def give_back(self) -> None:
+        """A token was given and not used; more than the bank holds are cut at the next use."""
+        self.tokens += 1
--- a/applehub/policy/roster.py
+++ b/applehub/policy/roster.py
@@ -7,6 +7,7 @@
 from applehub.policy.job import Job
 from applehub.policy.keys import KeyRanges
 from applehub.policy.rates import SECOND, SMOOTHING, Bank, Rate, weight_of
+from applehub.policy.reachability import Reachability
 from applehub.policy.servers import Kind, Server
 from applehub.policy.turn import Turn
 
@@ -32,6 +33,7 @@
         self.ranges = KeyRanges(turn.settings.ramp_time)
         self.kinds: defaultdict[int, Kind] = defaultdict(Kind)
         self.flow = Rate(4 * turn.shortest_aim)  # of requests
+        self.reachability = Reachability(turn)
         self.crowded = 0.0  # part of the latest new connects that were refused at once
 
     def retuned(self) -> None:
@@ -198,6 +200,12 @@
         self.turn.log(f"server {name} fails other routers")
         return True
 
+    def never_sent(self, server: Server, event: api.Outcome) -> None:
+        """Takes back an attempt that this machine could not begin: nothing of the server was used."""
+        server.never_sent(self.turn.now - event.elapsed)
+        if 0 < server.cold_since > self.turn.now - self.turn.settings.ramp_time:
+            server.budget.give_back()
+
     def observe(self, server: Server, event: api.Outcome) -> None:
         """Takes up how an attempt at a server ended."""
         turn, now, status, load = self.turn, self.turn.now, event.status, event.load
--- a/applehub/policy/servers.py
+++ b/applehub/policy/servers.py
@@ -46,6 +46,9 @@
     held: float = 1.0  # moving average of the attempts this router had out meanwhile
     out: int = 0
     sent_at: int = 0
+    sent_before: int = 0  # when the attempt before that was sent
+    unreached: int = 0  # attempts in a row that found no way to it while others took new connections
+    unreached_at: int = 0
     fails: int = 0  # in a row: connects failed, attempts broken past BREAKS, errors of a failing server
     refusals: int = 0  # connects failed among them
     errors: float = 0.0  # part of its latest answers that were errors
@@ -106,6 +109,13 @@
         elif now - elapsed >= self.cut_at:
             self.share, self.cut_at = max(self.share * 3 / 4, SMOOTHING), now
 
+    def never_sent(self, sent: int) -> None:
+        """Takes back the last attempt, which this machine could not begin: it was no trial of the server."""
+        self.out = max(0, self.out - 1)
+        if self.sent_at == sent:
+            self.sent_at = self.sent_before
+        self.trial = self.trial and self.out > 0
+
     def open(self, now: int) -> bool:
         """Whether it may be tried: one at a time after a failure, until it answers."""
         tried_again = now >= self.down_until and not self.out
--- a/applehub/policy/throttle.py
+++ b/applehub/policy/throttle.py
@@ -47,6 +47,10 @@
         """Takes a waiting job out of the buffer."""
         self.level += self.queue.pop(job.request.id, None) is not None
 
+    def give_back(self) -> None:
+        """A token was spent and not used: it is there again, unless the bank is full or others wait."""
+        self.level = min(self.level + 1, self.bank) if self.level >= 0 else self.level
+
     def wait_for(self, place: int) -> int:
         """How long until the job at this place in the buffer gets its token."""
         return max(0, math.ceil(place * SECOND / self.rate))
@@ -70,6 +74,12 @@
         """The recent likely-miss rate. Guards against a restart: a short past is no sign of a low rate."""
         return self.spent.per_second(now) / -math.expm1((self.born - now) / self.spent.span)
 
+    def give_back(self, now: int) -> None:
+        """A likely miss that had its token was never sent."""
+        self.spent.add(now, -1)
+        if self.throttle is not None:
+            self.throttle.give_back()
+
     def note(self, healthy: bool, sent: int) -> None:
         """Counts a likely miss's fate, unless sent before the last cut: one jam is not cut for twice."""
         self.good += healthy and sent >= self.cut_at
