--- a/applehub/lab/__main__.py
+++ b/applehub/lab/__main__.py
@@ -24,6 +24,7 @@
 from applehub.lab.fleet.watch_commands import watches
 from applehub.lab.gossip_command import peers
 from applehub.lab.live.commands import demo, load
+from applehub.lab.live.wide import wide
 from applehub.lab.play import stage
 from applehub.lab.policies import BLIND
 from applehub.lab.problems import guarded
@@ -343,6 +344,7 @@
 
 
 main.add_command(load)
+main.add_command(wide)
 main.add_command(demo)
 main.add_command(fleet)
 main.add_command(judge_again)
--- a/applehub/lab/live/bench.py
+++ b/applehub/lab/live/bench.py
@@ -18,7 +18,7 @@
 
 from applehub.lab.clock import MILLI, SECOND
 from applehub.lab.live.client import Load, Player, Seen
-from applehub.lab.live.standins import Counts, host
+from applehub.lab.live.standins import Counts, Plan, host
 from applehub.node.discovery import read_endpoint
 from applehub.node.resp import command
 from applehub.settings import Json
@@ -32,7 +32,7 @@
     """A stand-in or the router did not start, or ended."""
 
 
-def settings(wait_ms: int) -> Json:
+def settings(wait_ms: int, routers: int = 1) -> Json:
     """What the router is told: two classes, the router fetches from the origin, lists come on request."""
     deadline = wait_ms * MILLI
     classes = [
@@ -48,7 +48,7 @@
     return {
         "azs": ["here"],
         "hostTypes": ["cache", "origin"],
-        "balancers": 1,
+        "balancers": routers,
         "ceilings": {"attemptsCap": 4, "dialTimeout": SECOND // 4, "keepalive": 10 * SECOND},
         "classes": classes,
         "registryMode": "on_request",
@@ -100,10 +100,18 @@
         use.cpu_s = times.user + times.system
         use.memory_mb = self.watched.memory_info().rss / MB
         use.descriptors = self.watched.num_fds()
-        use.most_memory_mb = max(use.most_memory_mb, use.memory_mb)
+        use.most_memory_mb = max(use.most_memory_mb, use.memory_mb, self._peak_mb())
         use.most_descriptors = max(use.most_descriptors, use.descriptors)
         return use
 
+    def _peak_mb(self) -> float:
+        """The most that the process has held, where the system tells it; else 0."""
+        with suppress(OSError):
+            for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
+                if line.startswith("VmHWM:"):
+                    return int(line.split()[1]) / 1024  # kB
+        return 0.0
+
     def stop(self) -> int:
         """SIGTERM, and SIGKILL for one that does not end; gives its code."""
         if self.process.poll() is None:
@@ -128,14 +136,18 @@
 class Site:
     """Stand-ins in a process of their own, and one router before them."""
 
-    def __init__(self, folder: Path, caches: int, value: int, wait_ms: int) -> None:
+    def __init__(self, folder: Path, plan: Plan, wait_ms: int, routers: int = 1) -> None:
         context = multiprocessing.get_context("spawn")
         self.pipe, theirs = context.Pipe()
-        self.standins = context.Process(target=host, args=(theirs, caches, value), daemon=True)
+        self.standins = context.Process(target=host, args=(theirs, plan), daemon=True)
         self.standins.start()
         if not self.pipe.poll(READY_WITHIN):
             raise LiveError("the stand-ins did not start")
-        discovery, self.targets = self.pipe.recv()
+        theirs.close()
+        try:
+            discovery, self.targets = self.pipe.recv()
+        except EOFError:
+            raise LiveError("the stand-ins ended: they said why") from None
         self.listen, self.console = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
         told = {
             "name": "demo",
@@ -145,7 +157,7 @@
             "seed": "1",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {"rev": 1, "all": True, "targets": self.targets},
-            "settings": settings(wait_ms),
+            "settings": settings(wait_ms, routers),
         }
         self.router = RouterProcess(told, folder)
 
@@ -158,6 +170,10 @@
         counts: Counts = self.pipe.recv()
         return counts
 
+    def replace(self, part: float, within: float) -> None:
+        """Has this part of the cache servers replaced within so many s; returns at once."""
+        self.pipe.send((part, within))
+
     def stop(self) -> int:
         code = self.router.stop()
         with suppress(OSError):  # they have ended already
@@ -169,10 +185,10 @@
 
 
 @contextmanager
-def site(caches: int, value: int, wait_ms: int) -> Iterator[Site]:
+def site(plan: Plan, wait_ms: int, routers: int = 1) -> Iterator[Site]:
     """A site that is ended whatever happens."""
     with tempfile.TemporaryDirectory(prefix="lab-") as folder:
-        one = Site(Path(folder), caches, value, wait_ms)
+        one = Site(Path(folder), plan, wait_ms, routers)
         try:
             yield one
         finally:
@@ -260,17 +276,21 @@
         await asyncio.sleep(SAMPLE)
 
 
+async def through(one: Site, load: Load) -> Seen:
+    """The load through the router, whose process is looked at meanwhile."""
+    sampler = asyncio.create_task(_sampled(one))
+    try:
+        return await Player(load, [one.listen]).play()
+    finally:
+        sampler.cancel()
+
+
 async def play(one: Site, load: Load) -> Report:
     """The load straight to the caches (reads alone, which they can answer), then through the router."""
     await until_ready(one)
     straight = replace(load, seconds=min(load.seconds, 3.0), write_part=0.0, seed=load.seed + 1)
     direct = await Player(straight, one.caches).play()
     before, counted = one.router.sample().cpu_s, one.counts()
-    sampler = asyncio.create_task(_sampled(one))
-    try:
-        through = await Player(load, [one.listen]).play()
-    finally:
-        sampler.cancel()
-    counts = one.counts()
-    seen = {name: getattr(counts, name) - getattr(counted, name) for name in Counts.__slots__}
-    return Report(through, direct, one.router.sample(), before, Counts(**seen))
+    seen, counts = await through(one, load), one.counts()
+    news = {name: getattr(counts, name) - getattr(counted, name) for name in Counts.__slots__}
+    return Report(seen, direct, one.router.sample(), before, Counts(**news))
--- a/applehub/lab/live/commands.py
+++ b/applehub/lab/live/commands.py
@@ -9,6 +9,7 @@
 
 from applehub.lab.live.bench import Report, Site, figures, play, say, site, until_ready
 from applehub.lab.live.client import Load
+from applehub.lab.live.standins import Plan
 from applehub.lab.problems import guarded
 from applehub.node.resp import command
 
@@ -28,7 +29,7 @@
     "--rate", type=click.FloatRange(1, 20_000), default=500.0, help="Requests a second, on average."
 )
 @click.option("--seconds", type=click.FloatRange(0.5, 3600), default=10.0)
-@click.option("--caches", type=click.IntRange(1, 64), default=4, help="Stand-ins for cache servers.")
+@click.option("--caches", type=click.IntRange(1), default=4, help="Stand-ins for cache servers.")
 @click.option("--keys", type=click.IntRange(1), default=5000)
 @click.option("--writes", type=click.FloatRange(0, 1), default=0.04, help="Part of the requests.")
 @click.option("--value", type=click.IntRange(0, 65536), default=512, help="Bytes of a value.")
@@ -45,7 +46,7 @@
     if rate * seconds > MOST_REQUESTS:
         raise click.UsageError(f"--rate times --seconds: expected at most {MOST_REQUESTS} requests")
     wanted = Load(rate, seconds, keys, writes, value, wait_ms, connections, seed)
-    with site(caches, value, wait_ms) as one:
+    with site(Plan(caches, value), wait_ms) as one:
         if not as_json:
             click.echo(f"about {rate * seconds:.0f} requests in {seconds:.0f} s ...", err=True)
         report = asyncio.run(play(one, wanted))
@@ -85,7 +86,7 @@
 @guarded
 def demo(seconds: float) -> None:
     """Starts stand-ins and one router, asks it a few things, then plays a short load through it."""
-    with site(3, 64, 1000) as one:
+    with site(Plan(3, 64), 1000) as one:
         asyncio.run(_tour(one, seconds))
         code = one.router.stop()
     click.echo(f"the router was told to end (SIGTERM) and ended with code {code}")
--- a/applehub/lab/live/standins.py
+++ b/applehub/lab/live/standins.py
@@ -1,8 +1,10 @@
 """Stand-ins on loopback for cache servers, the origin and discovery, as the protocol page describes them.
 
-They answer at once, so that what a client sees is the router's and the sockets' own time."""
+Unless a plan gives requests some work they answer at once, so that what a client sees is the router's and the
+sockets' own time."""
 
 import asyncio
+import time
 from collections.abc import Awaitable, Callable
 from contextlib import suppress
 from dataclasses import dataclass, field
@@ -18,8 +20,10 @@
 from applehub.node.resp import bulk
 
 MOST_KEPT = 50_000  # keys of a cache; and misses remembered until the origin is asked
-REPORT = b"backlog=0,errors_per_s=0.0,x0=0.9"
-MISS = b"*3\r\n$-1\r\n" + bulk(b"miss") + bulk(REPORT)
+QUEUE = 3  # requests that wait for each one in work; a cache server that has more says that it is busy
+DRAINS = 1.0  # s from the end of a server's service to its end
+GONE_FOR = 1.0  # s for which a server that is gone still listens
+Entry = dict[str, Any]  # of the list, as discovery tells it
 
 
 class Reply(NamedTuple):
@@ -39,112 +43,225 @@
     reads: int = 0
     writes: int = 0
     lists: int = 0
+    list_bytes: int = 0  # bodies of discovery's answers
+    busy: int = 0  # requests that a cache server had no room for
+    connections: int = 0  # taken by cache servers
+
+
+@dataclass(frozen=True, slots=True)
+class Plan:
+    """What stands in: how many cache servers, what they hold, and how much they bear."""
+
+    caches: int
+    value: int  # bytes
+    at_once: int = 0  # requests that a cache server works on at once; 0: it answers all of them at once
+    work_s: float = 0.0  # of each request
+
+
+@dataclass(slots=True)
+class Store:
+    """One cache server: its keys, and what it has to do."""
+
+    name: str
+    kept: dict[bytes, None] = field(default_factory=dict)
+    lines: set["Cache"] = field(default_factory=set)
+    in_work: int = 0
+    waiting: list[Callable[[], None]] = field(default_factory=list)  # the first begins first
+
+    def put(self, key: bytes) -> None:
+        self.kept[key] = None
+        if len(self.kept) > MOST_KEPT:
+            del self.kept[next(iter(self.kept))]
+
+    def report(self) -> bytes:
+        return b"backlog=%d,errors_per_s=0.0,x0=0.9" % len(self.waiting)
 
 
 @dataclass(slots=True)
 class Fleet:
     """All stand-ins of one play."""
 
-    caches: int
-    value: bytes
+    plan: Plan
     counts: Counts = field(default_factory=Counts)
-    stores: list[dict[bytes, None]] = field(default_factory=list)
-    missed: dict[bytes, int] = field(default_factory=dict)  # by request, which cache lacked its key
-    servers: list[asyncio.Server] = field(default_factory=list)
-    endpoints: list[str] = field(default_factory=list)
+    stores: dict[str, Store] = field(default_factory=dict)
+    missed: dict[bytes, str] = field(default_factory=dict)  # by request, which cache lacked its key
+    servers: dict[str, asyncio.Server] = field(default_factory=dict)
+    listed: dict[str, Entry] = field(default_factory=dict)
+    rev: int = 1
+    changes: list[Entry] = field(default_factory=list)  # the one at n made version n + 2
+    changed: asyncio.Event = field(default_factory=asyncio.Event)
     discovery: str = ""
 
     async def start(self) -> None:
         """Listens on ports that the system gives."""
-        for number in range(self.caches):
-            self.stores.append({})
-            self.endpoints.append(await self._listen(partial(Cache, self, number)))
-        self.endpoints.append(await self._listen(lambda: HttpPeer(self.origin)))
-        self.discovery = await self._listen(lambda: HttpPeer(self.registry))
+        for number in range(self.plan.caches):
+            await self._add_cache(f"cache-{number}", 0)
+        self.listed["origin"] = self._entry("origin", await self._listen("origin", self._origin_peer), 0)
+        self.discovery = await self._listen("discovery", lambda: HttpPeer(self.registry))
+
+    def _origin_peer(self) -> "HttpPeer":
+        return HttpPeer(self.origin)
 
-    async def _listen(self, make: Callable[[], asyncio.Protocol]) -> str:
+    async def _add_cache(self, name: str, boot_ms: int) -> Entry:
+        self.stores[name] = store = Store(name)
+        entry = self._entry(name, await self._listen(name, partial(Cache, self, store)), boot_ms)
+        self.listed[name] = entry
+        return entry
+
+    async def _listen(self, name: str, make: Callable[[], asyncio.Protocol]) -> str:
         server = await asyncio.get_running_loop().create_server(make, "127.0.0.1", 0)
-        self.servers.append(server)
+        self.servers[name] = server
         return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
-    def targets(self) -> list[dict[str, Any]]:
+    @staticmethod
+    def _entry(name: str, endpoint: str, boot_ms: int) -> Entry:
+        return {
+            "uid": name,
+            "endpoint": endpoint,
+            "az": "here",
+            "model": "origin" if name == "origin" else "cache",
+            "pod_group": 0,
+            "state": "Ready",
+            "capacity_hint": 1.0,
+            "boot_ms": boot_ms,
+        }
+
+    def targets(self) -> list[Entry]:
         """The list as discovery gives it: the caches, then the origin."""
-        return [
-            {
-                "uid": f"cache-{number}" if number < self.caches else "origin",
-                "endpoint": endpoint,
-                "az": "here",
-                "model": "cache" if number < self.caches else "origin",
-                "pod_group": 0,
-                "state": "Ready",
-                "capacity_hint": 1.0,
-                "boot_ms": 0,
-            }
-            for number, endpoint in enumerate(self.endpoints)
-        ]
-
-    def store(self, cache: int, key: bytes) -> None:
-        kept = self.stores[cache]
-        kept[key] = None
-        if len(kept) > MOST_KEPT:
-            del kept[next(iter(kept))]
+        return list(self.listed.values())
+
+    async def replace(self, part: float, within: float) -> None:
+        """Replaces so many of the cache servers by cold ones, evenly over these seconds; each change is told
+        at once."""
+        loop = asyncio.get_running_loop()
+        begun, names = loop.time(), [name for name in self.listed if name != "origin"]
+        leaving = names[: round(part * len(names))]
+        for number, name in enumerate(leaving):
+            await asyncio.sleep(max(0.0, begun + within * number / len(leaving) - loop.time()))
+            self._tell(await self._add_cache(f"new-{number}", time.time_ns() // 1_000_000))
+            self._tell({**self.listed[name], "state": "Terminating"})
+            loop.call_later(DRAINS, self._leave, name)
+
+    def _leave(self, name: str) -> None:
+        self._tell({**self.listed[name], "state": "Gone"})
+        asyncio.get_running_loop().call_later(GONE_FOR, self._end, name)
+
+    def _end(self, name: str) -> None:
+        self.servers.pop(name).close()
+        for line in list(self.stores.pop(name).lines):
+            line.close()
+
+    def _tell(self, entry: Entry) -> None:
+        """Makes a change known to all watches."""
+        self.rev += 1
+        self.changes.append(entry)
+        if entry["state"] == "Gone":
+            self.listed.pop(entry["uid"], None)
+        else:
+            self.listed[entry["uid"]] = entry
+        self.changed.set()
+        self.changed = asyncio.Event()
 
     async def origin(self, request: h11.Request, body: bytes) -> Reply:
         """Answers a read with the value, and stores it where the request missed; a write with a receipt."""
         key = request.target[1:]
         if request.method == b"PUT":
             self.counts.writes += 1
-            for kept in self.stores:
-                kept.pop(key, None)
+            for store in self.stores.values():
+                store.kept.pop(key, None)
             return Reply(200, b"stored")
         self.counts.reads += 1
         identity = next((value for name, value in request.headers if name == b"x-call-id"), b"")
-        cache = self.missed.pop(identity, None)
-        if cache is not None:
-            self.store(cache, key)
-        return Reply(200, self.value)
+        lacked = self.stores.get(self.missed.pop(identity, ""))
+        if lacked is not None:
+            lacked.put(key)
+        return Reply(200, b"v" * self.plan.value)
 
     async def registry(self, request: h11.Request, body: bytes) -> Reply:
-        """The whole list; a watch waits as long as it may, since nothing changes here."""
+        """The whole list, or a watch, which waits as long as it may for what changes."""
         self.counts.lists += 1
         asked = parse_qs(urlsplit(request.target.decode()).query)
-        if "from" not in asked:
-            return Reply(200, orjson.dumps({"rev": 1, "all": True, "targets": self.targets()}))
-        await asyncio.sleep(min(60.0, int(asked.get("hold_ms", ["0"])[0]) / 1000))
-        return Reply(200, orjson.dumps({"rev": 1, "all": False, "targets": []}))
+        if "from" in asked:
+            known, hold = int(asked["from"][0]), min(60.0, int(asked.get("hold_ms", ["0"])[0]) / 1000)
+            if known >= self.rev:
+                with suppress(TimeoutError):
+                    await asyncio.wait_for(self.changed.wait(), hold)
+            latest = {entry["uid"]: entry for entry in self.changes[max(0, known - 1) :]}
+            answer = orjson.dumps({"rev": self.rev, "all": False, "targets": list(latest.values())})
+        else:
+            answer = orjson.dumps({"rev": self.rev, "all": True, "targets": self.targets()})
+        self.counts.list_bytes += len(answer)
+        return Reply(200, answer)
 
 
 class Cache(asyncio.Protocol):
     """A connection to a cache server: RESP2, answers in the order of the commands."""
 
-    def __init__(self, fleet: Fleet, number: int) -> None:
-        self.fleet, self.number = fleet, number
+    def __init__(self, fleet: Fleet, store: Store) -> None:
+        self.fleet, self.store = fleet, store
         self.reader = hiredis.Reader()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
+        self.fleet.counts.connections += 1
+        self.store.lines.add(self)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        self.transport = None
+        self.store.lines.discard(self)
+
+    def close(self) -> None:
+        if self.transport is not None:
+            self.transport.close()
 
     def data_received(self, data: bytes) -> None:
         self.reader.feed(data)
         while (command := self.reader.gets()) is not False:
-            if self.transport is not None:
-                self.transport.write(self._answer(command))
-
-    def _answer(self, command: object) -> bytes:
-        if not isinstance(command, list) or len(command) < 3:
-            return b"-SYNTAX\r\n"
-        fleet, name, key = self.fleet, command[0], command[1]
-        if name == b"C.GET" and key in fleet.stores[self.number]:
+            self._take(command)
+
+    def _take(self, command: object) -> None:
+        """Answers at once, or when the work of the command is done."""
+        plan, store = self.fleet.plan, self.store
+        if not plan.at_once:
+            self._answer(command)
+        elif store.in_work < plan.at_once:
+            self._work(command)
+        elif len(store.waiting) < QUEUE * plan.at_once:
+            store.waiting.append(partial(self._work, command))
+        else:
+            self.fleet.counts.busy += 1
+            self._write(b"-BUSY " + store.report() + b"\r\n")
+
+    def _work(self, command: object) -> None:
+        self.store.in_work += 1
+        asyncio.get_running_loop().call_later(self.fleet.plan.work_s, self._worked, command)
+
+    def _worked(self, command: object) -> None:
+        self.store.in_work -= 1
+        self._answer(command)
+        if self.store.waiting:
+            self.store.waiting.pop(0)()
+
+    def _write(self, answer: bytes) -> None:
+        if self.transport is not None:
+            self.transport.write(answer)
+
+    def _answer(self, command: object) -> None:
+        if not isinstance(command, list) or len(command) < 3 or command[0] != b"C.GET":
+            self._write(b"-SYNTAX\r\n")
+            return
+        fleet, key = self.fleet, command[1]
+        if key in self.store.kept:
             fleet.counts.hits += 1
-            return b"*3\r\n" + bulk(fleet.value) + bulk(b"hit") + bulk(REPORT)
-        if name == b"C.GET":
-            fleet.counts.misses += 1
-            fleet.missed[command[2]] = self.number
-            if len(fleet.missed) > MOST_KEPT:
-                del fleet.missed[next(iter(fleet.missed))]
-            return MISS
-        return b"-SYNTAX\r\n"
+            value = b"v" * fleet.plan.value
+            self._write(b"*3\r\n" + bulk(value) + bulk(b"hit") + bulk(self.store.report()))
+            return
+        fleet.counts.misses += 1
+        fleet.missed[command[2]] = self.store.name
+        if len(fleet.missed) > MOST_KEPT:
+            del fleet.missed[next(iter(fleet.missed))]
+        self._write(b"*3\r\n$-1\r\n" + bulk(b"miss") + bulk(self.store.report()))
 
 
 class HttpPeer(asyncio.Protocol):
@@ -209,21 +326,26 @@
             self.transport.close()
 
 
-async def _host(pipe: Connection, caches: int, size: int) -> None:
-    fleet = Fleet(caches, b"v" * size)
+async def _host(pipe: Connection, plan: Plan) -> None:
+    fleet, replacing = Fleet(plan), set()
     await fleet.start()
     pipe.send((fleet.discovery, fleet.targets()))
     while True:
         word = await asyncio.to_thread(pipe.recv)
         if word == "end":
             return
-        pipe.send(fleet.counts)
+        if word == "counts":
+            pipe.send(fleet.counts)
+        else:
+            replacing.add(asyncio.create_task(fleet.replace(*word)))
+
 
+def host(pipe: Connection, plan: Plan) -> None:
+    """A process of stand-ins: tells where they listen, then does as it is told, until told to end.
 
-def host(pipe: Connection, caches: int, size: int) -> None:
-    """A process of stand-ins: tells where they listen, then its counts whenever asked, until told to end."""
+    "counts": it tells its counts. A pair: this part of the cache servers is replaced within so many s."""
     with suppress(EOFError, KeyboardInterrupt):  # whoever started it is gone
-        asyncio.run(_host(pipe, caches, size))
+        asyncio.run(_host(pipe, plan))
 
 
 def addressed(answer: Callable[[str, h11.Request], Awaitable[Reply]]) -> HttpPeer:
