--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -3,6 +3,7 @@
 import ast
 import subprocess
 import sys
+import tomllib
 from graphlib import TopologicalSorter
 from pathlib import Path
 
@@ -68,3 +69,9 @@
         "aiohttp",
     )
     assert not [one for one in done.stdout.split() if one.startswith(theirs)]
+
+
+def test_the_deploy_file_names_every_file_of_the_decisions() -> None:
+    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    decisions = {str(path.relative_to(ROOT)) for path in (ROOT / "applehub" / "policy").rglob("*.py")}
+    assert set(deploy["policy"]) == decisions
