--- a/tests/test_beyond_bench.py
+++ b/tests/test_beyond_bench.py
@@ -442,3 +442,23 @@
             assert not bench.cache.got and not bench.clients.ending
 
     play(monkeypatch, test)
+
+
+@pytest.mark.parametrize("servers", [3, 200, 1000])
+def test_what_caches_lack_is_fetched_in_calm_times(monkeypatch: pytest.MonkeyPatch, servers: int) -> None:
+    """Each of 200 keys is at no cache server, 50 a second are asked for, and the origin is at ease."""
+
+    async def test() -> None:
+        def entries(cache: Cache, origin: Web) -> list[Any]:
+            caches = [entry(f"c{at}", cache.address) for at in range(servers)]
+            return [*caches, entry("o", origin.address, model="origin")]
+
+        async with router(lambda asked, line: MISS, entries=entries) as bench:
+            caller = await bench.caller()
+            for number in range(200):
+                caller.get(key=b"k%d" % number, name=b"i%d" % number, info=INFO)
+                assert await caller.answer() == b"from origin"
+                await asyncio.sleep(0.02)
+            assert len(bench.origin.got) == 200
+
+    play(monkeypatch, test)
