--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -53,6 +53,7 @@
     return LONG.index(name) if name in LONG else len(LONG)
 
 
+@pytest.hookimpl(tryfirst=True)  # before the workers read the groups
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     items.sort(key=_place)
     for item in items:
