--- a/applehub/node/arrivals.py
+++ b/applehub/node/arrivals.py
@@ -32,17 +32,16 @@
 class Looks(selectors.DefaultSelector):
     """A selector that keeps when it looked at the sockets.
 
-    `turn` counts the looks, `looked` is the time of the last one, `since` the time before which nothing that
-    it found can have arrived, and `since_before` that of the look before. Times are monotonic nanoseconds."""
+    `turn` counts the looks, `looked` is the time of the last one, and `since` the time before which nothing
+    that it found can have arrived. Times are monotonic nanoseconds."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.turn = self.looked = self.since = self.since_before = 0
+        self.turn = self.looked = self.since = 0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         begun, before = time.monotonic_ns(), self.looked
         self.turn += 1
-        self.since_before = self.since
         if timeout is not None and timeout <= 0:
             self.since, self.looked = before, begun
             return super().select(0)
@@ -166,24 +165,32 @@
 
 
 class Queue:
-    """The arrival times of connections in a listener's queue, by the turns in which they are accepted.
-
-    A turn accepts a bounded number: where it reached that, the next one accepts some that waited as long."""
-
-    def __init__(self, looks: Looks, most: int, inherited: bool) -> None:
-        """For a listener that is watched from the next look on; a turn accepts `most` of its connections.
-        What stands in the queue of an inherited one has waited for nobody knows how long."""
-        self._looks, self._most = looks, most
-        self._since, self._turn = UNKNOWN, looks.turn + 1
-        self._count = most if inherited else 0
-
-    def let_in(self) -> int:
-        """The time before which a client that was accepted in the last turn can't have sent anything."""
-        turn = self._looks.turn
-        if turn != self._turn:
-            waited_on = self._count >= self._most and turn == self._turn + 1
-            if not waited_on:
-                self._since = self._looks.since_before
-            self._turn, self._count = turn, 0
-        self._count += 1
-        return self._since
+    """The arrival times of connections in a listener's queue.
+
+    What a turn leaves in the queue has waited for as long as what it took."""
+
+    __slots__ = ("_blind_until", "_looks", "_unseen_since")
+
+    def __init__(self, looks: Looks, inherited: bool) -> None:
+        """For a listener that is watched from the next look on. What stands in the queue of an inherited one
+        has waited for nobody knows how long."""
+        self._looks = looks
+        # Up to this turn, who is found may have come since that time, whatever the looks between tell.
+        self._unseen_since, self._blind_until = UNKNOWN, looks.turn + 1 if inherited else 0
+
+    @property
+    def since(self) -> int:
+        """The time before which a client that is accepted in this turn can't have sent anything."""
+        return self._unseen_since if self._looks.turn <= self._blind_until else self._looks.since
+
+    def leave_some(self) -> None:
+        """This turn took as many as it may: others may be left."""
+        self._unseen_since, self._blind_until = self.since, self._looks.turn + 1
+
+    def pause(self) -> None:
+        """The listener is not watched from now on."""
+        self._unseen_since, self._blind_until = self.since, NEVER
+
+    def resume(self) -> None:
+        """The listener is watched again from the next look on."""
+        self._blind_until = self._looks.turn + 1
--- a/applehub/node/console.py
+++ b/applehub/node/console.py
@@ -2,10 +2,17 @@
 
 import asyncio
 import logging
+import socket
 from collections.abc import Callable
 from typing import cast
 
+from applehub.node.accepting import Acceptor
+
 MOST_CALLERS = 16  # connections without a complete line at once; past that the oldest is closed
+BACKLOG = 100  # connections that wait to be accepted
+# Connections accepted in one turn of the event loop. Each takes three turns where its line has come with it:
+# those of a burst never make MOST_CALLERS together.
+MOST_ACCEPTED = 4
 MOST_LINE = 512  # bytes of a command line
 PROMPT = 2.5  # s in which a connection must send its line
 Handler = Callable[[str], str]
@@ -67,14 +74,14 @@
     def __init__(self, calls: dict[str, Handler]) -> None:
         self.calls = calls
         self.callers: dict[Caller, None] = {}  # connections without a complete line, oldest first
-        self._server: asyncio.Server | None = None
+        self._acceptor: Acceptor | None = None
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
         """Listens; returns the address, with the port that was chosen for port 0. Raises OSError."""
-        loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: Caller(self), host, port)
-        address: tuple[str, int] = self._server.sockets[0].getsockname()[:2]
-        return address
+        family = socket.AF_INET6 if ":" in host else socket.AF_INET
+        listener = socket.create_server((host, port), family=family, backlog=BACKLOG)
+        self._acceptor = Acceptor(listener, lambda _: Caller(self), MOST_ACCEPTED)
+        return self._acceptor.address
 
     def enter(self, caller: Caller) -> None:
         """Admits a connection; if MOST_CALLERS have sent no complete line, the oldest of them is closed.
@@ -109,7 +116,7 @@
 
     def close(self) -> None:
         """Stops listening, and answers all open connections that the router ends."""
-        if self._server is not None:
-            self._server.close()
+        if self._acceptor is not None:
+            self._acceptor.close()
         for caller in list(self.callers):
             caller.end("-ERR the router ends")
--- a/applehub/node/listener.py
+++ b/applehub/node/listener.py
@@ -4,9 +4,10 @@
 import contextlib
 import select
 import socket
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable
 
-from applehub.node.arrivals import Queue, looks_of_running_loop
+from applehub.node.accepting import Acceptor
+from applehub.node.arrivals import looks_of_running_loop
 from applehub.node.clients import Client
 from applehub.node.descriptors import Places
 from applehub.node.driver import Driver
@@ -42,35 +43,29 @@
         self.can_serve: Callable[[], bool] = lambda: False
         self.parting = self.closing = False
         self._empty = asyncio.Event()
-        self._listener: socket.socket | None = None
-        self._server: asyncio.Server | None = None
+        self._acceptor: Acceptor | None = None
+        self._inherited = False
 
     @property
     def accepting(self) -> bool:
-        return self._server is not None and self._server.is_serving()
+        return self._acceptor is not None and self._acceptor.open
 
     async def listen(self, host: str, port: int, inherited: int | None = None) -> tuple[str, int]:
         """Listens on an address, or on a listening socket that the platform holds and other processes share:
         that is only ever closed here, never shut down."""
-        loop = asyncio.get_running_loop()
         if inherited is None:
             family = socket.AF_INET6 if ":" in host else socket.AF_INET
             listener = socket.create_server((host, port), family=family)
         else:
             listener = inherited_listener(inherited)
-        # Guards the descriptors: asyncio lets in as many in one turn as may queue, before the first of them
-        # can be turned away. So it is told of a few, and the system of the true length of the queue.
-        few = self.places.let_in
-        self._queue = Queue(self.looks, few, inherited is not None)
-        self._server = await loop.create_server(self._let_in, sock=listener, backlog=few)
         listener.listen(BACKLOG)
-        # What another process shares goes on being let in there.
-        self._listener = listener if inherited is None else None
-        address: tuple[str, int] = self._server.sockets[0].getsockname()[:2]
-        return address
+        self._inherited = inherited is not None
+        # Guards the descriptors: a turn accepts a few before the first of them can be turned away.
+        self._acceptor = Acceptor(listener, self._let_in, self.places.let_in, self._inherited)
+        return self._acceptor.address
 
-    def _let_in(self) -> Client:
-        return Client(self, self._queue.let_in())
+    def _let_in(self, since: int) -> Client:
+        return Client(self, since)
 
     def room(self) -> bool:
         """Whether one more connection may stay; the longest idle one makes room for it."""
@@ -127,21 +122,19 @@
     def hand_over(self) -> None:
         """Stops listening, since another process lets clients in; each connection ends after an answer."""
         self.parting = True
-        if self._server is not None:
-            self._server.close()
+        if self._acceptor is not None:
+            self._acceptor.close()
 
     async def shut(self) -> None:
         """Closes, with those let in who stand in the listener's queue. Guards requests that the system has
         taken: a listener that closes resets what waits there."""
-        loop = asyncio.get_running_loop()
-        waiting: list[Awaitable[object]] = []
-        with contextlib.suppress(OSError):  # nobody waits any more
-            while self._listener is not None and len(waiting) < self.places.ending:
-                line, _ = self._listener.accept()
-                line.setblocking(False)
-                waiting.append(loop.connect_accepted_socket(self._let_in, line))
+        acceptor = self._acceptor
+        # What another process shares goes on being let in there.
+        if acceptor is not None and acceptor.open and not self._inherited:
+            acceptor.take_all()
         self.hand_over()
-        await asyncio.gather(*waiting, return_exceptions=True)
+        if acceptor is not None:
+            await acceptor.brought()
         self.close()
 
     def close(self) -> None:
--- a/tests/test_arrivals.py
+++ b/tests/test_arrivals.py
@@ -632,7 +632,6 @@
         assert looks.select(5.0) and (looks.turn, looks.since) == (2, 1_000 * arrivals.MILLI)
         now[0] += 2 * arrivals.MILLI  # a short turn is taken off without a second look
         assert looks.select(None) and looks.since == 1_040 * arrivals.MILLI
-        assert looks.since_before == 1_000 * arrivals.MILLI
 
 
 @pytest.mark.parametrize(
@@ -713,25 +712,48 @@
 def test_who_is_let_in_after_as_many_as_a_turn_lets_in_may_have_waited_as_long(
     count: int, waited_on: bool
 ) -> None:
+    """What a turn left in the queue had come by that turn, whatever the next look tells."""
     looks = arrivals.Looks()
-    queue = arrivals.Queue(looks, 3, inherited=False)
+    queue = arrivals.Queue(looks, inherited=False)
 
     def turn(since: int) -> None:
-        looks.turn, looks.since_before, looks.since = looks.turn + 1, looks.since, since
+        looks.turn, looks.since = looks.turn + 1, since
 
-    for since in (100, 200, 300):
+    for since in (100, 200):
         turn(since)
-    assert {queue.let_in() for _ in range(count)} == {200}
+    assert {queue.since for _ in range(count)} == {200}
+    if waited_on:
+        queue.leave_some()
+    turn(300)
+    assert queue.since == (200 if waited_on else 300)
     turn(400)
-    assert queue.let_in() == (200 if waited_on else 300)
-    turn(500)
-    assert queue.let_in() == 400
+    assert queue.since == 400
     looks.close()
 
 
-def test_other_event_loops_are_refused() -> None:
-    async def ask() -> None:
-        arrivals.looks_of_running_loop()
+def test_who_waits_while_the_listener_is_not_watched_may_have_come_since_then() -> None:
+    looks = arrivals.Looks()
+    queue = arrivals.Queue(looks, inherited=False)
+    for turn, since in enumerate((100, 200), 1):
+        looks.turn, looks.since = turn, since
+    queue.pause()
+    for turn, since in enumerate((300, 400), 3):
+        looks.turn, looks.since = turn, since
+        assert queue.since == 200
+    queue.pause()
+    queue.resume()
+    looks.turn, looks.since = 5, 500
+    assert queue.since == 200
+    looks.turn, looks.since = 6, 600
+    assert queue.since == 600
+    looks.close()
+
 
-    with pytest.raises(TypeError):
-        asyncio.run(ask())
+def test_who_stands_in_an_inherited_queue_has_waited_for_nobody_knows_how_long() -> None:
+    looks = arrivals.Looks()
+    queue = arrivals.Queue(looks, inherited=True)
+    looks.turn, looks.since = 1, 100
+    assert queue.since == arrivals.UNKNOWN
+    looks.turn, looks.since = 2, 200
+    assert queue.since == 200
+    looks.close()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -116,10 +116,11 @@
         for one in many[:10]:
             one.send(b"PING")
             assert await one.answer() == b"PONG"
-        await soon(lambda: [line for line in lines if "out of system resource" in line])
-        before, looked = sum(process.cpu_times()[:2]), len(lines)
-        await soon(lambda: [line for line in lines[looked:] if "out of system resource" in line])
-        assert sum(process.cpu_times()[:2]) - before < 0.5  # a second or more of waiting
+        await soon(lambda: [line for line in lines if "accept fails" in line])
+        before = sum(process.cpu_times()[:2])
+        await asyncio.sleep(1.0)  # nothing happens any more but that accept is tried again
+        assert sum(process.cpu_times()[:2]) - before < 0.25
+        assert len([line for line in lines if "accept" in line]) == 1
         for one in many:
             one.writer.transport.abort()
         again = await caller_at(at["listening on"])
