--- a/applehub/node/accepting.py
+++ b/applehub/node/accepting.py
@@ -2,7 +2,6 @@
 of accept."""
 
 import asyncio
-import contextlib
 import errno
 import logging
 import socket
@@ -126,12 +125,23 @@
         except OSError as problem:  # the selector may lack memory as accept does
             self._try_later(problem)
 
-    def take_all(self) -> None:
-        """Accepts all who wait, and nobody after that."""
+    async def take_all(self, patience: float) -> None:
+        """Accepts all who wait, and nobody after that; where accept fails, it is tried for so many seconds.
+
+        Returns in the turn in which nobody waited any more."""
         self._pause()
-        with contextlib.suppress(OSError):
-            while self._accept_some():
-                pass
+        end = self._loop.time() + patience
+        while True:
+            pause = 0.0
+            try:
+                if not self._accept_some():
+                    return
+            except OSError as problem:
+                self._note(problem)
+                pause = RETRY
+            if self._loop.time() + pause > end:
+                return
+            await asyncio.sleep(pause)
 
     async def brought(self) -> None:
         """Waits until each that was accepted has reached its protocol."""
--- a/applehub/node/listener.py
+++ b/applehub/node/listener.py
@@ -125,13 +125,13 @@
         if self._acceptor is not None:
             self._acceptor.close()
 
-    async def shut(self) -> None:
-        """Closes, with those let in who stand in the listener's queue. Guards requests that the system has
-        taken: a listener that closes resets what waits there."""
+    async def shut(self, patience: float = 0.0) -> None:
+        """Closes, with those let in who stand in the listener's queue; where accept fails, it is tried for so
+        many seconds. Guards requests that the system has taken: a listener that closes resets them."""
         acceptor = self._acceptor
         # What another process shares goes on being let in there.
         if acceptor is not None and acceptor.open and not self._inherited:
-            acceptor.take_all()
+            await acceptor.take_all(patience)
         self.hand_over()
         if acceptor is not None:
             await acceptor.brought()
--- a/applehub/node/router.py
+++ b/applehub/node/router.py
@@ -265,7 +265,7 @@
         else:
             self.clients.hand_over()
             await self.clients.emptied(killed_at - CLOSE_IDLE_BEFORE_KILL - loop.time())
-        await self.clients.shut()
+        await self.clients.shut(killed_at - ANSWER_BEFORE_KILL - loop.time())
         if self.peering is not None:
             self.peering.stop()
         await self.clients.emptied(killed_at - EXIT_BEFORE_KILL - loop.time())
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -7,14 +7,17 @@
 import logging
 import socket
 from contextlib import ExitStack
+from pathlib import Path
 
 import pytest
-from peers import router, soon
+from peers import PATIENCE, Bench, entry, hit, router, soon
 from test_arrivals import WAIT, get, told
 from test_closes import PING, PONG, Raw
+from test_descriptors import caller_at, program
+from test_discovery import listing
 from virtual import play
 
-from applehub.lab.fleet.system_call_faults import SystemCallFault, SystemCallFaults
+from applehub.lab.fleet.system_call_faults import SystemCallFault, SystemCallFaults, recorded
 from applehub.node import accepting, arrivals, console
 from applehub.node.console import Console
 
@@ -162,6 +165,80 @@
     play(monkeypatch, test)
 
 
+SHUT: dict[str, dict[str, float]] = {"one call": {"times": 1}, "0.2 s": {"for_s": 0.2}}
+
+
+async def shut(bench: Bench) -> None:
+    await bench.clients.shut(1.0)
+
+
+@pytest.mark.parametrize("when", SHUT.values(), ids=SHUT)
+@pytest.mark.parametrize("error", ["ECONNABORTED", "EPROTO", *LACKS])
+def test_who_stands_in_the_queue_behind_a_failure_as_it_closes_is_answered(
+    monkeypatch: pytest.MonkeyPatch, error: str, when: dict[str, float]
+) -> None:
+    """One failing accept ended the last look: 0 of 5 were answered."""
+
+    async def test() -> None:
+        async with router(lambda asked, line: hit(asked[2])) as bench:
+            with ExitStack() as stack, accept_fails(bench.port, error, **when) as faults:
+                late = in_queue(stack, bench.port, [get(b"j%d" % n) for n in range(5)])
+                await shut(bench)  # in the turn in which they came
+                assert faults.count("accept", error) >= 1
+                assert [await one.all() for one in late] == [b"$2\r\nj%d\r\n" % n for n in range(5)]
+            assert not bench.clients.accepting
+
+    play(monkeypatch, test)
+
+
+def test_more_than_a_turn_takes_are_let_in_as_the_listener_closes(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def test() -> None:
+        async with router(lambda asked, line: hit(asked[2]), sockets=256) as bench:
+            with ExitStack() as stack:
+                late = in_queue(stack, bench.port, [PING] * 60 + [get(b"last")])
+                await bench.clients.shut()
+                assert [await one.all() for one in late] == [PONG] * 60 + [b"$4\r\nlast\r\n"]
+
+    play(monkeypatch, test)
+
+
+def test_a_failure_that_lasts_holds_a_close_up_for_its_patience_alone(
+    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
+    async def test() -> None:
+        loop = asyncio.get_running_loop()
+        async with router() as bench:
+            with ExitStack() as stack, accept_fails(bench.port, "EMFILE") as faults:
+                in_queue(stack, bench.port, [PING])
+                begun = loop.time()
+                await shut(bench)
+                assert 1.0 - accepting.RETRY <= loop.time() - begun <= 1.0
+                tried = faults.count("accept")
+                await asyncio.sleep(3)
+                assert faults.count("accept") == tried and not bench.clients.accepting
+        assert len(complaints(caplog)) == 1
+
+    play(monkeypatch, test)
+
+
+async def test_the_program_lets_in_who_waits_through_its_stop(tmp_path: Path) -> None:
+    """The outage begins as the client comes and lasts past the last look, which SIGTERM leaves 0.5 s to."""
+    outage = SystemCallFault("accept", "ENFILE", for_s=1.0)
+    async with program(tmp_path, 1024, faults=[outage], known=listing(3, entry("c0", "127.0.0.1:1"))) as (
+        running,
+        addresses,
+        lines,
+    ):
+        caller = await caller_at(addresses["listening on"])
+        caller.send(b"PING")
+        await soon(lambda: [line for line in lines if "accept fails" in line])
+        running.terminate()
+        assert await caller.answer() == b"PONG" and await caller.answer() is None
+        assert await asyncio.wait_for(running.wait(), PATIENCE) == 0
+        assert len([line for line in lines if "accept" in line]) == 1
+    assert recorded(tmp_path / "injected")["accept", "ENFILE"] >= 2
+
+
 @pytest.mark.parametrize("error", [*LACKS, "ECONNABORTED", "ENETDOWN"])
 def test_operators_are_answered_right_after_an_outage(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, error: str
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -15,6 +15,7 @@
 from peers import PATIENCE, Cache, Caller, Web, entry, hit, http, soon
 from test_discovery import ROOT, configuration, listing, whole_list
 
+from applehub.lab.fleet.system_call_faults import SystemCallFault, in_environment
 from applehub.node.descriptors import CLOSING, CONSOLE, OWN, share_out
 
 
@@ -33,9 +34,13 @@
 async def program(
     tmp_path: Path, descriptors: int, **changes: Any
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, dict[str, tuple[str, int]], list[str]]]:
-    """The program under a limit on its descriptors; gives it, the addresses that it tells, and its log."""
-    command = f'ulimit -n {descriptors} && exec "{sys.executable}" -m applehub'
-    env = configuration(tmp_path, **changes)
+    """The program under a limit on its descriptors; gives it, the addresses that it tells, and its log.
+
+    changes: of its configuration; `faults`: system calls that fail, recorded in the file `injected`."""
+    faults: list[SystemCallFault] = changes.pop("faults", [])
+    launcher = "applehub.lab.fleet.system_call_faults " if faults else ""
+    command = f'ulimit -n {descriptors} && exec "{sys.executable}" -m {launcher}applehub'
+    env = {**configuration(tmp_path, **changes), **in_environment(faults, tmp_path / "injected")}
     running = await asyncio.create_subprocess_shell(
         command, env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE
     )
