--- a/applehub/node/pool.py
+++ b/applehub/node/pool.py
@@ -2,10 +2,12 @@
 
 import asyncio
 import contextlib
+import errno
 import logging
 import socket
 import time
 from abc import abstractmethod
+from collections import OrderedDict
 from collections.abc import Callable, Iterator
 from typing import cast
 
@@ -20,10 +22,31 @@
 # s for which a connection rests after an answer. A second answer came up to 4 ms after the first, and nothing
 # in it tells whose it is (docs/findings/standing.md): the next request must not be there yet.
 REST = 0.01
+# Errors of socket and connect by which this machine says what it lacks. None comes from the server.
+LOCAL_FAILURES = frozenset(
+    (
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+        errno.EADDRNOTAVAIL,
+        errno.EADDRINUSE,
+        errno.EAGAIN,
+    )
+)
+# Errors by which it says that it knows no way to an address, to this alone or to all of them.
+NO_ROUTE = frozenset((errno.ENETUNREACH, errno.ENETDOWN, errno.EHOSTUNREACH))
 Endpoint = tuple[str, int]
 log = logging.getLogger("applehub")
 
 
+def status_of_failed_connect(problem: OSError) -> Status:
+    """How an attempt ended whose connection never came up."""
+    if problem.errno in LOCAL_FAILURES:
+        return Status.LOCAL_FAILURE
+    return Status.UNREACHABLE if problem.errno in NO_ROUTE else Status.CONNECT_FAILED
+
+
 class Connection(Reader):
     """A connection that carries one attempt at a time and tells how it ended."""
 
@@ -33,6 +56,8 @@
         self.transport: asyncio.Transport | None = None
         self.dialling: asyncio.Task[None] | None = None
         self.taken = False  # the server accepted it
+        self.failure = Status.CONNECT_FAILED  # how an attempt ends where it never does
+        self.carried = 0  # attempts that were asked on it
         self.full = False  # the system takes no more for now
         self.pieces: Iterator[bytes | memoryview] = iter(())  # what of it is still to be written
         self.begun = False  # some of what is asked was handed to the system
@@ -52,6 +77,7 @@
     def ask(self, exchange: Exchange) -> None:
         """Begins an attempt on a connection that is up."""
         self.exchange, self.begun, self.unsent = exchange, False, True
+        self.carried += 1
         self.pieces = self.encode(exchange)
         self._write_on()
 
@@ -99,6 +125,11 @@
             self.transport.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
         self.transport.abort()
 
+    @property
+    def connected(self) -> bool:
+        """Whether it came up for the attempt that it carries, or carried last."""
+        return self.taken and self.carried <= 1
+
     @property
     def quiet(self) -> bool:
         """Whether nothing has come that was not asked for. Guards against an end, or a second answer, that
@@ -135,7 +166,7 @@
         status = Status.RESET
         if self.unsent:
             # Guards against a network that breaks connections: a server that took this one can be reached.
-            status = Status.MOOT if self.taken else Status.CONNECT_FAILED
+            status = Status.MOOT if self.taken else self.failure
         log.debug("%s: the connection to %s:%d is lost", self._asked(), *self.pool.endpoint)
         self.pool.drop(self)
         exchange, self.exchange = self.exchange, None
@@ -147,6 +178,12 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
+        if self.transport.get_extra_info("peername") is None:
+            # asyncio takes EAGAIN for a connect that goes on, and the closed socket for one that is
+            # up. It has no peer.
+            self.failure = Status.LOCAL_FAILURE
+            self.transport.abort()
+            return
         self.taken = True
         self.unread = Unread(self.transport.get_extra_info("socket"))
         self.transport.set_write_buffer_limits(0)  # so that every byte that waits here is told
@@ -203,6 +240,7 @@
             return False
         connection = self.make(self)
         self.all.add(connection)
+        self.pools.opened += 1
         connection.exchange, exchange.carrier = exchange, connection
         connection.since = asyncio.get_running_loop().time()
         connection.dialling = asyncio.get_running_loop().create_task(self._dial(connection))
@@ -215,7 +253,7 @@
             connection = self.idle[at]
             if connection.idle_since > before:
                 continue
-            del self.idle[at]
+            self._end_idling(connection)
             if connection.quiet:
                 return connection
         return None
@@ -228,6 +266,7 @@
         except (OSError, TimeoutError) as problem:
             # Reset, not refused: it was accepted and then broke, before the system told us that it was up.
             connection.taken = isinstance(problem, ConnectionResetError)
+            connection.failure = status_of_failed_connect(problem)
             if connection.transport is None:
                 connection.lost()
 
@@ -237,11 +276,18 @@
             return
         connection.idle_since = asyncio.get_running_loop().time()
         self.idle.append(connection)
+        self.pools.idle[connection] = None
         self.pools.plan_sweep()
 
     def drop(self, connection: Connection) -> None:
-        self.all.discard(connection)
-        if connection in self.idle:
+        if connection in self.all:
+            self.all.remove(connection)
+            self.pools.opened -= 1
+        self._end_idling(connection)
+
+    def _end_idling(self, connection: Connection) -> None:
+        if connection in self.pools.idle:
+            del self.pools.idle[connection]
             self.idle.remove(connection)
 
     def retire(self) -> None:
@@ -263,13 +309,16 @@
 
 
 class Pools:
-    """All pools: their number of sockets, and the sweep that closes what has idled too long."""
+    """All pools: their number of sockets, and the sweep that closes what has idled too long.
+
+    What a dial, an answer or a sweep costs here does not grow with the servers: there may be thousands."""
 
     def __init__(self, most: int, dial_timeout: float, keepalive: float) -> None:
         self.most = most
         self.limit_times(dial_timeout, keepalive)
         self.pools: dict[str, Pool] = {}
-        self.leaving: list[Pool] = []  # replaced, with attempts still out
+        self.opened = 0  # connections of all pools, up or coming up, of those that were replaced too
+        self.idle: OrderedDict[Connection, None] = OrderedDict()  # of all pools, the longest idle first
         self.sweeping = False
         self.written = 0  # attempts whose last byte is with the system
 
@@ -282,29 +331,23 @@
         if pool is None or pool.endpoint != endpoint:
             before, pool = pool, Pool(self, endpoint, make)
             self.pools[name] = pool  # first: what the old one hands back may come here
-            self._leave(before)
+            if before is not None:
+                before.retire()
         return pool
 
     def remove(self, name: str) -> None:
-        self._leave(self.pools.pop(name, None))
-
-    def _leave(self, pool: Pool | None) -> None:
+        pool = self.pools.pop(name, None)
         if pool is not None:
-            self.leaving = [one for one in self.leaving if one.all] + [pool]
             pool.retire()
 
     def room(self) -> bool:
         """Whether one more connection may be opened; the longest idle one makes room for it."""
-        if sum(len(pool.all) for pool in [*self.pools.values(), *self.leaving]) < self.most:
+        if self.opened < self.most:
             return True
-        oldest = min(
-            (pool.idle[0] for pool in self.pools.values() if pool.idle),
-            key=lambda one: one.idle_since,
-            default=None,
-        )
-        if oldest is None:
+        longest_idle = next(iter(self.idle), None)
+        if longest_idle is None:
             return False
-        oldest.close()
+        longest_idle.close()
         return True
 
     def plan_sweep(self) -> None:
@@ -315,8 +358,7 @@
     def _sweep(self) -> None:
         self.sweeping = False
         before = asyncio.get_running_loop().time() - self.idle_most
-        for pool in self.pools.values():
-            for connection in [one for one in pool.idle if one.idle_since < before]:
-                connection.close()
-        if any(pool.idle for pool in self.pools.values()):
+        while self.idle and (longest_idle := next(iter(self.idle))).idle_since < before:
+            longest_idle.close()
+        if self.idle:
             self.plan_sweep()
