--- a/tests/test_arrivals.py
+++ b/tests/test_arrivals.py
@@ -757,3 +757,11 @@
     looks.turn, looks.since = 2, 200
     assert queue.since == 200
     looks.close()
+
+
+def test_other_event_loops_are_refused() -> None:
+    async def ask() -> None:
+        arrivals.looks_of_running_loop()
+
+    with pytest.raises(TypeError):
+        asyncio.run(ask())
