--- a/applehub/release/__main__.py
+++ b/applehub/release/__main__.py
@@ -16,11 +16,13 @@
 
 from applehub.durable.store import StoreError
 from applehub.events import EventError, read
+from applehub.release.backoff import when_disk_permits
 from applehub.release.controller import Controller
-from applehub.release.kept import Kept, say
+from applehub.release.kept import Kept, ask
 from applehub.release.machine import Mode
-from applehub.release.plan import PlanError, load_plan
+from applehub.release.plan import Plan, PlanError, load_plan
 from applehub.release.rehearsal import rehearse
+from applehub.release.staff_requests import RequestKind
 
 STATE = click.option(
     "--state", "folder", required=True, type=click.Path(file_okay=False, path_type=Path), help="Its folder."
@@ -92,9 +94,8 @@
 def start(file: Path, folder: Path, again: bool, metrics: int | None) -> None:
     """Carries plan FILE out through its units' agents; goes on where it was cut off, also by SIGKILL."""
     told = load_plan(file)
-    with closing(Kept(folder)) as kept:
-        kept.begin(told, again)
-        controller = Controller(kept, told, folder)
+    controller = when_disk_permits(lambda: _opened(folder, told, again))
+    with closing(controller.kept) as kept:
         if metrics is not None:
             start_http_server(metrics, "127.0.0.1", controller.metrics.registry)
         mode = asyncio.run(controller.run())
@@ -102,6 +103,16 @@
     sys.exit(3 if mode is Mode.HALTED else 0)
 
 
+def _opened(folder: Path, plan: Plan, again: bool) -> Controller:
+    kept = Kept(folder)
+    try:
+        kept.begin(plan, again)
+        return Controller(kept, plan, folder)
+    except BaseException:
+        kept.close()
+        raise
+
+
 def _show(kept: Kept, as_json: bool) -> None:
     record = kept.record
     if as_json:
@@ -141,12 +152,16 @@
         click.echo(one.line())
 
 
-def _said(folder: Path, what: str, why: str = "") -> None:
-    if say(folder, what, why):
+def _ask(folder: Path, kind: RequestKind, reason: str = "") -> None:
+    try:
+        done = ask(folder, kind, reason)
+    except OSError as problem:
+        raise OSError(f"{kind}: not kept for sure: {problem}; `status` tells, or ask again") from problem
+    if done:
         with closing(Kept(folder, hold=False)) as kept:
             _show(kept, False)
     else:
-        click.echo(f"{what}: left to the controller that is at work")
+        click.echo(f"{kind}: left to the controller that is at work")
 
 
 @main.command()
@@ -155,7 +170,7 @@
 @guarded
 def halt(folder: Path, why: str) -> None:
     """Lets nothing new begin; what is on its way is finished."""
-    _said(folder, "halt", why)
+    _ask(folder, RequestKind.HALT, why)
 
 
 @main.command()
@@ -163,7 +178,7 @@
 @guarded
 def resume(folder: Path) -> None:
     """Lets a halted release go on; `start` or `rehearse` carries it on."""
-    _said(folder, "resume")
+    _ask(folder, RequestKind.RESUME)
 
 
 @main.command()
@@ -171,7 +186,7 @@
 @guarded
 def back(folder: Path) -> None:
     """Turns a release round, to the old version; `start` or `rehearse` carries it on."""
-    _said(folder, "back")
+    _ask(folder, RequestKind.BACK)
 
 
 if __name__ == "__main__":
--- a/applehub/release/controller.py
+++ b/applehub/release/controller.py
@@ -19,9 +19,10 @@
 from applehub.events import Event
 from applehub.release.backoff import Backoff
 from applehub.release.gates import Figures, Gate, Verdict
-from applehub.release.kept import ENDED, Kept, Wishes
+from applehub.release.kept import ENDED, Kept
 from applehub.release.machine import Mode, Order, Release
 from applehub.release.plan import Plan, PlanError
+from applehub.release.staff_requests import StaffRequests, carry_out
 
 CALL = aiohttp.ClientTimeout(total=2.0)
 LEASE = 8.0  # s of the lock
@@ -99,7 +100,7 @@
     """Carries a plan out."""
 
     def __init__(self, kept: Kept, plan: Plan, folder: Path) -> None:
-        """Raises PlanError where a unit has no agent."""
+        """Raises PlanError where a unit has no agent, OSError where what staff ask can't be read."""
         self.kept, self.plan, self.record = kept, plan, kept.record
         agents = {unit.name: unit.agent for unit in plan.fleet}
         lacking = [name for name in self.record.units if not agents.get(name)]
@@ -107,7 +108,9 @@
             raise PlanError("\n".join(f"fleet: {name}: expected an agent" for name in lacking))
         self.agents: dict[str, str] = {name: str(agents[name]) for name in self.record.units}
         self.release, self.gate = Release(kept.record), Gate(plan.gates, kept.record)
-        self.wishes, self.metrics = Wishes(folder), Metrics()
+        self.requests, self.metrics = StaffRequests(folder), Metrics()
+        if kept.record.request_taken is None:
+            kept.record.request_taken = self.requests.latest()
         self.told: dict[str, Figures | None] = {}
         self.clock = kept.clock
         self.evidence_kept = 0.0
@@ -172,9 +175,7 @@
         """One look at the whole fleet; gives what is to be done."""
         answers = await self._ask()
         orders: list[Order] = []
-        wish = self.wishes.take(self.release)
-        if wish:
-            self.kept.events.say(Event.WISHED, what=wish)
+        self._carry_out_requests()
         for unit, order in answers.items():
             mine = order.get("release") == self.record.id
             if mine and order["good"] is not None and order["number"] == self.record.units[unit].number:
@@ -189,6 +190,14 @@
         self._note(verdict)
         return orders + self.release.tick(self.clock.now(), not verdict.unwell, verdict.spare)
 
+    def _carry_out_requests(self) -> None:
+        """What staff ask; where the disk can't be read now, it is at a later look."""
+        try:
+            for request in carry_out(self.record, self.requests):
+                self.kept.events.say(Event.WISHED, what=request.kind)
+        except OSError as problem:
+            log.info("what staff ask can't be read: %r", problem)
+
     def _note(self, verdict: Verdict) -> None:
         if verdict.unwell != self.unwell and bool(verdict.unwell) is not bool(self.unwell):
             self.kept.events.say(Event.UNWELL, why=verdict.unwell)
--- a/applehub/release/kept.py
+++ b/applehub/release/kept.py
@@ -1,27 +1,21 @@
-"""What a controller keeps in its folder: the release's record, what staff wish of it, and its events."""
+"""What a controller keeps in its folder: the release's record and its events."""
 
 import time
 from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
-import orjson
-
 from applehub.durable.folder import Folder
 from applehub.durable.store import Store, StoreError
 from applehub.events import Event, Writer
 from applehub.release.clock import Clock, SystemClock
 from applehub.release.machine import Mode, Record, Release, Unit
 from applehub.release.plan import Plan, PlanError
+from applehub.release.staff_requests import ACTIONS, RequestKind, StaffRequests, carry_out
 from applehub.release.stored_record import RecordCodec
 
 FORM = 1
 ENDED = (Mode.DONE, Mode.RETURNED)
-WISHES: dict[str, Callable[[Release, str], None]] = {
-    "halt": lambda release, why: release.halt(why),
-    "resume": lambda release, _: release.unhalt(),
-    "back": lambda release, _: release.turn_back(),
-}
 
 
 def record_of(plan: Plan) -> Record:
@@ -52,9 +46,13 @@
         self.records = Store(self.disk, "release", FORM)
         self.clock = SystemClock() if clock is None else clock
         self.codec = RecordCodec(self.clock)
-        self.record = read_store(self.records, hold, self.codec.decode)
+        try:
+            self.record = read_store(self.records, hold, self.codec.decode)
+            self.events = Writer(folder / "events.jsonl", "release", 0)
+        except BaseException:
+            self.records.close()  # or it is held until the process ends, and can't be opened once more
+            raise
         self.saved = self._plain()
-        self.events = Writer(folder / "events.jsonl", "release", 0)
         self.mode: Mode | None = None if self.record is None else self.record.mode
 
     def begin(self, plan: Plan, again: bool) -> bool:
@@ -93,45 +91,20 @@
         self.events.close()
 
 
-class Wishes:
-    """What staff wish of a release while a controller holds its record: one wish, until it is taken up."""
-
-    def __init__(self, folder: Path) -> None:
-        self.store = Store(Folder(str(folder)), "wish", FORM)
-        self.taken = self.store.load().generation
-
-    def say(self, what: str, why: str) -> None:
-        """Raises StoreError where another process is at it."""
-        self.store.open()
-        self.store.save(orjson.dumps({"what": what, "why": why}))
-        self.store.close()
-
-    def take(self, release: Release) -> str:
-        """Has the release do what is wished, once; gives what that was."""
-        try:
-            found = self.store.load()
-            if found.generation <= self.taken or found.value is None:
-                return ""
-            self.taken = found.generation
-            told = orjson.loads(found.value)
-            WISHES[told["what"]](release, told["why"])
-            return str(told["what"])
-        except (OSError, ValueError, KeyError, TypeError):
-            return ""
-
-
-def say(folder: Path, what: str, why: str) -> bool:
-    """Carries out what staff wish, or leaves it to the controller that holds the record; whether it is done.
-    Raises StoreError, PlanError."""
+def ask(folder: Path, kind: RequestKind, reason: str) -> bool:
+    """Carries out what staff ask, or leaves it to the controller that holds the record; whether it is done.
+    Raises StoreError, PlanError, OSError."""
+    requests = StaffRequests(folder)
     try:
         kept = Kept(folder)
     except StoreError:
-        Wishes(folder).say(what, why)
+        requests.add(kind, reason)
         return False
     try:
         if kept.record is None:
             raise PlanError(f"{folder}: no release was begun here")
-        WISHES[what](Release(kept.record), why)
+        carry_out(kept.record, requests)  # what a controller that was ended left undone comes first
+        ACTIONS[kind](Release(kept.record), reason)
         kept.keep()
     finally:
         kept.close()
--- a/tests/test_release_disk.py
+++ b/tests/test_release_disk.py
@@ -1,9 +1,12 @@
 """Releases on disks that refuse: what can't be kept is not done, and goes on by itself once it can be."""
 
+import json
+import shutil
 from collections.abc import Callable
 from pathlib import Path
 
 import pytest
+from click.testing import CliRunner
 from release_support import (
     ObedientMachine,
     SteppedClock,
@@ -16,11 +19,15 @@
 from applehub.durable.folder import Folder
 from applehub.durable.store import Store
 from applehub.lab.fleet.system_call_faults import SystemCall, SystemCallFault, SystemCallFaults
+from applehub.release.__main__ import main
+from applehub.release.backoff import when_disk_permits
 from applehub.release.controller import Controller
-from applehub.release.kept import FORM
+from applehub.release.kept import FORM, Kept, ask
 from applehub.release.machine import Mode, Order
+from applehub.release.staff_requests import RequestKind, StaffRequest, StaffRequests, carry_out
 from applehub.release.stored_record import RecordCodec
 
+STORED = Path(__file__).parent / "stored" / "release_0447801"
 REFUSALS: list[tuple[SystemCall, str]] = [
     ("open", "EMFILE"),
     ("write", "ENOSPC"),
@@ -128,3 +135,109 @@
         assert machine.carried == [] and service.taken == 1
         await rounds(controller, clock, 2)
         assert [order.step for order in machine.carried] == ["drain", "replace"] and service.taken == 2
+
+
+# What staff ask
+
+
+async def test_a_halt_that_was_taken_up_and_not_kept_is_carried_out_by_the_next_controller(
+    tmp_path: Path,
+) -> None:
+    """A controller takes a halt up, its disk refuses the record, and it is killed."""
+    state, clock, machine = tmp_path / "state", SteppedClock(), ObedientMachine(["u0", "u1"])
+    async with running_agent(machine, tmp_path / "agent") as (_, address):
+        async with controlling(state, make_plan(), clock, address) as controller:
+            await rounds(controller, clock, 1)
+            assert not ask(state, RequestKind.HALT, "by staff")  # the controller holds the record
+            with SystemCallFaults(SystemCallFault("write", "ENOSPC", path=f"{state}/release")):
+                await rounds(controller, clock, 1)
+                assert controller.record.mode is Mode.HALTED
+        async with controlling(state, make_plan(), clock, address) as controller:
+            assert await rounds(controller, clock, 10)
+            assert controller.record.mode is Mode.HALTED and controller.record.why == "by staff"
+    assert [order.unit for order in machine.carried] == ["u0"] * 3
+
+
+async def test_requests_that_come_between_two_looks_are_carried_out_in_their_order_and_once(
+    tmp_path: Path,
+) -> None:
+    state, clock, machine = tmp_path / "state", SteppedClock(), ObedientMachine(["u0", "u1"])
+    async with running_agent(machine, tmp_path / "agent") as (_, address):
+        async with controlling(state, make_plan(), clock, address) as controller:
+            await rounds(controller, clock, 1)
+            ask(state, RequestKind.BACK, "")
+            ask(state, RequestKind.RESUME, "")  # lets only what is halted go on: it stays on its way back
+            with SystemCallFaults(SystemCallFault("open", "EIO", path=f"{state}/wish")):
+                await rounds(controller, clock, 1)  # they can't be read: later
+            assert controller.record.mode is Mode.RUNNING
+            await rounds(controller, clock, 1)
+            assert controller.record.mode.value == "back" and controller.record.request_taken == 2
+        async with controlling(state, make_plan(), clock, address) as controller:
+            assert await rounds(controller, clock, 20)
+            assert controller.record.mode is Mode.RETURNED
+
+
+def test_what_a_killed_controller_left_comes_before_what_staff_ask_next(tmp_path: Path) -> None:
+    """A halt is left to a controller that is killed at once; then staff resume by the folder alone."""
+    state = tmp_path / "state"
+    kept = Kept(state)
+    plan = make_plan(fleet=[{"name": "u0", "zone": "a", "agent": "h:1"}])
+    kept.begin(plan, False)
+    Controller(kept, plan, state)
+    kept.keep()
+    assert not ask(state, RequestKind.HALT, "")
+    kept.close()
+    assert ask(state, RequestKind.RESUME, "")
+    found = Kept(state, hold=False)
+    assert found.record.mode is Mode.RUNNING and found.record.request_taken == 1
+
+
+def test_a_request_that_the_disk_refuses_is_no_acknowledgement(tmp_path: Path) -> None:
+    state = tmp_path / "state"
+    kept = Kept(state)
+    kept.begin(make_plan(), False)
+    kept.keep()
+    kept.close()
+    with SystemCallFaults(SystemCallFault("write", "ENOSPC", path=f"{state}/release")):
+        done = CliRunner().invoke(main, ["halt", "--state", str(state)])
+    assert done.exit_code == 2 and "not kept for sure" in done.output and "ENOSPC" not in done.output
+    assert Kept(state, hold=False).record.mode is Mode.RUNNING
+
+
+def test_a_request_of_the_version_before_is_read_and_not_taken_twice(
+    tmp_path: Path,
+) -> None:
+    """It stored no number, and its controller took those alone that came after its start."""
+    folder = Path(shutil.copytree(STORED / "watched", tmp_path / "watched"))
+    requests = StaffRequests(folder)
+    assert requests.after(0) == [StaffRequest(1, RequestKind.HALT, "by staff")]
+    kept = Kept(folder)
+    assert carry_out(kept.record, requests) == [] and kept.record.request_taken == 1
+    kept.close()
+    requests.add(RequestKind.BACK, "")
+    assert [one.kind for one in requests.after(0)] == [RequestKind.HALT, RequestKind.BACK]
+    stored = Store(Folder(str(folder)), "wish", FORM).load().value
+    assert stored is not None and json.loads(stored)["what"] == "back"  # what the version before reads
+
+
+# The start
+
+
+@pytest.mark.parametrize("call", ["open", "read"])
+def test_a_start_waits_while_the_disk_refuses(tmp_path: Path, call: SystemCall) -> None:
+    waits: list[float] = []
+    kept = Kept(tmp_path)
+    kept.begin(make_plan(), False)
+    kept.keep()
+    kept.close()
+    with SystemCallFaults(SystemCallFault(call, "EIO", from_call=2, times=7, path=str(tmp_path))):
+        kept = when_disk_permits(lambda: Kept(tmp_path), waits.append)
+    assert kept.record.new == "1.8" and len(waits) >= 6 and waits[:3] == [0.1, 0.2, 0.4]
+    assert max(waits) <= 5.0
+    kept.close()
+
+
+def test_a_start_in_a_folder_of_no_use_does_not_wait(tmp_path: Path) -> None:
+    (tmp_path / "file").touch()
+    with pytest.raises(FileExistsError):
+        when_disk_permits(lambda: Kept(tmp_path / "file"), lambda _: pytest.fail("it waits"))
