--- a/applehub/release/agent.py
+++ b/applehub/release/agent.py
@@ -1,19 +1,22 @@
 """An agent: carries a controller's orders out on the units beside it, and tells how they fare, over HTTP.
 
 `POST /v1/orders` takes one ({release, fence, unit, step, version, number}): 202 it is under way, 200 it is
-known, 409 it is refused, 400 it is none. `GET /v1/units` tells of each unit the last order, what came of it,
-and its figures. What is remembered is on disk before a step begins and after it has ended; a step that was
-under way when the agent ended is carried out again, so a machine's steps must bear that.
+known, 409 it is refused, 400 it is none, 503 the disk refuses it, so it does not begin. `GET /v1/units` tells
+of each unit the last order, what came of it, and its figures. What is remembered is on disk before a step
+begins, and before what came of it is told; a step that was under way when the agent ended is carried out
+again, so a machine's steps must bear that.
 """
 
 import asyncio
 import logging
+from collections.abc import Awaitable, Callable
 from typing import Any, Protocol
 
 import orjson
 from aiohttp import web
 
-from applehub.durable.store import Store
+from applehub.durable.store import Store, StoreError
+from applehub.release.backoff import Backoff
 from applehub.release.machine import Order
 from applehub.release.orders import Orders, RefusedError
 
@@ -37,10 +40,12 @@
 class Agent:
     """One agent, its memory and its address."""
 
-    def __init__(self, machine: Machine, store: Store) -> None:
+    def __init__(
+        self, machine: Machine, store: Store, sleep: Callable[[float], Awaitable[None]] = asyncio.sleep
+    ) -> None:
         """Raises StoreError where another agent holds the store, ValueError where what it holds is of no
         use."""
-        self.machine, self.store = machine, store
+        self.machine, self.store, self.sleep = machine, store, sleep
         kept = store.open().value
         try:
             self.orders = Orders() if kept is None else Orders.of(orjson.loads(kept))
@@ -68,8 +73,10 @@
             await self.runner.cleanup()
         self.store.close()
 
-    def _keep(self) -> None:
-        self.store.save(orjson.dumps(self.orders.plain()))
+    def _keep(self, orders: Orders) -> None:
+        """Has the agent remember these. Raises StoreError, OSError: then it remembers what it did before."""
+        self.store.save(orjson.dumps(orders.plain()))
+        self.orders = orders
 
     async def order(self, request: web.Request) -> web.Response:
         try:
@@ -80,11 +87,16 @@
                 raise ValueError(f"no unit {order.unit!r} here")
         except (ValueError, KeyError, TypeError) as problem:
             return self._said(400, {"error": f"expected an order: {problem}"})
+        orders = self.orders.copy()
         try:
-            fresh = self.orders.take(release, fence, order)
+            fresh = orders.take(release, fence, order)
+            if orders != self.orders:
+                self._keep(orders)  # before it begins
         except RefusedError as problem:
             return self._said(409, {"error": str(problem), "fence": self.orders.fence})
-        self._keep()  # before it begins
+        except (StoreError, OSError) as problem:
+            log.warning("%s: %s does not begin, since it can't be kept: %r", order.unit, order.step, problem)
+            return self._said(503, {"error": f"not begun, since it can't be kept: {problem}"})
         if fresh:
             self._begin(order.unit)
         return self._said(202 if fresh else 200, {"number": order.number})
@@ -103,8 +115,22 @@
         except Exception as problem:  # whatever a machine meets, the controller is to hear of it
             log.exception("%s: %s failed", order.unit, order.step)
             why = f"{type(problem).__name__}: {problem}"
-        self.orders.done(order.unit, why)
-        self._keep()
+        await self._keep_outcome(order, why)
+
+    async def _keep_outcome(self, order: Order, why: str) -> None:
+        """Remembers what came of an order, as soon as the disk takes it; until then it is under way."""
+        backoff = Backoff()
+        while True:
+            orders = self.orders.copy()
+            orders.done(order.unit, why)
+            try:
+                self._keep(orders)
+            except (StoreError, OSError) as problem:
+                if not backoff.failures:
+                    log.warning("%s: what came of %s can't be kept: %r", order.unit, order.step, problem)
+                await self.sleep(backoff.failed(0.0))
+            else:
+                return
 
     async def units(self, request: web.Request) -> web.Response:
         names = self.machine.units
--- a/applehub/release/model.py
+++ b/applehub/release/model.py
@@ -64,10 +64,7 @@
             units={name: replace(one) for name, one in self.record.units.items()},
         )  # fmt: skip
         agents = {name: replace(one) for name, one in self.agents.items()}
-        memory = {
-            name: Orders({unit: replace(last) for unit, last in one.last.items()}, one.fence)
-            for name, one in self.memory.items()
-        }
+        memory = {name: one.copy() for name, one in self.memory.items()}
         return replace(
             self, record=record, agents=agents, memory=memory, orders=set(self.orders),
             answers=set(self.answers),
--- a/applehub/release/orders.py
+++ b/applehub/release/orders.py
@@ -5,7 +5,7 @@
 refused; the same order again is answered with what came of it; so no step is done twice, and none for a
 controller that was replaced."""
 
-from dataclasses import asdict, dataclass, field
+from dataclasses import asdict, dataclass, field, replace
 from typing import Any
 
 from applehub.release.machine import Order
@@ -61,6 +61,10 @@
         """Units whose order was under way when the agent ended: carried out again, as each step may be."""
         return [unit for unit, last in self.last.items() if last.good is None]
 
+    def copy(self) -> "Orders":
+        """Another that may be changed, and taken or dropped as a whole."""
+        return Orders({unit: replace(last) for unit, last in self.last.items()}, self.fence)
+
     def plain(self) -> dict[str, Any]:
         """For JSON."""
         return asdict(self)
--- a/tests/release_support.py
+++ b/tests/release_support.py
@@ -1,6 +1,7 @@
 """What tests of releases share: a clock that tests move, machines that obey, agents on loopback."""
 
-from collections.abc import AsyncIterator, Callable
+import asyncio
+from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -71,9 +72,11 @@
 
 
 @asynccontextmanager
-async def running_agent(machine: ObedientMachine, folder: Path) -> AsyncIterator[tuple[Agent, str]]:
+async def running_agent(
+    machine: ObedientMachine, folder: Path, sleep: Callable[[float], Awaitable[None]] = asyncio.sleep
+) -> AsyncIterator[tuple[Agent, str]]:
     """An agent on loopback, and its address."""
-    agent = Agent(machine, Store(Folder(str(folder)), "orders", FORM))
+    agent = Agent(machine, Store(Folder(str(folder)), "orders", FORM), sleep)
     try:
         yield agent, await agent.start("127.0.0.1", 0)
     finally:
--- a/tests/test_release_disk.py
+++ b/tests/test_release_disk.py
@@ -1,10 +1,12 @@
 """Releases on disks that refuse: what can't be kept is not done, and goes on by itself once it can be."""
 
+import asyncio
 import json
 import shutil
 from collections.abc import Callable
 from pathlib import Path
 
+import aiohttp
 import pytest
 from click.testing import CliRunner
 from release_support import (
@@ -20,10 +22,12 @@
 from applehub.durable.store import Store
 from applehub.lab.fleet.system_call_faults import SystemCall, SystemCallFault, SystemCallFaults
 from applehub.release.__main__ import main
+from applehub.release.agent import Agent
 from applehub.release.backoff import when_disk_permits
 from applehub.release.controller import Controller
 from applehub.release.kept import FORM, Kept, ask
 from applehub.release.machine import Mode, Order
+from applehub.release.orders import Orders
 from applehub.release.staff_requests import RequestKind, StaffRequest, StaffRequests, carry_out
 from applehub.release.stored_record import RecordCodec
 
@@ -241,3 +245,122 @@
     (tmp_path / "file").touch()
     with pytest.raises(FileExistsError):
         when_disk_permits(lambda: Kept(tmp_path / "file"), lambda _: pytest.fail("it waits"))
+
+
+# Agents
+
+
+class Post:
+    """Sends orders to an agent as a controller does, and reads what it reports."""
+
+    def __init__(self, session: aiohttp.ClientSession, address: str) -> None:
+        self.session, self.address = session, address
+
+    async def order(self, number: int, step: str = "drain", fence: int = 1) -> int:
+        body = {
+            "release": "r", "fence": fence, "unit": "u0", "step": step, "version": "1.8", "number": number,
+        }  # fmt: skip
+        async with self.session.post(f"http://{self.address}/v1/orders", json=body) as answer:
+            return answer.status
+
+    async def outcome(self) -> object:
+        """Whether the last order went well; none: it is under way."""
+        async with self.session.get(f"http://{self.address}/v1/units") as answer:
+            return (await answer.json())["units"]["u0"]["order"].get("good")
+
+
+@pytest.mark.parametrize(("call", "error"), REFUSALS)
+async def test_an_agent_begins_no_order_that_its_disk_refuses(
+    tmp_path: Path, call: SystemCall, error: str
+) -> None:
+    """The order is refused with 503 and neither begun nor known; the same one is taken later, and once. The
+    fence of a controller that it could not keep refuses nobody."""
+    machine = ObedientMachine(["u0"])
+    async with (
+        running_agent(machine, tmp_path / "agent") as (agent, address),
+        aiohttp.ClientSession() as session,
+    ):
+        post = Post(session, address)
+        with SystemCallFaults(SystemCallFault(call, error, path=str(tmp_path / "agent"))):
+            assert [await post.order(4, fence=9), await post.order(4, fence=9)] == [503, 503]
+            assert await post.outcome() is None
+        assert machine.carried == [] and agent.orders == Orders()
+        assert [await post.order(4, fence=8), await post.order(4, fence=8)] == [202, 200]
+        assert await post.order(5, fence=7) == 409
+        await asyncio.gather(*agent.steps)
+        assert len(machine.carried) == 1 and await post.outcome() is True
+
+
+async def test_a_known_order_is_answered_while_the_disk_refuses(tmp_path: Path) -> None:
+    machine = ObedientMachine(["u0"])
+    async with (
+        running_agent(machine, tmp_path / "agent") as (agent, address),
+        aiohttp.ClientSession() as session,
+    ):
+        post = Post(session, address)
+        assert await post.order(4) == 202
+        await asyncio.gather(*agent.steps)
+        with SystemCallFaults(SystemCallFault("write", "ENOSPC", path=str(tmp_path / "agent"))):
+            assert await post.order(4) == 200  # nothing to keep
+            assert (
+                await post.order(4, fence=2) == 503
+            )  # a controller that came after: its fence is to be kept
+            assert await post.order(4, fence=1) == 200
+
+
+@pytest.mark.parametrize(("call", "error"), REFUSALS)
+async def test_an_agent_reports_no_outcome_that_its_disk_refuses(
+    tmp_path: Path, call: SystemCall, error: str
+) -> None:
+    """Else an agent that is killed then carries a step out again which the controller takes for done."""
+    machine, waits = ObedientMachine(["u0"]), asyncio.Queue[float]()
+    goes_on = asyncio.Event()
+    faults = SystemCallFaults(SystemCallFault(call, error, path=str(tmp_path / "agent")))
+    machine.check = lambda order: faults.install()
+
+    async def sleep(seconds: float) -> None:
+        waits.put_nowait(seconds)
+        await goes_on.wait()
+
+    async with (
+        running_agent(machine, tmp_path / "agent", sleep) as (agent, address),
+        aiohttp.ClientSession() as session,
+    ):
+        post = Post(session, address)
+        assert await post.order(4) == 202
+        assert await asyncio.wait_for(waits.get(), 10) == 0.1
+        assert await post.outcome() is None
+        faults.remove()
+        goes_on.set()
+        await asyncio.gather(*agent.steps)
+        assert await post.outcome() is True and faults.count(call, error) >= 1
+    machine.check = lambda order: None
+    async with running_agent(machine, tmp_path / "agent") as (agent, _):
+        assert agent.steps == set() and len(machine.carried) == 1
+
+
+async def test_an_agent_killed_before_its_outcome_is_kept_carries_the_step_out_again(tmp_path: Path) -> None:
+    machine, waits = ObedientMachine(["u0"]), asyncio.Queue[float]()
+    faults = SystemCallFaults(SystemCallFault("fsync", "EIO", path=str(tmp_path / "agent")))
+    machine.check = lambda order: faults.install()
+
+    async def sleep(seconds: float) -> None:
+        waits.put_nowait(seconds)
+        await asyncio.Event().wait()
+
+    async with running_agent(machine, tmp_path / "agent", sleep) as (_, address):
+        async with aiohttp.ClientSession() as session:
+            assert await Post(session, address).order(4) == 202
+        await asyncio.wait_for(waits.get(), 10)
+    faults.remove()
+    machine.check = lambda order: None
+    async with running_agent(machine, tmp_path / "agent") as (agent, _):
+        await asyncio.gather(*agent.steps)
+        assert agent.orders.last["u0"].good and machine.carried[0] == machine.carried[1]
+
+
+def test_the_memory_of_an_agent_of_the_version_before_is_read(tmp_path: Path) -> None:
+    folder = Path(shutil.copytree(STORED / "agent", tmp_path / "agent"))
+    agent = Agent(ObedientMachine(["c0", "c1"]), Store(Folder(str(folder)), "orders", FORM))
+    assert agent.orders.fence == 3 and agent.orders.begun() == ["c1"] and agent.orders.last["c0"].good
+    agent.store.close()
