--- a/applehub/events.py
+++ b/applehub/events.py
@@ -4,6 +4,7 @@
 (Unix time, ns, as the process sees it), `process`, `incarnation` (how many times the process was started),
 `event`, perhaps `request`, and what the event's kind tells beside. Neither `run` nor `sim` imports this."""
 
+import os
 import time
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -12,7 +13,9 @@
 from typing import Any, BinaryIO
 
 import orjson
-import structlog
+
+MOST_HELD = 1 << 20  # bytes: some 5,000 lines
+BLOCK = 1 << 16  # bytes that are read at once
 
 
 class Event(StrEnum):
@@ -84,34 +87,78 @@
     """A line that is none of the schema."""
 
 
-def _stamped(_: object, __: str, told: Any) -> Any:
-    told["mono"], told["wall"] = time.monotonic_ns(), time.time_ns()
-    return told
-
-
-def _rendered(_: object, __: str, told: Any) -> bytes:
-    return orjson.dumps(told)
-
-
 class Writer:
-    """Writes one process's events. Each line is handed to the system at once, so that SIGKILL loses none."""
+    """Writes one process's events. Each line is handed to the system at once, so that SIGKILL loses none.
+
+    A file that refuses (ENOSPC, EIO) ends no program: lines are held, up to MOST_HELD bytes, and written
+    before the next ones; those past that are dropped and counted."""
 
     def __init__(self, where: Path | BinaryIO, process: str, incarnation: int) -> None:
-        self._file = open(where, "ab") if isinstance(where, Path) else where  # noqa: SIM115 (until it is closed)
-        self._log: Any = structlog.wrap_logger(
-            structlog.BytesLogger(self._file),
-            processors=[_stamped, _rendered],
-            wrapper_class=structlog.make_filtering_bound_logger(0),
-            cache_logger_on_first_use=True,
-        ).bind(process=process, incarnation=incarnation)
+        """where: a file that no other process writes, or a stream. Raises OSError if it can't be opened."""
+        self.process, self.incarnation = process, incarnation
+        self.dropped = 0  # lines
+        self._held = bytearray()  # what the file has not taken yet; its begin may be in the middle of a line
+        self._file: Any
+        if isinstance(where, Path):
+            _cut_half_line(where)
+            self._file = open(where, "ab", buffering=0)  # noqa: SIM115 (until it is closed)
+        else:
+            where.flush()
+            self._file = getattr(where, "raw", where)  # a buffer would hold lines beside those held here
 
     def say(self, event: Event, **more: Any) -> None:
-        self._log.info(event, **more)
+        """Writes a line, or holds it until the file takes it."""
+        line = orjson.dumps(
+            {
+                "process": self.process,
+                "incarnation": self.incarnation,
+                **more,
+                "event": event,
+                "mono": time.monotonic_ns(),
+                "wall": time.time_ns(),
+            }
+        )
+        if len(self._held) + len(line) >= MOST_HELD:
+            self.dropped += 1
+        else:
+            self._held += line + b"\n"
+        self.flush()
+
+    def flush(self) -> None:
+        """Writes what is held, as far as the file takes it."""
+        try:
+            while self._held:
+                taken = self._file.write(bytes(self._held))
+                if not taken:
+                    return  # a stream that does not block, and is full
+                del self._held[:taken]
+        except OSError:
+            return  # held, and written with the next line
 
     def close(self) -> None:
+        """Closes the file; what it does not take now is lost."""
+        self.flush()
         self._file.close()
 
 
+def _cut_half_line(path: Path) -> None:
+    """Takes away a last line in whose middle a writer was killed; else the next would be joined to it."""
+    try:
+        with open(path, "r+b") as file:
+            end = position = file.seek(0, os.SEEK_END)
+            while position:
+                start = max(0, position - BLOCK)
+                file.seek(start)
+                newline = file.read(position - start).rfind(b"\n")
+                position = start + newline + 1
+                if newline >= 0:
+                    break
+            if position < end:
+                file.truncate(position)
+    except FileNotFoundError:
+        return
+
+
 def parse(line: bytes) -> Record:
     """Reads a line. Raises EventError."""
     try:
--- a/applehub/release/__main__.py
+++ b/applehub/release/__main__.py
@@ -18,8 +18,8 @@
 from applehub.events import EventError, read
 from applehub.release.backoff import when_disk_permits
 from applehub.release.controller import Controller
-from applehub.release.kept import Kept, ask
-from applehub.release.machine import Mode
+from applehub.release.kept import Kept, ask, load_release
+from applehub.release.machine import Mode, Record
 from applehub.release.plan import Plan, PlanError, load_plan
 from applehub.release.rehearsal import rehearse
 from applehub.release.staff_requests import RequestKind
@@ -81,7 +81,7 @@
 ) -> None:
     """Carries plan FILE out on pretend machines; goes on where it was cut off, also by SIGKILL."""
     mode, kept = rehearse(folder, load_plan(file), again, pace, set(broken), step_s)
-    _show(kept, False)
+    _show(kept.record)
     sys.exit(3 if mode is Mode.HALTED else 0)
 
 
@@ -99,7 +99,7 @@
         if metrics is not None:
             start_http_server(metrics, "127.0.0.1", controller.metrics.registry)
         mode = asyncio.run(controller.run())
-        _show(kept, False)
+        _show(kept.record)
     sys.exit(3 if mode is Mode.HALTED else 0)
 
 
@@ -113,11 +113,7 @@
         raise
 
 
-def _show(kept: Kept, as_json: bool) -> None:
-    record = kept.record
-    if as_json:
-        click.echo(kept.saved.decode())
-        return
+def _show(record: Record) -> None:
     versions = Counter(unit.version for unit in record.units.values())
     click.echo(f"{record.old} to {record.new}: {record.mode}" + (f", {record.why}" if record.why else ""))
     click.echo("  " + ", ".join(f"{count} at {version}" for version, count in sorted(versions.items())))
@@ -134,12 +130,13 @@
 def status(folder: Path, watch: bool, as_json: bool) -> None:
     """Shows how a release stands."""
     while True:
-        with closing(Kept(folder, hold=False)) as kept:
-            if kept.record is None:
-                raise PlanError(f"{folder}: no release was begun here")
-            _show(kept, as_json)
-            if not watch or kept.record.mode not in (Mode.RUNNING, Mode.BACK):
-                return
+        stored = load_release(folder)
+        if as_json:
+            click.echo(stored.json.decode())
+        else:
+            _show(stored.record)
+        if not watch or stored.record.mode not in (Mode.RUNNING, Mode.BACK):
+            return
         time.sleep(1)
 
 
@@ -158,8 +155,7 @@
     except OSError as problem:
         raise OSError(f"{kind}: not kept for sure: {problem}; `status` tells, or ask again") from problem
     if done:
-        with closing(Kept(folder, hold=False)) as kept:
-            _show(kept, False)
+        _show(load_release(folder).record)
     else:
         click.echo(f"{kind}: left to the controller that is at work")
 
--- a/applehub/release/kept.py
+++ b/applehub/release/kept.py
@@ -2,11 +2,12 @@
 
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
 from applehub.durable.folder import Folder
-from applehub.durable.store import Store, StoreError
+from applehub.durable.store import Loaded, Store, StoreError
 from applehub.events import Event, Writer
 from applehub.release.clock import Clock, SystemClock
 from applehub.release.machine import Mode, Record, Release, Unit
@@ -28,26 +29,43 @@
     )  # fmt: skip
 
 
-def read_store(store: Store, hold: bool, make: Callable[[bytes], Any]) -> Any:
-    """What a store holds, made of its bytes; none where there is nothing. Raises StoreError, PlanError."""
-    value = (store.open() if hold else store.load()).value
+def read_store(store: Store, loaded: Loaded, make: Callable[[bytes], Any]) -> Any:
+    """What a store gave, made of its bytes; none where there is nothing. Raises PlanError."""
     try:
-        return None if value is None else make(value)
+        return None if loaded.value is None else make(loaded.value)
     except (ValueError, KeyError, TypeError) as problem:
         raise PlanError(f"{store.name}: what is kept makes no sense: {problem!r}") from None
 
 
+@dataclass(frozen=True, slots=True)
+class StoredRelease:
+    """A release as it lies on the disk."""
+
+    record: Record
+    json: bytes
+
+
+def load_release(folder: Path, clock: Clock | None = None) -> StoredRelease:
+    """Reads a release beside whoever holds it. Raises PlanError where there is none, OSError."""
+    store = Store(Folder(str(folder)), "release", FORM)
+    loaded = store.load()
+    record = read_store(store, loaded, RecordCodec(SystemClock() if clock is None else clock).decode)
+    if record is None or loaded.value is None:
+        raise PlanError(f"{folder}: no release was begun here")
+    return StoredRelease(record, loaded.value)
+
+
 class Kept:
     """A release's record, in a folder that one process holds to change it."""
 
-    def __init__(self, folder: Path, hold: bool = True, clock: Clock | None = None) -> None:
+    def __init__(self, folder: Path, clock: Clock | None = None) -> None:
         """Raises StoreError where another process holds it, PlanError where what is kept is of no use."""
         self.disk = Folder(str(folder))
         self.records = Store(self.disk, "release", FORM)
         self.clock = SystemClock() if clock is None else clock
         self.codec = RecordCodec(self.clock)
         try:
-            self.record = read_store(self.records, hold, self.codec.decode)
+            self.record = read_store(self.records, self.records.open(), self.codec.decode)
             self.events = Writer(folder / "events.jsonl", "release", 0)
         except BaseException:
             self.records.close()  # or it is held until the process ends, and can't be opened once more
--- a/applehub/release/rehearsal.py
+++ b/applehub/release/rehearsal.py
@@ -25,7 +25,7 @@
         self.agents: dict[str, Agent] = (
             read_store(
                 self.store,
-                True,
+                self.store.open(),
                 lambda value: {name: Agent(**one) for name, one in orjson.loads(value).items()},
             )
             or {}
--- a/tests/test_release_disk.py
+++ b/tests/test_release_disk.py
@@ -20,12 +20,13 @@
 
 from applehub.durable.folder import Folder
 from applehub.durable.store import Store
+from applehub.events import Event, read
 from applehub.lab.fleet.system_call_faults import SystemCall, SystemCallFault, SystemCallFaults
 from applehub.release.__main__ import main
 from applehub.release.agent import Agent
 from applehub.release.backoff import when_disk_permits
 from applehub.release.controller import Controller
-from applehub.release.kept import FORM, Kept, ask
+from applehub.release.kept import FORM, Kept, ask, load_release
 from applehub.release.machine import Mode, Order
 from applehub.release.orders import Orders
 from applehub.release.staff_requests import RequestKind, StaffRequest, StaffRequests, carry_out
@@ -192,7 +193,7 @@
     assert not ask(state, RequestKind.HALT, "")
     kept.close()
     assert ask(state, RequestKind.RESUME, "")
-    found = Kept(state, hold=False)
+    found = load_release(state)
     assert found.record.mode is Mode.RUNNING and found.record.request_taken == 1
 
 
@@ -205,7 +206,7 @@
     with SystemCallFaults(SystemCallFault("write", "ENOSPC", path=f"{state}/release")):
         done = CliRunner().invoke(main, ["halt", "--state", str(state)])
     assert done.exit_code == 2 and "not kept for sure" in done.output and "ENOSPC" not in done.output
-    assert Kept(state, hold=False).record.mode is Mode.RUNNING
+    assert load_release(state).record.mode is Mode.RUNNING
 
 
 def test_a_request_of_the_version_before_is_read_and_not_taken_twice(
@@ -364,3 +365,30 @@
     agent = Agent(ObedientMachine(["c0", "c1"]), Store(Folder(str(folder)), "orders", FORM))
     assert agent.orders.fence == 3 and agent.orders.begun() == ["c1"] and agent.orders.last["c0"].good
     agent.store.close()
+
+
+# Events
+
+
+async def test_events_that_the_disk_refuses_hold_no_release_up(tmp_path: Path) -> None:
+    state, clock, machine = tmp_path / "state", SteppedClock(), ObedientMachine(["u0"])
+    async with running_agent(machine, tmp_path / "agent") as (_, address):
+        with SystemCallFaults(SystemCallFault("write", "ENOSPC", path=f"{state}/events")) as faults:
+            async with controlling(state, make_plan(1), clock, address) as controller:
+                assert await rounds(controller, clock, 60) and controller.record.mode is Mode.DONE
+                assert faults.count("write") > 0
+                faults.replace()
+    events = [one.event for one in read(state / "events.jsonl")]
+    assert events.count(Event.ORDERED) == 3 and events[-1] is Event.RELEASE
+
+
+async def test_reading_a_release_leaves_a_line_alone_that_is_being_written(tmp_path: Path) -> None:
+    state = tmp_path / "state"
+    kept = Kept(state)
+    kept.begin(make_plan(), False)
+    kept.keep()
+    with open(state / "events.jsonl", "ab") as file:
+        file.write(b'{"half')
+    assert load_release(state).record.mode is Mode.RUNNING
+    assert (state / "events.jsonl").read_bytes().endswith(b'{"half')
+    kept.close()
--- a/tests/test_release_time.py
+++ b/tests/test_release_time.py
@@ -19,7 +19,7 @@
 from applehub.release.clock import ScaledClock, SystemClock
 from applehub.release.controller import Controller
 from applehub.release.gates import Gate
-from applehub.release.kept import Kept, record_of
+from applehub.release.kept import Kept, load_release, record_of
 from applehub.release.machine import Mode, Record, Release
 from applehub.release.plan import Gates
 from applehub.release.stored_record import RecordCodec
@@ -254,12 +254,12 @@
     kept.record.request_taken = 3
     kept.keep()
     kept.close()
-    after = json.loads(Kept(tmp_path / "watched", hold=False, clock=clock).saved)
+    after = json.loads(load_release(tmp_path / "watched", clock).json)
     assert after.keys() == before.keys()
     assert all(after["units"][name].keys() == before["units"][name].keys() for name in before["units"])
     assert after["watched"] == clock.unix_time()
     assert set(after["evidence"]) - set(before["evidence"]) == {"clock", "request_taken"}
-    again = Kept(tmp_path / "watched", hold=False, clock=clock).record
+    again = load_release(tmp_path / "watched", clock).record
     assert again.watched == clock.now() and again.request_taken == 3
     assert set(again.evidence) == set(before["evidence"])
 
