--- a/applehub/release/controller.py
+++ b/applehub/release/controller.py
@@ -5,6 +5,7 @@
 process to a folder. A controller whose lease may have run out orders nothing."""
 
 import asyncio
+import errno
 import logging
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -28,10 +29,21 @@
 LEASE = 8.0  # s of the lock
 LOCK = "release"  # one for the fleet: two releases at once are two causes for one effect
 KEEP = 1.0  # s between two times that evidence is kept: a crash loses no more of it
+# What says of no agent that it is silent: this machine lacks something, or has no network.
+OF_THIS_MACHINE = frozenset(
+    (
+        errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.ENETUNREACH,
+        errno.ENETDOWN,
+    )
+)  # fmt: skip
 FAILED = (aiohttp.ClientError, TimeoutError, OSError, ValueError)
 log = logging.getLogger("applehub.release")
 
 
+class NotAskedError(Exception):
+    """An agent could not be asked, for a reason that lies in the controller's machine."""
+
+
 class Metrics:
     """Figures of one controller, for a scraper."""
 
@@ -231,10 +243,19 @@
     async def _ask(self) -> dict[str, dict[str, Any]]:
         """Asks all agents; gives each unit's last order. An agent that does not answer tells of no unit."""
         addresses = list(dict.fromkeys(self.agents.values()))
-        told = dict(zip(addresses, await asyncio.gather(*map(self._units, addresses)), strict=True))
+        answers = await asyncio.gather(*map(self._units, addresses), return_exceptions=True)
+        told: dict[str, dict[str, Any] | None] = {}
+        for address, units in zip(addresses, answers, strict=True):
+            if not isinstance(units, BaseException):
+                told[address] = units
+            elif not isinstance(units, NotAskedError):
+                raise units
         self.metrics.silent.set(sum(one is None for one in told.values()))
         orders = {}
+        self.told = {}
         for unit, address in self.agents.items():
+            if address not in told:
+                continue
             one = (told[address] or {}).get(unit)
             self.told[unit] = None if one is None else one["figures"]
             if one is not None and one["order"]:
@@ -246,7 +267,9 @@
             async with self.session.get(f"http://{address}/v1/units") as answer:
                 units: dict[str, Any] = orjson.loads(await answer.read())["units"]
                 return units
-        except (*FAILED, KeyError):
+        except (*FAILED, KeyError) as problem:
+            if isinstance(problem, OSError) and problem.errno in OF_THIS_MACHINE:
+                raise NotAskedError(str(problem)) from problem
             return None
 
     async def _send(self, order: Order) -> None:
--- a/applehub/release/gates.py
+++ b/applehub/release/gates.py
@@ -68,7 +68,8 @@
         return {**told, "watched_s": self.watched_s}
 
     def look(self, now: float, told: Mapping[str, Figures | None]) -> Verdict:
-        """told: by unit what its agent told; none where there was no answer."""
+        """told: by unit what its agent told; none where there was no answer, no entry where the controller's
+        own machine kept it from asking, which tells nothing of the unit."""
         record = self.record
         if self.looked is not None:
             self.watched_s += min(now - self.looked, 2 * self.gates.look_s)  # not while it stood still
@@ -80,6 +81,8 @@
                 seen.version, seen.since = unit.version if not unit.target else "", now
             figures = told.get(name)
             if figures is None:
+                if name not in told:
+                    seen.heard = now
                 if unit.target:
                     seen.heard = now  # it is on its way: the steps' own limits hold
                 continue
@@ -102,7 +105,9 @@
             )
             or self._dear(now, [n for n in new if n in deltas], [n for n in old if n in deltas], deltas)
         )
-        return Verdict(halt, self._unwell(now, old, deltas) or self._too_soon(new), self._spare(new + old))
+        unwell = "" if told.keys() >= record.units.keys() else "the controller's machine can't ask all agents"
+        unwell = unwell or self._unwell(now, old, deltas) or self._too_soon(new)
+        return Verdict(halt, unwell, self._spare(new + old))
 
     def _silent(self, now: float, new: list[str], old: list[str]) -> str:
         """The reason to halt if a unit of the new version reports nothing, or lacks a metric of the old one.
--- a/applehub/release/rehearsal.py
+++ b/applehub/release/rehearsal.py
@@ -10,6 +10,7 @@
 
 from applehub.durable.store import Store, StoreError
 from applehub.events import Event
+from applehub.release.backoff import when_disk_permits
 from applehub.release.clock import ScaledClock, SystemClock
 from applehub.release.kept import FORM, Kept, read_store
 from applehub.release.machine import Mode, Order, Release
@@ -58,7 +59,7 @@
         record = self.kept.record
         orders = self.release.pending(self.kept.clock.now()) + self.release.tick(self.kept.clock.now())
         while True:
-            self.kept.keep()
+            when_disk_permits(self.kept.keep)
             for order in orders:
                 self._say(Event.ORDERED, order, step=order.step, version=order.version)
             if not orders and record.mode not in (Mode.RUNNING, Mode.BACK):
@@ -69,7 +70,7 @@
                 continue
             time.sleep(self.step_s / self.pace)
             answers = [(order, self._carry(order)) for order in orders]
-            self.machines.keep()  # their own memory, before the controller hears of it
+            when_disk_permits(self.machines.keep)  # their own memory, before the controller hears of it
             orders = []
             for order, good in answers:
                 self._say(Event.STEPPED, order, good=good)
--- a/tests/test_release_disk.py
+++ b/tests/test_release_disk.py
@@ -392,3 +392,44 @@
     assert load_release(state).record.mode is Mode.RUNNING
     assert (state / "events.jsonl").read_bytes().endswith(b'{"half')
     kept.close()
+
+
+# The controller's own machine
+
+
+@pytest.mark.parametrize(
+    ("call", "error"),
+    [
+        ("socket", "EMFILE"),
+        ("socket", "ENFILE"),
+        ("socket", "ENOBUFS"),
+        ("connect", "EADDRNOTAVAIL"),
+        ("connect", "ENETUNREACH"),
+    ],
+)
+async def test_a_machine_that_can_not_ask_condemns_no_version(
+    tmp_path: Path, call: SystemCall, error: str
+) -> None:
+    """All units have the new version and are watched, so none of the old one shows that it is the machine.
+    For 30 s no connection can be made, where 10 s of silence halt a release. Then the agent ends: it does."""
+    state, clock, machine = tmp_path / "state", SteppedClock(), ObedientMachine(["u0"])
+    async with (
+        running_agent(machine, tmp_path / "agent") as (agent, address),
+        controlling(
+            state, make_plan(1, stages=[{"name": "all", "part": 1.0, "watch_s": 600}]), clock, address
+        ) as controller,
+    ):
+        while controller.record.watched < 0:
+            await rounds(controller, clock, 1)
+        await controller.session.close()
+        controller.session = aiohttp.ClientSession()
+        with SystemCallFaults(SystemCallFault(call, error)) as faults:
+            assert not await rounds(controller, clock, 30)
+            assert faults.count(call) >= 30 and controller.unwell
+        assert controller.record.mode is Mode.RUNNING
+        await rounds(controller, clock, 1)
+        assert not controller.unwell
+        await agent.stop()
+        await rounds(controller, clock, 12)
+        assert controller.record.why == "u0: tells nothing for 10 s"
+        await controller.session.close()
