--- a/applehub/release/model.py
+++ b/applehub/release/model.py
@@ -1,5 +1,6 @@
-"""The controller checked as a model: every order of steps, crashes, failures, and messages lost, late or
-doubled, to a stated depth. Time is whether everything that waits is due; each tick says that it is.
+"""The controller checked as a model: every order of steps, crashes, failures, records that the disk refuses,
+and messages lost, late or doubled, to a stated depth. Time is whether everything that waits is due; each tick
+says that it is.
 """
 
 from collections import deque
@@ -13,9 +14,24 @@
 
 Answer = tuple[str, int, bool]  # unit, number, whether it was carried out
 Sent = tuple[Order, int]  # on its way, with the fence of the controller that sent it
+Happening = Callable[[Release], list[Order]]
 RELEASE = "r"  # the only one there is
 
 
+def _answered(answer: Answer) -> Happening:
+    return lambda release: release.answered(1.0, *answer)
+
+
+def _halt(release: Release) -> list[Order]:
+    release.condemn("a gate")
+    return []
+
+
+def _turn_back(release: Release) -> list[Order]:
+    release.turn_back()
+    return []
+
+
 @dataclass(slots=True)
 class Agent:
     """A unit's agent, and the truth about its unit."""
@@ -46,28 +62,27 @@
 class World:
     """One state: the controller's record, the agents, what is on its way, and what may still go wrong."""
 
-    record: Record
+    record: Record  # as the controller has it
+    kept: Record  # as it is on the disk
     agents: dict[str, Agent]
     memory: dict[str, Orders]  # what each unit's agent remembers
     orders: set[Sent] = field(default_factory=set)
+    unsent: set[Order] = field(default_factory=set)  # until the disk takes the record
     fence: int = 1
     answers: set[Answer] = field(default_factory=set)
     fails: int = 0
     crashes: int = 0
+    refusals: int = 0  # of the disk
     halts: int = 0
     backs: int = 0
     wrong: str = ""
 
     def copy(self) -> "World":
-        record = replace(
-            self.record, stuck=list(self.record.stuck),
-            units={name: replace(one) for name, one in self.record.units.items()},
-        )  # fmt: skip
         agents = {name: replace(one) for name, one in self.agents.items()}
         memory = {name: one.copy() for name, one in self.memory.items()}
         return replace(
-            self, record=record, agents=agents, memory=memory, orders=set(self.orders),
-            answers=set(self.answers),
+            self, record=_copied(self.record), kept=_copied(self.kept), agents=agents, memory=memory,
+            orders=set(self.orders), unsent=set(self.unsent), answers=set(self.answers),
         )  # fmt: skip
 
     def key(self) -> bytes:
@@ -76,16 +91,24 @@
             name: [one.version, one.out, self.memory[name].plain()] for name, one in self.agents.items()
         }
         may = self.fails, self.crashes, self.halts, self.backs, self.fence, self.wrong
-        told = asdict(self.record), agents, orders, sorted(self.answers), may
+        kept = None if self.kept == self.record else asdict(self.kept)
+        unsent = sorted(one.number for one in self.unsent), self.refusals
+        told = asdict(self.record), agents, orders, sorted(self.answers), may, kept, unsent
         return orjson.dumps(told, option=orjson.OPT_SORT_KEYS)
 
 
+def _copied(record: Record) -> Record:
+    units = {name: replace(one) for name, one in record.units.items()}
+    return replace(record, stuck=list(record.stuck), units=units)
+
+
 @dataclass(frozen=True, slots=True)
 class Rules:
     """What a mutant changes."""
 
     make: Callable[[Record], Release] = Release
     fenced: bool = True  # agents look at the number
+    waits_for_disk: bool = True  # an order goes out once its record is kept
     restart: Callable[[Record], None] = lambda record: None  # what a crash does to the record that was kept
 
 
@@ -93,7 +116,13 @@
     """Explores; `wrong` holds what was found, with the steps that lead there."""
 
     def __init__(
-        self, rules: Rules, zones: str = "aab", fails: int = 1, crashes: int = 1, back_on_halt: bool = False
+        self,
+        rules: Rules,
+        zones: str = "aab",
+        fails: int = 1,
+        crashes: int = 1,
+        back_on_halt: bool = False,
+        refusals: int = 0,
     ) -> None:
         names = [f"u{number}" for number in range(len(zones))]
         units = {name: Unit(zone, "old") for name, zone in zip(names, zones, strict=True)}
@@ -104,7 +133,10 @@
         agents = {name: Agent("old") for name in names}
         self.rules = rules
         memory = {name: Orders() for name in names}
-        self.first = World(record, agents, memory, fails=fails, crashes=crashes, halts=1, backs=1)
+        self.first = World(
+            record, _copied(record), agents, memory, fails=fails, crashes=crashes, refusals=refusals, halts=1,
+            backs=1,
+        )  # fmt: skip
         self.states = self.deepest = 0
         self.wrong: list[str] = []
 
@@ -134,29 +166,36 @@
             lost.orders.discard(sent)
             yield f"loses#{of}", lost
         for answer in sorted(world.answers):
-            yield f"hears#{answer[1]}", self._heard(world.copy(), answer)
+            yield from self._controller(world, f"hears#{answer[1]}", _answered(answer))
             lost = world.copy()
             lost.answers.discard(answer)
             yield f"loses answer#{answer[1]}", lost
-        yield "tick", self._told(world.copy(), lambda release: release.tick(1.0))
-        yield "no room", self._told(world.copy(), lambda release: release.tick(1.0, True, 0))
-        record = world.record
+        yield from self._controller(world, "tick", lambda release: release.tick(1.0))
+        yield from self._controller(world, "no room", lambda release: release.tick(1.0, True, 0))
         if world.crashes:
             after = world.copy()
             after.crashes -= 1
             after.fence += 1  # it takes the lock anew
+            after.record = _copied(after.kept)
+            after.unsent.clear()
             self.rules.restart(after.record)
             yield "crash", self._told(after, lambda release: release.pending(1.0))
-        if world.halts and record.mode in (Mode.RUNNING, Mode.BACK):
+        if world.halts and world.record.mode in (Mode.RUNNING, Mode.BACK):
             after = world.copy()
             after.halts -= 1
-            self.rules.make(after.record).condemn("a gate")  # without a way back it is staff's halt too
-            yield "halt", after
-        if world.backs and record.mode is not Mode.RETURNED:
+            yield from self._controller(after, "halt", _halt)  # without a way back it is staff's halt too
+        if world.backs and world.record.mode is not Mode.RETURNED:
             after = world.copy()
             after.backs -= 1
-            self.rules.make(after.record).turn_back()
-            yield "back", after
+            yield from self._controller(after, "back", _turn_back)
+
+    def _controller(self, world: World, name: str, what: Happening) -> Iterator[tuple[str, World]]:
+        """Something happens at the controller, and the disk takes its record, or refuses it."""
+        yield name, self._told(world.copy(), what)
+        if world.refusals:
+            after = world.copy()
+            after.refusals -= 1
+            yield f"{name} refused", self._told(after, what, refused=True)
 
     def _carried(self, world: World, sent: Sent, fails: bool) -> World:
         """An agent gets an order; the order stays, so that it may come again."""
@@ -177,10 +216,7 @@
         world.answers.add((order.unit, order.number, bool(memory.last[order.unit].good)))
         return world
 
-    def _heard(self, world: World, answer: Answer) -> World:
-        return self._told(world, lambda release: release.answered(1.0, *answer))
-
-    def _told(self, world: World, what: Callable[[Release], list[Order]]) -> World:
+    def _told(self, world: World, what: Happening, refused: bool = False) -> World:
         """The controller hears something: its record is kept, then its orders go out."""
         record = world.record
         halted = record.mode is Mode.HALTED
@@ -188,10 +224,16 @@
         orders = what(self.rules.make(record))
         if halted and record.mode is Mode.HALTED and any(order.unit not in on_way for order in orders):
             world.wrong = world.wrong or "a unit begins while the release is halted"
-        world.orders.update((order, world.fence) for order in orders)
         for one in record.units.values():
             one.sent = 0.0
         record.watched = min(record.watched, 0.0)
+        out = {one.number for one in record.units.values()}
+        world.unsent = {order for order in world.unsent.union(orders) if order.number in out}
+        if not refused:
+            world.kept = _copied(record)
+        if not refused or not self.rules.waits_for_disk:
+            world.orders.update((order, world.fence) for order in world.unsent)
+            world.unsent.clear()
         return world
 
     def _judge(self, world: World, path: str) -> None:
@@ -219,7 +261,7 @@
             for sent in sorted(after.orders, key=lambda one: (one[0].number, one[1])):
                 self._carried(after, sent, False)
             for answer in sorted(after.answers):
-                self._heard(after, answer)
+                self._told(after, _answered(answer))
             after.orders.clear()
             after.answers.clear()
             record = after.record
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -44,6 +44,20 @@
     assert model.wrong == [] and model.states > 1_500 and model.deepest == 8
 
 
+@pytest.mark.parametrize("back_on_halt", [False, True])
+def test_a_disk_that_refuses_a_record_anywhere_keeps_the_rules(back_on_halt: bool) -> None:
+    """At each event the disk may refuse the record, once; later it is kept, or the controller crashes first."""
+    model = Model(Rules(), back_on_halt=back_on_halt, refusals=1)
+    model.explore(depth=7)
+    assert model.wrong == [] and model.states > 4_000 and model.deepest == 7
+
+
+def test_orders_that_go_out_before_their_record_is_kept_are_found() -> None:
+    model = Model(Rules(waits_for_disk=False), refusals=1)
+    model.explore(depth=14, most=9_000)
+    assert model.wrong, model.states
+
+
 class TwoZones(Release):
     def _begin(self, now: float, waiting: list[str], version: str, spare: int | None) -> list[Order]:
         zones = {name: one.zone for name, one in self.record.units.items()}
