--- a/applehub/lab/fleet/variants.py
+++ b/applehub/lab/fleet/variants.py
@@ -15,10 +15,11 @@
 from applehub.node.figures import Answered
 from applehub.node.http1 import Answer
 from applehub.node.list_connection import ListConnection
-from applehub.node.shared import Override, Shared
-from applehub.peers.records import Body, Book
-from applehub.peers.records import Told as Record
-from applehub.peers.swim import Membership
+from applehub.node.override_file import Override, OverrideFile
+from applehub.node.start_times import ClockReading
+from applehub.peers.member_table import MemberTable
+from applehub.peers.record_store import RecordStore
+from applehub.peers.records import Body, Record, RecordKey
 from applehub.settings import Json
 
 EVERY = 20  # requests, of which one is spoilt
@@ -89,8 +90,9 @@
     """Goes on with a server that is draining."""
     right = Directory._target
 
-    def target(self: Directory, entry: Json) -> Any:
-        return right(self, {**entry, "state": "Ready"} if entry.get("state") == "Terminating" else entry)
+    def target(self: Directory, entry: Json, now: ClockReading) -> Any:
+        ready = {**entry, "state": "Ready"} if entry.get("state") == "Terminating" else entry
+        return right(self, ready, now)
 
     Directory._target = target  # type: ignore[method-assign]
 
@@ -128,10 +130,10 @@
 def forgets_calls() -> None:
     """Says yes to an operator's call and keeps it in memory alone."""
 
-    def say(self: Shared, server: str, out: bool) -> dict[str, Override]:
-        return {server: Override(out, 1)}
+    def write(self: OverrideFile, server: str, out: bool) -> dict[str, Override]:
+        return {server: Override(out, 1, 1)}
 
-    Shared.say = say  # type: ignore[method-assign]
+    OverrideFile.write = write  # type: ignore[method-assign]
 
 
 def leaks() -> None:
@@ -186,17 +188,18 @@
 
 def never_buries() -> None:
     """Holds a router that has ended to be there for ever."""
-    Membership._age = lambda self, now: None  # type: ignore[method-assign]
+    MemberTable.expire = lambda self, now: None  # type: ignore[method-assign]
 
 
 def never_forgets() -> None:
     """Counts what it heard of others however old it is."""
 
-    def of(self: Book, kind: type[Body], subject: int, now: int) -> Iterator[Record]:
-        return (self.told[kind, subject, writer] for writer in self.writers.get((kind, subject), ()))
+    def fresh_records(self: RecordStore, body_type: type[Body], subject: int, now: int) -> Iterator[Record]:
+        writers = self.writers.get((body_type, subject), ())
+        return (self.records[RecordKey(body_type, subject, writer)] for writer in writers)
 
-    Book.of = of  # type: ignore[method-assign]
-    Book.expire = lambda self, now: []  # type: ignore[method-assign]
+    RecordStore.fresh_records = fresh_records  # type: ignore[method-assign]
+    RecordStore.expire = lambda self, now: []  # type: ignore[method-assign]
 
 
 VARIANTS: dict[str, Callable[[], None]] = {
