--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("back_on_halt", [False, True])
 def test_a_disk_that_refuses_a_record_anywhere_keeps_the_rules(back_on_halt: bool) -> None:
-    """At each event the disk may refuse the record, once; later it is kept, or the controller crashes first."""
+    """At each event the disk may refuse the record, once; it is kept later, or the controller crashes."""
     model = Model(Rules(), back_on_halt=back_on_halt, refusals=1)
     model.explore(depth=7)
     assert model.wrong == [] and model.states > 4_000 and model.deepest == 7
