--- a/applehub/release/controller.py
+++ b/applehub/release/controller.py
@@ -5,6 +5,7 @@
 process to a folder. A controller whose lease may have run out orders nothing."""
 
 import asyncio
+import errno
 import logging
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -19,18 +20,30 @@
 from applehub.events import Event
 from applehub.release.backoff import Backoff
 from applehub.release.gates import Figures, Gate, Verdict
-from applehub.release.kept import ENDED, Kept, Wishes
+from applehub.release.kept import ENDED, Kept
 from applehub.release.machine import Mode, Order, Release
 from applehub.release.plan import Plan, PlanError
+from applehub.release.staff_requests import StaffRequests, carry_out
 
 CALL = aiohttp.ClientTimeout(total=2.0)
 LEASE = 8.0  # s of the lock
 LOCK = "release"  # one for the fleet: two releases at once are two causes for one effect
 KEEP = 1.0  # s between two times that evidence is kept: a crash loses no more of it
+# What says of no agent that it is silent: this machine lacks something, or has no network.
+OF_THIS_MACHINE = frozenset(
+    (
+        errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.ENETUNREACH,
+        errno.ENETDOWN,
+    )
+)  # fmt: skip
 FAILED = (aiohttp.ClientError, TimeoutError, OSError, ValueError)
 log = logging.getLogger("applehub.release")
 
 
+class NotAskedError(Exception):
+    """An agent could not be asked, for a reason that lies in the controller's machine."""
+
+
 class Metrics:
     """Figures of one controller, for a scraper."""
 
@@ -99,7 +112,7 @@
     """Carries a plan out."""
 
     def __init__(self, kept: Kept, plan: Plan, folder: Path) -> None:
-        """Raises PlanError where a unit has no agent."""
+        """Raises PlanError where a unit has no agent, OSError where what staff ask can't be read."""
         self.kept, self.plan, self.record = kept, plan, kept.record
         agents = {unit.name: unit.agent for unit in plan.fleet}
         lacking = [name for name in self.record.units if not agents.get(name)]
@@ -107,7 +120,9 @@
             raise PlanError("\n".join(f"fleet: {name}: expected an agent" for name in lacking))
         self.agents: dict[str, str] = {name: str(agents[name]) for name in self.record.units}
         self.release, self.gate = Release(kept.record), Gate(plan.gates, kept.record)
-        self.wishes, self.metrics = Wishes(folder), Metrics()
+        self.requests, self.metrics = StaffRequests(folder), Metrics()
+        if kept.record.request_taken is None:
+            kept.record.request_taken = self.requests.latest()
         self.told: dict[str, Figures | None] = {}
         self.clock = kept.clock
         self.evidence_kept = 0.0
@@ -172,9 +187,7 @@
         """One look at the whole fleet; gives what is to be done."""
         answers = await self._ask()
         orders: list[Order] = []
-        wish = self.wishes.take(self.release)
-        if wish:
-            self.kept.events.say(Event.WISHED, what=wish)
+        self._carry_out_requests()
         for unit, order in answers.items():
             mine = order.get("release") == self.record.id
             if mine and order["good"] is not None and order["number"] == self.record.units[unit].number:
@@ -189,6 +202,14 @@
         self._note(verdict)
         return orders + self.release.tick(self.clock.now(), not verdict.unwell, verdict.spare)
 
+    def _carry_out_requests(self) -> None:
+        """What staff ask; where the disk can't be read now, it is at a later look."""
+        try:
+            for request in carry_out(self.record, self.requests):
+                self.kept.events.say(Event.WISHED, what=request.kind)
+        except OSError as problem:
+            log.info("what staff ask can't be read: %r", problem)
+
     def _note(self, verdict: Verdict) -> None:
         if verdict.unwell != self.unwell and bool(verdict.unwell) is not bool(self.unwell):
             self.kept.events.say(Event.UNWELL, why=verdict.unwell)
@@ -222,10 +243,19 @@
     async def _ask(self) -> dict[str, dict[str, Any]]:
         """Asks all agents; gives each unit's last order. An agent that does not answer tells of no unit."""
         addresses = list(dict.fromkeys(self.agents.values()))
-        told = dict(zip(addresses, await asyncio.gather(*map(self._units, addresses)), strict=True))
+        answers = await asyncio.gather(*map(self._units, addresses), return_exceptions=True)
+        told: dict[str, dict[str, Any] | None] = {}
+        for address, units in zip(addresses, answers, strict=True):
+            if not isinstance(units, BaseException):
+                told[address] = units
+            elif not isinstance(units, NotAskedError):
+                raise units
         self.metrics.silent.set(sum(one is None for one in told.values()))
         orders = {}
+        self.told = {}
         for unit, address in self.agents.items():
+            if address not in told:
+                continue
             one = (told[address] or {}).get(unit)
             self.told[unit] = None if one is None else one["figures"]
             if one is not None and one["order"]:
@@ -237,7 +267,9 @@
             async with self.session.get(f"http://{address}/v1/units") as answer:
                 units: dict[str, Any] = orjson.loads(await answer.read())["units"]
                 return units
-        except (*FAILED, KeyError):
+        except (*FAILED, KeyError) as problem:
+            if isinstance(problem, OSError) and problem.errno in OF_THIS_MACHINE:
+                raise NotAskedError(str(problem)) from problem
             return None
 
     async def _send(self, order: Order) -> None:
