--- a/applehub/lab/fleet/system_call_faults.py
+++ b/applehub/lab/fleet/system_call_faults.py
@@ -42,7 +42,7 @@
 import orjson
 
 SystemCall = Literal[
-    "accept", "socket", "connect", "getsockopt", "send", "sendmsg", "sendto", "recv", "epoll",
+    "accept", "socket", "connect", "getsockopt", "send", "sendmsg", "sendto", "recv", "shutdown", "epoll",
     "open", "read", "write", "fsync", "fsync_folder", "rename",
 ]  # fmt: skip
 SHORTENED = frozenset(("send", "sendmsg", "recv", "read", "write"))
@@ -59,6 +59,7 @@
     "recv_into": "recv",
     "recvfrom": "recv",
     "recvfrom_into": "recv",
+    "shutdown": "shutdown",
 }
 
 
--- a/applehub/node/clients.py
+++ b/applehub/node/clients.py
@@ -288,7 +288,10 @@
         if answers:
             self.transport.write(answers)
         if not self.transport.is_closing():
-            self.transport.write_eof()
+            try:
+                self.transport.write_eof()
+            except OSError:  # it is broken, which nobody has read yet
+                self.transport.abort()
             self.transport.resume_reading()
             self._await_reader()
 
