--- a/applehub/node/clients.py
+++ b/applehub/node/clients.py
@@ -333,6 +333,8 @@
                 self._end_sending(b"".join(ready))
             else:
                 self.transport.write(b"".join(ready))
+                if self.transport.is_closing():  # the connection is broken
+                    self._depart()
         return ended > 0
 
     def _command(self, parts: object) -> None:
--- a/tests/test_broken_clients.py
+++ b/tests/test_broken_clients.py
@@ -89,6 +89,23 @@
     play(monkeypatch, test)
 
 
+def test_no_request_of_a_client_whose_write_failed_is_taken_up(monkeypatch: pytest.MonkeyPatch) -> None:
+    """All stand in one read behind a command whose answer is written first."""
+
+    async def test() -> None:
+        async with router(lambda asked, line: hit()) as bench, raw(bench) as client:
+            client.line.sendall(get(b"first"))
+            assert await client.read() == b"$1\r\nv\r\n"
+            await asyncio.sleep(1)  # its connection to the cache server takes a request at once
+            with SystemCallFaults(SystemCallFault("send", "ETIMEDOUT", peer=peer_of(client))) as faults:
+                client.line.sendall(PING * 40 + get(b"late"))
+                await soon(lambda: faults.count("send"))
+                await asyncio.sleep(1)
+            assert [asked[2] for asked in bench.cache.got] == [b"first"]
+
+    play(monkeypatch, test)
+
+
 @pytest.mark.parametrize("short", [1, 7, 1000])
 def test_short_calls_change_no_byte(monkeypatch: pytest.MonkeyPatch, short: int) -> None:
     async def test() -> None:
