--- a/applehub/node/listener.py
+++ b/applehub/node/listener.py
@@ -94,7 +94,12 @@
         self.ending.pop(client, None)
         self.driver.room.free(client.buffered + client.reserved)
         client.buffered = client.reserved = 0
-        if self.parting and not self.open and not self.ending:
+        self._look_whether_empty()
+
+    def _look_whether_empty(self) -> None:
+        """Notes that nobody is left and nobody comes any more."""
+        coming = self._acceptor is not None and self._acceptor.coming
+        if self.parting and not self.open and not self.ending and not coming:
             self._empty.set()
 
     def unread(self, client: Client, unread: bool) -> None:
@@ -143,8 +148,7 @@
         self.closing = True
         for client in list(self.open):
             client.advance()
-        if not self.open and not self.ending:
-            self._empty.set()
+        self._look_whether_empty()
 
     async def emptied(self, patience: float) -> None:
         """Waits until every connection has ended, or for so many seconds."""
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -12,7 +12,7 @@
 import pytest
 from peers import PATIENCE, Bench, entry, hit, router, soon
 from test_arrivals import WAIT, get, told
-from test_closes import PING, PONG, Raw
+from test_closes import PING, PONG, Raw, raw
 from test_descriptors import caller_at, program
 from test_discovery import listing
 from virtual import play
@@ -191,6 +191,35 @@
     play(monkeypatch, test)
 
 
+def test_a_client_that_was_accepted_as_the_last_one_left_is_waited_for(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The listener took itself for empty between the accept and the arrival at a connection of its own."""
+
+    async def test() -> None:
+        loop = asyncio.get_running_loop()
+        async with router(lambda asked, line: None) as bench, raw(bench):
+            (last,) = bench.clients.open
+            acceptor, transport = bench.clients._acceptor, last.transport
+            assert acceptor is not None and transport is not None
+            client = Raw(bench.port)
+            client.line.sendall(get())
+            while not acceptor.coming:
+                await asyncio.sleep(0)
+            bench.clients.hand_over()
+            transport.abort()
+            begun = loop.time()
+            await bench.clients.emptied(0.5)
+            assert loop.time() - begun == 0.5 and bench.cache.got
+            bench.cache.lines[0].write(hit())
+            assert await client.all() == b"$1\r\nv\r\n"
+            client.line.close()
+            await bench.clients.emptied(60)
+            assert loop.time() - begun < 60
+
+    play(monkeypatch, test)
+
+
 def test_more_than_a_turn_takes_are_let_in_as_the_listener_closes(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with router(lambda asked, line: hit(asked[2]), sockets=256) as bench:
