--- a/applehub/node/clients.py
+++ b/applehub/node/clients.py
@@ -288,7 +288,10 @@
         if answers:
             self.transport.write(answers)
         if not self.transport.is_closing():
-            self.transport.write_eof()
+            try:
+                self.transport.write_eof()
+            except OSError:  # it is broken, which nobody has read yet
+                self.transport.abort()
             self.transport.resume_reading()
             self._await_reader()
 
@@ -330,6 +333,8 @@
                 self._end_sending(b"".join(ready))
             else:
                 self.transport.write(b"".join(ready))
+                if self.transport.is_closing():  # the connection is broken
+                    self._depart()
         return ended > 0
 
     def _command(self, parts: object) -> None:
