--- a/applehub/node/clients.py
+++ b/applehub/node/clients.py
@@ -213,9 +213,13 @@
 
     def _await_command(self) -> None:
         """Limits the time for a command. Guards the places of clients against peers that send nothing, or
-        a part: a connection with nothing in work and no whole command is worth none."""
-        begun = not self.proven or bool(self.frames.buffer)
-        waits = not self.slots and self.phase is Phase.OPEN and begun
+        a part: a connection with nothing in work and no whole command is worth none. The time of a command
+        that is begun behind others counts from its own first byte, not from their last answer."""
+        silent = not self.proven and not self.slots
+        # Where no more is taken up for now, what is buffered may be whole.
+        takes_up = not self.blocked and len(self.slots) < MOST_PIPELINED
+        begun = bool(self.frames.buffer) and takes_up
+        waits = self.phase is Phase.OPEN and (silent or begun)
         if waits and self.late is None:
             self.late = asyncio.get_running_loop().call_later(PROMPT, self._too_late)
         elif not waits:
@@ -257,7 +261,8 @@
             return
         if not self.slots and (self.phase is Phase.LAST or (self.server.closing and not self._more_comes())):
             # Guards a command that has come in part: its client reads a no, and not an end without an answer.
-            self._end_sending(resp.refused(0) if self.server.closing and self.frames.buffer else b"")
+            in_part = self.phase is Phase.OPEN and self.frames.buffer
+            self._end_sending(resp.refused(0) if self.server.closing and in_part else b"")
         else:
             self.idle_since = asyncio.get_running_loop().time()
             self._steer()
--- a/tests/test_beyond_bench.py
+++ b/tests/test_beyond_bench.py
@@ -13,6 +13,7 @@
 from virtual import play
 
 from applehub.node import resp
+from applehub.node.clients import MOST_PIPELINED
 
 OWED_TO_BAD_CLIENTS = 3.0  # s
 LATE = 0.5  # s past its time by which a request that was taken has its final answer
@@ -62,6 +63,70 @@
     play(monkeypatch, test)
 
 
+def answers_late(asked: Any, line: Any) -> None:
+    """A cache server that answers shortly before the time of a request is over."""
+    asyncio.get_running_loop().call_later(2.9, line.write, hit())
+
+
+@pytest.mark.parametrize("answered_after", [2.4, None], ids=["answered late", "never answered"])
+def test_a_command_begun_behind_one_in_work_is_given_its_own_time_alone(
+    monkeypatch: pytest.MonkeyPatch, answered_after: float | None
+) -> None:
+    """Set up: a whole read, and a part of the next. Expected: the first has its answer, right behind it the
+    error of the second, and the connection ends, 3 s after both came at the latest."""
+
+    async def test() -> None:
+        loop = asyncio.get_running_loop()
+
+        def late(asked: Any, line: Any) -> None:
+            if answered_after is not None:
+                loop.call_later(answered_after, line.write, hit())
+
+        async with router(late) as bench:
+            caller = await bench.caller()
+            caller.writer.write(read(b"i1") + GET[:20])
+            stopped = loop.time()
+            first = await caller.answer()
+            assert first == b"v" if answered_after else str(first).startswith("BUSY")
+            assert "no whole command" in str(await caller.answer())
+            assert await caller.answer() is None
+            assert loop.time() - stopped <= OWED_TO_BAD_CLIENTS
+
+    play(monkeypatch, test)
+
+
+def test_the_rest_of_a_command_that_comes_in_time_behind_one_in_work_is_served(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def test() -> None:
+        async with router(answers_late) as bench:
+            caller = await bench.caller()
+            caller.writer.write(read(b"i1") + read(b"i2")[:20])
+            await asyncio.sleep(2.0)
+            caller.writer.write(read(b"i2")[20:])
+            assert [await caller.answer(), await caller.answer()] == [b"v", b"v"]
+
+    play(monkeypatch, test)
+
+
+def test_commands_behind_as_many_as_are_in_work_are_not_taken_for_begun(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """More commands than are in work at once wait, whole, for as long as their servers take."""
+
+    async def test() -> None:
+        count = MOST_PIPELINED + 3
+        async with router(answers_late) as bench:
+            caller = await bench.caller()
+            caller.writer.write(b"".join(read(b"i%d" % number) for number in range(count)))
+            answers = [str(await caller.answer()) for _ in range(count)]
+            assert not any("no whole command" in answer for answer in answers)
+            caller.send(b"PING")
+            assert await caller.answer() == b"PONG"
+
+    play(monkeypatch, test)
+
+
 NO_LENGTH: dict[str, Callable[[bytes], list[bytes]]] = {
     "to the end of the stream": lambda body: [b"HTTP/1.1 200 OK\r\n\r\n", body],
     "to the end, which is announced": lambda body: [b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", body],
