--- a/applehub/node/call.py
+++ b/applehub/node/call.py
@@ -88,6 +88,8 @@
     opened: Callable[[int, Source], Stream | None] = lambda size, source: None
     carrier: Carrier | None = None
     begin_by: float = math.inf  # monotonic ns from which on none of it may be written any more
+    # Asked right before its first byte is written: whether anybody still wants it. Where not, it has ended.
+    wanted: Callable[[], bool] = lambda: True
 
     def info(self) -> bytes:
         """The list of names and values as the peer is to read it now; raises NoTimeLeftError.
--- a/applehub/node/clients.py
+++ b/applehub/node/clients.py
@@ -14,7 +14,7 @@
 from applehub.node.driver import Driver, Held
 from applehub.node.memory_budget import LONG_PART
 from applehub.node.stream import Reader, Stream
-from applehub.node.unread import Unread
+from applehub.node.unread import END, Unread
 from applehub.settings import Names
 
 MOST_PIPELINED = 32  # commands of one connection in work; those behind wait unread
@@ -55,6 +55,9 @@
         self.stream = stream
         stream.wake = self.client.advance
 
+    def waits(self) -> bool:
+        return self.client.waits()
+
     def break_off(self) -> None:
         """The value can't be finished: the client is to see that it is not whole."""
         stream, self.held, self.stream = self.stream, None, None
@@ -151,6 +154,12 @@
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
+    def waits(self) -> bool:
+        """Whether the client is there, also by what the system has of it and nobody has read yet."""
+        if self.phase is Phase.GONE or self.transport is None:
+            return False
+        return not Unread(self.transport.get_extra_info("socket"), END).waits()
+
     def _depart(self) -> None:
         """Withdraws all that is in work or waits here. Guards the servers against work for nobody."""
         if self.phase is Phase.GONE:
--- a/applehub/node/driver.py
+++ b/applehub/node/driver.py
@@ -32,6 +32,9 @@
     def begin(self, stream: Stream) -> None:
         """Takes a long answer as it comes."""
 
+    def waits(self) -> bool:
+        """Whether the client is still there."""
+
     def break_off(self) -> None:
         """The long answer that has begun can't be finished."""
 
@@ -232,10 +235,19 @@
             lambda ending: self._ended(attempt, ending),
             lambda size, source: self._opened(attempt, size, source),
             begin_by=action.begin_by or math.inf,
+            wanted=lambda: self._wanted(attempt),
         )
         if not pool.start(attempt.exchange):
             self._ended(attempt, Ending(api.Status.FULL))
 
+    def _wanted(self, attempt: Attempt) -> bool:
+        """Guards servers against work for nobody: the client may have left since this process last looked at
+        the sockets, and it may have stood still since."""
+        if attempt.held.reply.waits():
+            return True
+        self.withdraw(attempt.held)
+        return False
+
     def _timeout(self, attempt: Attempt) -> None:
         """The connection is closed before the decisions hear of it, so that no second copy is ever out."""
         carrier = self._carrier(attempt)
--- a/applehub/node/pool.py
+++ b/applehub/node/pool.py
@@ -91,6 +91,8 @@
                     self.unsent = False
                     self.pool.pools.written += 1
                     return
+                if not self.begun and not self._may_begin():
+                    return
                 self.transport.write(piece)
                 self.begun = True
                 if self.transport.is_closing():
@@ -101,6 +103,14 @@
             log.exception("an attempt could not be written")
             self.finish(Ending(Status.MOOT), reusable=False)
 
+    def _may_begin(self) -> bool:
+        """Looked at after all else, right before the first byte. Guards against a process that stood still
+        since the attempt was decided on: its time may be over, and its client gone."""
+        if self.exchange is None or time.monotonic_ns() >= self.exchange.begin_by:
+            self.hand_back()
+            return False
+        return self.exchange.wanted()
+
     def give_up(self) -> bool:
         """Ends the attempt that is out; whether it may have run. Guards against second copies: the system
         is told to close before this returns, and so before anybody may send another attempt."""
@@ -189,8 +199,6 @@
         self.transport.set_write_buffer_limits(0)  # so that every byte that waits here is told
         if self.exchange is None:
             self.close()
-        elif time.monotonic_ns() >= self.exchange.begin_by:
-            self.hand_back()
         else:
             self.ask(self.exchange)
 
--- a/applehub/policy/balancer.py
+++ b/applehub/policy/balancer.py
@@ -243,7 +243,7 @@
             # Guards against a jam fed by second tries: what still earns something late is waited for.
             timeout = left if read or job.spec.late_worth else min(left, job.due - now)
         # Guards against a dial that outlasts the window: the repeat would begin when its id is forgotten.
-        begin_by = self._window_ends(job) if job.live and job.spec.effect is api.Effect.KEYED else 0
+        begin_by = job.window_ends if job.live and job.spec.effect is api.Effect.KEYED else 0
         server.out += 1
         server.sent_before, server.sent_at = server.sent_at, now
         job.live[job.made] = (server, now)
@@ -264,23 +264,20 @@
             return False
         if job.spec.effect is api.Effect.SAFE or not job.live:
             return True
-        if job.spec.effect is api.Effect.UNSAFE or self.turn.now >= self._window_ends(job):
+        if job.spec.effect is api.Effect.UNSAFE or self.turn.now >= job.window_ends:
             return False
         group, to = job.spec.group, server.member
         ran = [at.member for at, _ in job.live.values()]
         same = [one.zone == to.zone if group == "zone" else one.cell == to.cell for one in ran]
         return group == "all" or all(same)
 
-    def _window_ends(self, job: Job) -> int:
-        return min(sent for _, sent in job.live.values()) + job.spec.window
-
     def _give_up(self, job: Job | None) -> None:
         """The final answer of this router: a refusal where that is true, else a failure."""
         if job is None or job.out or self.jobs.get(job.request.id) is not job:
             return
         effect, name = job.spec.effect, job.request.id
         dropped = effect is api.Effect.KEYED and job.spec.group == "all"
-        if effect is api.Effect.SAFE or not job.live or (dropped and self.turn.now < self._window_ends(job)):
+        if effect is api.Effect.SAFE or not job.live or (dropped and self.turn.now < job.window_ends):
             self.turn.actions.append(api.Refuse(name, self.come_back))
         else:
             self.turn.actions.append(api.Fail(name))
--- a/applehub/policy/job.py
+++ b/applehub/policy/job.py
@@ -3,8 +3,11 @@
 from dataclasses import dataclass, field
 
 from applehub import interface as api
+from applehub.policy.rates import SECOND
 from applehub.policy.servers import Server
 
+HELD_UP = 15 * SECOND // 100  # for which the process may stand still between a decision and its writing
+
 
 @dataclass(slots=True, eq=False)
 class Job:
@@ -32,6 +35,12 @@
         """Attempts so far that count: those that this machine could begin."""
         return self.made - self.not_begun
 
+    @property
+    def window_ends(self) -> int:
+        """Until when a repeat of what may have run may be decided on, so that it begins in its window also if
+        the process stands still in between."""
+        return min(sent for _, sent in self.live.values()) + self.spec.window - HELD_UP
+
     def pass_by_none(self) -> None:
         """Servers that this machine could not begin an attempt at may be tried again."""
         self.tried -= self.unreached
