--- a/applehub/node/pool.py
+++ b/applehub/node/pool.py
@@ -19,6 +19,7 @@
 IDLE_MOST = 10.0  # s after which an idle connection is surplus: it costs more than opening one anew
 IDLE_PART = 0.8  # of the server's keepalive: closed well before the server does
 SWEEP = 1.0
+HELD_UP = 0.15  # s for which the process may stand still between a look at its clock and what it writes then
 # s for which a connection rests after an answer. A second answer came up to 4 ms after the first, and nothing
 # in it tells whose it is (docs/findings/standing.md): the next request must not be there yet.
 REST = 0.01
@@ -256,11 +257,14 @@
 
     def _rested(self) -> Connection | None:
         """Takes the newest idle connection on which nothing of an earlier answer can come any more."""
-        before = asyncio.get_running_loop().time() - REST
+        now = asyncio.get_running_loop().time()
+        before, after = now - REST, now - self.pools.reusable
         for at in range(len(self.idle) - 1, -1, -1):
             connection = self.idle[at]
             if connection.idle_since > before:
                 continue
+            if connection.idle_since < after:
+                break  # the server may have closed it by the time that something is written: the sweep's
             self._end_idling(connection)
             if connection.quiet:
                 return connection
@@ -332,6 +336,7 @@
 
     def limit_times(self, dial_timeout: float, keepalive: float) -> None:
         self.dial_timeout, self.idle_most = dial_timeout, min(IDLE_MOST, keepalive * IDLE_PART)
+        self.reusable = keepalive - HELD_UP  # s for which one may idle that is then written to
 
     def add(self, name: str, endpoint: Endpoint, make: Callable[[Pool], Connection]) -> Pool:
         """The pool of a server; one at another endpoint takes the place of the old."""
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -399,6 +399,30 @@
     run(monkeypatch, test)
 
 
+@pytest.mark.parametrize("keepalive", [1.0, 3.0])
+def test_nothing_is_written_to_a_connection_that_its_server_has_closed_by_then(
+    monkeypatch: pytest.MonkeyPatch, keepalive: float
+) -> None:
+    """The connection idles for nearly as long as its server lets it, and the process stands still before it
+    writes to it: between two sweeps that began on a connection that was about to be closed."""
+
+    async def test() -> None:
+        async with router(keepalive=int(keepalive * 1e9)) as bench:
+            caller = await bench.caller()
+            caller.get(name=b"i0")
+            assert await caller.answer() == b"v"
+            idle = now()
+            Stalls(monkeypatch, 1)
+            await asyncio.sleep(keepalive - 0.1)
+            clock = Clock(bench.cache)
+            caller.get(name=b"i1")
+            assert await caller.answer() == b"v"
+            ((when, _),) = clock.came
+            assert when - idle < keepalive or len(bench.cache.lines) == 2
+
+    run(monkeypatch, test)
+
+
 def test_a_watch_goes_on_in_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """The next call has to come within 200 ms of the answer before it."""
 
