--- a/applehub/durable/store.py
+++ b/applehub/durable/store.py
@@ -77,14 +77,18 @@
             if not self.disk.lock(f"{self.name}.lock"):
                 raise StoreError(f"{self.name}: another process holds it")
             self.held = True
-        return self.load()
+        try:
+            return self.load()
+        except OSError:
+            self.close()  # who saves must know the generations and which file to keep: it is opened anew
+            raise
 
     def load(self) -> Loaded:
         """Reads it: the highest whole generation. Raises OSError where the disk refuses."""
         loaded, whole = Loaded(), dict[int, Found]()
+        contents = [self.disk.read(file) for file in self.files]  # all, before anything is noted of them
         self.pinned = None
-        for place, file in enumerate(self.files):
-            content = self.disk.read(file)
+        for place, (file, content) in enumerate(zip(self.files, contents, strict=True)):
             if content is None:
                 continue
             found = _read(content)
@@ -104,8 +108,9 @@
         return loaded
 
     def save(self, value: bytes) -> None:
-        """Keeps a value; once this returns it outlives a loss of power. Raises StoreError, OSError: then the
-        one before holds."""
+        """Keeps a value; once this returns it outlives a loss of power. Raises StoreError: then the one
+        before holds. Raises OSError: then `load` gives the one before or, where only the folder's sync was
+        refused, this one, and after a loss of power either."""
         if not self.held:
             raise StoreError(f"{self.name}: not open for writing")
         if len(value) > MOST:
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -82,6 +82,29 @@
     assert made(disk).load().value == b"after"
 
 
+def test_a_store_that_could_not_be_read_is_not_open_and_takes_no_value() -> None:
+    """Set up: a store of three generations whose opening fails at a read. Expected: nothing can be saved over
+    them before it was opened, and what is saved then is what the next start finds."""
+    disk = RecordedDisk()
+    store = made(disk)
+    store.open()
+    for value in VALUES[:3]:
+        store.save(value)
+    store.close()
+    after = made(disk)
+    disk.fails = "read"
+    with pytest.raises(OSError, match="read"):
+        after.open()
+    disk.fails = ""
+    with pytest.raises(StoreError, match="not open"):
+        after.save(b"too early")
+    assert made(disk).open().value == VALUES[2]  # and another process may hold it
+    disk.locked.clear()
+    after.open()
+    after.save(b"after")
+    assert made(disk).load().value == b"after"
+
+
 def test_what_a_newer_program_keeps_stays_beside_what_an_older_one_writes() -> None:
     disk = RecordedDisk()
     newer = framed(2, 7, b"of the newer")
