--- a/applehub/node/persisted_list.py
+++ b/applehub/node/persisted_list.py
@@ -25,7 +25,8 @@
         self.saver = Saver(folder, "list", FORMAT_VERSION, "the list")
         self.rev = 0
         self.targets: dict[str, Json] = {}
-        self.saved = True
+        self.changes = 0  # merged so far
+        self.saved_changes = 0  # and those of them that are on disk
         self.saving: asyncio.Task[None] | None = None
 
     def load(self, known: Json) -> Json:
@@ -39,7 +40,7 @@
             return known
         start = {**known, "targets": self._newer(known.get("rev", 0)) or known.get("targets", [])}
         self._merge({**start, "rev": known.get("rev", 0)}, True)
-        self.saved = True
+        self.saved_changes = self.changes
         return start
 
     def _newer(self, rev: int) -> list[Json] | None:
@@ -68,11 +69,14 @@
                     self.targets.pop(name, None)
                 else:
                     self.targets[name] = target
-        self.rev, self.saved = answer["rev"], False
+        self.rev = answer["rev"]
+        self.changes += 1
 
     def update(self, answer: Json, whole: bool) -> None:
         """Merges an answer of the list service, and saves at once or SAVE_INTERVAL after the last save.
 
+        A save that fails is tried again, at growing intervals (`Saver.pause`), until the disk takes it.
+
         whole: the answer replaces the list; otherwise it holds the changed targets alone.
         """
         self._merge(answer, whole)
@@ -80,12 +84,11 @@
             self.saving = asyncio.get_running_loop().create_task(self._save_soon())
 
     async def _save_soon(self) -> None:
-        while not self.saved:
-            value = self._value()
-            self.saved = True
-            if not await self.saver.save_in_thread(value):
-                self.saved = False
-            await asyncio.sleep(SAVE_INTERVAL)
+        while self.saved_changes < self.changes:
+            changes = self.changes
+            if await self.saver.save_in_thread(self._value()):
+                self.saved_changes = changes
+            await asyncio.sleep(self.saver.pause(SAVE_INTERVAL))
 
     def _value(self) -> bytes:
         return orjson.dumps({"rev": self.rev, "targets": list(self.targets.values())})
@@ -94,6 +97,4 @@
         """Saves what has changed since the last save, and releases the store."""
         if self.saving is not None:
             self.saving.cancel()
-        if not self.saved:
-            self.saver.save(self._value())
-        self.saver.close()
+        self.saver.close(self._value() if self.saved_changes < self.changes else None)
--- a/applehub/node/persisted_statistics.py
+++ b/applehub/node/persisted_statistics.py
@@ -52,7 +52,7 @@
 
     async def _save_at_intervals(self) -> None:
         while True:
-            await asyncio.sleep(SAVE_INTERVAL)
+            await asyncio.sleep(self.saver.pause(SAVE_INTERVAL))
             await self.saver.save_in_thread(self._value())
 
     def _value(self) -> bytes:
@@ -66,5 +66,4 @@
         """Saves a last time, and releases the store."""
         if self.saving is not None:
             self.saving.cancel()
-        self.saver.save(self._value())
-        self.saver.close()
+        self.saver.close(self._value())
--- a/applehub/node/saver.py
+++ b/applehub/node/saver.py
@@ -7,6 +7,7 @@
 from applehub.durable.folder import Folder
 from applehub.durable.store import Store, StoreError
 
+MAX_PAUSE = 8.0  # s between two saves that fail, at most: a crash after the disk's return costs no more
 log = logging.getLogger("applehub")
 
 
@@ -19,10 +20,15 @@
         Raises OSError if the folder cannot be created.
         """
         self.store, self.what = Store(Folder(folder), name, form), what
-        self.complained = False
-        self.alone = (
-            threading.Lock()
-        )  # held while the store is used: `close` may come during a save in a thread
+        self.failures = 0  # saves in a row
+        self.closed = False
+        # Held while the store is used: `close` may come during a save in a thread.
+        self.alone = threading.Lock()
+
+    @property
+    def complained(self) -> bool:
+        """Whether the last save failed, which was logged."""
+        return self.failures > 0
 
     def load(self) -> bytes | None:
         """The value saved last, None if there is none; each file that cannot be used is logged."""
@@ -36,26 +42,53 @@
         return loaded.value
 
     def save(self, value: bytes) -> bool:
-        """Saves a value; returns once it is on disk. False if that fails: the value before remains then."""
+        """Saves a value; returns once it is on disk. False if that fails, or after `close`.
+
+        The value before remains then, or this one where only the folder's sync was refused.
+        """
+        with self.alone:
+            return not self.closed and self._save(value)
+
+    def _save(self, value: bytes) -> bool:
         try:
-            with self.alone:
-                if not self.store.held:
-                    self.store.open()
-                self.store.save(value)
+            if not self.store.held:
+                self.store.open()
+            self.store.save(value)
         except (OSError, StoreError) as problem:
-            # Logged once until a save succeeds: during an upgrade each save fails until the old process ends.
-            if not self.complained:
-                log.warning("%s can't be kept: %s", self.what, problem)
-            self.complained = True
+            self._failed(problem)
             return False
-        self.complained = False
+        if self.failures:
+            log.info("%s is kept again", self.what)
+        self.failures = 0
         return True
 
+    def _failed(self, problem: Exception) -> None:
+        # Logged once until a save succeeds: during an upgrade each save fails until the old process ends.
+        if not self.failures:
+            log.warning("%s can't be kept: %s", self.what, problem)
+        self.failures += 1
+
     async def save_in_thread(self, value: bytes) -> bool:
         """As `save`, in a thread: a sync to disk may take longer than a request may wait."""
-        return await asyncio.get_running_loop().run_in_executor(None, self.save, value)
+        try:
+            return await asyncio.get_running_loop().run_in_executor(None, self.save, value)
+        except RuntimeError as problem:  # the system gives no further thread
+            self._failed(problem)
+            return False
+
+    def pause(self, interval: float) -> float:
+        """Seconds until the next save: the interval, doubled for each failure in a row, up to MAX_PAUSE."""
+        doubled = interval * (1 << min(self.failures, 16))
+        return min(doubled, max(interval, MAX_PAUSE))
 
-    def close(self) -> None:
-        """Releases the store, after a save that is under way."""
+    def close(self, value: bytes | None = None) -> None:
+        """Saves a last value, if one is given, and releases the store.
+
+        Waits for a save that is under way; one that has not begun saves nothing any more, so that the last
+        value stays the last.
+        """
+        self.closed = True
         with self.alone:
+            if value is not None:
+                self._save(value)
             self.store.close()
