--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -12,6 +12,7 @@
 from applehub.durable.folder import Folder
 from applehub.durable.store import HEAD, Loaded, Store, StoreError, framed
 from applehub.lab.powerloss import RecordedDisk, search
+from applehub.node import persisted_statistics
 from applehub.node.persisted_list import PersistedList
 from applehub.node.persisted_statistics import PersistedStatistics
 
@@ -198,12 +199,18 @@
     kept = PersistedStatistics(str(tmp_path), lambda: api.Learnt(0, seen))
     assert kept.load() is None
     kept.close()
-    now = time.time_ns()
-    monkeypatch.setattr(time, "time_ns", lambda: now + 7_000_000_000)
-    found = PersistedStatistics(str(tmp_path), kept.learnt).load()
-    assert found is not None and found.servers == seen and 7_000 <= found.age // 1_000_000 < 8_000
-    monkeypatch.setattr(time, "time_ns", lambda: now - 7_000_000_000)  # the clock was set back
+    wall, now = time.time_ns(), time.monotonic_ns()
+    for step in (0, 3, -3, 3_600, -3_600):  # s of the wall clock, from which no age is taken
+        monkeypatch.setattr(time, "time_ns", lambda step=step: wall + step * 1_000_000_000)
+        monkeypatch.setattr(time, "monotonic_ns", lambda: now + 7_000_000_000)
+        found = PersistedStatistics(str(tmp_path), kept.learnt).load()
+        assert found is not None and found.servers == seen and 7_000 <= found.age // 1_000_000 < 8_000
+    monkeypatch.setattr(time, "monotonic_ns", lambda: now - 7_000_000_000)  # that of another machine
     assert PersistedStatistics(str(tmp_path), kept.learnt).load() is None
+    monkeypatch.undo()
+    for identifier in ("", "of the time before a restart"):
+        monkeypatch.setattr(persisted_statistics, "boot_id", lambda identifier=identifier: identifier)
+        assert PersistedStatistics(str(tmp_path), kept.learnt).load() is None
     store = Store(Folder(str(tmp_path)), "learnt", 1)
     store.open()
     for value in (
