--- a/applehub/durable/store.py
+++ b/applehub/durable/store.py
@@ -85,9 +85,8 @@
 
     def load(self) -> Loaded:
         """Reads it: the highest whole generation. Raises OSError where the disk refuses."""
-        loaded, whole = Loaded(), dict[int, Found]()
+        loaded, whole, newer = Loaded(), dict[int, Found](), dict[int, int]()
         contents = [self.disk.read(file) for file in self.files]  # all, before anything is noted of them
-        self.pinned = None
         for place, (file, content) in enumerate(zip(self.files, contents, strict=True)):
             if content is None:
                 continue
@@ -98,9 +97,10 @@
             self.last = max(self.last, found.generation)
             if found.form > self.form:
                 loaded.passed_over.append(f"{file}: byte 4: format {found.form}, known is {self.form}")
-                self.pinned = place  # the newer program's: it stays
+                newer[place] = found.generation
             else:
                 whole[place] = found
+        self.pinned = max(newer, key=lambda place: newer[place], default=None)  # its latest stays
         newest = max(whole, key=lambda place: whole[place].generation, default=None)
         if newest is not None:
             loaded.value, loaded.generation = whole[newest].value, whole[newest].generation
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -118,6 +118,22 @@
     assert disk.read("x.0") == newer and store.load().value == b"two"
 
 
+@pytest.mark.parametrize("generations", [(7, 8), (8, 7)])
+def test_of_two_values_of_a_newer_program_the_later_stays(generations: tuple[int, int]) -> None:
+    """Set up: both files are of a newer format. Expected: an older program goes on beside the later one."""
+    disk = RecordedDisk()
+    contents = [framed(2, generation, b"%d" % generation) for generation in generations]
+    for place, content in enumerate(contents):
+        disk.write(f"x.{place}", content)
+    store = made(disk)
+    assert store.open().value is None
+    for value in (b"one", b"two"):
+        store.save(value)
+    later = generations.index(8)
+    assert disk.read(f"x.{later}") == contents[later]
+    assert made(disk).load().value == b"two"
+
+
 def test_a_foreign_file_is_named_with_its_offset_and_a_second_writer_refused(tmp_path: Path) -> None:
     (tmp_path / "x.0").write_bytes(b"not ours, and long enough to be one")
     store = Store(Folder(str(tmp_path)), "x", 1)
