--- a/applehub/registry/host.py
+++ b/applehub/registry/host.py
@@ -13,6 +13,7 @@
 from applehub.node.discovery import read_endpoint
 from applehub.registry import raft, wire
 from applehub.registry.entries import Entries, Result
+from applehub.registry.listener import Listener
 from applehub.registry.raft import Action, Apply, Proposed, Replica, Restore, Save, Send
 from applehub.registry.store import Store, StoreError
 
@@ -57,15 +58,14 @@
         self._syncing = False
         self._disk = ThreadPoolExecutor(1, "disk")
         self._peers = {number: Peer(number, address) for number, address in addresses.items() if number != me}
-        self._server: asyncio.Server | None = None
+        self._listener: Listener | None = None
         self._heard: set[asyncio.StreamWriter] = set()  # connections of its peers
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
         """Listens for its peers and begins to take part."""
         if self.addresses:
-            host, port = read_endpoint(self.addresses[self.me])
-            self._server = await asyncio.start_server(self._hear, host, port, limit=MOST_LINE)
+            self._listener = Listener(read_endpoint(self.addresses[self.me]), self._peer_protocol)
         self._tasks = [self.loop.create_task(peer.run()) for peer in self._peers.values()]
         self._tasks.append(self.loop.create_task(self._tick()))
         if not self._peers:
@@ -74,8 +74,8 @@
     async def stop(self) -> None:
         for task in self._tasks:
             task.cancel()
-        if self._server is not None:
-            self._server.close()
+        if self._listener is not None:
+            self._listener.close()
         for writer in self._heard:
             writer.transport.abort()
         for waiting in self.waiting.values():
@@ -190,6 +190,9 @@
                         waiting.answer.set_exception(NotPrimaryError("no longer the primary"))
                 self.waiting.clear()
 
+    def _peer_protocol(self) -> asyncio.StreamReaderProtocol:
+        return asyncio.StreamReaderProtocol(asyncio.StreamReader(MOST_LINE, self.loop), self._hear, self.loop)
+
     async def _hear(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._heard.add(writer)
         try:
--- /dev/null
+++ b/applehub/registry/listener.py
@@ -0,0 +1,91 @@
+"""Listens on an address and goes on accepting over failures of accept.
+
+The event loop's own servers wait for a second after a lack of descriptors or memory, and plan a try for each
+connection that they might have accepted; here it is one try after a short pause."""
+
+import asyncio
+import logging
+import socket
+from collections.abc import Callable
+
+from applehub.node.accepting import BROKEN, OUTAGE_APART, RETRY
+
+BACKLOG = 1024  # connections that wait to be accepted: thousands of routers may come at once
+TURN = 64  # connections accepted in one turn of the loop, so that renewals and peers are not kept waiting
+log = logging.getLogger("applehub.registry")
+
+
+class Listener:
+    """A listening socket whose connections are given to protocols."""
+
+    def __init__(self, address: tuple[str, int], make_protocol: Callable[[], asyncio.BaseProtocol]) -> None:
+        """Begins to listen and to accept. Raises OSError where the address can't be listened at."""
+        host, port = address
+        family = socket.AF_INET6 if ":" in host else socket.AF_INET
+        self._socket = socket.create_server((host, port), family=family, backlog=BACKLOG)
+        self._socket.setblocking(False)
+        self._make_protocol = make_protocol
+        self._loop = asyncio.get_running_loop()
+        self._connecting: set[asyncio.Task[None]] = set()
+        self._retry: asyncio.TimerHandle | None = None
+        self._failed_at = float("-inf")
+        self._loop.add_reader(self._socket, self._accept_turn)
+
+    @property
+    def address(self) -> tuple[str, int]:
+        """Host and port."""
+        address: tuple[str, int] = self._socket.getsockname()[:2]
+        return address
+
+    def close(self) -> None:
+        """Stops listening; connections that were accepted stay."""
+        if self._retry is not None:
+            self._retry.cancel()
+        self._loop.remove_reader(self._socket)
+        self._socket.close()
+
+    def _accept_turn(self) -> None:
+        try:
+            self._accept_some()
+        except OSError as problem:
+            self._log_failure(problem)
+            self._loop.remove_reader(self._socket)
+            self._retry = self._loop.call_later(RETRY, self._resume)
+
+    def _accept_some(self) -> None:
+        """Accepts those who wait, as many as one turn may. Raises OSError where none can be accepted now, or
+        all that were tried had broken."""
+        accepted, broken = 0, OSError()
+        for _ in range(TURN):
+            try:
+                connection, _ = self._socket.accept()
+            except BlockingIOError:
+                return
+            except OSError as problem:
+                if problem.errno not in BROKEN:
+                    raise
+                broken = problem
+                continue
+            accepted += 1
+            task = self._loop.create_task(self._connect(connection))
+            self._connecting.add(task)
+            task.add_done_callback(self._connecting.discard)
+        if not accepted:
+            raise broken
+
+    async def _connect(self, connection: socket.socket) -> None:
+        try:
+            await self._loop.connect_accepted_socket(self._make_protocol, connection)
+        except OSError:  # it broke on the way
+            connection.close()
+
+    def _log_failure(self, problem: OSError) -> None:
+        """Logs the first failure of an outage: a line a try would fill the log."""
+        now = self._loop.time()
+        if now - self._failed_at > OUTAGE_APART:
+            log.error("accept fails, and is tried again every %.0f ms: %s", RETRY * 1000, problem)
+        self._failed_at = now
+
+    def _resume(self) -> None:
+        self._retry = None
+        self._loop.add_reader(self._socket, self._accept_turn)
--- a/applehub/registry/server.py
+++ b/applehub/registry/server.py
@@ -13,10 +13,12 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from applehub.events import Event, Writer
+from applehub.node.discovery import read_endpoint
 from applehub.registry.config import Config
 from applehub.registry.entries import BASE_STEP, STATES, Result
 from applehub.registry.host import Host, NotPrimaryError
 from applehub.registry.leases import Leases
+from applehub.registry.listener import Listener
 from applehub.registry.locks import Holds
 from applehub.registry.watches import Answers, Turns, Watchers
 
@@ -87,7 +89,7 @@
         self.turns = self._turns()
         self.led = self.ending = False
         self.runners: list[web.AppRunner] = []
-        self.sites: list[web.TCPSite] = []
+        self.listeners: list[Listener] = []
         self.task: asyncio.Task[None] | None = None
         host.changed = self._changed
         self.version = host.entries.version
@@ -122,12 +124,11 @@
                 app, access_log=None, keepalive_timeout=75, handler_cancellation=True, shutdown_timeout=0.5
             )
             await runner.setup()
-            host, _, port = told.rpartition(":")
-            site = web.TCPSite(runner, host, int(port), backlog=1024)
-            await site.start()
             self.runners.append(runner)
-            self.sites.append(site)
-            found.append("{}:{}".format(*runner.addresses[0][:2]))
+            assert runner.server is not None
+            listener = Listener(read_endpoint(told), runner.server)
+            self.listeners.append(listener)
+            found.append("{}:{}".format(*listener.address))
         self.task = self.loop.create_task(self._watch_leases())
         return found[0], found[1]
 
@@ -137,6 +138,8 @@
         if self.task is not None:
             self.task.cancel()
         self.watchers.wake()
+        for listener in self.listeners:
+            listener.close()
         for runner in self.runners:
             await runner.cleanup()
 
