--- a/applehub/registry/__main__.py
+++ b/applehub/registry/__main__.py
@@ -5,6 +5,7 @@
 is."""
 
 import asyncio
+import contextlib
 import logging
 import signal
 import sys
@@ -18,15 +19,16 @@
 from applehub.registry.descriptors import allow_callers
 from applehub.registry.host import Host
 from applehub.registry.server import Service
-from applehub.registry.store import Store, StoreError
+from applehub.registry.store import Store, StoreError, StoreRefusedError
 
 MILLI = 1_000_000
+START_PATIENCE = 60.0  # s in which a disk that refuses may come back at the start: twice an outage of 30 s
+START_PAUSE = 0.2  # s between tries
+log = logging.getLogger("applehub.registry")
 
 
-async def serve(config: Config, path: Path, events: Writer) -> None:
-    """Runs until it is told to stop. Raises StoreError, and OSError where it can't listen."""
-    loop, stopping = asyncio.get_running_loop(), asyncio.Event()
-    allow_callers(config.limits.callers)
+def make_host(config: Config) -> Host:
+    """The host of this replica, with what its disk holds. Raises StoreError."""
     names = sorted(config.peers) or [config.name]
     timing = raft.Timing(
         int(config.timing.heartbeat_ms * MILLI),
@@ -34,12 +36,42 @@
         int(config.timing.lease_ms * MILLI),
     )
     addresses = {number: config.peers[name] for number, name in enumerate(names) if config.peers}
-    store = Store(config.state_dir)
-    host = Host(
-        names.index(config.name), addresses, timing, store, config.limits.changes, config.limits.compact
-    )
-    service = Service(config, host, events)
+    limits, store = config.limits, Store(config.state_dir)
+    try:
+        return Host(names.index(config.name), addresses, timing, store, limits.changes, limits.compact)
+    except BaseException:
+        store.close()
+        raise
+
+
+async def opened(config: Config, stopping: asyncio.Event) -> Host | None:
+    """The host, which a disk that refuses for a while may delay; none: the replica is to stop first. Raises
+    StoreError."""
+    loop = asyncio.get_running_loop()
+    end, logged = loop.time() + START_PATIENCE, False
+    while not stopping.is_set():
+        try:
+            return make_host(config)
+        except StoreRefusedError as problem:
+            if loop.time() > end:
+                raise
+            if not logged:
+                log.warning("%s: tried again for %.0f s", problem, START_PATIENCE)
+            logged = True
+        with contextlib.suppress(TimeoutError):
+            await asyncio.wait_for(stopping.wait(), START_PAUSE)
+    return None
+
+
+async def serve(config: Config, path: Path, events: Writer) -> None:
+    """Runs until it is told to stop. Raises StoreError, and OSError where it can't listen."""
+    loop, stopping = asyncio.get_running_loop(), asyncio.Event()
+    allow_callers(config.limits.callers)
     loop.add_signal_handler(signal.SIGTERM, stopping.set)
+    host = await opened(config, stopping)
+    if host is None:
+        return
+    service = Service(config, host, events)
     loop.add_signal_handler(signal.SIGHUP, reload, path, service, events)
     await host.start()
     listen, staff = await service.start()
--- a/applehub/registry/host.py
+++ b/applehub/registry/host.py
@@ -15,12 +15,13 @@
 from applehub.registry.entries import Entries, Result
 from applehub.registry.listener import Listener
 from applehub.registry.raft import Action, Apply, Proposed, Replica, Restore, Save, Send
-from applehub.registry.store import Store, StoreError
+from applehub.registry.store import Store, StoreError, StoreRefusedError
 
 TICK = 0.02  # s between looks at the clock
 MOST_LINE = 64 << 20  # of a message between replicas: a snapshot
 MOST_UNSENT = 8 << 20  # bytes for a peer that does not read; past them its messages are dropped
 DIAL_PAUSE = 0.1  # s between tries to reach a peer
+STORAGE_PAUSE = 0.2  # s between tries of a disk that refuses: less than an election takes
 log = logging.getLogger("applehub.registry")
 
 
@@ -56,6 +57,9 @@
         self._proposals: list[tuple[bytes, asyncio.Future[Result]]] = []
         self._held: list[Action] = []
         self._syncing = False
+        self._unsaved: list[Action] = []  # what waits until the disk takes writes again
+        self._retry: asyncio.TimerHandle | None = None
+        self.disk_refuses = self._stopping = False
         self._disk = ThreadPoolExecutor(1, "disk")
         self._peers = {number: Peer(number, address) for number, address in addresses.items() if number != me}
         self._listener: Listener | None = None
@@ -72,6 +76,9 @@
             self.replica.due = 0  # a group of one need not wait for others
 
     async def stop(self) -> None:
+        self._stopping = True
+        if self._retry is not None:
+            self._retry.cancel()
         for task in self._tasks:
             task.cancel()
         if self._listener is not None:
@@ -86,7 +93,7 @@
     # What can be asked
 
     def is_primary(self) -> bool:
-        return self.replica.is_primary(time.monotonic_ns())
+        return not self.disk_refuses and self.replica.is_primary(time.monotonic_ns())
 
     def staleness(self) -> int:
         """ns since this replica last knew that it held what the primary had committed; 0 at the primary."""
@@ -141,6 +148,10 @@
 
     def _synced(self, future: "asyncio.Future[None]", rest: list[Action]) -> None:
         problem = None if future.cancelled() else future.exception()
+        if isinstance(problem, StoreRefusedError):
+            self._syncing = False
+            self._refused(problem, rest)
+            return
         if problem is not None:
             # Nothing that follows the Save may be done: this replica ends, and starts from what is on disk.
             if not self.failed.done():
@@ -149,10 +160,42 @@
                 )
             return
         self._syncing = False
+        if self.disk_refuses:
+            self.disk_refuses = False
+            log.warning("the disk takes writes again")
         self._carry_out(rest)
         if not self._syncing:
             self._release()
 
+    def _refused(self, problem: StoreRefusedError, rest: list[Action]) -> None:
+        """Until the disk takes writes again, this replica leads, votes and acknowledges no more, and serves
+        what it learns to be committed."""
+        if not self.disk_refuses:
+            self.disk_refuses = True
+            log.warning("%s: no vote and no acknowledgement until the disk takes writes", problem)
+        committed: list[Action] = [one for one in (*rest, *self._held) if isinstance(one, Apply | Restore)]
+        self._held = []
+        self.handle(raft.StorageFailed())
+        if self._peers:  # a majority has these on disk, without this replica
+            self._carry_out(committed)
+        else:
+            self._unsaved = committed
+        self._disown_waiting("the disk refuses writes")
+        if not self._stopping:
+            self._retry = self.loop.call_later(STORAGE_PAUSE, self._try_disk)
+
+    def _try_disk(self) -> None:
+        """Writes the whole state: all that follows is held back until it is on disk."""
+        unsaved, self._unsaved = self._unsaved, []
+        self._take([*self.replica.handle(time.monotonic_ns(), raft.StorageRetried()), *unsaved])
+
+    def _disown_waiting(self, why: str) -> None:
+        """Acknowledges nothing that waits; a later call finds what was agreed on."""
+        for waiting in self.waiting.values():
+            if not waiting.answer.done():
+                waiting.answer.set_exception(NotPrimaryError(why))
+        self.waiting.clear()
+
     def _carry_out(self, actions: list[Action]) -> None:
         version = self.entries.version
         for action in actions:
@@ -184,11 +227,7 @@
             await asyncio.sleep(TICK)
             self.handle(raft.Tick(self.random.random()))
             if self.waiting and not self.is_primary():
-                # Past its lease it acknowledges nothing; a later call finds what was agreed on.
-                for waiting in self.waiting.values():
-                    if not waiting.answer.done():
-                        waiting.answer.set_exception(NotPrimaryError("no longer the primary"))
-                self.waiting.clear()
+                self._disown_waiting("no longer the primary")  # its lease is over
 
     def _peer_protocol(self) -> asyncio.StreamReaderProtocol:
         return asyncio.StreamReaderProtocol(asyncio.StreamReader(MOST_LINE, self.loop), self._hear, self.loop)
--- a/applehub/registry/model.py
+++ b/applehub/registry/model.py
@@ -38,6 +38,7 @@
     letters: int = 3  # on their way at once
     late: int = 1  # coarse: kept back at once
     restarts: int = 2
+    refusals: int = 0  # times that a disk begins to refuse writes
 
 
 @dataclass(slots=True)
@@ -52,6 +53,8 @@
     now: int = 100
     proposals: int = 0
     restarts: int = 0
+    refusals: int = 0
+    refusing: dict[int, bool] = field(default_factory=dict)  # disks, and whether a refused write is there
     leaders: dict[int, int] = field(default_factory=dict)  # by term
     committed: tuple[raft.Entry, ...] = ()
     terms: tuple[int, ...] = ()  # of the leader that first committed each place
@@ -63,6 +66,7 @@
         one.disks = [replace(disk) for disk in self.disks]
         one.held, one.done = list(self.held), list(self.done)
         one.leaders = dict(self.leaders)
+        one.refusing = dict(self.refusing)
         return one
 
     def key(self) -> object:
@@ -78,6 +82,8 @@
             letters,
             self.proposals,
             self.restarts,
+            self.refusals,
+            tuple(sorted(self.refusing.items())),
             tuple(sorted(self.leaders.items())),
             self.committed,
             self.terms,
@@ -109,6 +115,7 @@
     return (
         one.role, one.term, one.voted, one.snapshot, one.log, one.commit, one.applied, one.leader, one.trial,
         one.votes, _ago(one.heard, now), _ago(one.due, now), _ago(one.led, now), peers,
+        one.storage_failed,
     )  # fmt: skip
 
 
@@ -142,9 +149,18 @@
             self.sync(state, name)
 
     def sync(self, state: State, name: int) -> None:
-        """The disk has all that waits."""
+        """The disk has all that waits, or refuses it."""
         actions, state.held[name] = state.held[name], ()
-        self.carry_out(state, name, list(actions))
+        if name in state.refusing and any(isinstance(one, Save) for one in actions):
+            self.fail(state, name, actions)
+        else:
+            self.carry_out(state, name, actions)
+
+    def fail(self, state: State, name: int, actions: Sequence[Action]) -> None:
+        """The disk refuses what waits: the host sends nothing of it, and applies what the others have."""
+        kinds = (Save, Apply, Restore) if state.refusing[name] else (Apply, Restore)
+        self.carry_out(state, name, [one for one in actions if isinstance(one, kinds)])
+        self.event(state, name, raft.StorageFailed())
 
     def carry_out(self, state: State, name: int, actions: Sequence[Action]) -> None:
         replica = state.replicas[name]
@@ -239,9 +255,32 @@
             state.letters = state.letters[:at] + state.letters[at + 1 :]
         self.event(state, letter[1], raft.Received(letter[0], letter[2]))
 
+    def refuse(self, state: State, name: int, written: bool) -> None:
+        """From now on the disk refuses each write; with `written`, the write is there all the same."""
+        state.refusals += 1
+        state.refusing[name] = written
+
+    def accept(self, state: State, name: int) -> None:
+        """The disk takes writes again."""
+        del state.refusing[name]
+
+    def retry(self, state: State, name: int) -> None:
+        """The host tries its disk again."""
+        self.event(state, name, raft.StorageRetried())
+
+    def disk_steps(self, state: State, name: int) -> Iterator[Step]:
+        if name in state.refusing:
+            yield f"accept {name}", lambda s, n=name: self.accept(s, n)  # type: ignore[misc]
+        elif state.refusals < self.bounds.refusals:
+            yield f"refuse {name}", lambda s, n=name: self.refuse(s, n, False)  # type: ignore[misc]
+            yield f"refuse {name}, written", lambda s, n=name: self.refuse(s, n, True)  # type: ignore[misc]
+        if state.replicas[name].storage_failed:
+            yield f"retry {name}", lambda s, n=name: self.retry(s, n)  # type: ignore[misc]
+
     def common(self, state: State) -> Iterator[Step]:
         for name in GROUP:
             one = state.replicas[name]
+            yield from self.disk_steps(state, name)
             if state.restarts < self.bounds.restarts:
                 yield f"restart {name}", lambda s, n=name: self.restart(s, n)  # type: ignore[misc]
             if one.role is Role.LEADER and state.proposals < self.bounds.proposals:
@@ -406,6 +445,7 @@
 
 
 CALM = Bounds(proposals=2, restarts=0)  # without crashes it sees further
+REFUSING = Bounds(restarts=1, refusals=1)  # with a disk that refuses writes
 
 # Where explorations begin, beside the empty group: by steps of the coarse grain.
 ELECTED = ("try 0 1", "stand 0 1", "round 0 1")
@@ -432,12 +472,21 @@
         "late 2 to 0",
         "keep back from 0, 2",
     ),
+    "a voter whose disk has refused a vote": ("try 0 1", "try 1 2", "refuse 2", "stand 0 2"),
+    "a follower whose disk has refused an entry": (
+        *ELECTED,
+        "propose 0",
+        "refuse 1",
+        "round 0 1",
+        "accept 1",
+    ),
+    "a leader whose disk has refused an entry": (*ELECTED, "refuse 0", "propose 0"),
 }
 
 
 def begin(model: Model, steps: tuple[str, ...]) -> State:
     """The state to which these steps lead from the empty group."""
-    state, coarse = model.first(), Coarse(model.kind, Bounds(), model.holds_back)
+    state, coarse = model.first(), Coarse(model.kind, Bounds(refusals=1), model.holds_back)
     for name in steps:
         dict(coarse.steps(state))[name](state)
     state.trace = steps
@@ -545,12 +594,36 @@
         super()._appended(sender, told._replace(sent=self.now), out)
 
 
+class VotesUnsaved(Replica):
+    """Votes while its disk refuses to keep the vote."""
+
+    def _handle_unsaved(self, event: raft.Event) -> list[Action]:
+        if not (isinstance(event, raft.Received) and isinstance(event.message, raft.Ask)):
+            return super()._handle_unsaved(event)
+        out: list[Action] = []
+        self._received(event.sender, event.message, out)
+        return [action for action in out if not isinstance(action, Save)]
+
+
+class AcknowledgesUnsaved(Replica):
+    """Acknowledges entries that its disk refuses to keep."""
+
+    def _handle_unsaved(self, event: raft.Event) -> list[Action]:
+        if not (isinstance(event, raft.Received) and isinstance(event.message, raft.Append)):
+            return super()._handle_unsaved(event)
+        out: list[Action] = []
+        self._received(event.sender, event.message, out)
+        return [action for action in out if not isinstance(action, Save)]
+
+
 MUTANTS: dict[str, tuple[type[Replica], bool]] = {
     "a vote not stored": (ForgetsVote, True),
     "an acknowledgement before the sync": (Replica, False),
     "a stale commit": (CommitsStale, True),
     "a snapshot over newer entries": (InstallsOver, True),
     "a lease that outlives its clock": (LeasesLong, True),
+    "a vote that the disk refused": (VotesUnsaved, True),
+    "an acknowledgement that the disk refused": (AcknowledgesUnsaved, True),
 }
 
 
@@ -565,11 +638,13 @@
     for grain, bounds, depth in (
         (Coarse, Bounds(), coarse),
         (Coarse, CALM, coarse + 1),
+        (Coarse, REFUSING, coarse),
         (Fine, Bounds(), fine),
+        (Fine, REFUSING, fine),
     ):
         for title, steps in STARTS.items():
             began, model = time.monotonic(), grain(kind, bounds, holds_back)
-            calm = ", no crashes" if bounds is CALM else ""
+            calm = {id(CALM): ", no crashes", id(REFUSING): ", disks refuse"}.get(id(bounds), "")
             what = f"{grain.__name__.lower()}{calm}, from {title}"
 
             def told(level: int, states: int, what: str = what, began: float = began) -> None:
--- a/applehub/registry/raft.py
+++ b/applehub/registry/raft.py
@@ -7,6 +7,11 @@
 synced at once. So a leader's own log is on disk before any other replica has an entry of it, and it may count
 itself among those that hold one.
 
+A disk may refuse a Save. Then the host drops the messages that follow it (the network may lose messages at
+any time), and the replica leads, votes and acknowledges no more. It goes on taking up what a leader sends, in
+memory alone, so that it can serve what a majority of the others has on disk, until a Save of its whole state
+succeeds.
+
 A replica is primary while it is leader and holds a lease: a majority has heard from it lately enough that
 none of them votes for another yet. Past its lease it neither serves as primary nor acknowledges."""
 
@@ -137,7 +142,16 @@
     data: bytes
 
 
-Event = Tick | Received | Propose | Compact
+class StorageFailed(NamedTuple):
+    """The disk has refused a Save: it may be there whole, or not at all, and nothing that followed it in the
+    actions was sent."""
+
+
+class StorageRetried(NamedTuple):
+    """The disk is tried again, with the replica's whole state."""
+
+
+Event = Tick | Received | Propose | Compact | StorageFailed | StorageRetried
 
 
 # Actions
@@ -229,6 +243,7 @@
     trial: bool = False  # as a candidate: it only asks whether it would be elected
     led: int = 0  # when it became leader
     peers: dict[int, Peer] = field(default_factory=dict)
+    storage_failed: bool = False  # what is in memory may not be on disk, and the disk takes nothing
 
     def __post_init__(self) -> None:
         """Guards the leases that others hold: one that restarts has forgotten whom it heard, so it waits
@@ -283,6 +298,14 @@
         self.now = max(self.now, now)
         out: list[Action] = []
         match event:
+            case StorageFailed():
+                self.storage_failed = True
+                self._follow(self.term, None)
+            case StorageRetried():
+                self.storage_failed = False
+                self._save(out, self.snapshot.place + 1, self.log, self.snapshot)
+            case _ if self.storage_failed:
+                return self._handle_unsaved(event)
             case Tick():
                 self._tick(event.chance, out)
             case Received():
@@ -293,6 +316,19 @@
                 self._compact(event, out)
         return out
 
+    def _handle_unsaved(self, event: Event) -> list[Action]:
+        """Takes an event while the disk takes nothing: votes for none, acknowledges nothing, leads nobody.
+        What a leader says is committed is on the disks of a majority of the others, so it may be applied."""
+        out: list[Action] = []
+        match event:
+            case Received(sender, Append() | Install() as message):
+                self._received(sender, message, out)
+            case Propose():
+                self._propose(event.data, out)
+            case Compact():
+                self._compact(event, out)
+        return [action for action in out if not isinstance(action, Save | Send)]
+
     def _save(
         self, out: list[Action], start: int, entries: tuple[Entry, ...] = (), snapshot: Snapshot | None = None
     ) -> None:
--- a/applehub/registry/server.py
+++ b/applehub/registry/server.py
@@ -71,6 +71,9 @@
         self.watchers = Gauge("list_watchers", "Callers that wait", registry=self.registry)
         self.primary = Gauge("list_primary", "1 at the primary", registry=self.registry)
         self.braked = Gauge("list_braked", "1 while nothing is taken out", registry=self.registry)
+        self.disk_refuses = Gauge(
+            "list_disk_refuses", "1 while the disk takes no writes", registry=self.registry
+        )
         self.staleness = Gauge(
             "list_staleness_seconds", "Since the primary was heard", registry=self.registry
         )
@@ -395,6 +398,7 @@
                 "term": replica.term, "version": self.host.entries.version, "commit": replica.commit,
                 "applied": self.host.applied, "log": len(replica.log), "callers": self.callers,
                 "staleness_ms": self.host.staleness() // 1_000_000, "braked": self.leases.braked,
+                "disk_refuses": self.host.disk_refuses,
             },
         )  # fmt: skip
 
@@ -405,6 +409,7 @@
         metrics.watchers.set(len(self.watchers.waiting))
         metrics.primary.set(self.host.is_primary())
         metrics.braked.set(self.leases.braked)
+        metrics.disk_refuses.set(self.host.disk_refuses)
         metrics.staleness.set(self.host.staleness() / 1e9)
         return web.Response(body=generate_latest(metrics.registry), content_type="text/plain")
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -3,8 +3,6 @@
 import asyncio
 import shutil
 import signal
-import subprocess
-import sys
 import time
 from collections.abc import Iterator
 from pathlib import Path
@@ -14,11 +12,11 @@
 import orjson
 import pytest
 from click.testing import CliRunner
+from registry_group import Group
 
 from applehub.events import Event, Writer, read
 from applehub.lab.__main__ import main
 from applehub.lab.fleet.ground import claim_block
-from applehub.lab.fleet.processes import environment
 from applehub.registry import raft, wire
 from applehub.registry.config import ConfigError, parse
 from applehub.registry.entries import BASE_STEP, Entries
@@ -322,55 +320,6 @@
     assert {Event.LEADS, Event.LISTED, Event.BRAKE} <= set(kinds)
 
 
-class Group:
-    """Three replicas as processes."""
-
-    def __init__(self, folder: Path, block: str) -> None:
-        self.folder, self.names = folder, ("a", "b", "c")
-        self.peers = {name: f"{block}.210.{number + 1}:7000" for number, name in enumerate(self.names)}
-        self.staff = {name: address.replace(":7000", ":7001") for name, address in self.peers.items()}
-        self.listen = {name: address.replace(":7000", ":7002") for name, address in self.peers.items()}
-        self.processes: dict[str, subprocess.Popen[bytes]] = {}
-
-    def start(self, name: str) -> None:
-        lines = [f'name = "{name}"', f'state_dir = "{self.folder / name}"', f'listen = "{self.listen[name]}"']
-        lines += [f'staff = "{self.staff[name]}"', "[peers]"]
-        lines += [f'{peer} = "{address}"' for peer, address in self.peers.items()]
-        file = self.folder / f"{name}.toml"
-        file.write_text("\n".join(lines))
-        words = [sys.executable, "-m", "applehub.registry", str(file)]
-        self.processes[name] = subprocess.Popen(words, env=environment(), stdout=subprocess.DEVNULL)
-
-    def stop(self) -> list[int]:
-        for process in self.processes.values():
-            process.send_signal(signal.SIGCONT)
-            process.send_signal(signal.SIGTERM)
-        return [process.wait(60) for process in self.processes.values()]
-
-    async def until(self, session: aiohttp.ClientSession, *others: str) -> str:
-        """Waits for a primary that is none of these; gives its name."""
-        deadline = time.monotonic() + 60
-        while time.monotonic() < deadline:
-            for name in self.names:
-                told = await self.ask(session, "GET", name, "/v1/status")
-                if name not in others and told is not None and told[1]["primary"]:
-                    return name
-            await asyncio.sleep(0.02)
-        raise AssertionError("no primary in a minute")
-
-    async def ask(
-        self, session: aiohttp.ClientSession, method: str, name: str, path: str, body: Any = None
-    ) -> tuple[int, Any] | None:
-        """None: no answer."""
-        try:
-            async with session.request(
-                method, f"http://{self.staff[name]}{path}", json=body, timeout=aiohttp.ClientTimeout(3)
-            ) as answer:
-                return answer.status, await answer.json()
-        except (aiohttp.ClientError, TimeoutError):
-            return None
-
-
 @pytest.fixture
 def group(tmp_path: Path) -> Iterator[Group]:
     block, claim = claim_block()
--- /dev/null
+++ b/tests/test_registry_disk.py
@@ -0,0 +1,380 @@
+"""The list service where a disk refuses writes, or a process is killed in the middle of one."""
+
+import asyncio
+import errno
+import os
+import resource
+import signal
+import sqlite3
+import subprocess
+import sys
+import time
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager, nullcontext
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+import aiohttp
+import orjson
+import pytest
+from registry_group import Group
+
+from applehub.lab.fleet.ground import claim_block
+from applehub.lab.fleet.processes import environment
+from applehub.registry import raft
+from applehub.registry.__main__ import opened
+from applehub.registry.config import parse
+from applehub.registry.host import Host, NotPrimaryError
+from applehub.registry.model import MUTANTS, REFUSING, STARTS, Coarse, Fine, begin, explore, walks
+from applehub.registry.raft import Append, Entry, Replica, Save, Saved, Snapshot
+from applehub.registry.store import Store, StoreError, StoreRefusedError
+
+# Where a disk has refused, the mutant that shows itself there, and the depth.
+REFUSED = {
+    "a voter whose disk has refused a vote": ("a vote that the disk refused", 4),
+    "a follower whose disk has refused an entry": ("an acknowledgement that the disk refused", 4),
+    "a leader whose disk has refused an entry": (None, 5),
+}
+
+
+@pytest.mark.parametrize("start", REFUSED)
+def test_the_model_holds_where_disks_refuse_and_each_mutant_is_found(start: str) -> None:
+    mutant, depth = REFUSED[start]
+    good = Coarse(Replica, REFUSING)
+    found = explore(good, begin(good, STARTS[start]), depth)
+    assert not found.broken and found.depth == depth, found
+    if mutant is not None:
+        kind, holds_back = MUTANTS[mutant]
+        bad = Coarse(kind, REFUSING, holds_back)
+        assert explore(bad, begin(bad, STARTS[start]), depth).broken
+
+
+def test_each_refusal_and_retry_by_itself_among_messages_and_crashes() -> None:
+    good = Fine(Replica, REFUSING)
+    found = explore(good, good.first(), 5)
+    assert not found.broken and found.depth == 5, found
+    deep = replace(REFUSING, terms=8, proposals=4, restarts=4, letters=8, refusals=6)
+    assert not walks(Fine(Replica, deep), 200, 150).broken
+
+
+def test_a_replica_whose_disk_refuses_votes_for_none_and_acknowledges_nothing_but_applies() -> None:
+    replica = Replica(0, (0, 1, 2), raft.Timing(), 0)
+    replica.handle(1, raft.StorageFailed())
+    late = 10 * raft.Timing().election
+    assert not replica.handle(late, raft.Tick(0.0))  # it stands for no election
+    for trial in (True, False):
+        assert not replica.handle(late, raft.Received(1, raft.Ask(1, trial, 0, 0)))
+    entry = Entry(1, b"x")
+    assert replica.handle(late, raft.Received(1, Append(1, 0, 0, (entry,), 1, 5))) == [raft.Apply(1, 1, b"x")]
+    assert replica.handle(late, raft.Propose((b"y",))) == [raft.Proposed(0, 1)]
+    (save,) = replica.handle(late, raft.StorageRetried())
+    assert save == Save(1, None, 1, (entry,), Snapshot(0, 0, b""))
+    answers = replica.handle(late, raft.Received(1, Append(1, 1, 1, (), 1, 6)))
+    assert answers == [raft.Send(1, raft.Appended(1, True, 1, 6))]
+
+
+def save(number: int) -> Save:
+    return Save(1, None, number, (Entry(1, b"%d" % number),), None)
+
+
+class RefusingDisk:
+    """SQLite's connections, whose writes are refused as long as `how` says so: "full" (the file may not
+    grow, as with ENOSPC), or a word of SQL with "before" or "after": the call fails, after it took effect or
+    without."""
+
+    def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        self.how, self.refused = "", 0
+        connect = sqlite3.connect
+        monkeypatch.setattr(sqlite3, "connect", lambda *a, **b: Connection(self, connect(*a, **b)))
+
+
+class Connection:
+    """A connection to a disk that may refuse."""
+
+    def __init__(self, disk: RefusingDisk, real: sqlite3.Connection) -> None:
+        self.disk, self.real = disk, real
+
+    def execute(self, text: str, *more: Any) -> Any:
+        word, _, when = self.disk.how.partition(" ")
+        if word == "full" and text.startswith("BEGIN"):
+            self.disk.refused += 1
+            (pages,) = self.real.execute("PRAGMA page_count").fetchone()
+            self.real.execute(f"PRAGMA max_page_count={pages}")
+        elif word and text.startswith(word):
+            self.disk.refused += 1
+            if when == "after":
+                self.real.execute(text, *more)
+            problem = sqlite3.OperationalError("disk I/O error")
+            problem.sqlite_errorcode = sqlite3.SQLITE_IOERR_FSYNC
+            raise problem
+        return self.real.execute(text, *more)
+
+    def __getattr__(self, name: str) -> Any:
+        return getattr(self.real, name)
+
+
+@pytest.fixture
+def disk(monkeypatch: pytest.MonkeyPatch) -> RefusingDisk:
+    return RefusingDisk(monkeypatch)
+
+
+@contextmanager
+def no_writes() -> Iterator[None]:
+    """The system refuses each write of this process to a file (EFBIG): SQLite reports it as it does EIO."""
+    soft, hard = resource.getrlimit(resource.RLIMIT_FSIZE)
+    resource.setrlimit(resource.RLIMIT_FSIZE, (0, hard))
+    try:
+        yield
+    finally:
+        resource.setrlimit(resource.RLIMIT_FSIZE, (soft, hard))
+
+
+@pytest.mark.parametrize(
+    "how", ["full", "system", "BEGIN before", "INSERT before", "COMMIT before", "COMMIT after"]
+)
+def test_a_refused_write_is_there_whole_or_not_at_all_and_may_be_written_again(
+    tmp_path: Path, disk: RefusingDisk, how: str
+) -> None:
+    store = Store(tmp_path)
+    store.save([save(1)])
+    large = Save(1, None, 2, (Entry(1, b"2" * 100_000),), None)
+    written = how == "COMMIT after"
+    for _ in range(2):
+        disk.how = "" if how == "system" else how
+        with pytest.raises(StoreRefusedError), no_writes() if how == "system" else nullcontext():
+            store.save([large])
+        disk.how = ""
+        assert len(store.load().log) == (2 if written else 1)
+    store.save([large, save(3)])
+    right = Saved(1, None, Snapshot(0, 0, b""), (*save(1).entries, *large.entries, *save(3).entries))
+    assert store.load() == right
+    store.close()
+    assert Store(tmp_path).load() == right
+
+
+def test_a_folder_that_refuses_is_told_from_one_that_is_damaged(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    for call, error, raised in (
+        ("open", errno.EMFILE, StoreRefusedError),
+        ("fsync", errno.EIO, StoreRefusedError),
+        ("fsync", errno.ENOSPC, StoreRefusedError),
+        ("open", errno.EACCES, StoreError),
+    ):
+        with monkeypatch.context() as patch:
+
+            def fail(*_: object, error: int = error) -> int:
+                raise OSError(error, "refused")
+
+            patch.setattr(os, call, fail)  # those of the folder's sync
+            with pytest.raises(StoreError) as told:
+                Store(tmp_path / f"{call}-{error}")
+            assert type(told.value) is raised
+        store = Store(tmp_path / f"{call}-{error}")  # its lock was let go
+        with monkeypatch.context() as patch:
+            patch.setattr(os, call, fail)
+            with pytest.raises(StoreError) as told:
+                store.save([save(1)])
+            assert type(told.value) is raised
+        store.save([save(1)])
+        assert len(store.load().log) == 1
+
+
+KILLED = """
+import os, signal, sys
+from pathlib import Path
+from applehub.registry.raft import Entry, Save
+from applehub.registry.store import Store
+
+store = Store(Path(sys.argv[1]))
+store.save([Save(1, None, 1, (Entry(1, b"x" * 50_000),), None)])
+execute = store.__class__._set
+
+def die(*_):
+    os.kill(os.getpid(), signal.SIGKILL)
+
+store._connection().execute("PRAGMA cache_size=1")  # changed pages go to the file before the commit
+store.__class__._set = die
+store.save([Save(2, 0, 1, tuple(Entry(2, b"y" * 3000) for _ in range(200)), None)])
+"""
+
+
+def test_a_kill_in_the_middle_of_a_write_leaves_what_was_there_before(tmp_path: Path) -> None:
+    words = [sys.executable, "-c", KILLED, str(tmp_path)]
+    assert subprocess.run(words, env=environment(), timeout=60).returncode == -signal.SIGKILL
+    content = (tmp_path / "replica.sqlite").read_bytes()
+    assert b"y" * 1000 in content  # the file is half written
+    assert (tmp_path / "replica.sqlite-journal").stat().st_size > 0
+    store = Store(tmp_path)
+    assert store.load() == Saved(1, None, Snapshot(0, 0, b""), (Entry(1, b"x" * 50_000),))
+    store.save([save(2)])
+    assert len(store.load().log) == 2
+
+
+def put(uid: str) -> bytes:
+    told = {
+        "do": "put",
+        "uid": uid,
+        "fields": {},
+        "endpoints": {},
+        "state": "Ready",
+        "lease_ms": 0,
+        "base": 5,
+    }
+    return orjson.dumps(told)
+
+
+async def until(holds: Callable[[], bool]) -> None:
+    """Waits for a condition, a minute at most."""
+    async with asyncio.timeout(60):
+        while not holds():
+            await asyncio.sleep(0.01)
+
+
+@pytest.mark.parametrize("how", ["full", "INSERT before", "COMMIT before", "COMMIT after"])
+async def test_a_single_replica_acknowledges_nothing_while_its_disk_refuses(
+    tmp_path: Path, disk: RefusingDisk, how: str
+) -> None:
+    host = Host(0, {}, raft.Timing(), Store(tmp_path), 100, 3)
+    await host.start()
+    await until(host.is_primary)
+    assert (await host.propose(put("a"))).status == 200
+    disk.how = how
+    with pytest.raises(NotPrimaryError):
+        await host.propose(put("b" * (10_000 if how == "full" else 1)))
+    assert host.disk_refuses and not host.is_primary() and not host.failed.done()
+    assert list(host.entries.entries) == ["a"]  # still served; what may not last is not
+    before = disk.refused
+    await until(lambda: disk.refused > before + 2)
+    disk.how = ""
+    await until(host.is_primary)
+    assert not host.disk_refuses
+    assert (await host.propose(put("c"))).status == 200
+    held = dict(host.entries.entries)
+    await host.stop()
+    again = Host(0, {}, raft.Timing(), Store(tmp_path), 100, 3)
+    await again.start()
+    await until(lambda: again.is_primary() and again.applied >= host.applied)
+    assert again.entries.entries == held and {"a", "c"} <= set(held)
+    await again.stop()
+
+
+async def test_a_start_waits_for_a_disk_that_refuses_and_ends_when_told(
+    tmp_path: Path, disk: RefusingDisk
+) -> None:
+    config = parse("x", {"name": "a", "state_dir": str(tmp_path)})
+    stopping = asyncio.Event()
+    disk.how = "PRAGMA synchronous before"
+    opening = asyncio.create_task(opened(config, stopping))
+    await until(lambda: disk.refused > 1)
+    disk.how = ""
+    host = await opening
+    assert host is not None
+    await host.start()
+    await until(host.is_primary)
+    await host.stop()
+    disk.how = "PRAGMA synchronous before"
+    opening = asyncio.create_task(opened(config, stopping))
+    before = disk.refused
+    await until(lambda: disk.refused > before)
+    stopping.set()
+    assert await opening is None
+
+
+STALE_S = 0.5
+
+
+@pytest.fixture
+def group(tmp_path: Path) -> Iterator[Group]:
+    block, claim = claim_block()
+    one = Group(tmp_path, block, f"[limits]\nstale_ms = {STALE_S * 1000}\ncompact = 20")
+    for name in one.names:
+        one.start(name)
+    yield one
+    codes = one.stop()
+    claim.close()
+    assert codes == [0, 0, 0]
+
+
+class Writer:
+    """Writes to a group and keeps what was acknowledged."""
+
+    def __init__(self, group: Group, session: aiohttp.ClientSession) -> None:
+        self.group, self.session = group, session
+        self.acknowledged: dict[str, int] = {}  # versions by server
+
+    async def put(self, name: str, uid: str) -> tuple[int, Any]:
+        body = {"endpoint": "127.0.0.1:1", "az": "a", "model": "m"}
+        told = await self.group.ask(self.session, "PUT", name, f"/v1/servers/{uid}", body)
+        assert told is not None
+        return told
+
+    async def write(self, primary: str, count: int) -> None:
+        for _ in range(count):
+            uid = f"s{len(self.acknowledged)}"
+            status, answer = await self.put(primary, uid)
+            assert status == 200, answer
+            assert answer["version"] > max(self.acknowledged.values(), default=0)
+            self.acknowledged[uid] = answer["version"]
+
+    async def status(self, name: str) -> dict[str, Any]:
+        told = await self.group.ask(self.session, "GET", name, "/v1/status")
+        assert told is not None
+        answer: dict[str, Any] = told[1]
+        return answer
+
+    async def refuses(self, name: str, refuses: bool) -> None:
+        while (await self.status(name))["disk_refuses"] is not refuses:
+            await asyncio.sleep(0.01)
+
+    async def served(self, name: str) -> tuple[int, int]:
+        """Status and version of a list."""
+        async with self.session.get(f"http://{self.group.listen[name]}/api/targets") as answer:
+            return answer.status, (await answer.json())["rev"] if answer.status == 200 else 0
+
+    async def reached(self, name: str) -> None:
+        while (await self.served(name))[1] < max(self.acknowledged.values()):
+            await asyncio.sleep(0.01)
+
+    async def assert_held(self, primary: str) -> None:
+        told = await self.group.ask(self.session, "GET", primary, "/v1/servers")
+        assert told is not None
+        assert self.acknowledged.items() <= {one["uid"]: one["version"] for one in told[1]["servers"]}.items()
+
+
+@pytest.mark.parametrize("who", ["the primary", "a follower"])
+async def test_a_replica_whose_disk_refuses_serves_and_takes_part_again(group: Group, who: str) -> None:
+    """The system refuses the writes of one of three processes; later that one is needed for a majority."""
+    async with asyncio.timeout(120), aiohttp.ClientSession() as session:
+        writer = Writer(group, session)
+        primary = await group.until(session)
+        await writer.write(primary, 10)
+        struck = primary if who == "the primary" else next(one for one in group.names if one != primary)
+        group.refuse_writes(struck, True)
+        if struck == primary:
+            assert (await writer.put(primary, "not-acknowledged"))[0] == 503
+            primary = await group.until(session, struck)
+        await writer.write(primary, 30)  # more than the log holds before it is cut
+        await writer.refuses(struck, True)
+        end = time.monotonic() + 4 * STALE_S
+        while time.monotonic() < end:  # past the time after which what it held would be too old
+            await writer.write(primary, 1)
+            assert (await writer.served(struck))[0] == 200
+            status = await writer.status(struck)
+            assert not status["primary"] and status["role"] == "follower"
+        await writer.reached(struck)
+
+        group.refuse_writes(struck, False)
+        await writer.refuses(struck, False)
+        third = next(name for name in group.names if name not in (struck, primary))
+        group.kill(third)
+        await writer.write(primary, 5)  # without it there is no majority
+        group.kill(primary)
+        group.start(third)
+        following = await group.until(session, primary)
+        await writer.assert_held(following)
+        group.start(primary)
+        for name in group.names:
+            await group.ready(session, name)
+            await writer.reached(name)
