--- /dev/null
+++ b/tests/test_registry_stored.py
@@ -0,0 +1,63 @@
+"""What a replica of an earlier version wrote, on its disk and to its peers, is read by this one."""
+
+import asyncio
+import shutil
+from pathlib import Path
+
+import pytest
+
+from applehub.registry import raft, wire
+from applehub.registry.host import Host
+from applehub.registry.store import Store
+
+# Written by the version at 0447801: eight commands to a group of one, whose log was cut after the eighth.
+STORED = Path(__file__).parent / "stored" / "registry_0447801"
+FIELDS = {
+    "endpoint": "127.0.0.1:1", "az": "a", "model": "m", "pod_group": 0, "capacity_hint": 1.0, "boot_ms": 7,
+}  # fmt: skip
+ENTRIES = [  # id, endpoints by view, lease, state, version, suspect
+    ("a", {"v": "127.0.0.1:2"}, 1000, "Gone", 54, False),
+    ("b", {"v": "127.0.0.1:2"}, 0, "Terminating", 52, False),
+    ("c", {"v": "127.0.0.1:2"}, 1000, "Ready", 53, False),
+    ("d", {}, 1000, "Ready", 55, False),
+]
+CHANGES = [(50, "a"), (51, "b"), (52, "b"), (53, "c"), (54, "a"), (55, "d")]
+
+LINES: dict[bytes, raft.Message] = {
+    b'{"kind":"Ask","from":2,"term":3,"trial":true,"last_index":7,"last_term":2}\n': raft.Ask(3, True, 7, 2),
+    b'{"kind":"Vote","from":2,"term":3,"trial":false,"granted":true}\n': raft.Vote(3, False, True),
+    b'{"kind":"Append","from":2,"term":3,"prev_index":6,"prev_term":2,"entries":[[3,"{\\"a\\":1}"]],"commit":5,'
+    b'"sent":123}\n': raft.Append(3, 6, 2, (raft.Entry(3, b'{"a":1}'),), 5, 123),
+    b'{"kind":"Appended","from":2,"term":3,"ok":true,"place":7,"sent":123}\n': raft.Appended(3, True, 7, 123),
+    b'{"kind":"Install","from":2,"term":3,"snapshot":[9,2,"{}"],"sent":5}\n': raft.Install(
+        3, raft.Snapshot(9, 2, b"{}"), 5
+    ),
+}
+
+
+async def test_a_replica_goes_on_from_the_folder_of_the_version_before(tmp_path: Path) -> None:
+    folder = tmp_path / "replica"
+    shutil.copytree(STORED, folder)
+    host = Host(0, {}, raft.Timing(), Store(folder), 100, 100)
+    assert (host.replica.term, host.replica.voted, host.replica.last_index) == (1, 0, 9)
+    await host.start()
+    async with asyncio.timeout(60):
+        while not host.is_primary():
+            await asyncio.sleep(0.01)
+    held = host.entries
+    assert [
+        (one.uid, one.endpoints, one.lease_ms, one.state, one.version, one.suspect)
+        for one in held.entries.values()
+    ] == ENTRIES
+    assert all(one.fields == FIELDS for one in held.entries.values())
+    assert [tuple(one) for one in held.changes] == CHANGES
+    assert (held.version, held.forgotten) == (55, 0)
+    assert tuple(held.locks["release"]) == ("me", 50, 60_000)
+    assert (await host.propose(b'{"do":"state","uid":"c","state":"Gone"}')).version == 56
+    await host.stop()
+
+
+@pytest.mark.parametrize("line", LINES)
+def test_messages_between_replicas_have_the_form_of_the_version_before(line: bytes) -> None:
+    assert wire.encode(2, LINES[line]) == line
+    assert wire.decode(line) == (2, LINES[line])
