--- a/applehub/lab/fleet/machines.py
+++ b/applehub/lab/fleet/machines.py
@@ -14,8 +14,9 @@
 from applehub.lab.fleet.plan import NEW, OLD, Released
 from applehub.lab.fleet.processes import RouterProcess, Standin
 from applehub.lab.live.bench import LiveError
-from applehub.release.agent import FORM, Agent
-from applehub.release.machine import Order
+from applehub.release.agent import FORMAT_VERSION, Agent
+from applehub.release.messages import LoadReport
+from applehub.release.state_machine import Order
 from applehub.settings import Json
 
 DRAINED = 0.7  # s from the list's word on, in which routers may still send
@@ -64,14 +65,14 @@
 
 
 class Zone:
-    """The machines of one zone; see applehub.release.agent.Machine."""
+    """The machines of one zone; see applehub.release.agent.UnitHost."""
 
     def __init__(self, ground: Ground, zone: str, release: Released) -> None:
         self.ground, self.release = ground, release
         self.units = [name for name, of in zones_of(ground).items() if of == zone]
         self.asking: dict[str, asyncio.Task[dict[str, float] | None]] = {}
 
-    async def carry(self, order: Order) -> str:
+    async def execute(self, order: Order) -> str:
         """Carries a step out, and writes down that it was."""
         unit = self.ground.named([order.unit])[0]
         try:
@@ -163,8 +164,12 @@
 
     # Figures
 
-    async def figures(self, unit: str) -> dict[str, float] | None:
-        """How a unit fares; none where it does not tell."""
+    async def load_report(self, unit: str) -> LoadReport | None:
+        """The unit's metrics; None where it does not report."""
+        metrics = await self._metrics(unit)
+        return None if metrics is None else LoadReport(metrics)
+
+    async def _metrics(self, unit: str) -> dict[str, float] | None:
         process = self.ground.named([unit])[0]
         if not process.running:
             return None
@@ -217,7 +222,7 @@
             return
         for number in range(self.ground.plan.fleet.zones):
             zone = f"zone-{number}"
-            store = Store(Folder(str(self.ground.folder / f"agent-{number}")), "orders", FORM)
+            store = Store(Folder(str(self.ground.folder / f"agent-{number}")), "orders", FORMAT_VERSION)
             agent = Agent(Zone(self.ground, zone, release), store)
             self.ground.agents[zone] = await agent.start("127.0.0.1", 0)
             self.agents.append(agent)
--- a/applehub/lab/fleet/plan.py
+++ b/applehub/lab/fleet/plan.py
@@ -9,7 +9,7 @@
 from applehub.checked import Part, checked, read_toml
 from applehub.events import Event
 from applehub.lab.spec import SpecError
-from applehub.release.plan import Gates, Limits, Stage
+from applehub.release.plan import GateSettings, Limits, Stage
 
 Positive = Annotated[float, Field(gt=0)]
 NotNegative = Annotated[float, Field(ge=0)]
@@ -97,7 +97,7 @@
     bad: Literal["", *BAD] = ""  # type: ignore[valid-type]  # the table's own words
     part: Annotated[float, Field(gt=0, le=1)] = 0.5
     limits: Limits = Limits()
-    gates: Gates = Gates()
+    gates: GateSettings = GateSettings()
     stages: Annotated[list[Stage], Field(min_length=1)]
     back_on_halt: bool = True
     ends: Literal["done", "returned"] = "done"  # how it has to end
--- a/applehub/release/__main__.py
+++ b/applehub/release/__main__.py
@@ -1,14 +1,16 @@
-"""Commands of a release: `python -m applehub.release`. Code 2: a plan or a folder is of no use; 3: halted."""
+"""Commands of a release: `python -m applehub.release`.
+
+Exit status 2: a plan or a folder can't be used; 3: the release is halted.
+"""
 
 import asyncio
 import sys
 import time
 from collections import Counter
 from collections.abc import Callable
-from contextlib import closing
 from functools import wraps
 from pathlib import Path
-from typing import Any
+from typing import ParamSpec
 
 import click
 import orjson
@@ -18,29 +20,35 @@
 from applehub.events import EventError, read
 from applehub.release.backoff import when_disk_permits
 from applehub.release.controller import Controller
-from applehub.release.kept import Kept, ask, load_release
-from applehub.release.machine import Mode, Record
-from applehub.release.plan import Plan, PlanError, load_plan
-from applehub.release.rehearsal import rehearse
+from applehub.release.errors import ReleaseError
+from applehub.release.plan import Plan, load_plan
+from applehub.release.rehearsal import RehearsalOptions, rehearse
+from applehub.release.release_folder import EVENTS_FILE, ReleaseFolder, load_release, submit_request
 from applehub.release.staff_requests import RequestKind
+from applehub.release.state_machine import ACTIVE_MODES, ReleaseMode, ReleaseRecord
 
+UNUSABLE = 2  # exit status
+HALTED = 3  # exit status
+MAX_PORT = 65_535
+STATUS_S = 1.0  # between two outputs of `status --watch`
 STATE = click.option(
     "--state", "folder", required=True, type=click.Path(file_okay=False, path_type=Path), help="Its folder."
 )
 AGAIN = click.option("--again", is_flag=True, help="Tries a version once more that was returned.")
 JSON = click.option("--json", "as_json", is_flag=True, help="As JSON.")
+Parameters = ParamSpec("Parameters")
 
 
-def guarded(call: Callable[..., None]) -> Callable[..., None]:
-    """What is of no use ends with code 2 and a line for each fault."""
+def guarded(command: Callable[Parameters, None]) -> Callable[Parameters, None]:
+    """Has a command that raises an error of the program end with status 2 and a line for each fault."""
 
-    @wraps(call)
-    def wrapped(*words: Any, **named: Any) -> None:
+    @wraps(command)
+    def wrapped(*arguments: Parameters.args, **options: Parameters.kwargs) -> None:
         try:
-            call(*words, **named)
-        except (PlanError, StoreError, EventError, OSError) as problem:
-            click.echo(str(problem), err=True)
-            sys.exit(2)
+            command(*arguments, **options)
+        except (ReleaseError, StoreError, EventError, OSError) as error:
+            click.echo(str(error), err=True)
+            sys.exit(UNUSABLE)
 
     return wrapped
 
@@ -56,16 +64,16 @@
 @guarded
 def plan(file: Path, as_json: bool) -> None:
     """Checks plan FILE and shows its stages."""
-    told = load_plan(file)
-    stages = list(zip(told.stages, told.batches(), strict=True))
+    loaded = load_plan(file)
+    stages = list(zip(loaded.stages, loaded.unit_names_by_stage(), strict=True))
     if as_json:
-        shown = [{"stage": one.name, "units": names, "watch_s": one.watch_s} for one, names in stages]
+        shown = [{"stage": stage.name, "units": names, "watch_s": stage.watch_s} for stage, names in stages]
         click.echo(orjson.dumps(shown).decode())
         return
-    most = told.limits.out_at_once
-    click.echo(f"{told.name}: {told.what} from {told.old} to {told.new}, {most} out at once")
-    for one, names in stages:
-        click.echo(f"  {one.name}: {', '.join(names)}; watched {one.watch_s:g} s")
+    limit = loaded.limits.out_at_once
+    click.echo(f"{loaded.name}: {loaded.what} from {loaded.old} to {loaded.new}, {limit} out at once")
+    for stage, names in stages:
+        click.echo(f"  {stage.name}: {', '.join(names)}; watched {stage.watch_s:g} s")
 
 
 @main.command("rehearse")
@@ -80,46 +88,25 @@
     file: Path, folder: Path, pace: float, step_s: float, broken: tuple[str, ...], again: bool
 ) -> None:
     """Carries plan FILE out on pretend machines; goes on where it was cut off, also by SIGKILL."""
-    mode, kept = rehearse(folder, load_plan(file), again, pace, set(broken), step_s)
-    _show(kept.record)
-    sys.exit(3 if mode is Mode.HALTED else 0)
+    options = RehearsalOptions(pace, step_s, frozenset(broken), again)
+    _end(rehearse(folder, load_plan(file), options).record)
 
 
 @main.command()
 @click.argument("file", type=click.Path(path_type=Path))
 @STATE
 @AGAIN
-@click.option("--metrics", type=click.IntRange(0, 65535), help="Port of 127.0.0.1 for a scraper.")
+@click.option("--metrics", type=click.IntRange(0, MAX_PORT), help="Port of 127.0.0.1 for a scraper.")
 @guarded
 def start(file: Path, folder: Path, again: bool, metrics: int | None) -> None:
     """Carries plan FILE out through its units' agents; goes on where it was cut off, also by SIGKILL."""
-    told = load_plan(file)
-    controller = when_disk_permits(lambda: _opened(folder, told, again))
-    with closing(controller.kept) as kept:
+    loaded = load_plan(file)
+    controller = when_disk_permits(lambda: _open_controller(folder, loaded, again))
+    with controller.folder:
         if metrics is not None:
             start_http_server(metrics, "127.0.0.1", controller.metrics.registry)
-        mode = asyncio.run(controller.run())
-        _show(kept.record)
-    sys.exit(3 if mode is Mode.HALTED else 0)
-
-
-def _opened(folder: Path, plan: Plan, again: bool) -> Controller:
-    kept = Kept(folder)
-    try:
-        kept.begin(plan, again)
-        return Controller(kept, plan, folder)
-    except BaseException:
-        kept.close()
-        raise
-
-
-def _show(record: Record) -> None:
-    versions = Counter(unit.version for unit in record.units.values())
-    click.echo(f"{record.old} to {record.new}: {record.mode}" + (f", {record.why}" if record.why else ""))
-    click.echo("  " + ", ".join(f"{count} at {version}" for version, count in sorted(versions.items())))
-    on_way = [f"{name} to {unit.target}" for name, unit in record.units.items() if unit.target]
-    if on_way:
-        click.echo("  on the way: " + ", ".join(on_way))
+        asyncio.run(controller.run())
+        _end(controller.record)
 
 
 @main.command()
@@ -135,9 +122,9 @@
             click.echo(stored.json.decode())
         else:
             _show(stored.record)
-        if not watch or stored.record.mode not in (Mode.RUNNING, Mode.BACK):
+        if not watch or stored.record.mode not in ACTIVE_MODES:
             return
-        time.sleep(1)
+        time.sleep(STATUS_S)
 
 
 @main.command()
@@ -145,19 +132,8 @@
 @guarded
 def history(folder: Path) -> None:
     """Prints what happened, a line each."""
-    for one in read(folder / "events.jsonl"):
-        click.echo(one.line())
-
-
-def _ask(folder: Path, kind: RequestKind, reason: str = "") -> None:
-    try:
-        done = ask(folder, kind, reason)
-    except OSError as problem:
-        raise OSError(f"{kind}: not kept for sure: {problem}; `status` tells, or ask again") from problem
-    if done:
-        _show(load_release(folder).record)
-    else:
-        click.echo(f"{kind}: left to the controller that is at work")
+    for record in read(folder / EVENTS_FILE):
+        click.echo(record.line())
 
 
 @main.command()
@@ -166,7 +142,7 @@
 @guarded
 def halt(folder: Path, why: str) -> None:
     """Lets nothing new begin; what is on its way is finished."""
-    _ask(folder, RequestKind.HALT, why)
+    _request(folder, RequestKind.HALT, why)
 
 
 @main.command()
@@ -174,7 +150,7 @@
 @guarded
 def resume(folder: Path) -> None:
     """Lets a halted release go on; `start` or `rehearse` carries it on."""
-    _ask(folder, RequestKind.RESUME)
+    _request(folder, RequestKind.RESUME)
 
 
 @main.command()
@@ -182,7 +158,47 @@
 @guarded
 def back(folder: Path) -> None:
     """Turns a release round, to the old version; `start` or `rehearse` carries it on."""
-    _ask(folder, RequestKind.BACK)
+    _request(folder, RequestKind.BACK)
+
+
+def _open_controller(path: Path, plan: Plan, again: bool) -> Controller:
+    folder = ReleaseFolder(path)
+    try:
+        folder.begin(plan, again)
+        return Controller(folder, plan)
+    except BaseException:
+        folder.close()
+        raise
+
+
+def _request(folder: Path, kind: RequestKind, reason: str = "") -> None:
+    try:
+        done = submit_request(folder, kind, reason)
+    except OSError as error:
+        text = f"{kind}: not kept for sure: {error}; `status` tells, or ask again"
+        raise OSError(text) from error
+    if done:
+        _show(load_release(folder).record)
+    else:
+        click.echo(f"{kind}: left to the controller that is at work")
+
+
+def _end(record: ReleaseRecord) -> None:
+    """Shows a release that runs no further, and ends the program."""
+    _show(record)
+    sys.exit(HALTED if record.mode is ReleaseMode.HALTED else 0)
+
+
+def _show(record: ReleaseRecord) -> None:
+    versions = Counter(unit.version for unit in record.units.values())
+    reason = f", {record.reason}" if record.reason else ""
+    click.echo(f"{record.old_version} to {record.new_version}: {record.mode}{reason}")
+    click.echo("  " + ", ".join(f"{count} at {version}" for version, count in sorted(versions.items())))
+    in_progress = [
+        f"{name} to {unit.target_version}" for name, unit in record.units.items() if unit.target_version
+    ]
+    if in_progress:
+        click.echo("  on the way: " + ", ".join(in_progress))
 
 
 if __name__ == "__main__":
--- a/applehub/release/agent.py
+++ b/applehub/release/agent.py
@@ -1,156 +1,166 @@
-"""An agent: carries a controller's orders out on the units beside it, and tells how they fare, over HTTP.
+"""Agent: executes a controller's orders on the units beside it, and reports how they do, over HTTP.
 
-`POST /v1/orders` takes one ({release, fence, unit, step, version, number}): 202 it is under way, 200 it is
-known, 409 it is refused, 400 it is none, 503 the disk refuses it, so it does not begin. `GET /v1/units` tells
-of each unit the last order, what came of it, and its figures. What is remembered is on disk before a step
-begins, and before what came of it is told; a step that was under way when the agent ended is carried out
-again, so a machine's steps must bear that.
+`POST /v1/orders` takes an order ({release, fence, unit, step, version, number}). 202: it is being executed;
+200: it is known already; 409: it is refused; 400: it can't be decoded; 503: the disk refuses it, so it is
+not begun. `GET /v1/units` reports for each unit the latest order, its outcome and the unit's metrics. An
+order is on the disk before it is executed, and its outcome before it is reported. An order that was being
+executed when the agent ended is executed again, so a host's steps must be idempotent.
 """
 
 import asyncio
 import logging
 from collections.abc import Awaitable, Callable
-from typing import Any, Protocol
+from http import HTTPStatus
+from typing import Protocol
 
 import orjson
 from aiohttp import web
 
 from applehub.durable.store import Store, StoreError
+from applehub.release.agent_memory import AgentMemory
 from applehub.release.backoff import Backoff
-from applehub.release.machine import Order
-from applehub.release.orders import Orders, RefusedError
-
-FORM = 1
-ASKED_WITHIN = 1.0  # s that a unit has to tell its figures
+from applehub.release.errors import MessageError, OrderRefusedError
+from applehub.release.messages import AgentStatus, LoadReport, OrderMessage, UnitStatus
+from applehub.release.state_machine import Order
+
+FORMAT_VERSION = 1  # of what the agent's store holds
+REPORT_TIMEOUT_S = 1.0  # for a unit to report its metrics
+MAX_REQUEST = 1 << 16  # bytes
+SHUTDOWN_S = 0.5  # for answers under way when the agent stops
 log = logging.getLogger("applehub.release")
 
 
-class Machine(Protocol):
-    """What an agent's units run on. Every step may be asked for again after it was done, or half done."""
+class UnitHost(Protocol):
+    """What runs an agent's units. Each step may be requested again after it was done, or half done."""
 
     units: list[str]
 
-    async def carry(self, order: Order) -> str:
-        """Carries a step out; gives what went wrong, nothing where all went well."""
+    async def execute(self, order: Order) -> str:
+        """Executes a step; what went wrong, empty if nothing did."""
 
-    async def figures(self, unit: str) -> dict[str, float] | None:
-        """How a unit fares, see gates.py; none: it does not tell."""
+    async def load_report(self, unit: str) -> LoadReport | None:
+        """The unit's metrics, see gates.py; None: it does not answer."""
 
 
 class Agent:
-    """One agent, its memory and its address."""
+    """An agent with its memory and its address."""
 
     def __init__(
-        self, machine: Machine, store: Store, sleep: Callable[[float], Awaitable[None]] = asyncio.sleep
+        self, host: UnitHost, store: Store, sleep: Callable[[float], Awaitable[None]] = asyncio.sleep
     ) -> None:
-        """Raises StoreError where another agent holds the store, ValueError where what it holds is of no
-        use."""
-        self.machine, self.store, self.sleep = machine, store, sleep
-        kept = store.open().value
+        """sleep: waits between attempts at a disk that refuses.
+
+        Raises StoreError where another agent holds the store, StoredStateError, OSError.
+        """
+        self.executions: set[asyncio.Task[None]] = set()
+        self._host = host
+        self._store = store
+        self._sleep = sleep
+        self._runner: web.AppRunner | None = None
         try:
-            self.orders = Orders() if kept is None else Orders.of(orjson.loads(kept))
-        except (KeyError, TypeError) as problem:
-            raise ValueError(f"{store.name}: what is kept makes no sense: {problem!r}") from None
-        self.steps: set[asyncio.Task[None]] = set()
-        self.runner: web.AppRunner | None = None
+            content = store.open().value
+            self.memory = AgentMemory() if content is None else AgentMemory.decode(content)
+        except BaseException:
+            store.close()  # otherwise it stays held, and this process can't open it once more
+            raise
 
     async def start(self, host: str, port: int) -> str:
-        """Listens, and takes up again what was under way; gives the address. Raises OSError."""
-        app = web.Application(client_max_size=1 << 16)
-        app.router.add_post("/v1/orders", self.order)
-        app.router.add_get("/v1/units", self.units)
-        self.runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.5)
-        await self.runner.setup()
-        await web.TCPSite(self.runner, host, port).start()
-        for unit in self.orders.begun():
-            self._begin(unit)
-        return "{}:{}".format(*self.runner.addresses[0][:2])
+        """Listens, and executes unfinished orders again; the address. Raises OSError."""
+        app = web.Application(client_max_size=MAX_REQUEST)
+        app.router.add_post("/v1/orders", self._post_order)
+        app.router.add_get("/v1/units", self._get_units)
+        self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN_S)
+        await self._runner.setup()
+        await web.TCPSite(self._runner, host, port).start()
+        for order in self.memory.unfinished():
+            self._begin(order)
+        name, number = self._runner.addresses[0][:2]
+        return f"{name}:{number}"
 
     async def stop(self) -> None:
-        for step in self.steps:
-            step.cancel()
-        if self.runner is not None:
-            await self.runner.cleanup()
-        self.store.close()
-
-    def _keep(self, orders: Orders) -> None:
-        """Has the agent remember these. Raises StoreError, OSError: then it remembers what it did before."""
-        self.store.save(orjson.dumps(orders.plain()))
-        self.orders = orders
-
-    async def order(self, request: web.Request) -> web.Response:
+        """Stops listening and executing; unfinished orders stay in the memory."""
+        executions = list(self.executions)
+        for execution in executions:
+            execution.cancel()
+        await asyncio.gather(*executions, return_exceptions=True)
+        if self._runner is not None:
+            await self._runner.cleanup()
+        self._store.close()
+
+    def _save(self, memory: AgentMemory) -> None:
+        """Replaces the memory. Raises StoreError, OSError: then it stays as it was."""
+        self._store.save(memory.encode())
+        self.memory = memory
+
+    async def _post_order(self, request: web.Request) -> web.Response:
         try:
-            told = orjson.loads(await request.read())
-            order = Order(told["unit"], told["step"], told["version"], int(told["number"]))
-            release, fence = str(told["release"]), int(told["fence"])
-            if order.unit not in self.machine.units:
-                raise ValueError(f"no unit {order.unit!r} here")
-        except (ValueError, KeyError, TypeError) as problem:
-            return self._said(400, {"error": f"expected an order: {problem}"})
-        orders = self.orders.copy()
+            message = OrderMessage.decode(await request.read())
+        except MessageError as error:
+            return self._refusal(HTTPStatus.BAD_REQUEST, str(error))
+        order = message.order
+        if order.unit not in self._host.units:
+            return self._refusal(HTTPStatus.BAD_REQUEST, f"expected an order: no unit {order.unit!r} here")
+        memory = self.memory.copy()
         try:
-            fresh = orders.take(release, fence, order)
-            if orders != self.orders:
-                self._keep(orders)  # before it begins
-        except RefusedError as problem:
-            return self._said(409, {"error": str(problem), "fence": self.orders.fence})
-        except (StoreError, OSError) as problem:
-            log.warning("%s: %s does not begin, since it can't be kept: %r", order.unit, order.step, problem)
-            return self._said(503, {"error": f"not begun, since it can't be kept: {problem}"})
-        if fresh:
-            self._begin(order.unit)
-        return self._said(202 if fresh else 200, {"number": order.number})
-
-    def _begin(self, unit: str) -> None:
-        last = self.orders.last[unit]
-        step = asyncio.get_running_loop().create_task(
-            self._carry(Order(unit, last.step, last.version, last.number))
+            new = memory.accept(message.release_id, message.fence, order)
+            if memory != self.memory:
+                self._save(memory)
+        except OrderRefusedError as error:
+            return self._refusal(HTTPStatus.CONFLICT, str(error))
+        except (StoreError, OSError) as error:
+            log.warning("%s: %s is not begun, since it can't be stored: %r", order.unit, order.step, error)
+            return self._refusal(
+                HTTPStatus.SERVICE_UNAVAILABLE, f"not begun, since it can't be stored: {error}"
+            )
+        if new:
+            self._begin(order)
+        return _json_response(
+            HTTPStatus.ACCEPTED if new else HTTPStatus.OK, orjson.dumps({"number": order.number})
         )
-        self.steps.add(step)
-        step.add_done_callback(self.steps.discard)
 
-    async def _carry(self, order: Order) -> None:
+    def _begin(self, order: Order) -> None:
+        execution = asyncio.get_running_loop().create_task(self._execute(order))
+        self.executions.add(execution)
+        execution.add_done_callback(self.executions.discard)
+
+    async def _execute(self, order: Order) -> None:
         try:
-            why = await self.machine.carry(order)
-        except Exception as problem:  # whatever a machine meets, the controller is to hear of it
+            failure = await self._host.execute(order)
+        except Exception as error:  # whatever a host raises is the order's outcome
             log.exception("%s: %s failed", order.unit, order.step)
-            why = f"{type(problem).__name__}: {problem}"
-        await self._keep_outcome(order, why)
-
-    async def _keep_outcome(self, order: Order, why: str) -> None:
-        """Remembers what came of an order, as soon as the disk takes it; until then it is under way."""
+            failure = f"{type(error).__name__}: {error}"
         backoff = Backoff()
         while True:
-            orders = self.orders.copy()
-            orders.done(order.unit, why)
+            memory = self.memory.copy()
+            memory.record_outcome(order.unit, failure)
             try:
-                self._keep(orders)
-            except (StoreError, OSError) as problem:
+                self._save(memory)
+            except (StoreError, OSError) as error:
                 if not backoff.failures:
-                    log.warning("%s: what came of %s can't be kept: %r", order.unit, order.step, problem)
-                await self.sleep(backoff.failed(0.0))
+                    log.warning("%s: the outcome of %s can't be stored: %r", order.unit, order.step, error)
+                await self._sleep(backoff.failed(0.0))
             else:
                 return
 
-    async def units(self, request: web.Request) -> web.Response:
-        names = self.machine.units
-        figures = await asyncio.gather(*(self._figures(name) for name in names))
-        told = {}
-        for name, one in zip(names, figures, strict=True):
-            last = self.orders.last.get(name)
-            order = {} if last is None else {
-                "release": last.id, "number": last.number, "good": last.good, "why": last.why,
-            }  # fmt: skip
-            told[name] = {"order": order, "figures": one}
-        return self._said(200, {"fence": self.orders.fence, "units": told})
-
-    async def _figures(self, unit: str) -> dict[str, float] | None:
+    async def _get_units(self, _: web.Request) -> web.Response:
+        names = self._host.units
+        reports = await asyncio.gather(*(self._load_report(name) for name in names))
+        units = {}
+        for name, report in zip(names, reports, strict=True):
+            latest = self.memory.latest.get(name)
+            units[name] = UnitStatus(None if latest is None else latest.outcome, report)
+        return _json_response(HTTPStatus.OK, AgentStatus(self.memory.fence, units).encode())
+
+    async def _load_report(self, unit: str) -> LoadReport | None:
         try:
-            async with asyncio.timeout(ASKED_WITHIN):
-                return await self.machine.figures(unit)
+            async with asyncio.timeout(REPORT_TIMEOUT_S):
+                return await self._host.load_report(unit)
         except (TimeoutError, OSError, ValueError):
             return None
 
-    @staticmethod
-    def _said(status: int, told: dict[str, Any]) -> web.Response:
-        return web.Response(status=status, body=orjson.dumps(told), content_type="application/json")
+    def _refusal(self, status: HTTPStatus, error: str) -> web.Response:
+        return _json_response(status, orjson.dumps({"error": error, "fence": self.memory.fence}))
+
+
+def _json_response(status: HTTPStatus, body: bytes) -> web.Response:
+    return web.Response(status=status, body=body, content_type="application/json")
--- a/applehub/release/clock.py
+++ b/applehub/release/clock.py
@@ -32,6 +32,7 @@
     """The machine's own clocks."""
 
     def __init__(self) -> None:
+        """Reads the machine's identity once."""
         self.identity = _identity()
 
     def now(self) -> float:
@@ -47,6 +48,7 @@
     """Another clock, whose seconds pass `factor` times as fast."""
 
     def __init__(self, clock: Clock, factor: float) -> None:
+        """factor: scaled seconds in a second of the clock."""
         self._clock, self._factor = clock, factor
         self.identity = clock.identity and f"{clock.identity} times {factor:g}"
 
--- a/applehub/release/controller.py
+++ b/applehub/release/controller.py
@@ -1,291 +1,186 @@
-"""A release on real units: looks at the agents, plays what they tell to the machine and the gates, keeps the
-record, and only then sends what is to be done.
+"""Controller of a release on real units: polls the agents, applies what they report to the state machine
+and the gates, stores the record, and only then sends orders.
 
-One controller at a time: with the list service's lock where the plan names that service, and in any case one
-process to a folder. A controller whose lease may have run out orders nothing."""
+One controller at a time: by the list service's lock where the plan names that service, and in any case one
+process to a folder. A controller whose lease may have ended sends no orders, and neither does one whose
+record the disk refuses.
+"""
 
 import asyncio
-import errno
 import logging
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
-from pathlib import Path
-from typing import Any
 
 import aiohttp
-import orjson
-from prometheus_client import CollectorRegistry, Counter, Gauge
 
 from applehub.durable.store import StoreError
 from applehub.events import Event
+from applehub.release.agent_client import REQUEST_TIMEOUT, AgentClient
 from applehub.release.backoff import Backoff
-from applehub.release.gates import Figures, Gate, Verdict
-from applehub.release.kept import ENDED, Kept
-from applehub.release.machine import Mode, Order, Release
-from applehub.release.plan import Plan, PlanError
-from applehub.release.staff_requests import StaffRequests, carry_out
-
-CALL = aiohttp.ClientTimeout(total=2.0)
-LEASE = 8.0  # s of the lock
-LOCK = "release"  # one for the fleet: two releases at once are two causes for one effect
-KEEP = 1.0  # s between two times that evidence is kept: a crash loses no more of it
-# What says of no agent that it is silent: this machine lacks something, or has no network.
-OF_THIS_MACHINE = frozenset(
-    (
-        errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.ENETUNREACH,
-        errno.ENETDOWN,
-    )
-)  # fmt: skip
-FAILED = (aiohttp.ClientError, TimeoutError, OSError, ValueError)
+from applehub.release.errors import PlanError
+from applehub.release.gates import HealthGates, Verdict
+from applehub.release.lock import ControllerLock
+from applehub.release.messages import OrderMessage, OrderOutcome
+from applehub.release.metrics import ControllerMetrics
+from applehub.release.plan import Plan
+from applehub.release.release_folder import ReleaseFolder
+from applehub.release.staff_requests import StaffRequests, apply_new
+from applehub.release.state_machine import ENDED_MODES, Order, ReleaseMode, ReleaseStateMachine
+
+EVIDENCE_SAVE_S = 1.0  # between two times that evidence is stored: a crash loses no more of it
 log = logging.getLogger("applehub.release")
 
 
-class NotAskedError(Exception):
-    """An agent could not be asked, for a reason that lies in the controller's machine."""
-
-
-class Metrics:
-    """Figures of one controller, for a scraper."""
-
-    def __init__(self) -> None:
-        self.registry = CollectorRegistry()
-        self.units = Gauge("release_units", "Units by version", ["version"], registry=self.registry)
-        self.out = Gauge("release_units_out", "Units on their way", registry=self.registry)
-        self.odds = Gauge(
-            "release_odds", "Likelihood that the new version is worse", ["failure"], registry=self.registry
-        )
-        self.orders = Counter("release_orders", "Orders sent, by step", ["step"], registry=self.registry)
-        self.refused = Gauge(
-            "release_record_refused",
-            "Times in a row that the disk refused the record",
-            registry=self.registry,
-        )
-        self.silent = Gauge("release_agents_silent", "Agents that did not answer", registry=self.registry)
-
-
-class Lock:
-    """The list service's lock for this release's controller."""
-
-    def __init__(self, session: aiohttp.ClientSession, lists: list[str], holder: str) -> None:
-        self.session, self.lists, self.holder = session, lists, holder
-        self.fence, self.until = 0, 0.0
-
-    async def hold(self, now: float) -> bool:
-        """Takes or renews it; whether it is held for now. Where no list service is named it always is."""
-        if not self.lists:
-            return True
-        if self.until - now > LEASE * 2 / 3:
-            return True
-        body = {"holder": self.holder, "lease_ms": int(LEASE * 1000)}
-        for address in list(self.lists):
-            try:
-                async with self.session.put(f"http://{address}/v1/locks/{LOCK}", json=body) as answer:
-                    told = await answer.json()
-            except FAILED:
-                continue
-            if answer.status == 200:
-                # By when it was asked for; a part short, since clocks drift.
-                self.fence, self.until = told["fence"], now + LEASE * 0.9
-                self.lists.remove(address)
-                self.lists.insert(0, address)  # the primary, asked first from now on
-                break
-            if answer.status == 409:
-                break
-        return self.held_at(now)
-
-    def held_at(self, now: float) -> bool:
-        """Whether the lease covers a moment; always where no list service is named."""
-        return not self.lists or self.until > now
-
-    async def let_go(self) -> None:
-        for address in self.lists:
-            try:
-                url = f"http://{address}/v1/locks/{LOCK}?holder={self.holder}"
-                async with self.session.delete(url) as answer:
-                    if answer.status == 200:
-                        return
-            except FAILED:
-                continue
-
-
 class Controller:
     """Carries a plan out."""
 
-    def __init__(self, kept: Kept, plan: Plan, folder: Path) -> None:
-        """Raises PlanError where a unit has no agent, OSError where what staff ask can't be read."""
-        self.kept, self.plan, self.record = kept, plan, kept.record
-        agents = {unit.name: unit.agent for unit in plan.fleet}
-        lacking = [name for name in self.record.units if not agents.get(name)]
-        if lacking:
-            raise PlanError("\n".join(f"fleet: {name}: expected an agent" for name in lacking))
-        self.agents: dict[str, str] = {name: str(agents[name]) for name in self.record.units}
-        self.release, self.gate = Release(kept.record), Gate(plan.gates, kept.record)
-        self.requests, self.metrics = StaffRequests(folder), Metrics()
-        if kept.record.request_taken is None:
-            kept.record.request_taken = self.requests.latest()
-        self.told: dict[str, Figures | None] = {}
-        self.clock = kept.clock
-        self.evidence_kept = 0.0
-        self.unwell = ""
-        self.held = True
-        self.unsent: dict[int, Order] = {}  # by number
-        self.disk = Backoff()
-
-    async def run(self) -> Mode:
-        """Goes on until the release has ended or is halted with nothing on its way."""
+    def __init__(self, folder: ReleaseFolder, plan: Plan) -> None:
+        """folder: held, with a release begun.
+
+        Raises PlanError where a unit has no agent, OSError where staff requests can't be read.
+        """
+        self.folder = folder
+        self.record = folder.record
+        self.metrics = ControllerMetrics()
+        self.lock_held = True
+        self.hold_reason = ""  # why no unit is begun at present
+        self._plan = plan
+        self._agents = _agents_of(plan, list(self.record.units))
+        self._clock = folder.clock
+        self._machine = ReleaseStateMachine(self.record)
+        self._gates = HealthGates(plan.gates, self.record)
+        self._requests = StaffRequests(folder.path)
+        if self.record.last_request is None:
+            self.record.last_request = self._requests.latest_number()
+        self._unsent: dict[int, Order] = {}  # by number
+        self._save_backoff = Backoff()
+        self._evidence_saved_at = 0.0
+
+    async def run(self) -> ReleaseMode:
+        """Runs until the release has ended, or is halted with no unit in progress."""
         async with self.connected():
             while True:
-                begun = self.clock.now()
-                if await self.round(begun):
+                begun = self._clock.now()
+                if await self.poll_once(begun):
                     break
-                await asyncio.sleep(max(0.0, begun + self.plan.gates.look_s - self.clock.now()))
-            if self.record.mode in ENDED:
-                await self.lock.let_go()
-            return Mode(self.record.mode)
+                await asyncio.sleep(max(0.0, begun + self._plan.gates.look_s - self._clock.now()))
+            if self.record.mode in ENDED_MODES:
+                await self._lock.release()
+            return self.record.mode
 
     @asynccontextmanager
     async def connected(self) -> AsyncIterator[None]:
-        """Holds the connections; the orders that are out are due again."""
-        async with aiohttp.ClientSession(timeout=CALL) as self.session:
-            self.lock = Lock(self.session, list(self.plan.lists), self.record.id)
-            self._keep(self.clock.now())
-            self._queue(self.release.pending(self.clock.now()))
+        """Holds the connections, and has the pending orders sent again."""
+        async with aiohttp.ClientSession(timeout=REQUEST_TIMEOUT) as session:
+            self.client = AgentClient(session, self._agents)
+            self._lock = ControllerLock(session, self._plan.lists, self.record.release_id)
+            self._save(self._clock.now())
+            self._queue(self._machine.resend_pending(self._clock.now()))
             yield
 
-    async def round(self, begun: float) -> bool:
-        """One look and what follows from it; whether the release has ended or is halted."""
-        self._hold(await self.lock.hold(begun))
-        if not self.held:
+    async def poll_once(self, now: float) -> bool:
+        """One poll and what follows from it; whether the release has ended, or is halted."""
+        self._note_lock(await self._lock.acquire(now))
+        if not self.lock_held:
             return False
-        self._queue(await self._look())
-        if not self._keep(begun):
-            return False  # an order goes out, and the release ends, only as the record on the disk has it
-        if self.record.mode not in (Mode.RUNNING, Mode.BACK) and not self._out():
+        self._queue(await self._poll())
+        if not self._save(now):
+            return False  # an order is sent, and the release ends, only as the stored record has it
+        if self.record.finished():
             return True
-        if self.lock.held_at(self.clock.now()):  # it was not while the disk or an agent kept it waiting
-            unsent, self.unsent = self.unsent, {}
-            await asyncio.gather(*(self._send(order) for order in unsent.values()))
+        if self._lock.held_at(self._clock.now()):  # saving or polling may have taken long
+            unsent = list(self._unsent.values())
+            self._unsent = {}
+            async with asyncio.TaskGroup() as tasks:
+                for order in unsent:
+                    tasks.create_task(self._send(order))
         return False
 
-    def _queue(self, orders: list[Order]) -> None:
-        """Has orders sent once the record is kept; one that has an answer by now is no longer due."""
-        self.unsent.update((order.number, order) for order in orders)
-        out = {unit.number for unit in self.record.units.values()}
-        self.unsent = {number: order for number, order in self.unsent.items() if number in out}
+    def _note_lock(self, held: bool) -> None:
+        if held is not self.lock_held:
+            self.lock_held = held
+            self.folder.events.say(Event.LOCK, held=held, fence=self._lock.fence)
 
-    def _out(self) -> list[str]:
-        return [
-            name for name, unit in self.record.units.items() if unit.target and name not in self.record.stuck
-        ]
-
-    def _hold(self, held: bool) -> None:
-        if held is not self.held:
-            self.held = held
-            self.kept.events.say(Event.LOCK, held=held, fence=self.lock.fence)
-
-    async def _look(self) -> list[Order]:
-        """One look at the whole fleet; gives what is to be done."""
-        answers = await self._ask()
-        orders: list[Order] = []
+    async def _poll(self) -> list[Order]:
+        """Polls the whole fleet; returns the orders that follow."""
+        status = await self.client.poll()
+        self.metrics.silent_agents.set(status.silent_agents)
         self._carry_out_requests()
-        for unit, order in answers.items():
-            mine = order.get("release") == self.record.id
-            if mine and order["good"] is not None and order["number"] == self.record.units[unit].number:
-                self.kept.events.say(
-                    Event.STEPPED, unit=unit, number=order["number"], good=order["good"], why=order["why"]
-                )
-                orders += self.release.answered(self.clock.now(), unit, order["number"], order["good"])
-        verdict = self.gate.look(self.clock.now(), self.told)
-        if verdict.halt and self.record.mode is Mode.RUNNING:
-            self.kept.events.say(Event.CONDEMNED, why=verdict.halt)
-            self.release.condemn(verdict.halt)
-        self._note(verdict)
-        return orders + self.release.tick(self.clock.now(), not verdict.unwell, verdict.spare)
+        orders: list[Order] = []
+        for unit, outcome in status.outcomes.items():
+            orders += self._handle_outcome(unit, outcome)
+        verdict = self._gates.evaluate(self._clock.now(), status.reports)
+        if verdict.halt_reason and self.record.mode is ReleaseMode.RUNNING:
+            self.folder.events.say(Event.CONDEMNED, why=verdict.halt_reason)
+            self._machine.reject_version(verdict.halt_reason)
+        self._note_health(verdict)
+        self.metrics.update(self.record, self._gates)
+        return orders + self._machine.tick(self._clock.now(), not verdict.hold_reason, verdict.capacity)
+
+    def _handle_outcome(self, unit: str, outcome: OrderOutcome) -> list[Order]:
+        pending = outcome.number == self.record.units[unit].order_number
+        if outcome.release_id != self.record.release_id or outcome.succeeded is None or not pending:
+            return []
+        self.folder.events.say(
+            Event.STEPPED, unit=unit, number=outcome.number, good=outcome.succeeded, why=outcome.error
+        )
+        return self._machine.handle_outcome(self._clock.now(), unit, outcome.number, outcome.succeeded)
 
     def _carry_out_requests(self) -> None:
-        """What staff ask; where the disk can't be read now, it is at a later look."""
         try:
-            for request in carry_out(self.record, self.requests):
-                self.kept.events.say(Event.WISHED, what=request.kind)
-        except OSError as problem:
-            log.info("what staff ask can't be read: %r", problem)
+            for request in apply_new(self.record, self._requests):
+                self.folder.events.say(Event.WISHED, what=request.kind)
+        except OSError as error:
+            log.info("staff requests can't be read, and are at a later poll: %r", error)
 
-    def _note(self, verdict: Verdict) -> None:
-        if verdict.unwell != self.unwell and bool(verdict.unwell) is not bool(self.unwell):
-            self.kept.events.say(Event.UNWELL, why=verdict.unwell)
-        self.unwell = verdict.unwell
-        units = self.record.units.values()
-        for version in (self.record.old, self.record.new):
-            self.metrics.units.labels(version).set(sum(unit.version == version for unit in units))
-        self.metrics.out.set(len(self._out()))
-        for name, one in self.gate.evidence.items():
-            self.metrics.odds.labels(name).set(one.odds)
+    def _note_health(self, verdict: Verdict) -> None:
+        if bool(verdict.hold_reason) is not bool(self.hold_reason):
+            self.folder.events.say(Event.UNWELL, why=verdict.hold_reason)
+        self.hold_reason = verdict.hold_reason
 
-    def _keep(self, now: float) -> bool:
-        """Keeps the record; False while the disk refuses it, which is tried again by itself."""
-        if not self.disk.due(now):
+    def _queue(self, orders: list[Order]) -> None:
+        """Has orders sent once the record is stored; one that has an outcome by now is dropped."""
+        self._unsent.update((order.number, order) for order in orders)
+        pending = {unit.order_number for unit in self.record.units.values()}
+        self._unsent = {number: order for number, order in self._unsent.items() if number in pending}
+
+    def _save(self, now: float) -> bool:
+        """Stores the record; False while the disk refuses it. It is retried by later polls."""
+        backoff = self._save_backoff
+        if not backoff.due(now):
             return False
-        if now - self.evidence_kept >= KEEP:
-            self.evidence_kept, self.record.evidence = now, self.gate.plain()
+        if now - self._evidence_saved_at >= EVIDENCE_SAVE_S:
+            self._evidence_saved_at = now
+            self.record.gate_state = self._gates.state()
         try:
-            self.kept.keep()
-        except (OSError, StoreError) as problem:
-            if not self.disk.failures:
-                log.warning("the record can't be kept, so no order goes out: %r", problem)
-            self.disk.failed(now)
+            self.folder.save()
+        except (OSError, StoreError) as error:
+            if not backoff.failures:
+                log.warning("the record can't be stored, so no order is sent: %r", error)
+            backoff.failed(now)
         else:
-            if self.disk.failures:
-                log.warning("the record is kept again, after %d refusals", self.disk.failures)
-            self.disk.succeeded()
-        self.metrics.refused.set(self.disk.failures)
-        return not self.disk.failures
-
-    async def _ask(self) -> dict[str, dict[str, Any]]:
-        """Asks all agents; gives each unit's last order. An agent that does not answer tells of no unit."""
-        addresses = list(dict.fromkeys(self.agents.values()))
-        answers = await asyncio.gather(*map(self._units, addresses), return_exceptions=True)
-        told: dict[str, dict[str, Any] | None] = {}
-        for address, units in zip(addresses, answers, strict=True):
-            if not isinstance(units, BaseException):
-                told[address] = units
-            elif not isinstance(units, NotAskedError):
-                raise units
-        self.metrics.silent.set(sum(one is None for one in told.values()))
-        orders = {}
-        self.told = {}
-        for unit, address in self.agents.items():
-            if address not in told:
-                continue
-            one = (told[address] or {}).get(unit)
-            self.told[unit] = None if one is None else one["figures"]
-            if one is not None and one["order"]:
-                orders[unit] = one["order"]
-        return orders
-
-    async def _units(self, address: str) -> dict[str, Any] | None:
-        try:
-            async with self.session.get(f"http://{address}/v1/units") as answer:
-                units: dict[str, Any] = orjson.loads(await answer.read())["units"]
-                return units
-        except (*FAILED, KeyError) as problem:
-            if isinstance(problem, OSError) and problem.errno in OF_THIS_MACHINE:
-                raise NotAskedError(str(problem)) from problem
-            return None
+            if backoff.failures:
+                log.warning("the record is stored again, after %d refusals", backoff.failures)
+            backoff.succeeded()
+        self.metrics.refused_saves.set(backoff.failures)
+        return not backoff.failures
 
     async def _send(self, order: Order) -> None:
         """Sends an order; one that did not arrive is sent again after the plan's step_s."""
         self.metrics.orders.labels(order.step).inc()
-        self.kept.events.say(
+        events = self.folder.events
+        events.say(
             Event.ORDERED, unit=order.unit, number=order.number, step=order.step, version=order.version
         )
-        body = {
-            "release": self.record.id, "fence": self.lock.fence, "unit": order.unit, "step": order.step,
-            "version": order.version, "number": order.number,
-        }  # fmt: skip
-        try:
-            async with self.session.post(f"http://{self.agents[order.unit]}/v1/orders", json=body) as answer:
-                if answer.status >= 400:
-                    why = orjson.loads(await answer.read()).get("error", "")
-                    self.kept.events.say(Event.TURNED_DOWN, unit=order.unit, number=order.number, why=why)
-        except FAILED as problem:
-            log.info("%s: %s did not arrive: %r", order.unit, order.step, problem)
+        refusal = await self.client.send(OrderMessage(self.record.release_id, self._lock.fence, order))
+        if refusal:
+            events.say(Event.TURNED_DOWN, unit=order.unit, number=order.number, why=refusal)
+
+
+def _agents_of(plan: Plan, units: list[str]) -> dict[str, str]:
+    """The address of each unit's agent. Raises PlanError."""
+    addresses = {unit.name: unit.agent for unit in plan.fleet if unit.agent}
+    lacking = [name for name in units if name not in addresses]
+    if lacking:
+        raise PlanError("\n".join(f"fleet: {name}: expected an agent" for name in lacking))
+    return {name: addresses[name] for name in units}
--- a/applehub/release/gates.py
+++ b/applehub/release/gates.py
@@ -1,126 +1,158 @@
-"""What halts a release: the new version held against the old one at the same time and under the same load, by
-what agents tell of their units. Pure.
+"""Gates that halt a release: the new version compared with the old one at the same time and under the same
+load, by the load reports of units. Pure.
 
-An agent tells of a unit, each where the unit has it: `life`, another at each start; counts since that start
-(`requests`, and of those `failed`, `refused`, `late`, `missed`; `cpu_s`; `work_s`, the time that requests
-held it up); `memory_mb`; `busy`, the part of its capacity in use. What the old version's units tell, the new
-one's must tell as well.
+A unit reports, where it has them: `life`, which differs at each start; counts since that start (`requests`,
+and of those `failed`, `refused`, `late`, `missed`; `cpu_s`; `work_s`, the time for which requests occupied
+it); `memory_mb`; `busy`, the part of its capacity in use. A unit of the new version has to report whatever
+those of the old version do.
 """
 
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 from statistics import median
-from typing import Any, NamedTuple
-
-from applehub.release.evidence import Count, Evidence
-from applehub.release.machine import Record
-from applehub.release.plan import Gates
-
-FAILURES = ("failed", "refused", "late", "missed")
-COUNTS = ("requests", *FAILURES, "cpu_s", "work_s")
-AT_ONCE = frozenset(("failed", "refused", "late"))  # count from a unit's first request on
-LATELY = 10  # looks over which the old version's failures tell whether the fleet is well
-ENOUGH = 20  # requests in them
-SILENT_PART = 0.25  # of the old units: that many silent, and it is the network, or the agents
-Figures = Mapping[str, float]
+from typing import NamedTuple
+
+from applehub.release.evidence import (
+    EvidenceState,
+    FailureEvidence,
+    FailureKind,
+    GateState,
+    RequestCounts,
+)
+from applehub.release.messages import INCARNATION, LoadReport
+from applehub.release.plan import GateSettings
+from applehub.release.state_machine import ReleaseRecord
+
+COUNTERS = ("requests", *FailureKind, "cpu_s", "work_s")
+# Counted from a unit's first request on; the others once the unit has settled.
+IMMEDIATE = frozenset((FailureKind.FAILED, FailureKind.REFUSED, FailureKind.LATE))
+HEALTH_POLLS = 10  # polls over which the old version's failures show whether the fleet is healthy
+HEALTH_REQUESTS = 20  # requests in them, below which they show nothing
+SILENT_PART = 0.25  # of the old units: with more silent, the cause is the network or the agents
+NO_REPORT = LoadReport({})
+Deltas = Mapping[str, LoadReport]  # by unit: the increase of each metric since the poll before
 
 
 class Verdict(NamedTuple):
-    """What one look gives."""
+    """The result of one poll."""
 
-    halt: str = ""  # why the new version is bad, if it is
-    unwell: str = ""  # why nothing should begin, if so
-    spare: int | None = None  # how many more units may be out by the load; none: nobody tells
+    halt_reason: str = ""  # why the new version is bad; empty: it is not
+    hold_reason: str = ""  # why no unit should be begun; empty: one may
+    capacity: int | None = None  # how many more units may be out at the present load; None: not reported
 
 
 @dataclass(slots=True)
-class _Seen:
+class _Observed:
     """What is remembered of a unit."""
 
-    heard: float
-    figures: Figures = field(default_factory=dict)
-    since: float = 0.0  # when it came in with its version
+    last_report_at: float
+    report: LoadReport = NO_REPORT
+    in_service_since: float = 0.0  # with its version
     version: str = ""
 
 
-class Gate:
-    """Looks at all units again and again."""
+@dataclass(frozen=True, slots=True)
+class _Groups:
+    """Units in service, by version."""
+
+    new: list[str] = field(default_factory=list)
+    old: list[str] = field(default_factory=list)
+
+    def reporting(self, deltas: Deltas) -> "_Groups":
+        """Those whose metrics increased by a known amount."""
+        return _Groups([n for n in self.new if n in deltas], [n for n in self.old if n in deltas])
 
-    def __init__(self, gates: Gates, record: Record) -> None:
-        self.gates, self.record = gates, record
-        self.seen: dict[str, _Seen] = {}
-        self.lately: list[Count] = []  # the old version's, by look
-        self.dear: dict[str, float] = {}  # since when a cost of the new version is too high
-        self.looked: float | None = None
-        kept = record.evidence
-        self.watched_s: float = kept.get("watched_s", 0.0)  # in looks of this controller and those before
+
+class HealthGates:
+    """Evaluates every poll of the fleet."""
+
+    def __init__(self, settings: GateSettings, record: ReleaseRecord) -> None:
+        """record: of the release; it is read, never changed."""
+        self.settings = settings
+        self.record = record
+        self.watched_s = record.gate_state.watched_s
+        alpha = settings.alpha / len(FailureKind)
         self.evidence = {
-            name: Evidence(gates.least, gates.alpha / len(FAILURES), **kept.get(name, {}))
-            for name in FAILURES
+            kind: FailureEvidence(settings.least, alpha, record.gate_state.evidence.get(kind))
+            for kind in FailureKind
         }
-
-    def plain(self) -> dict[str, Any]:
-        """The evidence, for the record: a controller that was killed goes on with it."""
-        told: dict[str, Any] = {
-            name: {"logs": list(one.logs), "chi": one.chi, "freedom": one.freedom, "known": dict(one.known)}
-            for name, one in self.evidence.items()
+        self._observed: dict[str, _Observed] = {}
+        self._recent: list[RequestCounts] = []  # of the old version, by poll
+        self._expensive_since: dict[str, float] = {}  # by cost: since when the new version exceeds it
+        self._polled_at: float | None = None
+
+    def state(self) -> GateState:
+        """What a following controller continues with."""
+        evidence: dict[FailureKind, EvidenceState] = {
+            kind: evidence.state.copy() for kind, evidence in self.evidence.items()
         }
-        return {**told, "watched_s": self.watched_s}
-
-    def look(self, now: float, told: Mapping[str, Figures | None]) -> Verdict:
-        """told: by unit what its agent told; none where there was no answer, no entry where the controller's
-        own machine kept it from asking, which tells nothing of the unit."""
-        record = self.record
-        if self.looked is not None:
-            self.watched_s += min(now - self.looked, 2 * self.gates.look_s)  # not while it stood still
-        self.looked = now
-        deltas: dict[str, dict[str, float]] = {}
-        for name, unit in record.units.items():
-            seen = self.seen.setdefault(name, _Seen(now))
-            if (unit.target or unit.version) != seen.version or unit.target:
-                seen.version, seen.since = unit.version if not unit.target else "", now
-            figures = told.get(name)
-            if figures is None:
-                if name not in told:
-                    seen.heard = now
-                if unit.target:
-                    seen.heard = now  # it is on its way: the steps' own limits hold
-                continue
-            seen.heard = now
-            before = seen.figures
-            if figures.get("life") != before.get("life") or any(
-                figures.get(name, 0.0) < before.get(name, 0.0) for name in COUNTS
-            ):
-                before = {}  # another start: its counts begin anew
-            first = not seen.figures
-            seen.figures = figures
-            if not unit.target and not first:
-                deltas[name] = {key: value - before.get(key, 0.0) for key, value in figures.items()}
-        new = [name for name, unit in record.units.items() if not unit.target and unit.version == record.new]
-        old = [name for name, unit in record.units.items() if not unit.target and unit.version == record.old]
-        halt = (
-            self._silent(now, new, old)
-            or self._worse(
-                now, {n: deltas[n] for n in new if n in deltas}, {n: deltas[n] for n in old if n in deltas}
-            )
-            or self._dear(now, [n for n in new if n in deltas], [n for n in old if n in deltas], deltas)
+        return GateState(self.watched_s, evidence)
+
+    def evaluate(self, now: float, reports: Mapping[str, LoadReport | None]) -> Verdict:
+        """One poll.
+
+        reports: by unit; None where a unit or its agent did not answer. A unit that this machine could not
+        ask has no entry, and is not taken for silent.
+        """
+        if self._polled_at is not None:  # a controller that stood still did not watch meanwhile
+            self.watched_s += min(now - self._polled_at, 2 * self.settings.look_s)
+        self._polled_at = now
+        deltas = self._observe(now, reports)
+        groups = self._groups()
+        reporting = groups.reporting(deltas)
+        halt_reason = (
+            self._silence(now, groups)
+            or self._more_failures(now, reporting, deltas)
+            or self._higher_cost(now, reporting, deltas)
         )
-        unwell = "" if told.keys() >= record.units.keys() else "the controller's machine can't ask all agents"
-        unwell = unwell or self._unwell(now, old, deltas) or self._too_soon(new)
-        return Verdict(halt, unwell, self._spare(new + old))
+        hold_reason = "" if reports.keys() >= self.record.units.keys() else "not all agents could be asked"
+        hold_reason = hold_reason or self._unhealthy(now, groups.old, deltas) or self._too_soon(groups.new)
+        return Verdict(halt_reason, hold_reason, self._capacity(groups.new + groups.old))
+
+    def _observe(self, now: float, reports: Mapping[str, LoadReport | None]) -> Deltas:
+        """Remembers the reports; gives the deltas of units in service that had reported before."""
+        deltas: dict[str, LoadReport] = {}
+        for name, unit in self.record.units.items():
+            observed = self._observed.setdefault(name, _Observed(now))
+            if unit.target_version or unit.version != observed.version:
+                observed.version = "" if unit.target_version else unit.version
+                observed.in_service_since = now
+            report = reports.get(name)
+            if report is None:
+                if name not in reports or unit.target_version:  # in progress: the steps have time limits
+                    observed.last_report_at = now
+                continue
+            before = observed.report
+            observed.last_report_at = now
+            observed.report = report
+            if before.metrics and not unit.target_version:
+                deltas[name] = _increase(before, report)
+        return deltas
+
+    def _groups(self) -> _Groups:
+        groups = _Groups()
+        for name, unit in self.record.units.items():
+            if unit.target_version:
+                continue
+            if unit.version == self.record.new_version:
+                groups.new.append(name)
+            elif unit.version == self.record.old_version:
+                groups.old.append(name)
+        return groups
 
-    def _silent(self, now: float, new: list[str], old: list[str]) -> str:
+    def _silence(self, now: float, groups: _Groups) -> str:
         """The reason to halt if a unit of the new version reports nothing, or lacks a metric of the old one.
 
         If many old units are silent as well, the cause is not the new version, and silence halts nothing.
         """
-        late = [name for name in new if now - self.seen[name].heard > self.gates.silent_s]
-        if late and not self._lost(now, old):
-            return f"{late[0]}: tells nothing for {self.gates.silent_s:g} s"
-        wanted = set().union(*(self.seen[name].figures for name in old)) if old else set()
-        for name in new:
-            figures = self.seen[name].figures
-            if figures and (missing := sorted(wanted - set(figures))):
+        limit = self.settings.silent_s
+        silent = [name for name in groups.new if now - self._observed[name].last_report_at > limit]
+        if silent and not self._many_silent(now, groups.old):
+            return f"{silent[0]}: tells nothing for {limit:g} s"
+        wanted = {metric for name in groups.old for metric in self._observed[name].report.metrics}
+        for name in groups.new:
+            metrics = self._observed[name].report.metrics
+            if metrics and (missing := sorted(wanted - set(metrics))):
                 return f"{name}: does not tell {', '.join(missing)}"
         return ""
 
@@ -129,73 +161,88 @@
 
         Units differ in how often they fail, so each is measured with the old version first.
         """
-        if new or self.watched_s >= self.gates.before_s:
+        if new or self.watched_s >= self.settings.before_s:
             return ""
-        return f"the old version is watched for {self.gates.before_s:g} s first"
+        return f"the old version is watched for {self.settings.before_s:g} s first"
 
-    def _lost(self, now: float, old: list[str]) -> bool:
-        silent = [name for name in old if now - self.seen[name].heard > self.gates.silent_s / 2]
+    def _many_silent(self, now: float, old: list[str]) -> bool:
+        limit = self.settings.silent_s / 2
+        silent = [name for name in old if now - self._observed[name].last_report_at > limit]
         return len(silent) > SILENT_PART * len(old)
 
-    def _worse(self, now: float, new: dict[str, dict[str, float]], old: dict[str, dict[str, float]]) -> str:
+    def _more_failures(self, now: float, reporting: _Groups, deltas: Deltas) -> str:
         for kind, evidence in self.evidence.items():
-            settled = 0.0 if kind in AT_ONCE else self.gates.settle_s
-
-            def counts(
-                of: dict[str, dict[str, float]], kind: str = kind, settled: float = settled
-            ) -> dict[str, Count]:
-                return {
-                    name: Count(int(one.get("requests", 0)), int(one[kind]))
-                    for name, one in of.items()
-                    if kind in one and now - self.seen[name].since >= settled
-                }
-
-            evidence.add(counts(new), counts(old))
-            if evidence.worse:
-                return f"{kind}: {evidence.odds:.3g} times likelier if the new version is worse"
+            settled_s = 0.0 if kind in IMMEDIATE else self.settings.settle_s
+            evidence.add(
+                self._counts(now, reporting.new, deltas, kind, settled_s),
+                self._counts(now, reporting.old, deltas, kind, settled_s),
+            )
+            if evidence.is_worse:
+                return f"{kind}: {evidence.likelihood_ratio:.3g} times likelier if the new version is worse"
         return ""
 
-    def _dear(self, now: float, new: list[str], old: list[str], deltas: dict[str, dict[str, float]]) -> str:
-        """Processor time and work a request over all units of a version, and the middle one's memory."""
-        new = [name for name in new if now - self.seen[name].since >= self.gates.settle_s]
-
-        def each(kind: str, names: list[str]) -> float:
-            spent = sum(deltas[name].get(kind, 0.0) for name in names)
-            return spent / max(1.0, sum(deltas[name].get("requests", 0.0) for name in names))
-
-        def processor(names: list[str]) -> float:
-            return each("cpu_s", names)
-
-        def work(names: list[str]) -> float:
-            return each("work_s", names)
-
-        def memory(names: list[str]) -> float:
-            return median(self.seen[name].figures.get("memory_mb", 0.0) for name in names)
+    def _counts(
+        self, now: float, names: list[str], deltas: Deltas, kind: FailureKind, settled_s: float
+    ) -> dict[str, RequestCounts]:
+        return {
+            name: RequestCounts(int(deltas[name].value("requests")), int(deltas[name].value(kind)))
+            for name in names
+            if kind in deltas[name].metrics and now - self._observed[name].in_service_since >= settled_s
+        }
 
-        for what, cost in (("processor time", processor), ("work", work), ("memory", memory)):
-            if not new or not old or cost(new) <= self.gates.cost * cost(old):
-                self.dear.pop(what, None)
-            elif now - self.dear.setdefault(what, now) >= self.gates.cost_s:
-                return f"{what}: {cost(new):.3g} against {cost(old):.3g} for {self.gates.cost_s:g} s"
+    def _higher_cost(self, now: float, reporting: _Groups, deltas: Deltas) -> str:
+        """The reason to halt if processor time or work a request, or the median memory, is too high."""
+        settled_s = self.settings.settle_s
+        new = [n for n in reporting.new if now - self._observed[n].in_service_since >= settled_s]
+        costs: dict[str, Callable[[list[str]], float]] = {
+            "processor time": lambda names: _per_request(deltas, names, "cpu_s"),
+            "work": lambda names: _per_request(deltas, names, "work_s"),
+            "memory": lambda names: median(self._observed[n].report.value("memory_mb") for n in names),
+        }
+        for name, cost in costs.items():
+            if not new or not reporting.old or cost(new) <= self.settings.cost * cost(reporting.old):
+                self._expensive_since.pop(name, None)
+            elif now - self._expensive_since.setdefault(name, now) >= self.settings.cost_s:
+                limit = f"{self.settings.cost_s:g} s"
+                return f"{name}: {cost(new):.3g} against {cost(reporting.old):.3g} for {limit}"
         return ""
 
-    def _unwell(self, now: float, old: list[str], deltas: dict[str, dict[str, float]]) -> str:
+    def _unhealthy(self, now: float, old: list[str], deltas: Deltas) -> str:
         """The reason to wait while the old version's units are silent or fail: a release would add to it."""
-        if old and self._lost(now, old):
+        if old and self._many_silent(now, old):
             return "many units of the old version tell nothing"
         served = [deltas[name] for name in old if name in deltas]
-        failures = sum(one.get("failed", 0.0) + one.get("refused", 0.0) for one in served)
-        self.lately.append(Count(int(sum(one.get("requests", 0.0) for one in served)), int(failures)))
-        del self.lately[:-LATELY]
-        asked, failed = (sum(column) for column in zip(*self.lately, strict=True))
-        if asked >= ENOUGH and failed > self.gates.unwell * asked:
-            return f"{failed / asked:.0%} of the old version's requests fail"
-        return ""
+        requests = sum(delta.value("requests") for delta in served)
+        failures = sum(delta.value("failed") + delta.value("refused") for delta in served)
+        self._recent.append(RequestCounts(int(requests), int(failures)))
+        del self._recent[:-HEALTH_POLLS]
+        recent_requests = sum(counts.requests for counts in self._recent)
+        recent_failures = sum(counts.failures for counts in self._recent)
+        if recent_requests < HEALTH_REQUESTS or recent_failures <= self.settings.unwell * recent_requests:
+            return ""
+        return f"{recent_failures / recent_requests:.0%} of the old version's requests fail"
 
-    def _spare(self, there: list[str]) -> int | None:
+    def _capacity(self, in_service: list[str]) -> int | None:
         """How many units the others can replace without exceeding `busy`; None if none reports its load."""
-        busy = [self.seen[name].figures["busy"] for name in there if "busy" in self.seen[name].figures]
+        reports = [self._observed[name].report for name in in_service]
+        busy = [report.value("busy") for report in reports if "busy" in report.metrics]
         if not busy:
             return None
-        needed = -int(-sum(busy) // self.gates.busy)
+        needed = -int(-sum(busy) // self.settings.busy)  # rounded up
         return max(0, len(busy) - needed)
+
+
+def _increase(before: LoadReport, after: LoadReport) -> LoadReport:
+    """By how much each metric grew; since its start if the unit was started again between the reports."""
+    restarted = after.incarnation != before.incarnation or any(
+        after.value(name) < before.value(name) for name in COUNTERS
+    )
+    earlier = NO_REPORT if restarted else before
+    return LoadReport(
+        {name: value - earlier.value(name) for name, value in after.metrics.items() if name != INCARNATION}
+    )
+
+
+def _per_request(deltas: Deltas, names: list[str], metric: str) -> float:
+    spent = sum(deltas[name].value(metric) for name in names)
+    return spent / max(1.0, sum(deltas[name].value("requests") for name in names))
--- /dev/null
+++ b/applehub/release/model_checker.py
@@ -0,0 +1,261 @@
+"""Model checker of the controller and its agents: every order of steps, crashes, failures, records that the
+disk refuses, and messages that are lost, late or duplicated, to a given depth.
+
+Time is abstract: whatever waits for a span is due at each tick.
+"""
+
+from collections import deque
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+
+from applehub.release.agent_memory import AgentMemory, RememberedOrder
+from applehub.release.errors import OrderRefusedError
+from applehub.release.model_state import (
+    RELEASE_ID,
+    Answer,
+    FaultBudget,
+    ModelState,
+    copy_record,
+)
+from applehub.release.simulated_unit import SimulatedUnit
+from applehub.release.state_machine import (
+    ENDED_MODES,
+    Order,
+    ReleaseKind,
+    ReleaseMode,
+    ReleaseRecord,
+    ReleaseStateMachine,
+    UnitState,
+)
+
+OLD_VERSION = "old"
+NEW_VERSION = "new"
+DUE = 1.0  # a time at which whatever waits is due
+MAX_CLOSING_ROUNDS = 60  # by far more than a release of a few units takes
+MAX_STATES = 1 << 20
+ControllerEvent = Callable[[ReleaseStateMachine], list[Order]]
+Transition = tuple[str, ModelState]  # with its name
+
+
+@dataclass(frozen=True, slots=True)
+class ModelRules:
+    """The program under test; a mutant replaces a part of it."""
+
+    machine: Callable[[ReleaseRecord], ReleaseStateMachine] = ReleaseStateMachine
+    fencing: bool = True  # agents refuse orders
+    waits_for_disk: bool = True  # an order is sent once its record is stored
+    after_crash: Callable[[ReleaseRecord], None] = lambda _: None  # changes the stored record
+
+
+class ModelChecker:
+    """Explores all states of a release of a few units."""
+
+    def __init__(
+        self, rules: ModelRules, budget: FaultBudget, zones: str = "aab", rollback_on_halt: bool = False
+    ) -> None:
+        """zones: the zone of each unit, a letter each. The first unit is a stage of its own."""
+        self.violations: list[str] = []  # each with the transitions that lead to it
+        self.states = 0
+        self.deepest = 0
+        self._rules = rules
+        self._initial = _initial_state(zones, budget, rollback_on_halt)
+
+    def explore(self, depth: int, max_states: int = MAX_STATES) -> None:
+        """Searches breadth first until the first violation, so that the fewest transitions lead to it."""
+        seen = {self._initial.key()}
+        queue = deque([(self._initial, 0, "")])
+        while queue and not self.violations and self.states < max_states:
+            state, transitions, path = queue.popleft()
+            self.states += 1
+            self.deepest = transitions
+            violation = self._violation(state)
+            if violation:
+                self.violations.append(f"{violation}, after:{path}")
+            if transitions == depth:
+                continue
+            for name, following in self._transitions(state):
+                key = following.key()
+                if key not in seen:
+                    seen.add(key)
+                    queue.append((following, transitions + 1, f"{path} {name}"))
+
+    # Transitions
+
+    def _transitions(self, state: ModelState) -> Iterator[Transition]:
+        yield from self._order_transitions(state)
+        yield from self._answer_transitions(state)
+        yield from self._controller_event(state, "tick", lambda machine: machine.tick(DUE))
+        yield from self._controller_event(state, "no room", lambda machine: machine.tick(DUE, True, 0))
+        if state.budget.crashes:
+            yield "crash", self._crashed(state.copy())
+        if state.budget.halts and state.record.mode in (ReleaseMode.RUNNING, ReleaseMode.ROLLING_BACK):
+            after = state.copy()
+            after.budget.halts -= 1
+            yield from self._controller_event(after, "halt", _halt)
+        if state.budget.rollbacks and state.record.mode is not ReleaseMode.RETURNED:
+            after = state.copy()
+            after.budget.rollbacks -= 1
+            yield from self._controller_event(after, "back", _roll_back)
+
+    def _order_transitions(self, state: ModelState) -> Iterator[Transition]:
+        for sent in sorted(state.orders, key=_by_number):
+            order = sent[0]
+            name = f"{order.number}({order.unit})"
+            yield f"{order.step}#{name}", self._delivered(state.copy(), sent, False)
+            if state.budget.failed_steps:
+                yield f"fails#{name}", self._delivered(state.copy(), sent, True)
+            lost = state.copy()
+            lost.orders.discard(sent)
+            yield f"loses#{name}", lost
+
+    def _answer_transitions(self, state: ModelState) -> Iterator[Transition]:
+        for answer in sorted(state.answers):
+            yield from self._controller_event(state, f"hears#{answer[1]}", _answered(answer))
+            lost = state.copy()
+            lost.answers.discard(answer)
+            yield f"loses answer#{answer[1]}", lost
+
+    def _controller_event(self, state: ModelState, name: str, event: ControllerEvent) -> Iterator[Transition]:
+        """An event at the controller. The disk stores the record, or refuses it."""
+        yield name, self._applied(state.copy(), event, stored=True)
+        if state.budget.refused_saves:
+            after = state.copy()
+            after.budget.refused_saves -= 1
+            yield f"{name} refused", self._applied(after, event, stored=False)
+
+    def _crashed(self, state: ModelState) -> ModelState:
+        """The controller ends, and another takes its lock and continues with the stored record."""
+        state.budget.crashes -= 1
+        state.fence += 1
+        state.record = copy_record(state.stored)
+        state.unsent.clear()
+        self._rules.after_crash(state.record)
+        return self._applied(state, lambda machine: machine.resend_pending(DUE), stored=True)
+
+    def _delivered(self, state: ModelState, sent: tuple[Order, int], fails: bool) -> ModelState:
+        """An agent receives an order, which stays so that it may be received again."""
+        order, fence = sent
+        memory = state.memories[order.unit]
+        try:
+            new = memory.accept(RELEASE_ID, fence, order)
+        except OrderRefusedError:
+            if self._rules.fencing:
+                return state
+            memory.latest[order.unit] = RememberedOrder(RELEASE_ID, fence, order)
+            new = True
+        if new:
+            state.budget.failed_steps -= fails
+            problem = state.units[order.unit].execute(order, fails)
+            memory.record_outcome(order.unit, "failed" if fails else "")
+            if problem and not state.violation:
+                state.violation = f"{order.unit}: {problem}"
+        succeeded = bool(memory.latest[order.unit].succeeded)
+        state.answers.add((order.unit, order.number, succeeded))
+        return state
+
+    def _applied(self, state: ModelState, event: ControllerEvent, stored: bool) -> ModelState:
+        """The controller applies an event, stores its record, and sends its orders if that went well."""
+        record = state.record
+        halted = record.mode is ReleaseMode.HALTED
+        in_progress = set(record.units_in_progress())
+        orders = event(self._rules.machine(record))
+        still_halted = halted and record.mode is ReleaseMode.HALTED
+        if still_halted and not {order.unit for order in orders} <= in_progress and not state.violation:
+            state.violation = "a unit begins while the release is halted"
+        _forget_times(record)
+        pending = {unit.order_number for unit in record.units.values()}
+        state.unsent = {order for order in state.unsent.union(orders) if order.number in pending}
+        if stored:
+            state.stored = copy_record(record)
+        if stored or not self._rules.waits_for_disk:
+            state.orders.update((order, state.fence) for order in state.unsent)
+            state.unsent.clear()
+        return state
+
+    # Invariants
+
+    def _violation(self, state: ModelState) -> str:
+        return state.violation or _limit_violation(state) or self._termination_violation(state)
+
+    def _termination_violation(self, state: ModelState) -> str:
+        """Without further faults a release ends, and no unit is left between two versions."""
+        after = state.copy()
+        after.budget.failed_steps = 0
+        for _ in range(MAX_CLOSING_ROUNDS):
+            for sent in sorted(after.orders, key=_by_number):
+                self._delivered(after, sent, False)
+            for answer in sorted(after.answers):
+                self._applied(after, _answered(answer), stored=True)
+            after.orders.clear()
+            after.answers.clear()
+            if after.record.finished():
+                return ""
+            self._applied(after, lambda machine: machine.tick(DUE), stored=True)
+        return f"never ends: {after.record.mode}"
+
+
+def _initial_state(zones: str, budget: FaultBudget, rollback_on_halt: bool) -> ModelState:
+    names = [f"u{number}" for number in range(len(zones))]
+    record = ReleaseRecord(
+        release_id=RELEASE_ID,
+        kind=ReleaseKind.SERVERS,
+        old_version=OLD_VERSION,
+        new_version=NEW_VERSION,
+        stages=[names[:1], names[1:]],
+        stage_watch_s=[DUE, DUE],
+        max_unavailable=2,
+        max_attempts=1,
+        step_timeout_s=DUE,
+        units={name: UnitState(zone, OLD_VERSION) for name, zone in zip(names, zones, strict=True)},
+        rollback_on_halt=rollback_on_halt,
+    )
+    return ModelState(
+        record=record,
+        stored=copy_record(record),
+        units={name: SimulatedUnit(OLD_VERSION) for name in names},
+        memories={name: AgentMemory() for name in names},
+        budget=budget,
+    )
+
+
+def _limit_violation(state: ModelState) -> str:
+    """Limits on units out of service, and what the modes say of the units."""
+    record = state.record
+    out = state.out_of_service()
+    if len({record.units[name].zone for name in out}) > 1:
+        return f"out in two zones: {out}"
+    if len(out) > record.max_unavailable:
+        return f"out at once: {out}"
+    if record.mode in ENDED_MODES:
+        version = record.new_version if record.mode is ReleaseMode.DONE else record.old_version
+        others = [name for name, unit in state.units.items() if unit.version != version]
+        wrong = sorted({*others, *out})
+        if wrong:
+            return f"{record.mode}, and not so: {wrong}"
+    return ""
+
+
+def _forget_times(record: ReleaseRecord) -> None:
+    """Has whatever waits be due at the next tick, so that time makes no difference between states."""
+    for unit in record.units.values():
+        unit.sent_at = 0.0
+    if record.watch_started is not None:
+        record.watch_started = 0.0
+
+
+def _by_number(sent: tuple[Order, int]) -> tuple[int, int]:
+    return sent[0].number, sent[1]
+
+
+def _answered(answer: Answer) -> ControllerEvent:
+    return lambda machine: machine.handle_outcome(DUE, *answer)
+
+
+def _halt(machine: ReleaseStateMachine) -> list[Order]:
+    machine.reject_version("a gate")  # without rollback_on_halt it is what staff request, too
+    return []
+
+
+def _roll_back(machine: ReleaseStateMachine) -> list[Order]:
+    machine.roll_back()
+    return []
--- /dev/null
+++ b/applehub/release/model_state.py
@@ -0,0 +1,80 @@
+"""A state of the model: the controller, its disk, the agents with their units, and the messages under way."""
+
+from dataclasses import asdict, dataclass, field, replace
+
+import orjson
+
+from applehub.release.agent_memory import AgentMemory
+from applehub.release.simulated_unit import SimulatedUnit
+from applehub.release.state_machine import Order, ReleaseRecord
+
+RELEASE_ID = "r"  # of the only release
+Answer = tuple[str, int, bool]  # unit, order number, whether it succeeded
+
+
+@dataclass(slots=True)
+class FaultBudget:
+    """How often each fault, and each request of staff, may still happen."""
+
+    failed_steps: int = 0
+    crashes: int = 0
+    refused_saves: int = 0
+    halts: int = 1
+    rollbacks: int = 1
+
+
+@dataclass(slots=True)
+class ModelState:
+    """One state. Messages stay until they are lost, so that they may be delivered again."""
+
+    record: ReleaseRecord  # as the controller has it
+    stored: ReleaseRecord  # as it is on the disk
+    units: dict[str, SimulatedUnit]
+    memories: dict[str, AgentMemory]  # each unit has an agent of its own
+    budget: FaultBudget
+    orders: set[tuple[Order, int]] = field(default_factory=set)  # with the fence of the controller
+    unsent: set[Order] = field(default_factory=set)  # until the disk takes the record
+    answers: set[Answer] = field(default_factory=set)
+    fence: int = 1
+    violation: str = ""
+
+    def copy(self) -> "ModelState":
+        """An independent copy."""
+        return replace(
+            self,
+            record=copy_record(self.record),
+            stored=copy_record(self.stored),
+            units={name: replace(unit) for name, unit in self.units.items()},
+            memories={name: memory.copy() for name, memory in self.memories.items()},
+            budget=replace(self.budget),
+            orders=set(self.orders),
+            unsent=set(self.unsent),
+            answers=set(self.answers),
+        )
+
+    def key(self) -> bytes:
+        """Equal for equal states."""
+        orders = sorted(
+            (order.number, fence, order.unit, order.step, order.version) for order, fence in self.orders
+        )
+        units = {
+            name: (unit.version, unit.out_of_service, self.memories[name].encode().decode())
+            for name, unit in self.units.items()
+        }
+        stored = None if self.stored == self.record else asdict(self.stored)
+        unsent = sorted(order.number for order in self.unsent)
+        whole = (
+            asdict(self.record), stored, units, orders, unsent, sorted(self.answers), asdict(self.budget),
+            self.fence, self.violation,
+        )  # fmt: skip
+        return orjson.dumps(whole, option=orjson.OPT_SORT_KEYS)
+
+    def out_of_service(self) -> list[str]:
+        """Names of the units that serve nobody."""
+        return [name for name, unit in self.units.items() if unit.out_of_service]
+
+
+def copy_record(record: ReleaseRecord) -> ReleaseRecord:
+    """A copy that is independent in all that the state machine changes."""
+    units = {name: replace(unit) for name, unit in record.units.items()}
+    return replace(record, stuck_units=list(record.stuck_units), units=units)
--- a/applehub/release/rehearsal.py
+++ b/applehub/release/rehearsal.py
@@ -1,105 +1,144 @@
-"""A release carried out on pretend machines, kept on disk: what a plan does, and that a controller killed
-between any two steps goes on where it was."""
+"""Rehearsal of a release on simulated units, stored on disk: shows what a plan does, and that a controller
+killed between any two steps continues where it was.
+"""
 
 import time
-from dataclasses import asdict
+from collections.abc import Set
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from types import TracebackType
+from typing import Self
 
 import orjson
 
-from applehub.durable.store import Store, StoreError
+from applehub.durable.store import Store
 from applehub.events import Event
 from applehub.release.backoff import when_disk_permits
 from applehub.release.clock import ScaledClock, SystemClock
-from applehub.release.kept import FORM, Kept, read_store
-from applehub.release.machine import Mode, Order, Release
-from applehub.release.model import Agent
+from applehub.release.errors import StoredStateError
 from applehub.release.plan import Plan
+from applehub.release.release_folder import FORMAT_VERSION, ReleaseFolder, decode_loaded
+from applehub.release.simulated_unit import SimulatedUnit
+from applehub.release.state_machine import ACTIVE_MODES, Order, ReleaseMode, ReleaseStateMachine, Step
 
+MAX_IDLE_S = 0.2  # between two ticks while nothing is being executed
+INSTALLING = frozenset((Step.ADMIT, Step.UPGRADE, Step.RELOAD))  # where a version that never comes up fails
 
-class Machines:
-    """Pretend machines, kept beside the record."""
 
-    def __init__(self, kept: Kept) -> None:
-        self.store = Store(kept.disk, "machines", FORM)
-        self.agents: dict[str, Agent] = (
-            read_store(
-                self.store,
-                self.store.open(),
-                lambda value: {name: Agent(**one) for name, one in orjson.loads(value).items()},
-            )
-            or {}
-        )
+@dataclass(frozen=True, slots=True)
+class RehearsalOptions:
+    """pace: seconds of the plan in one of the machine. step_s: duration of a step, in seconds of the plan.
+
+    broken: units on which the new version never comes up. again: a returned version may be tried once more.
+    """
+
+    pace: float
+    step_s: float
+    broken: Set[str] = frozenset()
+    again: bool = False
+
+
+class SimulatedFleet:
+    """Simulated units, stored beside the record. A context manager that lets go of their store."""
 
-    def begin(self, kept: Kept, plan: Plan) -> None:
-        """Has a machine for each unit; those that there were stay as they are."""
-        self.agents = {name: self.agents.get(name, Agent(plan.old)) for name in kept.record.units}
-        self.keep()
+    def __init__(self, folder: ReleaseFolder) -> None:
+        """Raises StoreError, StoredStateError, OSError."""
+        self._store = Store(folder.disk, "machines", FORMAT_VERSION)
+        self.units = decode_loaded(self._store.open(), _decoded_units) or {}
 
-    def keep(self) -> None:
-        self.store.save(orjson.dumps({name: asdict(one) for name, one in self.agents.items()}))
+    def __enter__(self) -> Self:
+        """Holds the store until the end of the context."""
+        return self
 
-    def close(self) -> None:
-        self.store.close()
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        """Lets go."""
+        self._store.close()
+
+    def provision(self, names: list[str], version: str) -> None:
+        """Has a unit for each name; those that exist stay as they are."""
+        self.units = {name: self.units.get(name, SimulatedUnit(version)) for name in names}
+        self.save()
+
+    def save(self) -> None:
+        """Stores the units. Raises StoreError, OSError."""
+        self._store.save(orjson.dumps({name: unit.to_json() for name, unit in self.units.items()}))
 
 
 class Rehearsal:
-    """Plays a kept release in the time of the machine, faster by pace."""
-
-    def __init__(self, kept: Kept, machines: Machines, pace: float, broken: set[str], step_s: float) -> None:
-        """pace: seconds of the plan in one of the machine. broken: units on which the new version never comes
-        up. step_s: what a step takes, of the plan."""
-        self.kept, self.machines = kept, machines
-        self.pace, self.broken, self.step_s = pace, broken, step_s
-        self.release = Release(kept.record)
-
-    def run(self) -> Mode:
-        """Goes on until the release has ended or is halted with nothing on its way."""
-        record = self.kept.record
-        orders = self.release.pending(self.kept.clock.now()) + self.release.tick(self.kept.clock.now())
+    """Carries a release out on simulated units, in the machine's time scaled by a pace."""
+
+    def __init__(self, folder: ReleaseFolder, fleet: SimulatedFleet, options: RehearsalOptions) -> None:
+        """folder: held, with a release begun and a clock scaled by the pace."""
+        self._folder = folder
+        self._fleet = fleet
+        self._options = options
+        self._machine = ReleaseStateMachine(folder.record)
+
+    def run(self) -> ReleaseMode:
+        """Runs until the release has ended, or is halted with no unit in progress."""
+        record = self._folder.record
+        now = self._folder.clock.now
+        orders = self._machine.resend_pending(now()) + self._machine.tick(now())
         while True:
-            when_disk_permits(self.kept.keep)
-            for order in orders:
-                self._say(Event.ORDERED, order, step=order.step, version=order.version)
-            if not orders and record.mode not in (Mode.RUNNING, Mode.BACK):
-                return Mode(record.mode)
-            if not orders:
-                time.sleep(min(0.2, 1 / self.pace))
-                orders = self.release.tick(self.kept.clock.now())
-                continue
-            time.sleep(self.step_s / self.pace)
-            answers = [(order, self._carry(order)) for order in orders]
-            when_disk_permits(self.machines.keep)  # their own memory, before the controller hears of it
-            orders = []
-            for order, good in answers:
-                self._say(Event.STEPPED, order, good=good)
-                orders += self.release.answered(self.kept.clock.now(), order.unit, order.number, good)
-
-    def _say(self, event: Event, order: Order, **more: Any) -> None:
-        self.kept.events.say(event, unit=order.unit, number=order.number, **more)
-
-    def _carry(self, order: Order) -> bool:
-        agent = self.machines.agents[order.unit]
-        if order.number > agent.last:
-            new = order.version == self.kept.record.new and order.unit in self.broken
-            wrong = agent.take(order, new and order.step in ("admit", "upgrade", "reload"))
-            if wrong:
-                raise StoreError(f"{order.unit}: {wrong}: the records of controller and machines differ")
-        return agent.good and order.number == agent.last
-
-
-def rehearse(
-    folder: Path, plan: Plan, again: bool, pace: float, broken: set[str], step_s: float
-) -> tuple[Mode, Kept]:
-    """Plays a plan in a folder, or goes on with it. Raises StoreError, PlanError."""
-    kept = Kept(folder, clock=ScaledClock(SystemClock(), pace))
-    machines = Machines(kept)
+            when_disk_permits(self._folder.save)
+            if not orders and record.mode not in ACTIVE_MODES:
+                return record.mode
+            if orders:
+                orders = self._execute_all(orders)
+            else:
+                time.sleep(min(MAX_IDLE_S, 1 / self._options.pace))
+                orders = self._machine.tick(now())
+
+    def _execute_all(self, orders: list[Order]) -> list[Order]:
+        """Executes orders; returns those that follow."""
+        for order in orders:
+            self._folder.events.say(
+                Event.ORDERED, unit=order.unit, number=order.number, step=order.step, version=order.version
+            )
+        time.sleep(self._options.step_s / self._options.pace)
+        outcomes = [(order, self._execute(order)) for order in orders]
+        when_disk_permits(self._fleet.save)  # the units' own memory, before the controller is told
+        following: list[Order] = []
+        for order, succeeded in outcomes:
+            self._folder.events.say(Event.STEPPED, unit=order.unit, number=order.number, good=succeeded)
+            following += self._machine.handle_outcome(
+                self._folder.clock.now(), order.unit, order.number, succeeded
+            )
+        return following
+
+    def _execute(self, order: Order) -> bool:
+        unit = self._fleet.units[order.unit]
+        if order.number > unit.last_number:
+            broken = order.unit in self._options.broken and order.version == self._folder.record.new_version
+            problem = unit.execute(order, broken and order.step in INSTALLING)
+            if problem:
+                raise StoredStateError(
+                    f"{order.unit}: {problem}: the records of controller and machines differ"
+                )
+        return unit.succeeded and order.number == unit.last_number
+
+
+def rehearse(path: Path, plan: Plan, options: RehearsalOptions) -> ReleaseFolder:
+    """Rehearses a plan in a folder, or continues it; the folder, no longer held.
+
+    Raises StoreError, PlanError, StoredStateError, OSError.
+    """
+    with (
+        ReleaseFolder(path, ScaledClock(SystemClock(), options.pace)) as folder,
+        SimulatedFleet(folder) as fleet,
+    ):
+        if folder.begin(plan, options.again) or not fleet.units:
+            fleet.provision(list(folder.record.units), plan.old)
+        folder.save()
+        Rehearsal(folder, fleet, options).run()
+    return folder
+
+
+def _decoded_units(content: bytes) -> dict[str, SimulatedUnit]:
+    """Raises StoredStateError."""
     try:
-        if kept.begin(plan, again) or not machines.agents:
-            machines.begin(kept, plan)
-        kept.keep()
-        return Rehearsal(kept, machines, pace, broken, step_s).run(), kept
-    finally:
-        machines.close()
-        kept.close()
+        return {str(name): SimulatedUnit.from_json(unit) for name, unit in orjson.loads(content).items()}
+    except (ValueError, KeyError, TypeError, AttributeError) as error:
+        raise StoredStateError(f"simulated units can't be decoded: {error!r}") from error
--- a/applehub/release/stored_record.py
+++ b/applehub/release/stored_record.py
@@ -1,87 +1,198 @@
-"""The record of a release as it is stored: JSON in the form of the first version, which both older and newer
-controllers read.
+"""The stored form of a release's record: JSON as the first version wrote it, readable by older and newer
+controllers.
 
-The first version stored the moments of waits in Unix time (`watched`, and `sent` of each unit), and takes no
-key that it does not know, except in `evidence`. So these stay, for older controllers and for people, and what
-this version adds lies in `evidence`: `clock`, by which the watch of a stage goes on in a controller that
-follows on the same machine, and `request_taken`. An older controller drops both when it writes.
+The first version stored the moments of waits in Unix time (`watched`, and `sent` of each unit), and accepts
+no unknown key, except in `evidence`. So these keys stay, for older controllers and for people, and
+additions go to `evidence`: `clock`, by which a controller that follows on the same machine continues the
+watch of a stage, and `request_taken`. An older controller drops both when it writes.
 
 Where the stored reading can't be compared with the clock (another start of the machine, another machine, a
-record of an older controller), the watch of the stage begins anew: longer than the plan wants, never shorter.
-`sent` is not read back: a controller sends the pending orders again at its start and counts from there.
+record of an older controller), the watch of the stage begins anew: longer than the plan wants, never
+shorter. `sent` is not read back: a controller sends the pending orders again at its start and counts from
+there.
 """
 
-from dataclasses import asdict
+from collections.abc import Mapping
+from dataclasses import dataclass
 from typing import Any
 
 import orjson
 
 from applehub.release.clock import Clock
-from applehub.release.machine import Mode, Record, Unit
+from applehub.release.errors import StoredStateError
+from applehub.release.evidence import EvidenceState, FailureKind, GateState, UnitBaseline
+from applehub.release.state_machine import ReleaseKind, ReleaseMode, ReleaseRecord, UnitState
 
-NOT_WATCHED = -1.0
+NOT_WATCHED = -1.0  # stored where no watch has begun
+Json = Mapping[str, Any]
+
+
+@dataclass(frozen=True, slots=True)
+class _StoredReading:
+    """A reading of the clock with what it takes to compare it, in `evidence`."""
+
+    identity: str  # of the clock
+    reading: float
+    unix_time: float  # equal to `watched`, unless an older controller has written since
+
+    def encode(self) -> Json:
+        return {"identity": self.identity, "watched": self.reading, "unix": self.unix_time}
+
+    @classmethod
+    def decode(cls, fields: Json) -> "_StoredReading":
+        return cls(str(fields["identity"]), float(fields["watched"]), float(fields["unix"]))
 
 
 class RecordCodec:
-    """Writes and reads records by one clock."""
+    """Encodes and decodes records by one clock."""
 
     def __init__(self, clock: Clock) -> None:
-        self.clock = clock
-        self._unix: dict[float, float] = {}  # of the clock's readings, fixed: a step changes no record
-
-    def encode(self, record: Record) -> bytes:
-        """The record as JSON."""
-        plain = asdict(record)
-        del plain["request_taken"]
-        moments = {record.watched, *(unit.sent for unit in record.units.values())}
-        self._unix = {moment: self._unix_time_of(moment) for moment in moments}
-        plain["watched"] = self._unix[record.watched]
-        for unit in plain["units"].values():
-            unit["sent"] = self._unix[unit["sent"]]
-        added: dict[str, Any] = {}
-        if record.watched > 0:
-            added["clock"] = {
-                "identity": self.clock.identity,
-                "watched": record.watched,
-                "unix": plain["watched"],
+        """clock: by which the records' moments are measured."""
+        self._clock = clock
+        self._unix_times: dict[
+            float, float
+        ] = {}  # by reading, fixed: a step of the wall clock changes no record
+
+    def encode(self, record: ReleaseRecord) -> bytes:
+        """As JSON."""
+        readings = {unit.sent_at for unit in record.units.values()}
+        if record.watch_started is not None:
+            readings.add(record.watch_started)
+        self._unix_times = {reading: self._unix_time_of(reading) for reading in readings}
+        return orjson.dumps(
+            {
+                "what": record.kind,
+                "old": record.old_version,
+                "new": record.new_version,
+                "batches": record.stages,
+                "watch_s": record.stage_watch_s,
+                "out_at_once": record.max_unavailable,
+                "tries": record.max_attempts,
+                "step_s": record.step_timeout_s,
+                "units": {name: self._encoded_unit(unit) for name, unit in record.units.items()},
+                "mode": record.mode,
+                "stage": record.stage,
+                "watched": self._stored_watch(record),
+                "number": record.last_order_number,
+                "why": record.reason,
+                "stuck": record.stuck_units,
+                "id": record.release_id,
+                "back_on_halt": record.rollback_on_halt,
+                "evidence": self._encoded_evidence(record),
             }
-        if record.request_taken is not None:
-            added["request_taken"] = record.request_taken
-        plain["evidence"] = {**plain["evidence"], **added}
-        return orjson.dumps(plain)
-
-    def decode(self, value: bytes) -> Record:
-        """A record from JSON; raises KeyError, TypeError, ValueError."""
-        told = orjson.loads(value)
-        units = {name: Unit(**{**unit, "sent": 0.0}) for name, unit in told["units"].items()}
-        evidence = dict(told.get("evidence", {}))
-        clock, request_taken = evidence.pop("clock", None), evidence.pop("request_taken", None)
-        fields = {
-            **told,
-            "units": units,
-            "mode": Mode(told["mode"]),
-            "evidence": evidence,
-            "watched": self._watched(told.get("watched", NOT_WATCHED), clock),
-            "request_taken": None if request_taken is None else int(request_taken),
+        )
+
+    def decode(self, content: bytes) -> ReleaseRecord:
+        """From JSON. Raises StoredStateError."""
+        try:
+            return self._decoded(orjson.loads(content))
+        except (ValueError, KeyError, TypeError, AttributeError) as error:
+            raise StoredStateError(f"a release's record can't be decoded: {error!r}") from error
+
+    def _decoded(self, fields: Json) -> ReleaseRecord:
+        evidence = fields.get("evidence", {})
+        request = evidence.get("request_taken")
+        return ReleaseRecord(
+            release_id=str(fields.get("id", "")),
+            kind=ReleaseKind(fields["what"]),
+            old_version=str(fields["old"]),
+            new_version=str(fields["new"]),
+            stages=[[str(name) for name in stage] for stage in fields["batches"]],
+            stage_watch_s=[float(seconds) for seconds in fields["watch_s"]],
+            max_unavailable=int(fields["out_at_once"]),
+            max_attempts=int(fields["tries"]),
+            step_timeout_s=float(fields["step_s"]),
+            units={str(name): _decoded_unit(unit) for name, unit in fields["units"].items()},
+            rollback_on_halt=bool(fields.get("back_on_halt", False)),
+            mode=ReleaseMode(fields["mode"]),
+            stage=int(fields["stage"]),
+            watch_started=self._watch_started(fields.get("watched", NOT_WATCHED), evidence.get("clock")),
+            last_order_number=int(fields["number"]),
+            reason=str(fields["why"]),
+            stuck_units=[str(name) for name in fields["stuck"]],
+            gate_state=_decoded_gate_state(evidence),
+            last_request=None if request is None else int(request),
+        )
+
+    def _encoded_unit(self, unit: UnitState) -> Json:
+        return {
+            "zone": unit.zone,
+            "version": unit.version,
+            "target": unit.target_version,
+            "step": unit.step_index,
+            "number": unit.order_number,
+            "tries": unit.attempts,
+            "sent": self._unix_times[unit.sent_at],
         }
-        return Record(**fields)
-
-    def _watched(self, unix: float, stored: dict[str, Any] | None) -> float:
-        """When the watch of the stage began by this clock, or that it has to begin anew."""
-        if unix < 0 or stored is None or stored["unix"] != unix:  # an older controller has written since
-            return NOT_WATCHED
-        reading = float(stored["watched"])
-        if not self.clock.identity or stored["identity"] != self.clock.identity:
-            return NOT_WATCHED
-        if not 0 < reading <= self.clock.now():
-            return NOT_WATCHED
-        self._unix[reading] = unix
-        return reading
+
+    def _encoded_evidence(self, record: ReleaseRecord) -> Json:
+        fields: dict[str, object] = {
+            kind.value: _encoded_state(state) for kind, state in record.gate_state.evidence.items()
+        }
+        fields["watched_s"] = record.gate_state.watched_s
+        if record.watch_started is not None:
+            reading = _StoredReading(self._clock.identity, record.watch_started, self._stored_watch(record))
+            fields["clock"] = reading.encode()
+        if record.last_request is not None:
+            fields["request_taken"] = record.last_request
+        return fields
+
+    def _stored_watch(self, record: ReleaseRecord) -> float:
+        return NOT_WATCHED if record.watch_started is None else self._unix_times[record.watch_started]
+
+    def _watch_started(self, unix_time: float, clock: Json | None) -> float | None:
+        """The reading at which the watch of the stage began; None: it has to begin anew."""
+        if unix_time < 0 or clock is None:
+            return None
+        stored = _StoredReading.decode(clock)
+        if stored.unix_time != unix_time or not stored.identity or stored.identity != self._clock.identity:
+            return None
+        if not 0 < stored.reading <= self._clock.now():
+            return None
+        self._unix_times[stored.reading] = unix_time
+        return stored.reading
 
     def _unix_time_of(self, reading: float) -> float:
-        """Unix time of a reading, as it was when it was first written; what is no reading stays."""
-        if reading <= 0:
-            return reading
-        if reading in self._unix:
-            return self._unix[reading]
-        return self.clock.unix_time() - (self.clock.now() - reading)
+        """Unix time of a reading, the same each time; 0 stands for none."""
+        if not reading:
+            return 0.0
+        if reading in self._unix_times:
+            return self._unix_times[reading]
+        return self._clock.unix_time() - (self._clock.now() - reading)
+
+
+def _decoded_unit(fields: Json) -> UnitState:
+    return UnitState(
+        zone=str(fields["zone"]),
+        version=str(fields["version"]),
+        target_version=str(fields.get("target", "")),
+        step_index=int(fields.get("step", 0)),
+        order_number=int(fields.get("number", 0)),
+        attempts=int(fields.get("tries", 0)),
+    )
+
+
+def _encoded_state(state: EvidenceState) -> Json:
+    return {
+        "logs": state.log_likelihoods,
+        "chi": state.chi_squared,
+        "freedom": state.degrees_of_freedom,
+        "known": {name: [one.expected, one.observed] for name, one in state.baselines.items()},
+    }
+
+
+def _decoded_gate_state(fields: Json) -> GateState:
+    evidence = {
+        kind: EvidenceState(
+            log_likelihoods=[float(log) for log in fields[kind]["logs"]],
+            chi_squared=float(fields[kind]["chi"]),
+            degrees_of_freedom=int(fields[kind]["freedom"]),
+            baselines={
+                str(name): UnitBaseline(float(expected), int(observed))
+                for name, (expected, observed) in fields[kind]["known"].items()
+            },
+        )
+        for kind in FailureKind
+        if kind in fields
+    }
+    return GateState(float(fields.get("watched_s", 0.0)), evidence)
--- a/tests/release_support.py
+++ b/tests/release_support.py
@@ -11,11 +11,12 @@
 
 from applehub.durable.folder import Folder
 from applehub.durable.store import Store
-from applehub.release.agent import FORM, Agent
+from applehub.release.agent import FORMAT_VERSION, Agent
 from applehub.release.controller import Controller
-from applehub.release.kept import Kept
-from applehub.release.machine import Order
+from applehub.release.messages import LoadReport
 from applehub.release.plan import Plan
+from applehub.release.release_folder import ReleaseFolder
+from applehub.release.state_machine import Order
 
 WALL_STEPS = (-3600.0, -3.0, 3.0, 3600.0)  # s that the wall clock is stepped by
 
@@ -43,15 +44,15 @@
         self.carried: list[Order] = []
         self.fails: set[str] = set()
         self.check: Callable[[Order], None] = lambda order: None  # called before an order is carried out
-        self.figures_of: dict[str, dict[str, float]] = {name: {"life": 1.0} for name in units}
+        self.reports = {name: LoadReport({"life": 1.0}) for name in units}
 
-    async def carry(self, order: Order) -> str:
+    async def execute(self, order: Order) -> str:
         self.check(order)
         self.carried.append(order)
         return "it failed" if order.unit in self.fails else ""
 
-    async def figures(self, unit: str) -> dict[str, float] | None:
-        return self.figures_of.get(unit)
+    async def load_report(self, unit: str) -> LoadReport | None:
+        return self.reports.get(unit)
 
 
 def make_plan(units: int = 2, **more: Any) -> Plan:
@@ -76,7 +77,7 @@
     machine: ObedientMachine, folder: Path, sleep: Callable[[float], Awaitable[None]] = asyncio.sleep
 ) -> AsyncIterator[tuple[Agent, str]]:
     """An agent on loopback, and its address."""
-    agent = Agent(machine, Store(Folder(str(folder)), "orders", FORM), sleep)
+    agent = Agent(machine, Store(Folder(str(folder)), "orders", FORMAT_VERSION), sleep)
     try:
         yield agent, await agent.start("127.0.0.1", 0)
     finally:
@@ -115,15 +116,12 @@
 
 
 @asynccontextmanager
-async def controlling(folder: Path, plan: Plan, clock: SteppedClock, agent: str) -> AsyncIterator[Controller]:
-    """A controller of a plan whose units all have one agent. Tests call its `round`."""
+async def controlling(path: Path, plan: Plan, clock: SteppedClock, agent: str) -> AsyncIterator[Controller]:
+    """A controller of a plan whose units all have one agent. Tests call its `poll_once`."""
     units = [unit.model_copy(update={"agent": agent}) for unit in plan.fleet]
     plan = plan.model_copy(update={"fleet": units})
-    kept = Kept(folder, clock=clock)
-    try:
-        kept.begin(plan, False)
-        controller = Controller(kept, plan, folder)
+    with ReleaseFolder(path, clock) as folder:
+        folder.begin(plan, False)
+        controller = Controller(folder, plan)
         async with controller.connected():
             yield controller
-    finally:
-        kept.close()
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -11,12 +11,17 @@
 
 from applehub.events import Event, read
 from applehub.release.__main__ import main
-from applehub.release.evidence import Count, Evidence
-from applehub.release.gates import Gate, Verdict
-from applehub.release.kept import record_of
-from applehub.release.machine import Mode, Order, Record, Release
-from applehub.release.model import Model, Rules
-from applehub.release.plan import Gates, PlanError, load_plan
+from applehub.release.clock import SystemClock
+from applehub.release.errors import PlanError
+from applehub.release.evidence import FailureEvidence, RequestCounts
+from applehub.release.gates import HealthGates, Verdict
+from applehub.release.messages import LoadReport
+from applehub.release.model_checker import ModelChecker, ModelRules
+from applehub.release.model_state import FaultBudget
+from applehub.release.plan import GateSettings, load_plan
+from applehub.release.release_folder import new_record
+from applehub.release.state_machine import Order, ReleaseMode, ReleaseRecord, ReleaseStateMachine
+from applehub.release.stored_record import RecordCodec
 
 PLAN = """
 name = "cache-1.8"
@@ -39,71 +44,71 @@
 
 @pytest.mark.parametrize("back_on_halt", [False, True])
 def test_every_order_of_steps_crashes_and_lost_messages_keeps_the_rules(back_on_halt: bool) -> None:
-    model = Model(Rules(), back_on_halt=back_on_halt)
+    model = ModelChecker(ModelRules(), FaultBudget(1, 1), rollback_on_halt=back_on_halt)
     model.explore(depth=8)
-    assert model.wrong == [] and model.states > 1_500 and model.deepest == 8
+    assert model.violations == [] and model.states > 1_500 and model.deepest == 8
 
 
 @pytest.mark.parametrize("back_on_halt", [False, True])
 def test_a_disk_that_refuses_a_record_anywhere_keeps_the_rules(back_on_halt: bool) -> None:
-    """At each event the disk may refuse the record, once; it is kept later, or the controller crashes."""
-    model = Model(Rules(), back_on_halt=back_on_halt, refusals=1)
+    """At each event the disk may refuse the record, once; it is stored later, or the controller crashes."""
+    model = ModelChecker(ModelRules(), FaultBudget(1, 1, 1), rollback_on_halt=back_on_halt)
     model.explore(depth=7)
-    assert model.wrong == [] and model.states > 4_000 and model.deepest == 7
+    assert model.violations == [] and model.states > 4_000 and model.deepest == 7
 
 
 def test_orders_that_go_out_before_their_record_is_kept_are_found() -> None:
-    model = Model(Rules(waits_for_disk=False), refusals=1)
-    model.explore(depth=14, most=9_000)
-    assert model.wrong, model.states
+    model = ModelChecker(ModelRules(waits_for_disk=False), FaultBudget(1, 1, 1))
+    model.explore(depth=14, max_states=9_000)
+    assert model.violations, model.states
 
 
-class TwoZones(Release):
-    def _begin(self, now: float, waiting: list[str], version: str, spare: int | None) -> list[Order]:
-        zones = {name: one.zone for name, one in self.record.units.items()}
-        for one in self.record.units.values():
-            one.zone = "all"
-        orders = super()._begin(now, waiting, version, spare)
+class TwoZones(ReleaseStateMachine):
+    def _begin_units(self, now: float, waiting: list[str], version: str, capacity: int | None) -> list[Order]:
+        zones = {name: unit.zone for name, unit in self.record.units.items()}
+        for unit in self.record.units.values():
+            unit.zone = "all"
+        orders = super()._begin_units(now, waiting, version, capacity)
         for name, zone in zones.items():
             self.record.units[name].zone = zone
         return orders
 
 
-class BeginsHalted(Release):
-    def tick(self, now: float, well: bool = True, spare: int | None = None) -> list[Order]:
-        halted = self.record.mode is Mode.HALTED
-        self.record.mode = Mode.RUNNING if halted else self.record.mode
-        orders = super().tick(now, well, spare)
-        self.record.mode = Mode.HALTED if halted else self.record.mode
+class BeginsHalted(ReleaseStateMachine):
+    def tick(self, now: float, healthy: bool = True, capacity: int | None = None) -> list[Order]:
+        halted = self.record.mode is ReleaseMode.HALTED
+        self.record.mode = ReleaseMode.RUNNING if halted else self.record.mode
+        orders = super().tick(now, healthy, capacity)
+        self.record.mode = ReleaseMode.HALTED if halted else self.record.mode
         return orders
 
 
-class Forgets(Release):
-    def pending(self, now: float) -> list[Order]:
-        for one in self.record.units.values():
-            one.number = 0
+class Forgets(ReleaseStateMachine):
+    def resend_pending(self, now: float) -> list[Order]:
+        for unit in self.record.units.values():
+            unit.order_number = 0
         return []
 
 
-def restarts_numbers(record: Record) -> None:
-    record.number = 0
+def restarts_numbers(record: ReleaseRecord) -> None:
+    record.last_order_number = 0
 
 
 @pytest.mark.parametrize(
     ("mutant", "crashes"),
     [
-        (Rules(TwoZones), 0),  # far down: searched without what does not lead there
-        (Rules(BeginsHalted), 1),
-        (Rules(Forgets), 1),
-        (Rules(fenced=False), 1),
-        (Rules(restart=restarts_numbers), 1),
+        (ModelRules(TwoZones), 0),  # far down: searched without what does not lead there
+        (ModelRules(BeginsHalted), 1),
+        (ModelRules(Forgets), 1),
+        (ModelRules(fencing=False), 1),
+        (ModelRules(after_crash=restarts_numbers), 1),
     ],
     ids=["two zones", "begins while halted", "forgets what is out", "no fencing", "numbers begin anew"],
 )
-def test_each_mutant_is_found(mutant: Rules, crashes: int) -> None:
-    model = Model(mutant, fails=crashes, crashes=crashes)
-    model.explore(depth=14, most=9_000)
-    assert model.wrong, model.states
+def test_each_mutant_is_found(mutant: ModelRules, crashes: int) -> None:
+    model = ModelChecker(mutant, FaultBudget(crashes, crashes))
+    model.explore(depth=14, max_states=9_000)
+    assert model.violations, model.states
 
 
 def test_a_plan_of_no_use_tells_every_fault_of_it(plan: Path) -> None:
@@ -161,18 +166,18 @@
     """4 new units of 20, 20 requests each a look; of both versions 1 in 100 fails, and at some looks half."""
 
     def looks(draw: random.Random, more: float) -> int:
-        evidence = Evidence(0.005, 0.0025)
+        evidence = FailureEvidence(0.005, 0.0025)
         for look in range(400):
             all_fail = 0.5 if look % 40 == 7 else 0.0
             counts = {
-                f"u{number}": Count(
+                f"u{number}": RequestCounts(
                     20, sum(draw.random() < 0.01 + all_fail + more * (number < 4) for _ in range(20))
                 )
                 for number in range(20)
             }
             new = {name: one for name, one in counts.items() if name in ("u0", "u1", "u2", "u3")}
             evidence.add(new, {name: one for name, one in counts.items() if name not in new})
-            if evidence.worse:
+            if evidence.is_worse:
                 return look
         return 400
 
@@ -180,58 +185,64 @@
     assert all(looks(random.Random(seed), 0.03) < 100 for seed in range(12))
 
 
-def gate(plan: Path) -> tuple[Gate, Record]:
-    record = record_of(load_plan(plan))
+def gate(plan: Path) -> tuple[HealthGates, ReleaseRecord]:
+    record = new_record(load_plan(plan))
     record.units["c0"].version = "1.8"
-    return Gate(Gates(before_s=0.0), record), record
+    return HealthGates(GateSettings(before_s=0.0), record), record
 
 
-def told(look: int, **more: float) -> dict[str, float]:
-    return {"life": 1, "requests": 100.0 * look, "failed": 0.0, "cpu_s": 0.1 * look, "busy": 0.3, **more}
+def report(poll: int, **more: float) -> LoadReport:
+    """What a unit reports at a poll: 100 requests since the one before, and what is given beside."""
+    metrics = {"requests": 100.0 * poll, "failed": 0.0, "cpu_s": 0.1 * poll, "busy": 0.3}
+    return LoadReport({"life": 1, **metrics, **more})
 
 
-def test_silence_missing_figures_and_costs_halt_what_the_old_version_does_not_share(plan: Path) -> None:
-    one, record = gate(plan)
-    whole: dict[str, dict[str, float] | None] = {name: told(1) for name in record.units}
-    assert one.look(1.0, whole) == Verdict("", "", 3)
-    assert one.look(13.0, {**whole, "c0": None}).halt == "c0: tells nothing for 10 s"
-    nobody = one.look(40.0, dict.fromkeys(record.units))
-    assert not nobody.halt and "tell nothing" in nobody.unwell  # it is not the version
+def test_silence_missing_metrics_and_costs_halt_what_the_old_version_does_not_share(plan: Path) -> None:
+    gates, record = gate(plan)
+    whole: dict[str, LoadReport | None] = {name: report(1) for name in record.units}
+    assert gates.evaluate(1.0, whole) == Verdict("", "", 3)
+    assert gates.evaluate(13.0, {**whole, "c0": None}).halt_reason == "c0: tells nothing for 10 s"
+    nobody = gates.evaluate(40.0, dict.fromkeys(record.units))
+    assert not nobody.halt_reason and "tell nothing" in nobody.hold_reason  # it is not the version
 
-    one, _ = gate(plan)
-    assert one.look(1.0, {**whole, "c0": {"life": 1}}).halt.startswith("c0: does not tell busy, cpu_s")
+    gates, _ = gate(plan)
+    verdict = gates.evaluate(1.0, {**whole, "c0": LoadReport({"life": 1})})
+    assert verdict.halt_reason.startswith("c0: does not tell busy, cpu_s")
 
-    one, record = gate(plan)
-    for look in range(1, 14):
-        dear = {name: told(look, cpu_s=(0.5 if name == "c0" else 0.1) * look) for name in record.units}
-        verdict = one.look(float(look), dear)
-    assert verdict.halt.startswith("processor time: 0.005 against 0.001")
+    gates, record = gate(plan)
+    for poll in range(1, 14):
+        expensive = {name: report(poll, cpu_s=(0.5 if name == "c0" else 0.1) * poll) for name in record.units}
+        verdict = gates.evaluate(float(poll), expensive)
+    assert verdict.halt_reason.startswith("processor time: 0.005 against 0.001")
 
-    one, record = gate(plan)
-    for look in range(1, 4):
-        verdict = one.look(
-            float(look), {name: told(look, failed=30.0 * look, busy=0.7) for name in record.units}
-        )
-    assert not verdict.halt and "30% of the old" in verdict.unwell and verdict.spare == 0
-    again = one.look(4.0, {name: told(0, life=2) for name in record.units})  # all began anew, at no count
-    assert not again.halt
+    gates, record = gate(plan)
+    for poll in range(1, 4):
+        failing = {name: report(poll, failed=30.0 * poll, busy=0.7) for name in record.units}
+        verdict = gates.evaluate(float(poll), failing)
+    assert not verdict.halt_reason and "30% of the old" in verdict.hold_reason and verdict.capacity == 0
+    again = gates.evaluate(4.0, {name: report(0, life=2) for name in record.units})  # restarted, at no count
+    assert not again.halt_reason
 
 
 def test_a_controller_that_was_killed_goes_on_watching_where_it_was(plan: Path) -> None:
-    record = record_of(load_plan(plan))
-    unwell = []
-    for life in range(3):  # each of two looks, a second apart, and killed
-        one = Gate(Gates(before_s=2.0), record)
-        for look in (1, 2):
-            unwell.append(one.look(10.0 * life + look, {name: told(look) for name in record.units}).unwell)
-        record.evidence = json.loads(json.dumps(one.plain()))
-    assert [bool(why) for why in unwell] == [True, True, True, False, False, False]
+    record = new_record(load_plan(plan))
+    codec = RecordCodec(SystemClock())
+    held = []
+    for life in range(3):  # each of two polls, a second apart, and killed
+        gates = HealthGates(GateSettings(before_s=2.0), record)
+        for poll in (1, 2):
+            verdict = gates.evaluate(10.0 * life + poll, {name: report(poll) for name in record.units})
+            held.append(verdict.hold_reason)
+        record.gate_state = gates.state()
+        record = codec.decode(codec.encode(record))
+    assert [bool(why) for why in held] == [True, True, True, False, False, False]
 
 
 def test_no_room_holds_a_release_up_and_a_way_back_but_little(plan: Path) -> None:
-    release = Release(record_of(load_plan(plan)))
-    assert release.tick(0.0, True, 0) == [] and release.tick(0.0, False, 5) == []
-    assert [order.unit for order in release.tick(0.0, True, 5)] == ["c0"]
-    release.record.back_on_halt = True
-    release.condemn("a gate")
-    assert release.record.mode is Mode.BACK and release.tick(0.0, False, 0) == []  # c0 is out already
+    machine = ReleaseStateMachine(new_record(load_plan(plan)))
+    assert machine.tick(0.0, True, 0) == [] and machine.tick(0.0, False, 5) == []
+    assert [order.unit for order in machine.tick(0.0, True, 5)] == ["c0"]
+    machine.record.rollback_on_halt = True
+    machine.reject_version("a gate")
+    assert machine.record.mode is ReleaseMode.ROLLING_BACK
+    assert machine.tick(0.0, False, 0) == []  # c0 is out already
--- a/tests/test_release_disk.py
+++ b/tests/test_release_disk.py
@@ -1,4 +1,4 @@
-"""Releases on disks that refuse: what can't be kept is not done, and goes on by itself once it can be."""
+"""Releases on disks that refuse: what can't be stored is not done, and goes on by itself once it can be."""
 
 import asyncio
 import json
@@ -24,12 +24,12 @@
 from applehub.lab.fleet.system_call_faults import SystemCall, SystemCallFault, SystemCallFaults
 from applehub.release.__main__ import main
 from applehub.release.agent import Agent
+from applehub.release.agent_memory import AgentMemory
 from applehub.release.backoff import when_disk_permits
 from applehub.release.controller import Controller
-from applehub.release.kept import FORM, Kept, ask, load_release
-from applehub.release.machine import Mode, Order
-from applehub.release.orders import Orders
-from applehub.release.staff_requests import RequestKind, StaffRequest, StaffRequests, carry_out
+from applehub.release.release_folder import FORMAT_VERSION, ReleaseFolder, load_release, submit_request
+from applehub.release.staff_requests import RequestKind, StaffRequest, StaffRequests, apply_new
+from applehub.release.state_machine import Order, ReleaseMode
 from applehub.release.stored_record import RecordCodec
 
 STORED = Path(__file__).parent / "stored" / "release_0447801"
@@ -51,12 +51,12 @@
     it is carried out for the first time."""
 
     def check(order: Order) -> None:
-        value = Store(Folder(str(state)), "release", FORM).load().value
+        value = Store(Folder(str(state)), "release", FORMAT_VERSION).load().value
         assert value is not None
         record = RecordCodec(clock).decode(value)
         unit = record.units[order.unit]
-        assert unit.number == order.number, f"{order} went out, the record has {unit}"
-        assert STEPS[unit.step] == order.step
+        assert unit.order_number == order.number, f"{order} went out, the record has {unit}"
+        assert STEPS[unit.step_index] == order.step
         assert order not in carried
 
     return check
@@ -66,7 +66,7 @@
     """A round a second; whether the release has come to its end."""
     for _ in range(seconds):
         clock.reading += 1.0
-        if await controller.round(clock.now()):
+        if await controller.poll_once(clock.now()):
             return True
     return False
 
@@ -92,7 +92,7 @@
                 assert not await rounds(controller, clock, 30)
                 assert machine.carried == before and 5 <= faults.count(call) <= 31
             clock.reading += 5.0  # the longest wait between two attempts
-        assert await rounds(controller, clock, 60) and controller.record.mode is Mode.DONE
+        assert await rounds(controller, clock, 60) and controller.record.mode is ReleaseMode.DONE
     assert [order.step for order in machine.carried] == [*STEPS, *STEPS]
 
 
@@ -114,7 +114,7 @@
                 ):
                     await rounds(controller, clock, 3)
         async with controlling(state, make_plan(), clock, address) as controller:
-            assert await rounds(controller, clock, 60) and controller.record.mode is Mode.DONE
+            assert await rounds(controller, clock, 60) and controller.record.mode is ReleaseMode.DONE
     assert [order.step for order in machine.carried] == [*STEPS, *STEPS]
     assert len({order.number for order in machine.carried}) == 6
 
@@ -129,14 +129,14 @@
         running_list_service() as (service, lists),
         controlling(tmp_path / "state", make_plan(1, lists=[lists]), clock, address) as controller,
     ):
-        keep, slow = controller.kept.keep, [8.0]
+        keep, slow = controller.folder.save, [8.0]
 
         def keep_slowly() -> None:
             keep()
             clock.reading += slow.pop() if slow else 0.0
 
-        monkeypatch.setattr(controller.kept, "keep", keep_slowly)
-        await controller.round(clock.now())
+        monkeypatch.setattr(controller.folder, "save", keep_slowly)
+        await controller.poll_once(clock.now())
         assert machine.carried == [] and service.taken == 1
         await rounds(controller, clock, 2)
         assert [order.step for order in machine.carried] == ["drain", "replace"] and service.taken == 2
@@ -153,13 +153,13 @@
     async with running_agent(machine, tmp_path / "agent") as (_, address):
         async with controlling(state, make_plan(), clock, address) as controller:
             await rounds(controller, clock, 1)
-            assert not ask(state, RequestKind.HALT, "by staff")  # the controller holds the record
+            assert not submit_request(state, RequestKind.HALT, "by staff")  # the controller holds the record
             with SystemCallFaults(SystemCallFault("write", "ENOSPC", path=f"{state}/release")):
                 await rounds(controller, clock, 1)
-                assert controller.record.mode is Mode.HALTED
+                assert controller.record.mode is ReleaseMode.HALTED
         async with controlling(state, make_plan(), clock, address) as controller:
             assert await rounds(controller, clock, 10)
-            assert controller.record.mode is Mode.HALTED and controller.record.why == "by staff"
+            assert controller.record.mode is ReleaseMode.HALTED and controller.record.reason == "by staff"
     assert [order.unit for order in machine.carried] == ["u0"] * 3
 
 
@@ -170,58 +170,59 @@
     async with running_agent(machine, tmp_path / "agent") as (_, address):
         async with controlling(state, make_plan(), clock, address) as controller:
             await rounds(controller, clock, 1)
-            ask(state, RequestKind.BACK, "")
-            ask(state, RequestKind.RESUME, "")  # lets only what is halted go on: it stays on its way back
+            submit_request(state, RequestKind.BACK, "")
+            submit_request(
+                state, RequestKind.RESUME, ""
+            )  # lets only what is halted go on: it stays on its way back
             with SystemCallFaults(SystemCallFault("open", "EIO", path=f"{state}/wish")):
                 await rounds(controller, clock, 1)  # they can't be read: later
-            assert controller.record.mode is Mode.RUNNING
+            assert controller.record.mode is ReleaseMode.RUNNING
             await rounds(controller, clock, 1)
-            assert controller.record.mode.value == "back" and controller.record.request_taken == 2
+            assert controller.record.mode.value == "back" and controller.record.last_request == 2
         async with controlling(state, make_plan(), clock, address) as controller:
             assert await rounds(controller, clock, 20)
-            assert controller.record.mode is Mode.RETURNED
+            assert controller.record.mode is ReleaseMode.RETURNED
 
 
 def test_what_a_killed_controller_left_comes_before_what_staff_ask_next(tmp_path: Path) -> None:
     """A halt is left to a controller that is killed at once; then staff resume by the folder alone."""
     state = tmp_path / "state"
-    kept = Kept(state)
+    folder = ReleaseFolder(state)
     plan = make_plan(fleet=[{"name": "u0", "zone": "a", "agent": "h:1"}])
-    kept.begin(plan, False)
-    Controller(kept, plan, state)
-    kept.keep()
-    assert not ask(state, RequestKind.HALT, "")
-    kept.close()
-    assert ask(state, RequestKind.RESUME, "")
+    folder.begin(plan, False)
+    Controller(folder, plan)
+    folder.save()
+    assert not submit_request(state, RequestKind.HALT, "")
+    folder.close()
+    assert submit_request(state, RequestKind.RESUME, "")
     found = load_release(state)
-    assert found.record.mode is Mode.RUNNING and found.record.request_taken == 1
+    assert found.record.mode is ReleaseMode.RUNNING and found.record.last_request == 1
 
 
 def test_a_request_that_the_disk_refuses_is_no_acknowledgement(tmp_path: Path) -> None:
     state = tmp_path / "state"
-    kept = Kept(state)
-    kept.begin(make_plan(), False)
-    kept.keep()
-    kept.close()
+    folder = ReleaseFolder(state)
+    folder.begin(make_plan(), False)
+    folder.save()
+    folder.close()
     with SystemCallFaults(SystemCallFault("write", "ENOSPC", path=f"{state}/release")):
         done = CliRunner().invoke(main, ["halt", "--state", str(state)])
     assert done.exit_code == 2 and "not kept for sure" in done.output and "ENOSPC" not in done.output
-    assert load_release(state).record.mode is Mode.RUNNING
+    assert load_release(state).record.mode is ReleaseMode.RUNNING
 
 
 def test_a_request_of_the_version_before_is_read_and_not_taken_twice(
     tmp_path: Path,
 ) -> None:
     """It stored no number, and its controller took those alone that came after its start."""
-    folder = Path(shutil.copytree(STORED / "watched", tmp_path / "watched"))
-    requests = StaffRequests(folder)
+    path = Path(shutil.copytree(STORED / "watched", tmp_path / "watched"))
+    requests = StaffRequests(path)
     assert requests.after(0) == [StaffRequest(1, RequestKind.HALT, "by staff")]
-    kept = Kept(folder)
-    assert carry_out(kept.record, requests) == [] and kept.record.request_taken == 1
-    kept.close()
+    with ReleaseFolder(path) as folder:
+        assert apply_new(folder.record, requests) == [] and folder.record.last_request == 1
     requests.add(RequestKind.BACK, "")
-    assert [one.kind for one in requests.after(0)] == [RequestKind.HALT, RequestKind.BACK]
-    stored = Store(Folder(str(folder)), "wish", FORM).load().value
+    assert [request.kind for request in requests.after(0)] == [RequestKind.HALT, RequestKind.BACK]
+    stored = Store(Folder(str(path)), "wish", FORMAT_VERSION).load().value
     assert stored is not None and json.loads(stored)["what"] == "back"  # what the version before reads
 
 
@@ -231,21 +232,21 @@
 @pytest.mark.parametrize("call", ["open", "read"])
 def test_a_start_waits_while_the_disk_refuses(tmp_path: Path, call: SystemCall) -> None:
     waits: list[float] = []
-    kept = Kept(tmp_path)
-    kept.begin(make_plan(), False)
-    kept.keep()
-    kept.close()
+    folder = ReleaseFolder(tmp_path)
+    folder.begin(make_plan(), False)
+    folder.save()
+    folder.close()
     with SystemCallFaults(SystemCallFault(call, "EIO", from_call=2, times=7, path=str(tmp_path))):
-        kept = when_disk_permits(lambda: Kept(tmp_path), waits.append)
-    assert kept.record.new == "1.8" and len(waits) >= 6 and waits[:3] == [0.1, 0.2, 0.4]
+        folder = when_disk_permits(lambda: ReleaseFolder(tmp_path), waits.append)
+    assert folder.record.new_version == "1.8" and len(waits) >= 6 and waits[:3] == [0.1, 0.2, 0.4]
     assert max(waits) <= 5.0
-    kept.close()
+    folder.close()
 
 
 def test_a_start_in_a_folder_of_no_use_does_not_wait(tmp_path: Path) -> None:
     (tmp_path / "file").touch()
     with pytest.raises(FileExistsError):
-        when_disk_permits(lambda: Kept(tmp_path / "file"), lambda _: pytest.fail("it waits"))
+        when_disk_permits(lambda: ReleaseFolder(tmp_path / "file"), lambda _: pytest.fail("it waits"))
 
 
 # Agents
@@ -285,10 +286,10 @@
         with SystemCallFaults(SystemCallFault(call, error, path=str(tmp_path / "agent"))):
             assert [await post.order(4, fence=9), await post.order(4, fence=9)] == [503, 503]
             assert await post.outcome() is None
-        assert machine.carried == [] and agent.orders == Orders()
+        assert machine.carried == [] and agent.memory == AgentMemory()
         assert [await post.order(4, fence=8), await post.order(4, fence=8)] == [202, 200]
         assert await post.order(5, fence=7) == 409
-        await asyncio.gather(*agent.steps)
+        await asyncio.gather(*agent.executions)
         assert len(machine.carried) == 1 and await post.outcome() is True
 
 
@@ -300,12 +301,12 @@
     ):
         post = Post(session, address)
         assert await post.order(4) == 202
-        await asyncio.gather(*agent.steps)
+        await asyncio.gather(*agent.executions)
         with SystemCallFaults(SystemCallFault("write", "ENOSPC", path=str(tmp_path / "agent"))):
             assert await post.order(4) == 200  # nothing to keep
             assert (
                 await post.order(4, fence=2) == 503
-            )  # a controller that came after: its fence is to be kept
+            )  # a controller that came after: its fence is to be stored
             assert await post.order(4, fence=1) == 200
 
 
@@ -333,11 +334,11 @@
         assert await post.outcome() is None
         faults.remove()
         goes_on.set()
-        await asyncio.gather(*agent.steps)
+        await asyncio.gather(*agent.executions)
         assert await post.outcome() is True and faults.count(call, error) >= 1
     machine.check = lambda order: None
     async with running_agent(machine, tmp_path / "agent") as (agent, _):
-        assert agent.steps == set() and len(machine.carried) == 1
+        assert agent.executions == set() and len(machine.carried) == 1
 
 
 async def test_an_agent_killed_before_its_outcome_is_kept_carries_the_step_out_again(tmp_path: Path) -> None:
@@ -356,15 +357,19 @@
     faults.remove()
     machine.check = lambda order: None
     async with running_agent(machine, tmp_path / "agent") as (agent, _):
-        await asyncio.gather(*agent.steps)
-        assert agent.orders.last["u0"].good and machine.carried[0] == machine.carried[1]
+        await asyncio.gather(*agent.executions)
+        assert agent.memory.latest["u0"].succeeded and machine.carried[0] == machine.carried[1]
 
 
-def test_the_memory_of_an_agent_of_the_version_before_is_read(tmp_path: Path) -> None:
+async def test_the_memory_of_an_agent_of_the_version_before_is_read(tmp_path: Path) -> None:
     folder = Path(shutil.copytree(STORED / "agent", tmp_path / "agent"))
-    agent = Agent(ObedientMachine(["c0", "c1"]), Store(Folder(str(folder)), "orders", FORM))
-    assert agent.orders.fence == 3 and agent.orders.begun() == ["c1"] and agent.orders.last["c0"].good
-    agent.store.close()
+    store = Store(Folder(str(folder)), "orders", FORMAT_VERSION)
+    before = store.load().value
+    agent = Agent(ObedientMachine(["c0", "c1"]), store)
+    assert agent.memory.fence == 3 and agent.memory.latest["c0"].succeeded
+    assert [order.unit for order in agent.memory.unfinished()] == ["c1"]
+    assert agent.memory.encode() == before  # what the version before reads
+    await agent.stop()
 
 
 # Events
@@ -375,7 +380,7 @@
     async with running_agent(machine, tmp_path / "agent") as (_, address):
         with SystemCallFaults(SystemCallFault("write", "ENOSPC", path=f"{state}/events")) as faults:
             async with controlling(state, make_plan(1), clock, address) as controller:
-                assert await rounds(controller, clock, 60) and controller.record.mode is Mode.DONE
+                assert await rounds(controller, clock, 60) and controller.record.mode is ReleaseMode.DONE
                 assert faults.count("write") > 0
                 faults.replace()
     events = [one.event for one in read(state / "events.jsonl")]
@@ -384,14 +389,14 @@
 
 async def test_reading_a_release_leaves_a_line_alone_that_is_being_written(tmp_path: Path) -> None:
     state = tmp_path / "state"
-    kept = Kept(state)
-    kept.begin(make_plan(), False)
-    kept.keep()
+    folder = ReleaseFolder(state)
+    folder.begin(make_plan(), False)
+    folder.save()
     with open(state / "events.jsonl", "ab") as file:
         file.write(b'{"half')
-    assert load_release(state).record.mode is Mode.RUNNING
+    assert load_release(state).record.mode is ReleaseMode.RUNNING
     assert (state / "events.jsonl").read_bytes().endswith(b'{"half')
-    kept.close()
+    folder.close()
 
 
 # The controller's own machine
@@ -419,17 +424,17 @@
             state, make_plan(1, stages=[{"name": "all", "part": 1.0, "watch_s": 600}]), clock, address
         ) as controller,
     ):
-        while controller.record.watched < 0:
+        while controller.record.watch_started is None:
             await rounds(controller, clock, 1)
-        await controller.session.close()
-        controller.session = aiohttp.ClientSession()
+        await controller.client.session.close()
+        controller.client.session = aiohttp.ClientSession()
         with SystemCallFaults(SystemCallFault(call, error)) as faults:
             assert not await rounds(controller, clock, 30)
-            assert faults.count(call) >= 30 and controller.unwell
-        assert controller.record.mode is Mode.RUNNING
+            assert faults.count(call) >= 30 and controller.hold_reason
+        assert controller.record.mode is ReleaseMode.RUNNING
         await rounds(controller, clock, 1)
-        assert not controller.unwell
+        assert not controller.hold_reason
         await agent.stop()
         await rounds(controller, clock, 12)
-        assert controller.record.why == "u0: tells nothing for 10 s"
-        await controller.session.close()
+        assert controller.record.reason == "u0: tells nothing for 10 s"
+        await controller.client.session.close()
--- a/tests/test_release_time.py
+++ b/tests/test_release_time.py
@@ -18,24 +18,26 @@
 
 from applehub.release.clock import ScaledClock, SystemClock
 from applehub.release.controller import Controller
-from applehub.release.gates import Gate
-from applehub.release.kept import Kept, load_release, record_of
-from applehub.release.machine import Mode, Record, Release
-from applehub.release.plan import Gates
+from applehub.release.evidence import FailureKind
+from applehub.release.gates import HealthGates
+from applehub.release.messages import LoadReport
+from applehub.release.plan import GateSettings
+from applehub.release.release_folder import ReleaseFolder, load_release, new_record
+from applehub.release.state_machine import ReleaseMode, ReleaseRecord, ReleaseStateMachine
 from applehub.release.stored_record import RecordCodec
 
 STORED = Path(__file__).parent / "stored" / "release_0447801"  # written by the controller of that commit
 
 
-def mode_of(record: Record) -> Mode:
+def mode_of(record: ReleaseRecord) -> ReleaseMode:
     """Its mode by now (a type checker takes it for unchanged between two reads)."""
     return record.mode
 
 
 async def play_until_watched(controller: Controller, machine: ObedientMachine, clock: SteppedClock) -> None:
     """Plays a release until all its units have the new version and are watched."""
-    while controller.record.watched < 0:
-        assert not await controller.round(clock.now())
+    while controller.record.watch_started is None:
+        assert not await controller.poll_once(clock.now())
         assert len(machine.carried) <= 3 * len(machine.units)
 
 
@@ -50,12 +52,14 @@
     ):
         await play_until_watched(controller, machine, clock)
         clock.reading += 10.0
-        assert not await controller.round(clock.now())
+        assert not await controller.poll_once(clock.now())
         clock.offset += step_s
         clock.reading += 9.9
-        assert not await controller.round(clock.now()) and mode_of(controller.record) is Mode.RUNNING
+        assert (
+            not await controller.poll_once(clock.now()) and mode_of(controller.record) is ReleaseMode.RUNNING
+        )
         clock.reading += 0.2
-        assert await controller.round(clock.now()) and mode_of(controller.record) is Mode.DONE
+        assert await controller.poll_once(clock.now()) and mode_of(controller.record) is ReleaseMode.DONE
 
 
 @pytest.mark.parametrize("step_s", WALL_STEPS)
@@ -69,15 +73,15 @@
             sent.append(order)
 
         monkeypatch.setattr(controller, "_send", send)
-        await controller.round(clock.now())
+        await controller.poll_once(clock.now())
         clock.reading += 30.0
         clock.offset += step_s
-        await controller.round(clock.now())
+        await controller.poll_once(clock.now())
         clock.reading += 29.9
-        await controller.round(clock.now())
+        await controller.poll_once(clock.now())
         assert len(sent) == 1  # 60 s is the plan's step_s
         clock.reading += 0.2
-        await controller.round(clock.now())
+        await controller.poll_once(clock.now())
         assert len(sent) == 2 and sent[0] == sent[1]
 
 
@@ -89,33 +93,33 @@
         running_list_service() as (service, lists),
         controlling(tmp_path / "state", make_plan(1, lists=[lists]), clock, address) as controller,
     ):
-        await controller.round(clock.now())
-        assert controller.held and service.taken == 1
+        await controller.poll_once(clock.now())
+        assert controller.lock_held and service.taken == 1
         service.refuses = True
         clock.offset += step_s
         clock.reading += 7.1  # of 8 s, a tenth short
-        await controller.round(clock.now())
-        assert controller.held
+        await controller.poll_once(clock.now())
+        assert controller.lock_held
         clock.reading += 0.2
-        await controller.round(clock.now())
-        assert not controller.held
+        await controller.poll_once(clock.now())
+        assert not controller.lock_held
         before = len(machine.carried)
         clock.reading += 100.0  # an order would be due again
-        await controller.round(clock.now())
+        await controller.poll_once(clock.now())
         assert len(machine.carried) == before
 
 
-def gate_of(plan_gates: Gates) -> tuple[Gate, Record]:
+def gate_of(plan_gates: GateSettings) -> tuple[HealthGates, ReleaseRecord]:
     """A gate over five units, u0 of the new version."""
-    record = record_of(make_plan(5))
+    record = new_record(make_plan(5))
     record.units["u0"].version = "1.8"
-    return Gate(plan_gates, record), record
+    return HealthGates(plan_gates, record), record
 
 
-def figures(record: Record, look: int, **of_new: float) -> dict[str, dict[str, float] | None]:
-    """What agents report at a look: all units alike, but for what is given of u0."""
-    told = {"life": 1.0, "requests": 100.0 * look, "failed": 0.0, "cpu_s": 0.1 * look, "missed": 0.0}
-    return {name: {**told, **(of_new if name == "u0" else {})} for name in record.units}
+def reports(record: ReleaseRecord, poll: int, **of_new: float) -> dict[str, LoadReport | None]:
+    """What agents report at a poll: all units alike, but for what is given of u0."""
+    metrics = {"life": 1.0, "requests": 100.0 * poll, "failed": 0.0, "cpu_s": 0.1 * poll, "missed": 0.0}
+    return {name: LoadReport({**metrics, **(of_new if name == "u0" else {})}) for name in record.units}
 
 
 @pytest.mark.parametrize("step_s", WALL_STEPS)
@@ -129,37 +133,39 @@
         clock.reading += seconds / 2
         return clock.now()
 
-    gate, record = gate_of(Gates(before_s=0.0, silent_s=10.0))
-    whole = figures(record, 1)
-    gate.look(clock.now(), whole)
-    assert not gate.look(pass_time(9.9), {**whole, "u0": None}).halt
-    assert gate.look(pass_time(0.2), {**whole, "u0": None}).halt == "u0: tells nothing for 10 s"
+    gate, record = gate_of(GateSettings(before_s=0.0, silent_s=10.0))
+    whole = reports(record, 1)
+    gate.evaluate(clock.now(), whole)
+    assert not gate.evaluate(pass_time(9.9), {**whole, "u0": None}).halt_reason
+    assert gate.evaluate(pass_time(0.2), {**whole, "u0": None}).halt_reason == "u0: tells nothing for 10 s"
 
-    gate, record = gate_of(Gates(before_s=0.0, cost_s=10.0))
+    gate, record = gate_of(GateSettings(before_s=0.0, cost_s=10.0))
     for look, seconds in enumerate((1.0, 1.0, 9.8), start=1):
-        assert not gate.look(pass_time(seconds), figures(record, look, cpu_s=0.5 * look)).halt
-    assert gate.look(pass_time(0.4), figures(record, 4, cpu_s=2.0)).halt.startswith("processor time")
-
-    record = record_of(make_plan(5))
-    gate = Gate(Gates(before_s=1.9, look_s=1.0), record)
-    assert gate.look(clock.now(), figures(record, 1)).unwell
-    assert gate.look(pass_time(1.8), figures(record, 2)).unwell
-    assert not gate.look(pass_time(0.2), figures(record, 3)).unwell
-
-    gate, record = gate_of(Gates(before_s=0.0, settle_s=10.0, cost=100.0))
-    gate.look(clock.now(), figures(record, 1))
-    gate.look(pass_time(9.9), figures(record, 2, missed=100.0))
-    assert gate.evidence["missed"].odds == 1.0  # not settled: its misses don't count
-    gate.look(pass_time(0.2), figures(record, 3, missed=200.0))
-    assert gate.evidence["missed"].odds > 1.0
-
-
-def watched_record(clock: SteppedClock) -> Record:
+        assert not gate.evaluate(pass_time(seconds), reports(record, look, cpu_s=0.5 * look)).halt_reason
+    assert gate.evaluate(pass_time(0.4), reports(record, 4, cpu_s=2.0)).halt_reason.startswith(
+        "processor time"
+    )
+
+    record = new_record(make_plan(5))
+    gate = HealthGates(GateSettings(before_s=1.9, look_s=1.0), record)
+    assert gate.evaluate(clock.now(), reports(record, 1)).hold_reason
+    assert gate.evaluate(pass_time(1.8), reports(record, 2)).hold_reason
+    assert not gate.evaluate(pass_time(0.2), reports(record, 3)).hold_reason
+
+    gate, record = gate_of(GateSettings(before_s=0.0, settle_s=10.0, cost=100.0))
+    gate.evaluate(clock.now(), reports(record, 1))
+    gate.evaluate(pass_time(9.9), reports(record, 2, missed=100.0))
+    assert gate.evidence[FailureKind.MISSED].likelihood_ratio == 1.0  # not settled: its misses don't count
+    gate.evaluate(pass_time(0.2), reports(record, 3, missed=200.0))
+    assert gate.evidence[FailureKind.MISSED].likelihood_ratio > 1.0
+
+
+def watched_record(clock: SteppedClock) -> ReleaseRecord:
     """All units have the new version, and are watched from now on."""
-    record = record_of(make_plan())
+    record = new_record(make_plan())
     for unit in record.units.values():
         unit.version = "1.8"
-    assert Release(record).tick(clock.now()) == [] and record.watched == clock.now()
+    assert ReleaseStateMachine(record).tick(clock.now()) == [] and record.watch_started == clock.now()
     return record
 
 
@@ -170,13 +176,13 @@
     clock.reading += 15.0
     clock.offset += step_s
     record = RecordCodec(clock).decode(stored)
-    Release(record).tick(clock.now())
+    ReleaseStateMachine(record).tick(clock.now())
     clock.reading += 4.9
-    Release(record).tick(clock.now())
-    assert mode_of(record) is Mode.RUNNING
+    ReleaseStateMachine(record).tick(clock.now())
+    assert mode_of(record) is ReleaseMode.RUNNING
     clock.reading += 0.2
-    Release(record).tick(clock.now())
-    assert mode_of(record) is Mode.DONE
+    ReleaseStateMachine(record).tick(clock.now())
+    assert mode_of(record) is ReleaseMode.DONE
 
 
 @pytest.mark.parametrize(
@@ -189,19 +195,19 @@
     stored = RecordCodec(first).encode(watched_record(first))
     clock = SteppedClock(identity, reading)
     record = RecordCodec(clock).decode(stored)
-    Release(record).tick(clock.now())
-    assert record.watched == clock.now() and mode_of(record) is Mode.RUNNING
+    ReleaseStateMachine(record).tick(clock.now())
+    assert record.watch_started == clock.now() and mode_of(record) is ReleaseMode.RUNNING
     clock.reading += 19.9
-    Release(record).tick(clock.now())
-    assert mode_of(record) is Mode.RUNNING
+    ReleaseStateMachine(record).tick(clock.now())
+    assert mode_of(record) is ReleaseMode.RUNNING
     clock.reading += 0.2
-    Release(record).tick(clock.now())
-    assert mode_of(record) is Mode.DONE
+    ReleaseStateMachine(record).tick(clock.now())
+    assert mode_of(record) is ReleaseMode.DONE
 
 
 def test_a_clock_that_can_not_be_identified_is_comparable_with_none() -> None:
     clock = SteppedClock(identity="")
-    assert RecordCodec(clock).decode(RecordCodec(clock).encode(watched_record(clock))).watched < 0
+    assert RecordCodec(clock).decode(RecordCodec(clock).encode(watched_record(clock))).watch_started is None
     assert ScaledClock(clock, 60.0).identity == ""
 
 
@@ -233,35 +239,50 @@
 
 def test_a_record_that_the_version_before_wrote_is_read_and_its_watch_begins_anew(tmp_path: Path) -> None:
     clock = SteppedClock(offset=1_796_207_300.0 - 5_000.0)  # 7 s after the old controller began to watch
-    kept = Kept(stored_folder(tmp_path, "watched"), clock=clock)
-    record = kept.record
-    assert record.units["c0"].version == "1.8" and record.number == 3 and record.watched < 0
-    assert record.evidence["watched_s"] == 4.0 and record.evidence["failed"]["known"]["c0"] == [4.0, 4]
-    assert Release(record).tick(clock.now()) == [] and record.watched == clock.now()
-    kept.close()
-    kept = Kept(stored_folder(tmp_path, "in_flight"), clock=clock)
-    pending = Release(kept.record).pending(clock.now())
+    folder = ReleaseFolder(stored_folder(tmp_path, "watched"), clock=clock)
+    record = folder.record
+    assert (
+        record.units["c0"].version == "1.8" and record.last_order_number == 3 and record.watch_started is None
+    )
+    assert record.gate_state.watched_s == 4.0
+    assert record.gate_state.evidence[FailureKind.FAILED].baselines["c0"] == (4.0, 4)
+    assert ReleaseStateMachine(record).tick(clock.now()) == [] and record.watch_started == clock.now()
+    folder.close()
+    folder = ReleaseFolder(stored_folder(tmp_path, "in_flight"), clock=clock)
+    pending = ReleaseStateMachine(folder.record).resend_pending(clock.now())
     assert [(one.unit, one.step, one.version, one.number) for one in pending] == [("c0", "admit", "1.8", 3)]
-    kept.close()
+    folder.close()
 
 
 def test_a_record_of_this_version_has_what_the_version_before_reads(tmp_path: Path) -> None:
     """The version before passes every key to its dataclass, and refuses one that it does not know."""
     clock = SteppedClock()
-    kept = Kept(stored_folder(tmp_path, "watched"), clock=clock)
-    before = json.loads(kept.saved)
-    Release(kept.record).tick(clock.now())
-    kept.record.request_taken = 3
-    kept.keep()
-    kept.close()
+    folder = ReleaseFolder(stored_folder(tmp_path, "watched"), clock=clock)
+    before = json.loads(load_release(tmp_path / "watched", clock).json)
+    ReleaseStateMachine(folder.record).tick(clock.now())
+    folder.record.last_request = 3
+    folder.save()
+    folder.close()
     after = json.loads(load_release(tmp_path / "watched", clock).json)
     assert after.keys() == before.keys()
     assert all(after["units"][name].keys() == before["units"][name].keys() for name in before["units"])
     assert after["watched"] == clock.unix_time()
     assert set(after["evidence"]) - set(before["evidence"]) == {"clock", "request_taken"}
+    assert all(after["evidence"][kind] == before["evidence"][kind] for kind in before["evidence"])
     again = load_release(tmp_path / "watched", clock).record
-    assert again.watched == clock.now() and again.request_taken == 3
-    assert set(again.evidence) == set(before["evidence"])
+    assert again.watch_started == clock.now() and again.last_request == 3
+    assert again.gate_state == folder.record.gate_state
+
+
+def test_a_record_of_the_version_before_keeps_its_form(tmp_path: Path) -> None:
+    """But for when orders were sent, which is not read back."""
+    clock = SteppedClock()
+    path = stored_folder(tmp_path, "in_flight")
+    before = json.loads(load_release(path, clock).json)
+    after = json.loads(RecordCodec(clock).encode(load_release(path, clock).record))
+    for unit in before["units"].values():
+        unit["sent"] = 0.0
+    assert after == before
 
 
 def test_the_watch_begins_anew_after_an_older_controller_has_written(tmp_path: Path) -> None:
@@ -270,4 +291,4 @@
     stored = json.loads(RecordCodec(clock).encode(watched_record(clock)))
     stored["watched"] += 40.0
     clock.reading += 60.0
-    assert RecordCodec(clock).decode(json.dumps(stored).encode()).watched < 0
+    assert RecordCodec(clock).decode(json.dumps(stored).encode()).watch_started is None
