--- a/applehub/events.py
+++ b/applehub/events.py
@@ -1,14 +1,16 @@
 """Events of the programs beside the router: JSON lines with one schema and one vocabulary.
 
-A line holds `mono` (ns of the machine's monotonic clock, which all processes of a machine share), `wall`
-(Unix time, ns, as the process sees it), `process`, `incarnation` (how many times the process was started),
-`event`, perhaps `request`, and what the event's kind tells beside. Neither `run` nor `sim` imports this."""
+A line holds `mono` (CLOCK_MONOTONIC in ns, which all processes of a machine share), `wall` (Unix time in ns,
+as the process sees it), `process`, `incarnation` (how many times the process was started), `event`, perhaps
+`request`, and the fields of the event's kind. Neither `run` nor `sim` imports this module.
+"""
 
 import os
 import time
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 from enum import StrEnum
+from functools import partial
 from pathlib import Path
 from typing import Any, BinaryIO
 
@@ -19,7 +21,7 @@
 
 
 class Event(StrEnum):
-    """What may happen. The comment tells the fields beside those that every line has."""
+    """Kinds of events. The comments name their fields, beside those of every line."""
 
     STARTED = "started"  # pid
     READY = "ready"  # address
@@ -62,9 +64,9 @@
     CALL = "call"  # router, words, answer: an operator's call
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class Record:
-    """One event as it was read."""
+    """One event as it was read. more: the fields of its kind."""
 
     mono: int
     wall: int
@@ -75,44 +77,50 @@
     more: dict[str, Any]
 
     def line(self, since: int = 0) -> str:
-        """For people: ms since a moment, who, what."""
-        said = " ".join(f"{name}={value}" for name, value in self.more.items())
-        who = f"{self.process}#{self.incarnation}" if self.incarnation else self.process
-        return (
-            f"{(self.mono - since) / 1e6:12.3f} ms  {who:14} {self.event:10} {self.request} {said}".rstrip()
-        )
+        """For people: ms since a reading of CLOCK_MONOTONIC in ns, the process, the event and its fields."""
+        fields = " ".join(f"{name}={value}" for name, value in self.more.items())
+        process = f"{self.process}#{self.incarnation}" if self.incarnation else self.process
+        elapsed_ms = (self.mono - since) / 1e6
+        return f"{elapsed_ms:12.3f} ms  {process:14} {self.event:10} {self.request} {fields}".rstrip()
 
 
 class EventError(ValueError):
-    """A line that is none of the schema."""
+    """A line is not of the schema."""
 
 
 class Writer:
     """Writes one process's events. Each line is handed to the system at once, so that SIGKILL loses none.
 
     A file that refuses (ENOSPC, EIO) ends no program: lines are held, up to MOST_HELD bytes, and written
-    before the next ones; those past that are dropped and counted."""
+    before the next ones; those past that are dropped and counted.
+    """
 
-    def __init__(self, where: Path | BinaryIO, process: str, incarnation: int) -> None:
-        """where: a file that no other process writes, or a stream. Raises OSError if it can't be opened."""
-        self.process, self.incarnation = process, incarnation
+    def __init__(self, target: Path | BinaryIO, process: str, incarnation: int) -> None:
+        """target: a file that no other process writes, or a stream. Raises OSError if it can't be opened."""
         self.dropped = 0  # lines
-        self._held = bytearray()  # what the file has not taken yet; its begin may be in the middle of a line
-        self._file: Any
-        if isinstance(where, Path):
-            _cut_half_line(where)
-            self._file = open(where, "ab", buffering=0)  # noqa: SIM115 (until it is closed)
+        self._process = process
+        self._incarnation = incarnation
+        self._held = bytearray()  # not written yet; it may begin in the middle of a line
+        self._write: Callable[[bytes], int | None]
+        self._close: Callable[[], None]
+        if isinstance(target, Path):
+            _cut_half_line(target)
+            descriptor = os.open(target, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o666)
+            self._write = partial(os.write, descriptor)
+            self._close = partial(os.close, descriptor)
         else:
-            where.flush()
-            self._file = getattr(where, "raw", where)  # a buffer would hold lines beside those held here
+            target.flush()
+            raw = getattr(target, "raw", target)  # a buffer would hold lines beside those held here
+            self._write = raw.write
+            self._close = target.close
 
-    def say(self, event: Event, **more: Any) -> None:
+    def say(self, event: Event, **fields: object) -> None:
         """Writes a line, or holds it until the file takes it."""
         line = orjson.dumps(
             {
-                "process": self.process,
-                "incarnation": self.incarnation,
-                **more,
+                "process": self._process,
+                "incarnation": self._incarnation,
+                **fields,
                 "event": event,
                 "mono": time.monotonic_ns(),
                 "wall": time.time_ns(),
@@ -128,59 +136,70 @@
         """Writes what is held, as far as the file takes it."""
         try:
             while self._held:
-                taken = self._file.write(bytes(self._held))
-                if not taken:
+                written = self._write(bytes(self._held))
+                if not written:
                     return  # a stream that does not block, and is full
-                del self._held[:taken]
+                del self._held[:written]
         except OSError:
-            return  # held, and written with the next line
+            return  # held, and written before the next line
 
     def close(self) -> None:
-        """Closes the file; what it does not take now is lost."""
+        """Closes the file; lines that it refuses now are lost."""
         self.flush()
-        self._file.close()
-
-
-def _cut_half_line(path: Path) -> None:
-    """Takes away a last line in whose middle a writer was killed; else the next would be joined to it."""
-    try:
-        with open(path, "r+b") as file:
-            end = position = file.seek(0, os.SEEK_END)
-            while position:
-                start = max(0, position - BLOCK)
-                file.seek(start)
-                newline = file.read(position - start).rfind(b"\n")
-                position = start + newline + 1
-                if newline >= 0:
-                    break
-            if position < end:
-                file.truncate(position)
-    except FileNotFoundError:
-        return
+        self._close()
 
 
 def parse(line: bytes) -> Record:
-    """Reads a line. Raises EventError."""
+    """Decodes a line. Raises EventError."""
     try:
-        told = orjson.loads(line)
-        record = Record(
-            told.pop("mono"), told.pop("wall"), told.pop("process"), told.pop("incarnation"),
-            Event(told.pop("event")), told.pop("request", ""), told,
-        )  # fmt: skip
-    except (ValueError, KeyError, TypeError, AttributeError) as problem:
-        raise EventError(f"{line[:80]!r}: {type(problem).__name__}: {problem}") from None
-    return record
+        fields = orjson.loads(line)
+        return Record(
+            mono=fields.pop("mono"),
+            wall=fields.pop("wall"),
+            process=fields.pop("process"),
+            incarnation=fields.pop("incarnation"),
+            event=Event(fields.pop("event")),
+            request=fields.pop("request", ""),
+            more=fields,
+        )
+    except (ValueError, KeyError, TypeError, AttributeError) as error:
+        raise EventError(f"{line[:80]!r}: {type(error).__name__}: {error}") from error
 
 
 def whole_lines(path: Path, since: int = 0) -> list[bytes]:
-    """The lines of a file from a byte on that are whole by now, each with its end. It is read at once: who
-    reads line by line beside the writer gets the first part of a line, and then the rest as another."""
-    with open(path, "rb") as file:
+    """The complete lines of a file from an offset in bytes on, each with its end.
+
+    The file is read at once. Reading line by line beside the writer would give the first part of a line, and
+    then its rest as another line.
+    """
+    with path.open("rb") as file:
         file.seek(since)
         content = file.read()
     return content[: content.rfind(b"\n") + 1].splitlines(keepends=True)
 
 
 def read(path: Path) -> Iterator[Record]:
-    """All events of a file, in order. A last line that was cut off with its process is left out."""
+    """All events of a file, in order, without a last line that was cut off with its process.
+
+    Raises OSError, EventError.
+    """
     return map(parse, whole_lines(path))
+
+
+def _cut_half_line(path: Path) -> None:
+    """Cuts off a last line in whose middle a writer was killed; else the next would be joined to it."""
+    try:
+        file = path.open("r+b")
+    except FileNotFoundError:
+        return
+    with file:
+        end = position = file.seek(0, os.SEEK_END)
+        while position:
+            start = max(0, position - BLOCK)
+            file.seek(start)
+            newline = file.read(position - start).rfind(b"\n")
+            position = start + newline + 1
+            if newline >= 0:
+                break
+        if position < end:
+            file.truncate(position)
--- a/applehub/release/__main__.py
+++ b/applehub/release/__main__.py
@@ -84,7 +84,7 @@
 @click.option("--broken", multiple=True, help="A unit on which the new version never comes up.")
 @AGAIN
 @guarded
-def rehearse_plan(
+def rehearse_plan(  # noqa: PLR0913, PLR0917 (click passes each option by its name)
     file: Path, folder: Path, pace: float, step_s: float, broken: tuple[str, ...], again: bool
 ) -> None:
     """Carries plan FILE out on pretend machines; goes on where it was cut off, also by SIGKILL."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -331,7 +331,7 @@
     if struck:
         begin, end = strike(0, struck, "router-0>cache-0", 1.5, 30.0)
         if struck == "stop":
-            begin.more |= {"processes": ["cache-0"], "edges": []}
+            begin.more.update(processes=["cache-0"], edges=[])
         records += [begin, end]
     assert [one.check for one in judge(ordered(records), Plan(name="p"))] == ["departed"] * breaks
 
