--- a/applehub/registry/host.py
+++ b/applehub/registry/host.py
@@ -13,13 +13,15 @@
 from applehub.node.discovery import read_endpoint
 from applehub.registry import raft, wire
 from applehub.registry.entries import Entries, Result
+from applehub.registry.listener import Listener
 from applehub.registry.raft import Action, Apply, Proposed, Replica, Restore, Save, Send
-from applehub.registry.store import Store, StoreError
+from applehub.registry.store import Store, StoreError, StoreRefusedError
 
 TICK = 0.02  # s between looks at the clock
 MOST_LINE = 64 << 20  # of a message between replicas: a snapshot
 MOST_UNSENT = 8 << 20  # bytes for a peer that does not read; past them its messages are dropped
 DIAL_PAUSE = 0.1  # s between tries to reach a peer
+STORAGE_PAUSE = 0.2  # s between tries of a disk that refuses: less than an election takes
 log = logging.getLogger("applehub.registry")
 
 
@@ -55,27 +57,32 @@
         self._proposals: list[tuple[bytes, asyncio.Future[Result]]] = []
         self._held: list[Action] = []
         self._syncing = False
+        self._unsaved: list[Action] = []  # what waits until the disk takes writes again
+        self._retry: asyncio.TimerHandle | None = None
+        self.disk_refuses = self._stopping = False
         self._disk = ThreadPoolExecutor(1, "disk")
         self._peers = {number: Peer(number, address) for number, address in addresses.items() if number != me}
-        self._server: asyncio.Server | None = None
+        self._listener: Listener | None = None
         self._heard: set[asyncio.StreamWriter] = set()  # connections of its peers
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
         """Listens for its peers and begins to take part."""
         if self.addresses:
-            host, port = read_endpoint(self.addresses[self.me])
-            self._server = await asyncio.start_server(self._hear, host, port, limit=MOST_LINE)
+            self._listener = Listener(read_endpoint(self.addresses[self.me]), self._peer_protocol)
         self._tasks = [self.loop.create_task(peer.run()) for peer in self._peers.values()]
         self._tasks.append(self.loop.create_task(self._tick()))
         if not self._peers:
             self.replica.due = 0  # a group of one need not wait for others
 
     async def stop(self) -> None:
+        self._stopping = True
+        if self._retry is not None:
+            self._retry.cancel()
         for task in self._tasks:
             task.cancel()
-        if self._server is not None:
-            self._server.close()
+        if self._listener is not None:
+            self._listener.close()
         for writer in self._heard:
             writer.transport.abort()
         for waiting in self.waiting.values():
@@ -86,7 +93,11 @@
     # What can be asked
 
     def is_primary(self) -> bool:
-        return self.replica.is_primary(time.monotonic_ns())
+        """Whether this replica may serve as primary: it holds its lease, and its list has all that any
+        primary before it acknowledged."""
+        if self.disk_refuses or not self.replica.is_primary(time.monotonic_ns()):
+            return False
+        return self.replica.term_at(self.applied) == self.replica.term
 
     def staleness(self) -> int:
         """ns since this replica last knew that it held what the primary had committed; 0 at the primary."""
@@ -141,6 +152,10 @@
 
     def _synced(self, future: "asyncio.Future[None]", rest: list[Action]) -> None:
         problem = None if future.cancelled() else future.exception()
+        if isinstance(problem, StoreRefusedError):
+            self._syncing = False
+            self._refused(problem, rest)
+            return
         if problem is not None:
             # Nothing that follows the Save may be done: this replica ends, and starts from what is on disk.
             if not self.failed.done():
@@ -149,10 +164,42 @@
                 )
             return
         self._syncing = False
+        if self.disk_refuses:
+            self.disk_refuses = False
+            log.warning("the disk takes writes again")
         self._carry_out(rest)
         if not self._syncing:
             self._release()
 
+    def _refused(self, problem: StoreRefusedError, rest: list[Action]) -> None:
+        """Until the disk takes writes again, this replica leads, votes and acknowledges no more, and serves
+        what it learns to be committed."""
+        if not self.disk_refuses:
+            self.disk_refuses = True
+            log.warning("%s: no vote and no acknowledgement until the disk takes writes", problem)
+        committed: list[Action] = [one for one in (*rest, *self._held) if isinstance(one, Apply | Restore)]
+        self._held = []
+        self.handle(raft.StorageFailed())
+        if self._peers:  # a majority has these on disk, without this replica
+            self._carry_out(committed)
+        else:
+            self._unsaved = committed
+        self._disown_waiting("the disk refuses writes")
+        if not self._stopping:
+            self._retry = self.loop.call_later(STORAGE_PAUSE, self._try_disk)
+
+    def _try_disk(self) -> None:
+        """Writes the whole state: all that follows is held back until it is on disk."""
+        unsaved, self._unsaved = self._unsaved, []
+        self._take([*self.replica.handle(time.monotonic_ns(), raft.StorageRetried()), *unsaved])
+
+    def _disown_waiting(self, why: str) -> None:
+        """Acknowledges nothing that waits; a later call finds what was agreed on."""
+        for waiting in self.waiting.values():
+            if not waiting.answer.done():
+                waiting.answer.set_exception(NotPrimaryError(why))
+        self.waiting.clear()
+
     def _carry_out(self, actions: list[Action]) -> None:
         version = self.entries.version
         for action in actions:
@@ -184,11 +231,10 @@
             await asyncio.sleep(TICK)
             self.handle(raft.Tick(self.random.random()))
             if self.waiting and not self.is_primary():
-                # Past its lease it acknowledges nothing; a later call finds what was agreed on.
-                for waiting in self.waiting.values():
-                    if not waiting.answer.done():
-                        waiting.answer.set_exception(NotPrimaryError("no longer the primary"))
-                self.waiting.clear()
+                self._disown_waiting("no longer the primary")  # its lease is over
+
+    def _peer_protocol(self) -> asyncio.StreamReaderProtocol:
+        return asyncio.StreamReaderProtocol(asyncio.StreamReader(MOST_LINE, self.loop), self._hear, self.loop)
 
     async def _hear(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._heard.add(writer)
