--- a/applehub/policy/keys.py
+++ b/applehub/policy/keys.py
@@ -1,5 +1,6 @@
 """Where keys lie, which are asked for most, and which were lately seen."""
 
+import math
 from collections.abc import Iterator
 from itertools import chain, islice
 from zlib import crc32
@@ -9,6 +10,8 @@
 KEYS_KEPT = 1 << 14  # keys remembered; the oldest are forgotten first
 DEALS_KEPT = 32  # lists remembered while keys move; past it, the one nearest in time to its neighbours goes
 SAMPLES = 8  # requests counted for each server before old ones count half
+SMALL_PART = 1 / 8  # of a server's fair share: a key that has no more is not to be taken for hot
+COPY_COST = 2  # requests that a copy has to be worth: the first finds it missing there
 UNKNOWN = 63  # the age of keys that are not remembered
 
 
@@ -49,22 +52,53 @@
                 yield name
 
 
-class Popularity:
-    """How often each key was asked for among this router's latest requests."""
+class Counts:
+    """How often each key was asked for among this router's latest requests. Once there are so many for each
+    server, all counts are halved. Keeps at most as many keys as are counted alike."""
 
-    def __init__(self) -> None:
+    def __init__(self, samples: int) -> None:
+        self.samples = samples
         self.seen: dict[str, int] = {}
         self.total = 0
 
-    def fills(self, key: str, servers: int) -> int:
-        """Counts a request; tells how many servers' fair shares of all requests its key makes up."""
-        if self.total >= SAMPLES * max(1, servers):
+    def add(self, key: str, servers: int) -> int:
+        """Counts a request; gives how many there were for its key before."""
+        if self.total >= self.samples * servers:
             self.seen = {name: count // 2 for name, count in self.seen.items() if count > 1}
             self.total //= 2
+        elif len(self.seen) >= SAMPLES * servers:
+            self.seen = {name: count for name, count in self.seen.items() if count > 1}
+        before = self.seen.get(key, 0)
+        self.seen[key] = before + 1
         self.total += 1
-        before = self.seen.get(key, 0) * servers
-        self.seen[key] = self.seen.get(key, 0) + 1
-        return 2 * before // self.total if before >= self.total else 0  # a server bears about two
+        return before
+
+    def proves(self, count: int, servers: int) -> bool:
+        """Whether a key asked for so often surely has more than SMALL_PART of a server's fair share.
+
+        A Poisson count with mean m reaches c with a chance of at most exp(-(c ln(c/m) - c + m)), by
+        Chernoff's bound. Here that chance times all keys counted is at most 1: of the keys with that part or
+        less, at most one is expected to be taken for hot, at any time and any number of servers."""
+        mean = self.total / servers * SMALL_PART
+        return count * (math.log(count / mean) - 1) + mean >= math.log(len(self.seen))
+
+
+class Popularity:
+    """Which keys make up a server's fair share of this router's latest requests, or more."""
+
+    def __init__(self) -> None:
+        # The shorter counts find quickly what has become hot, the longer ones what only just is.
+        self.counts = Counts(SAMPLES), Counts(2 * SAMPLES)
+
+    def fills(self, key: str, servers: int) -> int:
+        """Counts a request; tells how many servers' fair shares of all requests its key makes up."""
+        servers, most = max(1, servers), 0
+        for one in self.counts:
+            before = one.add(key, servers)
+            if before > 1 and before * servers >= one.total and one.proves(before, servers):
+                ranges = 2 * before * servers // one.total  # a server bears about two
+                most = max(most, min(ranges, before // COPY_COST))
+        return most
 
 
 class KeyMemory:
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -32,7 +32,8 @@
         popularity.fills("hot", 4)
     for n in range(2000):
         popularity.fills(f"k{n}", 4)
-        assert len(popularity.seen) <= popularity.total <= SAMPLES * 4
+        for one in popularity.counts:
+            assert len(one.seen) <= SAMPLES * 4 and one.total <= one.samples * 4 <= 2 * SAMPLES * 4
     assert popularity.fills("hot", 4) == 0
 
 
