--- a/applehub/policy/balancer.py
+++ b/applehub/policy/balancer.py
@@ -5,8 +5,9 @@
 from applehub import interface as api
 from applehub.policy.hearsay import Hearsay
 from applehub.policy.job import Job
-from applehub.policy.keys import KeyMemory, Popularity
+from applehub.policy.keys import KeyMemory
 from applehub.policy.placement import Placement
+from applehub.policy.replicas import Replicas
 from applehub.policy.roster import BROKEN, Roster
 from applehub.policy.servers import SLOW, Server
 from applehub.policy.tenants import Tenants
@@ -29,7 +30,7 @@
         self.placement = Placement(turn, self.roster)
         self.tenants = Tenants(turn)
         self.jobs: dict[str, Job] = {}
-        self.memory, self.popularity = KeyMemory(), Popularity()
+        self.memory, self.replicas = KeyMemory(), Replicas(turn, self.roster)
         self.monitor = Monitor(turn.shortest_aim // 2)
         self.hearsay = Hearsay(turn, self.roster, self.monitor)
         self.reads: dict[tuple[str, int], tuple[int, int]] = {}  # likely misses out: sent, slow from
@@ -110,9 +111,8 @@
         job.marked = self.tenants.over_share(event)
         self.roster.flow.add(self.turn.now)
         if event.key is not None:
-            # Guards against a hot key that swamps its one cache: it takes as many ranges as it fills.
-            servers = len(self.roster.ranges.deals[-1][1])
-            job.skip = self.turn.random.randrange(1 + min(servers, self.popularity.fills(event.key, servers)))
+            # Guards against a hot key that swamps its one cache.
+            job.skip = self.replicas.choose(event.key)
         if event.write and self.turn.settings.aside:
             job.at_origin = True
             self._proceed(job)
--- a/applehub/policy/servers.py
+++ b/applehub/policy/servers.py
@@ -7,6 +7,7 @@
 from applehub.policy.rates import SECOND, SMOOTHING, Bank, weight_of
 
 SLOW = 3 / 4  # part of a request's aim past which an answer is slow and its server swamped
+NEAR_LIMIT = 2  # times its uncrowded answer time from which on a server is near what it bears
 KIND_STEP = 1 / 16  # part of a kind's share that a slow answer of one of its servers takes
 
 
@@ -106,6 +107,12 @@
         elif now - elapsed >= self.cut_at:
             self.share, self.cut_at = max(self.share * 3 / 4, SMOOTHING), now
 
+    def near_limit(self) -> bool:
+        """Whether it is near what it bears: it was full or slow lately, or one more answer is expected after
+        twice the uncrowded time. Under processor sharing answers take 1 / (1 - u) times that, with a part u
+        of its capacity in use: at half, a key with a fair share of its own may fill the rest."""
+        return self.share < 1 or 0 < NEAR_LIMIT * self.base <= self.predict()
+
     def open(self, now: int) -> bool:
         """Whether it may be tried: one at a time after a failure, until it answers."""
         tried_again = now >= self.down_until and not self.out
