--- a/applehub/durable/store.py
+++ b/applehub/durable/store.py
@@ -77,14 +77,17 @@
             if not self.disk.lock(f"{self.name}.lock"):
                 raise StoreError(f"{self.name}: another process holds it")
             self.held = True
-        return self.load()
+        try:
+            return self.load()
+        except OSError:
+            self.close()  # who saves must know the generations and which file to keep: it is opened anew
+            raise
 
     def load(self) -> Loaded:
         """Reads it: the highest whole generation. Raises OSError where the disk refuses."""
-        loaded, whole = Loaded(), dict[int, Found]()
-        self.pinned = None
-        for place, file in enumerate(self.files):
-            content = self.disk.read(file)
+        loaded, whole, newer = Loaded(), dict[int, Found](), dict[int, int]()
+        contents = [self.disk.read(file) for file in self.files]  # all, before anything is noted of them
+        for place, (file, content) in enumerate(zip(self.files, contents, strict=True)):
             if content is None:
                 continue
             found = _read(content)
@@ -94,9 +97,10 @@
             self.last = max(self.last, found.generation)
             if found.form > self.form:
                 loaded.passed_over.append(f"{file}: byte 4: format {found.form}, known is {self.form}")
-                self.pinned = place  # the newer program's: it stays
+                newer[place] = found.generation
             else:
                 whole[place] = found
+        self.pinned = max(newer, key=lambda place: newer[place], default=None)  # its latest stays
         newest = max(whole, key=lambda place: whole[place].generation, default=None)
         if newest is not None:
             loaded.value, loaded.generation = whole[newest].value, whole[newest].generation
@@ -104,8 +108,9 @@
         return loaded
 
     def save(self, value: bytes) -> None:
-        """Keeps a value; once this returns it outlives a loss of power. Raises StoreError, OSError: then the
-        one before holds."""
+        """Keeps a value; once this returns it outlives a loss of power. Raises StoreError: then the one
+        before holds. Raises OSError: then `load` gives the one before or, where only the folder's sync was
+        refused, this one, and after a loss of power either."""
         if not self.held:
             raise StoreError(f"{self.name}: not open for writing")
         if len(value) > MOST:
--- a/applehub/node/pool.py
+++ b/applehub/node/pool.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import contextlib
+import errno
 import logging
 import socket
 import time
@@ -18,13 +19,35 @@
 IDLE_MOST = 10.0  # s after which an idle connection is surplus: it costs more than opening one anew
 IDLE_PART = 0.8  # of the server's keepalive: closed well before the server does
 SWEEP = 1.0
+HELD_UP = 0.15  # s for which the process may stand still between a look at its clock and what it writes then
 # s for which a connection rests after an answer. A second answer came up to 4 ms after the first, and nothing
 # in it tells whose it is (docs/findings/standing.md): the next request must not be there yet.
 REST = 0.01
+# Errors of socket and connect by which this machine says what it lacks. None comes from the server.
+LOCAL_FAILURES = frozenset(
+    (
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+        errno.EADDRNOTAVAIL,
+        errno.EADDRINUSE,
+        errno.EAGAIN,
+    )
+)
+# Errors by which it says that it knows no way to an address, to this alone or to all of them.
+NO_ROUTE = frozenset((errno.ENETUNREACH, errno.ENETDOWN, errno.EHOSTUNREACH))
 Endpoint = tuple[str, int]
 log = logging.getLogger("applehub")
 
 
+def status_of_failed_connect(problem: OSError) -> Status:
+    """How an attempt ended whose connection never came up."""
+    if problem.errno in LOCAL_FAILURES:
+        return Status.LOCAL_FAILURE
+    return Status.UNREACHABLE if problem.errno in NO_ROUTE else Status.CONNECT_FAILED
+
+
 class Connection(Reader):
     """A connection that carries one attempt at a time and tells how it ended."""
 
@@ -34,6 +57,8 @@
         self.transport: asyncio.Transport | None = None
         self.dialling: asyncio.Task[None] | None = None
         self.taken = False  # the server accepted it
+        self.failure = Status.CONNECT_FAILED  # how an attempt ends where it never does
+        self.carried = 0  # attempts that were asked on it
         self.full = False  # the system takes no more for now
         self.pieces: Iterator[bytes | memoryview] = iter(())  # what of it is still to be written
         self.begun = False  # some of what is asked was handed to the system
@@ -53,6 +78,7 @@
     def ask(self, exchange: Exchange) -> None:
         """Begins an attempt on a connection that is up."""
         self.exchange, self.begun, self.unsent = exchange, False, True
+        self.carried += 1
         self.pieces = self.encode(exchange)
         self._write_on()
 
@@ -66,6 +92,8 @@
                     self.unsent = False
                     self.pool.pools.written += 1
                     return
+                if not self.begun and not self._may_begin():
+                    return
                 self.transport.write(piece)
                 self.begun = True
                 if self.transport.is_closing():
@@ -76,6 +104,14 @@
             log.exception("an attempt could not be written")
             self.finish(Ending(Status.MOOT), reusable=False)
 
+    def _may_begin(self) -> bool:
+        """Looked at after all else, right before the first byte. Guards against a process that stood still
+        since the attempt was decided on: its time may be over, and its client gone."""
+        if self.exchange is None or time.monotonic_ns() >= self.exchange.begin_by:
+            self.hand_back()
+            return False
+        return self.exchange.wanted()
+
     def give_up(self) -> bool:
         """Ends the attempt that is out; whether it may have run. Guards against second copies: the system
         is told to close before this returns, and so before anybody may send another attempt."""
@@ -100,6 +136,11 @@
             self.transport.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
         self.transport.abort()
 
+    @property
+    def connected(self) -> bool:
+        """Whether it came up for the attempt that it carries, or carried last."""
+        return self.taken and self.carried <= 1
+
     @property
     def quiet(self) -> bool:
         """Whether nothing has come that was not asked for. Guards against an end, or a second answer, that
@@ -136,7 +177,7 @@
         status = Status.RESET
         if self.unsent:
             # Guards against a network that breaks connections: a server that took this one can be reached.
-            status = Status.MOOT if self.taken else Status.CONNECT_FAILED
+            status = Status.MOOT if self.taken else self.failure
         log.debug("%s: the connection to %s:%d is lost", self._asked(), *self.pool.endpoint)
         self.pool.drop(self)
         exchange, self.exchange = self.exchange, None
@@ -148,13 +189,17 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
+        if self.transport.get_extra_info("peername") is None:
+            # asyncio takes EAGAIN for a connect that goes on, and the closed socket for one that is
+            # up. It has no peer.
+            self.failure = Status.LOCAL_FAILURE
+            self.transport.abort()
+            return
         self.taken = True
         self.unread = Unread(self.transport.get_extra_info("socket"))
         self.transport.set_write_buffer_limits(0)  # so that every byte that waits here is told
         if self.exchange is None:
             self.close()
-        elif time.monotonic_ns() >= self.exchange.begin_by:
-            self.hand_back()
         else:
             self.ask(self.exchange)
 
@@ -212,11 +257,14 @@
 
     def _rested(self) -> Connection | None:
         """Takes the newest idle connection on which nothing of an earlier answer can come any more."""
-        before = asyncio.get_running_loop().time() - REST
+        now = asyncio.get_running_loop().time()
+        before, after = now - REST, now - self.pools.reusable
         for at in range(len(self.idle) - 1, -1, -1):
             connection = self.idle[at]
             if connection.idle_since > before:
                 continue
+            if connection.idle_since < after:
+                break  # the server may have closed it by the time that something is written: the sweep's
             self._end_idling(connection)
             if connection.quiet:
                 return connection
@@ -230,6 +278,7 @@
         except (OSError, TimeoutError) as problem:
             # Reset, not refused: it was accepted and then broke, before the system told us that it was up.
             connection.taken = isinstance(problem, ConnectionResetError)
+            connection.failure = status_of_failed_connect(problem)
             if connection.transport is None:
                 connection.lost()
 
@@ -287,6 +336,7 @@
 
     def limit_times(self, dial_timeout: float, keepalive: float) -> None:
         self.dial_timeout, self.idle_most = dial_timeout, min(IDLE_MOST, keepalive * IDLE_PART)
+        self.reusable = keepalive - HELD_UP  # s for which one may idle that is then written to
 
     def add(self, name: str, endpoint: Endpoint, make: Callable[[Pool], Connection]) -> Pool:
         """The pool of a server; one at another endpoint takes the place of the old."""
