--- a/applehub/lab/fleet/checks.py
+++ b/applehub/lab/fleet/checks.py
@@ -80,6 +80,8 @@
             return True
         if span.kind == "term" and asked.mono - span.begin > GRACE:
             return True
+        if span.kind == "system_call" and span.reaches(f"clients>{router}"):
+            return True  # its connection broke
     return False
 
 
--- a/applehub/lab/fleet/draw.py
+++ b/applehub/lab/fleet/draw.py
@@ -3,9 +3,53 @@
 from collections.abc import Awaitable, Callable
 
 from applehub.lab.fleet.plan import AnyFault, Plan, make_plan
+from applehub.lab.fleet.system_calls import ON_FILES
 from applehub.lab.streams import Draws
 from applehub.settings import Json
 
+LACKS = ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM")  # of the machine
+BREAKS = ("ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET")  # of a connection
+STEPS = (-3600.0, -3.0, 3.0, 3600.0)  # s by which a wall clock steps
+# System calls that fail: which, with what, and for how many seconds at the most. Of those that break
+# connections some are struck: where all are, nothing is left to observe.
+FAILING: tuple[tuple[Json, tuple[str, ...], float], ...] = (
+    ({"call": "accept"}, (*LACKS, "ECONNABORTED", "EPROTO"), 0.3),
+    ({"call": "socket"}, LACKS, 1.0),
+    ({"call": "connect"}, ("EADDRNOTAVAIL", "ENETUNREACH", "ENOBUFS", "EAGAIN"), 1.0),
+    ({"call": "getsockopt", "every": 3}, ("ETIMEDOUT", "EHOSTUNREACH", "ECONNREFUSED"), 2.0),
+    ({"call": "recv", "side": "clients", "every": 40}, BREAKS, 2.0),
+    ({"call": "recv", "side": "servers", "every": 40}, BREAKS, 2.0),
+    ({"call": "send", "side": "clients", "every": 40}, BREAKS, 2.0),
+    ({"call": "send", "side": "servers", "every": 40}, BREAKS, 2.0),
+    ({"call": "send", "short": 5}, ("",), 2.0),
+    ({"call": "recv", "short": 7}, ("",), 2.0),
+    ({"call": "epoll", "every": 2}, ("EINTR",), 2.0),
+    ({"call": "sendto", "every": 2}, ("ENOBUFS", "ENETUNREACH", "EPERM"), 2.0),
+    ({"call": "open"}, ("EMFILE", "ENFILE", "EIO"), 3.0),
+    ({"call": "read"}, ("EIO",), 3.0),
+    ({"call": "write"}, ("ENOSPC", "EIO"), 3.0),
+    ({"call": "write", "short": 9}, ("",), 3.0),
+    ({"call": "fsync"}, ("ENOSPC", "EIO"), 3.0),
+    ({"call": "fsync_folder"}, ("EIO",), 3.0),
+    ({"call": "rename"}, ("ENOSPC", "EIO"), 3.0),
+)
+
+
+# Of those, the ones that a new connection makes, and the edges whose reset has new ones made.
+DIALS = {"accept": "clients>{}", **dict.fromkeys(("socket", "connect", "getsockopt"), "{}>cache-*")}
+MEANWHILE = 0.03  # s after such a fault's begin
+
+
+def _failing(draws: Draws, routers: int) -> Json:
+    """A system call of a router that fails for a while."""
+    call, errors, most = FAILING[draws.below(len(FAILING))]
+    error = errors[draws.below(len(errors))]
+    return {
+        "kind": "system_call", **call, "error": error, "target": [f"router-{draws.below(routers)}"],
+        "for_s": draws.between(0.05, most),
+    }  # fmt: skip
+
+
 # By weight: what a drawn plan strikes with. Each gives the fault's own keys.
 KINDS: tuple[tuple[float, Callable[[Draws, int, int], Json]], ...] = (
     (3, lambda d, r, c: {"kind": "kill", "target": [f"router-{d.below(r)}"], "for_s": d.between(0.2, 2)}),
@@ -77,6 +121,16 @@
     (2, lambda d, r, c: {"kind": "drain", "target": [f"cache-{d.below(c)}"], "for_s": d.between(1, 4)}),
     (1, lambda d, r, c: {"kind": "gone", "target": [f"cache-{d.below(c)}"], "for_s": d.between(1, 4)}),
     (1, lambda d, r, c: {"kind": "overload", "for_s": d.between(1, 4)}),
+    (8, lambda d, r, c: _failing(d, r)),
+    (
+        2,
+        lambda d, r, c: {
+            "kind": "clock",
+            "target": [f"router-{d.below(r)}"],
+            "step_s": STEPS[d.below(len(STEPS))],
+            "for_s": d.between(1, 4),
+        },
+    ),
     (1, lambda d, r, c: {"kind": "offline", "server": f"cache-{d.below(c)}", "for_s": d.between(1, 4)}),
 )
 
@@ -122,6 +176,11 @@
     draws, whole = Draws(seed, "plan"), sum(weight for weight, _ in KINDS)
     drawn: list[Json] = []
     for number in range(faults):
+        before = drawn[-1] if drawn else {}
+        if before.get("call") in DIALS:
+            edge = DIALS[before["call"]].format(before["target"][0])
+            drawn.append({"kind": "reset", "edges": [edge], "at": before["at"] + MEANWHILE})
+            continue
         if peers and number % 2:
             between = BETWEEN[draws.below(len(BETWEEN))](draws, routers)
             at, length = draws.between(1.0, max(1.1, seconds - 4)), draws.between(0.5, 5)
@@ -149,6 +208,7 @@
                 "lists": lists,
                 "changes": 5.0 if lists else 0.0,
                 "peers": peers,
+                "keeps": any(one.get("call") in ON_FILES for one in drawn),
             },
             # Long enough for the routers to be held to knowing just those that are there.
             "load": {
--- a/applehub/lab/fleet/faults.py
+++ b/applehub/lab/fleet/faults.py
@@ -4,11 +4,15 @@
 import shutil
 import signal
 from contextlib import suppress
+from dataclasses import asdict
 from fnmatch import fnmatchcase
 from typing import TYPE_CHECKING
 
+import orjson
+
 from applehub.events import Event
 from applehub.lab.fleet import plan as spec
+from applehub.lab.fleet.failing_calls import PREFIX, SEEN
 from applehub.lab.fleet.processes import KILLED_AFTER, Process, RouterProcess, Standin
 from applehub.lab.fleet.rule import Rule
 from applehub.lab.fleet.shim import restore
@@ -17,6 +21,7 @@
     from applehub.lab.fleet.ground import Ground
 
 FRONT_LEAVES = 0.3  # s after SIGTERM, until the front sends no more
+SEEN_WITHIN = 1.0  # s that a router has to see that a fault has begun or ended
 SLICE = 0.05  # s: of a slow core's turns
 
 
@@ -231,6 +236,46 @@
             beside.replace(router.control / name)
 
 
+class CallsFailing(Striking):
+    """Has system calls of routers fail, which the shim's `FailingCalls` carries out."""
+
+    def __init__(self, ground: "Ground", number: int, fault: spec.SystemCalls) -> None:
+        super().__init__(ground, number)
+        self.fault = fault
+        self.struck = [one for one in ground.named(fault.target) if isinstance(one, RouterProcess)]
+        self.processes = [one.name for one in self.struck]
+        self.edges = [f"clients>{name}" for name in self.processes if fault.breaks]
+
+    async def begin(self) -> None:
+        for router in self.struck:
+            fault = self.fault.struck(
+                self.ground.peers_of(router.name, self.fault.side), str(router.disk)
+            )  # fmt: skip
+            beside = router.control / f"new-{self._name}"
+            beside.write_bytes(orjson.dumps(asdict(fault)))
+            beside.replace(router.control / self._name)
+        await self._seen(True)
+
+    async def end(self) -> None:
+        for router in self.struck:
+            (router.control / self._name).unlink()
+        await self._seen(False)
+
+    @property
+    def _name(self) -> str:
+        return f"{PREFIX}{self.number}"
+
+    async def _seen(self, there: bool) -> None:
+        """Waits until each has seen it; not for one that has ended or stands still."""
+        end = asyncio.get_running_loop().time() + SEEN_WITHIN
+        for router in self.struck:
+            while router.running and asyncio.get_running_loop().time() < end:
+                with suppress(OSError, ValueError):
+                    if (self._name in orjson.loads((router.control / SEEN).read_bytes())) is there:
+                        break
+                await asyncio.sleep(0.005)
+
+
 def of(ground: "Ground", number: int, fault: spec.AnyFault) -> Striking:
     """The fault of a plan, ready to strike."""
     match fault:
@@ -246,3 +291,5 @@
             return Called(ground, number, fault)
         case spec.Clock() | spec.Disk():
             return Surrounded(ground, number, fault)
+        case spec.SystemCalls():
+            return CallsFailing(ground, number, fault)
--- a/applehub/lab/fleet/ground.py
+++ b/applehub/lab/fleet/ground.py
@@ -26,6 +26,7 @@
 from applehub.settings import Json
 
 VALUE = 64  # bytes of a value
+SPOILT = frozenset(("clock", "power", "full", "readonly", "torn", "slow_disk"))  # faults round a router
 READY_WITHIN = 6.0  # s that a new process of an upgrade has
 BLOCKS, CLAIM = (
     range(100, 250),
@@ -117,6 +118,11 @@
         """By the address that it dials from: which router it is."""
         return {f"{self.block}.{n + 1}.2": f"router-{n}" for n in range(len(self.routers))}
 
+    def peers_of(self, router: str, side: str) -> str | None:
+        """The pattern of the addresses that a router sees of its clients or servers; None: of anybody."""
+        number = [one.name for one in self.routers].index(router) + 1
+        return {"clients": f"{self.block}.200.2:*", "servers": f"{self.block}.{number}.1:*"}.get(side)
+
     def zone(self, number: int) -> str:
         return f"zone-{number % self.plan.fleet.zones}"
 
@@ -449,8 +455,9 @@
         kinds, release = {one.kind for one in self.plan.faults}, self.plan.release
         if release is not None and release.what == "routers" and release.bad:
             return {"variant": release.bad if self.versions.get(router) == NEW else ""}
-        if self.plan.fleet.variant or kinds & {"clock", "power", "full", "readonly", "torn", "slow_disk"}:
-            return {"variant": self.plan.fleet.variant}
+        calls = "system_call" in kinds
+        if self.plan.fleet.variant or calls or kinds & SPOILT:
+            return {"variant": self.plan.fleet.variant, "system_calls": calls}
         return None
 
     async def up(self, process: Process) -> None:
--- a/applehub/lab/fleet/plan.py
+++ b/applehub/lab/fleet/plan.py
@@ -8,6 +8,7 @@
 
 from applehub.checked import Part, checked, read_toml
 from applehub.events import Event
+from applehub.lab.fleet.system_calls import ON_FILES, SystemCall, SystemCallFault
 from applehub.lab.spec import SpecError
 from applehub.release.plan import Gates, Limits, Stage
 
@@ -211,7 +212,43 @@
     ms: NotNegative = 200.0
 
 
-AnyFault = Annotated[Process | Link | Server | Listing | ByHand | Clock | Disk, Field(discriminator="kind")]
+class SystemCalls(Fault):
+    """System calls of routers fail: `call` with `error`, or it moves `short` bytes at the most; each
+    `every`-th of them, at most `times` times (see system_calls.py).
+
+    side: on connections with clients or with servers alone. Calls on files are those on the router's disk."""
+
+    kind: Literal["system_call"]
+    target: Patterns
+    call: SystemCall
+    error: str = ""
+    short: Count | None = None
+    every: Count = 1
+    times: Count | None = None
+    side: Literal["", "clients", "servers"] = ""
+
+    @model_validator(mode="after")
+    def _fails(self) -> "SystemCalls":
+        self.struck(None, None)
+        return self
+
+    @property
+    def breaks(self) -> bool:
+        """Whether it breaks connections of clients, who are owed nothing on them any more."""
+        moves = self.call in ("recv", "send", "sendmsg") and self.side != "servers"
+        return moves and self.error not in ("", "EINTR", "EAGAIN")
+
+    def struck(self, peer: str | None, disk: str | None) -> SystemCallFault:
+        """The fault for one process. Raises ValueError where it makes no sense."""
+        return SystemCallFault(
+            self.call, self.error, self.short, every=self.every, times=self.times, peer=peer,
+            path=disk if self.call in ON_FILES else None,
+        )  # fmt: skip
+
+
+AnyFault = Annotated[
+    Process | Link | Server | Listing | ByHand | Clock | Disk | SystemCalls, Field(discriminator="kind")
+]
 
 
 class Plan(Part):
--- a/applehub/lab/fleet/shim.py
+++ b/applehub/lab/fleet/shim.py
@@ -1,8 +1,8 @@
 """Starts a router with what a plan spoils in its surroundings: `python -m applehub.lab.fleet.shim JSON`.
 
 Patches this process alone, before the router's own main: the wall clock, writes to its disk, a record of what
-was synced (so that the ground can play a power loss), and a known-bad variant. `run` itself never sees any of
-it."""
+was synced (so that the ground can play a power loss), system calls that fail, and a known-bad variant. `run`
+itself never sees any of it."""
 
 import builtins
 import errno
@@ -114,7 +114,12 @@
 
 def main() -> None:
     told = orjson.loads(sys.argv[1])
-    Surroundings(told).install()
+    surroundings = Surroundings(told)
+    surroundings.install()
+    if told.get("system_calls"):
+        from applehub.lab.fleet.failing_calls import FailingCalls
+
+        FailingCalls(surroundings.control, surroundings.open).start()
     if told.get("variant"):
         from applehub.lab.fleet.variants import install
 
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -48,6 +48,17 @@
         assert faults.count("accept", "ENFILE") == faults.count() == 2
 
 
+def test_a_fault_strikes_each_so_manieth_call() -> None:
+    with SystemCallFaults(SystemCallFault("socket", "EMFILE", from_call=2, every=3)) as faults:
+        struck = []
+        for call in range(1, 9):
+            try:
+                socket.socket().close()
+            except OSError:
+                struck.append(call)
+        assert struck == [2, 5, 8] and faults.count() == 3
+
+
 def test_a_fault_ends_its_time_after_it_first_struck() -> None:
     with SystemCallFaults(SystemCallFault("socket", "ENOBUFS", for_s=0.05)) as faults:
         tries = 0
@@ -226,6 +237,7 @@
         {"call": "accept", "error": "ENOTHING"},
         {"call": "listen", "error": "EIO"},
         {"call": "accept", "short": 1},
+        {"call": "accept", "error": "EIO", "every": 0},
         {"call": "send", "short": 1, "error": "EIO"},
     ],
 )
