--- a/applehub/registry/server.py
+++ b/applehub/registry/server.py
@@ -13,10 +13,12 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from applehub.events import Event, Writer
+from applehub.node.discovery import read_endpoint
 from applehub.registry.config import Config
 from applehub.registry.entries import BASE_STEP, STATES, Result
 from applehub.registry.host import Host, NotPrimaryError
 from applehub.registry.leases import Leases
+from applehub.registry.listener import Listener
 from applehub.registry.locks import Holds
 from applehub.registry.watches import Answers, Turns, Watchers
 
@@ -69,6 +71,9 @@
         self.watchers = Gauge("list_watchers", "Callers that wait", registry=self.registry)
         self.primary = Gauge("list_primary", "1 at the primary", registry=self.registry)
         self.braked = Gauge("list_braked", "1 while nothing is taken out", registry=self.registry)
+        self.disk_refuses = Gauge(
+            "list_disk_refuses", "1 while the disk takes no writes", registry=self.registry
+        )
         self.staleness = Gauge(
             "list_staleness_seconds", "Since the primary was heard", registry=self.registry
         )
@@ -87,7 +92,7 @@
         self.turns = self._turns()
         self.led = self.ending = False
         self.runners: list[web.AppRunner] = []
-        self.sites: list[web.TCPSite] = []
+        self.listeners: list[Listener] = []
         self.task: asyncio.Task[None] | None = None
         host.changed = self._changed
         self.version = host.entries.version
@@ -122,12 +127,11 @@
                 app, access_log=None, keepalive_timeout=75, handler_cancellation=True, shutdown_timeout=0.5
             )
             await runner.setup()
-            host, _, port = told.rpartition(":")
-            site = web.TCPSite(runner, host, int(port), backlog=1024)
-            await site.start()
             self.runners.append(runner)
-            self.sites.append(site)
-            found.append("{}:{}".format(*runner.addresses[0][:2]))
+            assert runner.server is not None
+            listener = Listener(read_endpoint(told), runner.server)
+            self.listeners.append(listener)
+            found.append("{}:{}".format(*listener.address))
         self.task = self.loop.create_task(self._watch_leases())
         return found[0], found[1]
 
@@ -137,6 +141,8 @@
         if self.task is not None:
             self.task.cancel()
         self.watchers.wake()
+        for listener in self.listeners:
+            listener.close()
         for runner in self.runners:
             await runner.cleanup()
 
@@ -392,6 +398,7 @@
                 "term": replica.term, "version": self.host.entries.version, "commit": replica.commit,
                 "applied": self.host.applied, "log": len(replica.log), "callers": self.callers,
                 "staleness_ms": self.host.staleness() // 1_000_000, "braked": self.leases.braked,
+                "disk_refuses": self.host.disk_refuses,
             },
         )  # fmt: skip
 
@@ -402,6 +409,7 @@
         metrics.watchers.set(len(self.watchers.waiting))
         metrics.primary.set(self.host.is_primary())
         metrics.braked.set(self.leases.braked)
+        metrics.disk_refuses.set(self.host.disk_refuses)
         metrics.staleness.set(self.host.staleness() / 1e9)
         return web.Response(body=generate_latest(metrics.registry), content_type="text/plain")
 
