--- a/applehub/durable/folder.py
+++ b/applehub/durable/folder.py
@@ -1,77 +1,74 @@
-"""A folder on a real disk: the few operations that a store needs, each as the system's page tells it."""
+"""A folder on disk: the few operations that a store needs, and what each guarantees over a loss of power."""
 
-import contextlib
 import errno
 import fcntl
 import os
+from pathlib import Path
 from typing import BinaryIO, Protocol
 
 
 class Disk(Protocol):
-    """What a store needs of a folder. All raise OSError; names are of files in the folder."""
+    """What a store needs of a folder. Names are of files in the folder; every method may raise OSError."""
 
     def read(self, name: str) -> bytes | None:
-        """The whole file; None where there is none."""
+        """Returns the content of a file; None if there is no such file."""
 
     def write(self, name: str, data: bytes) -> None:
-        """The file holds this and nothing else, as far as this process can tell."""
+        """Replaces the content of a file, which is created if needed; nothing is synchronised."""
 
     def sync(self, name: str) -> None:
-        """The file's data outlives a loss of power from now on; its name need not."""
+        """Has a file's content outlive a loss of power from now on; its name need not."""
 
     def rename(self, name: str, to: str) -> None:
-        """Takes the place of another file in one step."""
+        """Renames a file in one step; a file that had the new name is replaced."""
 
     def sync_names(self) -> None:
-        """Files' names outlive a loss of power from now on."""
+        """Has the names of all files outlive a loss of power from now on."""
 
     def lock(self, name: str) -> bool:
-        """Holds the file for this process alone until it ends or lets go; False: another does."""
+        """Locks a file for this process, until it ends or unlocks it; False if another process has it."""
 
     def unlock(self, name: str) -> None:
-        """Lets go."""
+        """Releases a lock; without one, does nothing."""
 
 
 class Folder:
-    """The real one; made where it is missing."""
+    """A folder of the file system, created if it is missing."""
 
-    def __init__(self, path: str) -> None:
-        self.path = path
-        self.locks: dict[str, BinaryIO] = {}
-        os.makedirs(path, mode=0o700, exist_ok=True)
-
-    def _at(self, name: str) -> str:
-        return os.path.join(self.path, name)
+    def __init__(self, path: str | Path) -> None:
+        """Raises OSError if the folder is missing and cannot be created."""
+        self.path = Path(path)
+        self._locks: dict[str, BinaryIO] = {}
+        self.path.mkdir(mode=0o700, parents=True, exist_ok=True)
 
     def read(self, name: str) -> bytes | None:
+        """Returns the content of a file; None if there is no such file."""
         try:
-            with open(self._at(name), "rb") as file:
+            with open(self.path / name, "rb") as file:
                 return file.read()
         except FileNotFoundError:
             return None
 
     def write(self, name: str, data: bytes) -> None:
-        with open(self._at(name), "wb") as file:
+        """Replaces the content of a file, which is created if needed; nothing is synchronised."""
+        with open(self.path / name, "wb") as file:
             file.write(data)
 
     def sync(self, name: str) -> None:
-        self._sync(self._at(name))
-
-    def _sync(self, path: str) -> None:
-        held = os.open(path, os.O_RDONLY)
-        try:
-            os.fsync(held)
-        finally:
-            os.close(held)
+        """Has a file's content outlive a loss of power from now on; its name need not."""
+        _sync(self.path / name)
 
     def rename(self, name: str, to: str) -> None:
-        os.replace(self._at(name), self._at(to))
+        """Renames a file in one step; a file that had the new name is replaced."""
+        (self.path / name).replace(self.path / to)
 
     def sync_names(self) -> None:
-        self._sync(self.path)
+        """Has the names of all files outlive a loss of power from now on."""
+        _sync(self.path)
 
     def lock(self, name: str) -> bool:
-        file = open(self._at(name), "ab")  # noqa: SIM115 (held until it is let go)
+        """Locks a file for this process, until it ends or unlocks it; False if another process has it."""
+        file = open(self.path / name, "ab")  # noqa: SIM115 (closed by `unlock`)
         try:
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as problem:
@@ -79,9 +76,20 @@
             if problem.errno in (errno.EWOULDBLOCK, errno.EACCES):
                 return False
             raise
-        self.locks[name] = file
+        self._locks[name] = file
         return True
 
     def unlock(self, name: str) -> None:
-        with contextlib.suppress(KeyError):
-            self.locks.pop(name).close()
+        """Releases a lock; without one, does nothing."""
+        file = self._locks.pop(name, None)
+        if file is not None:
+            file.close()
+
+
+def _sync(path: Path) -> None:
+    """Synchronises a file or a folder. Raises OSError if the disk refuses."""
+    descriptor = os.open(path, os.O_RDONLY)
+    try:
+        os.fsync(descriptor)
+    finally:
+        os.close(descriptor)
--- a/applehub/durable/store.py
+++ b/applehub/durable/store.py
@@ -1,130 +1,170 @@
-"""One value on a disk, in two generations: after a crash or a loss of power the last that was acknowledged,
-or the one that was under way, and never half of one.
+"""One value on disk, in two generations: after a crash or a loss of power the store holds the value that was
+acknowledged last, or the one that was being saved, and never a part of one.
 
-A file holds, network order: magic 4s, format H, generation Q, length I, CRC-32 I over the four before and the
-value; then the value.
+The generations lie in two files. A save writes a third file, synchronises it, and renames it over the older
+of the two; so whatever becomes of a save, the newest complete file stays.
 """
 
-import struct
 from dataclasses import dataclass, field
-from zlib import crc32
 
 from applehub.durable.folder import Disk
+from applehub.durable.frame import DamagedFrameError, Frame, decode
 
-MAGIC = b"aHst"
-FRAME = struct.Struct("!4sHQI")
-SUM = struct.Struct("!I")
-HEAD = FRAME.size + SUM.size
-MOST = 64 << 20  # bytes of a value
+MAX_VALUE_SIZE = 64 << 20  # bytes: a value is held in memory as a whole, and a longer one is a mistake
 
 
 class StoreError(Exception):
-    """The store can't be opened for writing, or a value can't be kept."""
+    """A store cannot be opened, or a value cannot be saved in it; its value is what it was."""
 
 
-@dataclass(frozen=True, slots=True)
-class Found:
-    """What a file holds."""
+class StoreLockedError(StoreError):
+    """Another process has the store open."""
 
-    form: int
-    generation: int
-    value: bytes
+    def __init__(self, name: str) -> None:
+        """Name is that of the store."""
+        super().__init__(f"{name}: another process holds it")
+
+
+class StoreClosedError(StoreError):
+    """The store is not open, and so takes no value."""
+
+    def __init__(self, name: str) -> None:
+        """Name is that of the store."""
+        super().__init__(f"{name}: not open for writing")
+
+
+class ValueTooLongError(StoreError):
+    """The value has more than MAX_VALUE_SIZE bytes."""
+
+    def __init__(self, name: str, size: int) -> None:
+        """Name is that of the store, size that of the value."""
+        super().__init__(f"{name}: {size} bytes, {MAX_VALUE_SIZE} at most")
 
 
 @dataclass(slots=True)
 class Loaded:
-    """What a store gives: the value, none where there is none, and why files were passed over."""
+    """What a store holds.
+
+    value: None if there is none. generation: the value's number, 0 if there is none. passed_over: for each
+    file that cannot be used, a line with its name, an offset and the reason.
+    """
 
     value: bytes | None = None
     generation: int = 0
     passed_over: list[str] = field(default_factory=list)
 
 
-def framed(form: int, generation: int, value: bytes) -> bytes:
-    """The file's content."""
-    head = FRAME.pack(MAGIC, form, generation, len(value))
-    return head + SUM.pack(crc32(value, crc32(head))) + value
-
+@dataclass(slots=True)
+class _Files:
+    """What the two files of a store hold, by index: frames of a known format, and of a newer program's."""
 
-def _read(content: bytes) -> Found | str:
-    """What it holds, or why it is no good: an offset and a reason."""
-    if len(content) < HEAD:
-        return f"byte {len(content)}: the file ends in its head"
-    magic, form, generation, length = FRAME.unpack_from(content)
-    if magic != MAGIC:
-        return "byte 0: no store of this project"
-    if len(content) != HEAD + length:
-        return f"byte {len(content)}: {HEAD + length} bytes were expected"
-    if SUM.unpack_from(content, FRAME.size)[0] != crc32(content[HEAD:], crc32(content[: FRAME.size])):
-        return f"byte {FRAME.size}: the checksum does not match"
-    return Found(form, generation, content[HEAD:])
+    known: dict[int, Frame] = field(default_factory=dict)
+    newer: dict[int, Frame] = field(default_factory=dict)
 
 
 class Store:
-    """A named value in a folder. form: the version of what the value means; a newer one is not read."""
+    """A named value in a folder, which one process at a time has open for writing.
 
-    def __init__(self, disk: Disk, name: str, form: int) -> None:
-        self.disk, self.name, self.form = disk, name, form
+    A file that a newer program wrote, with a later version of the value's format, is not read; the latest
+    such file is never written over, so that this program can be followed by the newer one again.
+    """
+
+    def __init__(self, disk: Disk, name: str, format_version: int) -> None:
+        """Name is what the store's files are called; nothing is read or locked yet."""
+        self.disk = disk
+        self.name = name
+        self.format_version = format_version
         self.files = (f"{name}.0", f"{name}.1")
-        self.last = 0  # the highest generation that was seen, of whatever format
-        self.next = 0  # which of the files is written over: never the newest whole one
-        self.pinned: int | None = None  # one that a newer program wrote
-        self.held = False
+        self.is_open = False
+        self._generation = 0  # the highest in any file, of whatever format
+        self._next_file = 0  # index of the file that the next save replaces
+        self._keeps_newer = False  # the other file is a newer program's, and stays
 
     def open(self) -> Loaded:
-        """Holds the store for writing and reads it. Raises StoreError where another process does, OSError."""
-        if not self.held:
-            if not self.disk.lock(f"{self.name}.lock"):
-                raise StoreError(f"{self.name}: another process holds it")
-            self.held = True
+        """Locks the store for this process, and returns what it holds.
+
+        Raises StoreLockedError if another process has it open, and OSError if the disk refuses: then it stays
+        closed.
+        """
+        if not self.is_open:
+            if not self.disk.lock(self._lock_file):
+                raise StoreLockedError(self.name)
+            self.is_open = True
         try:
             return self.load()
         except OSError:
-            self.close()  # who saves must know the generations and which file to keep: it is opened anew
+            self.close()  # a save must know the generations, and which file to replace
             raise
 
     def load(self) -> Loaded:
-        """Reads it: the highest whole generation. Raises OSError where the disk refuses."""
-        loaded, whole, newer = Loaded(), dict[int, Found](), dict[int, int]()
+        """Returns what the store holds: the highest complete generation. Raises OSError."""
         contents = [self.disk.read(file) for file in self.files]  # all, before anything is noted of them
-        for place, (file, content) in enumerate(zip(self.files, contents, strict=True)):
+        loaded = Loaded()
+        files = self._decode(contents, loaded)
+        newest = _newest(files.known)
+        if newest is not None:
+            loaded.value = files.known[newest].value
+            loaded.generation = files.known[newest].generation
+        frames = [*files.known.values(), *files.newer.values()]
+        self._generation = max([self._generation, *(frame.generation for frame in frames)])
+        kept = _newest(files.newer)
+        self._keeps_newer = kept is not None
+        if kept is None:
+            kept = newest
+        self._next_file = 0 if kept is None else 1 - kept
+        return loaded
+
+    def _decode(self, contents: list[bytes | None], loaded: Loaded) -> _Files:
+        """Decodes the files that are there; notes in `loaded` why files are passed over."""
+        files = _Files()
+        for index, (name, content) in enumerate(zip(self.files, contents, strict=True)):
             if content is None:
                 continue
-            found = _read(content)
-            if isinstance(found, str):
-                loaded.passed_over.append(f"{file}: {found}")
+            try:
+                frame = decode(content)
+            except DamagedFrameError as problem:
+                loaded.passed_over.append(f"{name}: {problem}")
                 continue
-            self.last = max(self.last, found.generation)
-            if found.form > self.form:
-                loaded.passed_over.append(f"{file}: byte 4: format {found.form}, known is {self.form}")
-                newer[place] = found.generation
+            if frame.format_version <= self.format_version:
+                files.known[index] = frame
             else:
-                whole[place] = found
-        self.pinned = max(newer, key=lambda place: newer[place], default=None)  # its latest stays
-        newest = max(whole, key=lambda place: whole[place].generation, default=None)
-        if newest is not None:
-            loaded.value, loaded.generation = whole[newest].value, whole[newest].generation
-        self.next = 0 if newest is None else 1 - newest
-        return loaded
+                files.newer[index] = frame
+                versions = f"format {frame.format_version}, known is {self.format_version}"
+                loaded.passed_over.append(f"{name}: byte 4: {versions}")
+        return files
 
     def save(self, value: bytes) -> None:
-        """Keeps a value; once this returns it outlives a loss of power. Raises StoreError: then the one
-        before holds. Raises OSError: then `load` gives the one before or, where only the folder's sync was
-        refused, this one, and after a loss of power either."""
-        if not self.held:
-            raise StoreError(f"{self.name}: not open for writing")
-        if len(value) > MOST:
-            raise StoreError(f"{self.name}: {len(value)} bytes, {MOST} at most")
-        beside = f"{self.name}.new"
-        self.disk.write(beside, framed(self.form, self.last + 1, value))
-        self.disk.sync(beside)
-        place = self.next if self.pinned is None else 1 - self.pinned
-        self.disk.rename(beside, self.files[place])
-        self.last, self.next = self.last + 1, 1 - place
+        """Saves a value; on return it outlives a loss of power.
+
+        Raises StoreClosedError or ValueTooLongError: the value before stays. Raises OSError if the disk
+        refuses: `load` then returns the value before or, if only the folder's synchronisation was refused,
+        this one; after a loss of power either.
+        """
+        if not self.is_open:
+            raise StoreClosedError(self.name)
+        if len(value) > MAX_VALUE_SIZE:
+            raise ValueTooLongError(self.name, len(value))
+        replacement = f"{self.name}.new"
+        generation = self._generation + 1
+        self.disk.write(replacement, Frame(self.format_version, generation, value).encode())
+        self.disk.sync(replacement)
+        self.disk.rename(replacement, self.files[self._next_file])
+        self._generation = generation
+        if not self._keeps_newer:
+            self._next_file = 1 - self._next_file
         self.disk.sync_names()
 
     def close(self) -> None:
-        """Lets go."""
-        if self.held:
-            self.held = False
-            self.disk.unlock(f"{self.name}.lock")
+        """Releases the store; without being open, does nothing."""
+        if self.is_open:
+            self.is_open = False
+            self.disk.unlock(self._lock_file)
+
+    @property
+    def _lock_file(self) -> str:
+        return f"{self.name}.lock"
+
+
+def _newest(frames: dict[int, Frame]) -> int | None:
+    """Returns the index of the frame with the highest generation; None if there is none."""
+    return max(frames, key=lambda index: frames[index].generation, default=None)
--- a/applehub/node/saver.py
+++ b/applehub/node/saver.py
@@ -14,12 +14,12 @@
 class Saver:
     """A store for one value. During an upgrade the old process holds it, and saves fail until that ends."""
 
-    def __init__(self, folder: str, name: str, form: int, what: str) -> None:
-        """name, form: name of the store's files, and version of their content. what: the value, for the log.
+    def __init__(self, folder: str, name: str, format_version: int, what: str) -> None:
+        """name, format_version: of the store. what: the value, for the log.
 
         Raises OSError if the folder cannot be created.
         """
-        self.store, self.what = Store(Folder(folder), name, form), what
+        self.store, self.what = Store(Folder(folder), name, format_version), what
         self.failures = 0  # saves in a row
         self.closed = False
         # Held while the store is used: `close` may come during a save in a thread.
@@ -51,7 +51,7 @@
 
     def _save(self, value: bytes) -> bool:
         try:
-            if not self.store.held:
+            if not self.store.is_open:
                 self.store.open()
             self.store.save(value)
         except (OSError, StoreError) as problem:
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -10,7 +10,8 @@
 
 from applehub import interface as api
 from applehub.durable.folder import Folder
-from applehub.durable.store import HEAD, Loaded, Store, StoreError, framed
+from applehub.durable.frame import HEADER_SIZE, Frame
+from applehub.durable.store import Loaded, Store, StoreError
 from applehub.lab.powerloss import RecordedDisk, search
 from applehub.node import persisted_statistics
 from applehub.node.persisted_list import PersistedList
@@ -44,15 +45,15 @@
     def load(self) -> Loaded:
         loaded = super().load()
         files = [self.disk.read(file) for file in self.files]
-        whole = [content for content in files if content and len(content) >= HEAD]
+        whole = [content for content in files if content and len(content) >= HEADER_SIZE]
         if len(whole) == 2:
-            loaded.value = min(whole, key=lambda content: content[6:14])[HEAD:]
+            loaded.value = min(whole, key=lambda content: content[6:14])[HEADER_SIZE:]
         return loaded
 
 
 class NoLock(Store):
     def open(self) -> Loaded:
-        self.held = True
+        self.is_open = True
         return self.load()
 
 
@@ -62,7 +63,7 @@
 
 
 def test_a_checksum_that_leaves_out_the_head_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("applehub.durable.store.crc32", lambda data, start=0: len(data) and data[-1])
+    monkeypatch.setattr("applehub.durable.frame.crc32", lambda data, start=0: len(data) and data[-1])
     assert search(VALUES[:3], made).wrong
 
 
@@ -108,7 +109,7 @@
 
 def test_what_a_newer_program_keeps_stays_beside_what_an_older_one_writes() -> None:
     disk = RecordedDisk()
-    newer = framed(2, 7, b"of the newer")
+    newer = Frame(2, 7, b"of the newer").encode()
     disk.write("x.0", newer)
     store = made(disk)
     loaded = store.open()
@@ -122,7 +123,7 @@
 def test_of_two_values_of_a_newer_program_the_later_stays(generations: tuple[int, int]) -> None:
     """Set up: both files are of a newer format. Expected: an older program goes on beside the later one."""
     disk = RecordedDisk()
-    contents = [framed(2, generation, b"%d" % generation) for generation in generations]
+    contents = [Frame(2, generation, b"%d" % generation).encode() for generation in generations]
     for place, content in enumerate(contents):
         disk.write(f"x.{place}", content)
     store = made(disk)
