--- a/applehub/release/agent_client.py
+++ b/applehub/release/agent_client.py
@@ -5,6 +5,7 @@
 import logging
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from http import HTTPStatus
 
 import aiohttp
 
@@ -13,7 +14,6 @@
 
 REQUEST_TIMEOUT = aiohttp.ClientTimeout(total=2.0)  # s
 REQUEST_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, MessageError)
-CLIENT_ERROR = 400  # statuses from here on: the order was not accepted
 # Errors that say nothing of an agent: this machine lacks a resource, or has no network.
 LOCAL_ERRORS = frozenset(
     (
@@ -72,7 +72,7 @@
         url = f"http://{self._agents[order.unit]}/v1/orders"
         try:
             async with self.session.post(url, data=message.encode(), headers=headers) as response:
-                if response.status >= CLIENT_ERROR:
+                if response.status >= HTTPStatus.BAD_REQUEST:
                     return Refusal.decode(await response.read()).error or f"status {response.status}"
         except REQUEST_ERRORS as error:
             log.info("%s: %s did not arrive: %r", order.unit, order.step, error)
--- a/applehub/release/lock.py
+++ b/applehub/release/lock.py
@@ -2,6 +2,8 @@
 machines.
 """
 
+from http import HTTPStatus
+
 import aiohttp
 
 NAME = "release"  # one for the fleet: two releases at once would be two causes for one effect
@@ -9,8 +11,6 @@
 RENEW_BELOW_S = LEASE_S * 2 / 3  # of the lease left
 TRUSTED_PART = 0.9  # of the lease, since the service's clock may run faster
 REQUEST_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, ValueError)
-OK = 200
-CONFLICT = 409
 
 
 class ControllerLock:
@@ -43,7 +43,7 @@
             try:
                 url = f"http://{address}/v1/locks/{NAME}?holder={self._holder}"
                 async with self._session.delete(url) as response:
-                    if response.status == OK:
+                    if response.status == HTTPStatus.OK:
                         return
             except REQUEST_ERRORS:
                 continue
@@ -55,12 +55,12 @@
             async with self._session.put(f"http://{address}/v1/locks/{NAME}", json=body) as response:
                 status = response.status
                 fields = await response.json()
-                fence = int(fields["fence"]) if status == OK else 0
+                fence = int(fields["fence"]) if status == HTTPStatus.OK else 0
         except (*REQUEST_ERRORS, KeyError, TypeError):
             return False
-        if status == OK:
+        if status == HTTPStatus.OK:
             self.fence = fence
             self._held_until = now + LEASE_S * TRUSTED_PART
             self._addresses.remove(address)
             self._addresses.insert(0, address)  # the leader, asked first from now on
-        return status in (OK, CONFLICT)
+        return status in (HTTPStatus.OK, HTTPStatus.CONFLICT)
