--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -12,6 +12,7 @@
 from applehub.durable.folder import Folder
 from applehub.durable.store import HEAD, Loaded, Store, StoreError, framed
 from applehub.lab.powerloss import RecordedDisk, search
+from applehub.node import persisted_statistics
 from applehub.node.persisted_list import PersistedList
 from applehub.node.persisted_statistics import PersistedStatistics
 
@@ -82,6 +83,29 @@
     assert made(disk).load().value == b"after"
 
 
+def test_a_store_that_could_not_be_read_is_not_open_and_takes_no_value() -> None:
+    """Set up: a store of three generations whose opening fails at a read. Expected: nothing can be saved over
+    them before it was opened, and what is saved then is what the next start finds."""
+    disk = RecordedDisk()
+    store = made(disk)
+    store.open()
+    for value in VALUES[:3]:
+        store.save(value)
+    store.close()
+    after = made(disk)
+    disk.fails = "read"
+    with pytest.raises(OSError, match="read"):
+        after.open()
+    disk.fails = ""
+    with pytest.raises(StoreError, match="not open"):
+        after.save(b"too early")
+    assert made(disk).open().value == VALUES[2]  # and another process may hold it
+    disk.locked.clear()
+    after.open()
+    after.save(b"after")
+    assert made(disk).load().value == b"after"
+
+
 def test_what_a_newer_program_keeps_stays_beside_what_an_older_one_writes() -> None:
     disk = RecordedDisk()
     newer = framed(2, 7, b"of the newer")
@@ -94,6 +118,22 @@
     assert disk.read("x.0") == newer and store.load().value == b"two"
 
 
+@pytest.mark.parametrize("generations", [(7, 8), (8, 7)])
+def test_of_two_values_of_a_newer_program_the_later_stays(generations: tuple[int, int]) -> None:
+    """Set up: both files are of a newer format. Expected: an older program goes on beside the later one."""
+    disk = RecordedDisk()
+    contents = [framed(2, generation, b"%d" % generation) for generation in generations]
+    for place, content in enumerate(contents):
+        disk.write(f"x.{place}", content)
+    store = made(disk)
+    assert store.open().value is None
+    for value in (b"one", b"two"):
+        store.save(value)
+    later = generations.index(8)
+    assert disk.read(f"x.{later}") == contents[later]
+    assert made(disk).load().value == b"two"
+
+
 def test_a_foreign_file_is_named_with_its_offset_and_a_second_writer_refused(tmp_path: Path) -> None:
     (tmp_path / "x.0").write_bytes(b"not ours, and long enough to be one")
     store = Store(Folder(str(tmp_path)), "x", 1)
@@ -175,12 +215,18 @@
     kept = PersistedStatistics(str(tmp_path), lambda: api.Learnt(0, seen))
     assert kept.load() is None
     kept.close()
-    now = time.time_ns()
-    monkeypatch.setattr(time, "time_ns", lambda: now + 7_000_000_000)
-    found = PersistedStatistics(str(tmp_path), kept.learnt).load()
-    assert found is not None and found.servers == seen and 7_000 <= found.age // 1_000_000 < 8_000
-    monkeypatch.setattr(time, "time_ns", lambda: now - 7_000_000_000)  # the clock was set back
+    wall, now = time.time_ns(), time.monotonic_ns()
+    for step in (0, 3, -3, 3_600, -3_600):  # s of the wall clock, from which no age is taken
+        monkeypatch.setattr(time, "time_ns", lambda step=step: wall + step * 1_000_000_000)
+        monkeypatch.setattr(time, "monotonic_ns", lambda: now + 7_000_000_000)
+        found = PersistedStatistics(str(tmp_path), kept.learnt).load()
+        assert found is not None and found.servers == seen and 7_000 <= found.age // 1_000_000 < 8_000
+    monkeypatch.setattr(time, "monotonic_ns", lambda: now - 7_000_000_000)  # that of another machine
     assert PersistedStatistics(str(tmp_path), kept.learnt).load() is None
+    monkeypatch.undo()
+    for identifier in ("", "of the time before a restart"):
+        monkeypatch.setattr(persisted_statistics, "boot_id", lambda identifier=identifier: identifier)
+        assert PersistedStatistics(str(tmp_path), kept.learnt).load() is None
     store = Store(Folder(str(tmp_path)), "learnt", 1)
     store.open()
     for value in (
