--- a/applehub/node/pool.py
+++ b/applehub/node/pool.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterator
 from typing import cast
 
-from applehub.interface import Status
+from applehub.interface import NOT_BEGUN, Status
 from applehub.node.call import Ending, Exchange, NoTimeLeftError
 from applehub.node.stream import Reader
 from applehub.node.unread import Unread
@@ -172,12 +172,14 @@
         log.debug("%s: an answer of %s:%d can't be read", self._asked(), *self.pool.endpoint)
         self.finish(Ending(Status.RESET), reusable=False)
 
-    def lost(self) -> None:
+    def lost(self, problem: Exception | None = None) -> None:
         """The connection is gone or never came up."""
         status = Status.RESET
         if self.unsent:
             # Guards against a network that breaks connections: a server that took this one can be reached.
             status = Status.MOOT if self.taken else self.failure
+            if isinstance(problem, OSError) and status_of_failed_connect(problem) in NOT_BEGUN:
+                status = status_of_failed_connect(problem)  # this machine could not write it
         log.debug("%s: the connection to %s:%d is lost", self._asked(), *self.pool.endpoint)
         self.pool.drop(self)
         exchange, self.exchange = self.exchange, None
@@ -226,7 +228,7 @@
             self.spoil()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.lost()
+        self.lost(exc)
 
 
 class Pool:
