--- a/applehub/node/driver.py
+++ b/applehub/node/driver.py
@@ -234,6 +234,7 @@
             now + wait,
             lambda ending: self._ended(attempt, ending),
             lambda size, source: self._opened(attempt, size, source),
+            self.room,
             begin_by=action.begin_by or math.inf,
             wanted=lambda: self._wanted(attempt),
         )
