--- a/applehub/lab/live/standins.py
+++ b/applehub/lab/live/standins.py
@@ -12,6 +12,7 @@
 from multiprocessing.connection import Connection
 from typing import Any, NamedTuple, cast
 from urllib.parse import parse_qs, urlsplit
+from zlib import crc32
 
 import h11
 import hiredis
@@ -26,6 +27,12 @@
 Entry = dict[str, Any]  # of the list, as discovery tells it
 
 
+def uid(kind: str, number: int) -> str:
+    """The name of a cache server. Like those of the protocol page it tells nothing: in the order of names,
+    which is that of their keys, those that are replaced lie between the others."""
+    return f"s-{crc32(b'%b-%d' % (kind.encode(), number)):08x}-{kind}-{number}"
+
+
 class Reply(NamedTuple):
     """An answer over HTTP."""
 
@@ -95,7 +102,7 @@
     async def start(self) -> None:
         """Listens on ports that the system gives."""
         for number in range(self.plan.caches):
-            await self._add_cache(f"cache-{number}", 0)
+            await self._add_cache(uid("cache", number), 0)
         self.listed["origin"] = self._entry("origin", await self._listen("origin", self._origin_peer), 0)
         self.discovery = await self._listen("discovery", lambda: HttpPeer(self.registry))
 
@@ -138,7 +145,7 @@
         leaving = names[: round(part * len(names))]
         for number, name in enumerate(leaving):
             await asyncio.sleep(max(0.0, begun + within * number / len(leaving) - loop.time()))
-            self._tell(await self._add_cache(f"new-{number}", time.time_ns() // 1_000_000))
+            self._tell(await self._add_cache(uid("new", number), time.time_ns() // 1_000_000))
             self._tell({**self.listed[name], "state": "Terminating"})
             loop.call_later(DRAINS, self._leave, name)
 
--- a/tests/test_wide.py
+++ b/tests/test_wide.py
@@ -11,7 +11,7 @@
 
 from applehub.lab.__main__ import main
 from applehub.lab.live.client import Seen
-from applehub.lab.live.standins import Counts, Fleet, Plan
+from applehub.lab.live.standins import Counts, Fleet, Plan, uid
 from applehub.lab.live.wide import LINES, WIDER, Play, judged, show
 from applehub.node.resp import command
 
@@ -98,22 +98,22 @@
     await fleet.start()
     watching = asyncio.create_task(_lists(fleet, fleet.rev))
     known = {one["uid"]: one for one in fleet.targets()}
-    fleet.stores["cache-4"].put(b"k")
+    old, new = ([uid(kind, number) for number in range(5)] for kind in ("cache", "new"))
+    fleet.stores[old[4]].put(b"k")
     await fleet.replace(0.6, 0.02)
     first = await watching
-    assert not first["all"] and first["targets"][0]["uid"] == "new-0"
+    assert not first["all"] and first["targets"][0]["uid"] == new[0]
     rev = 1
-    while len(known) > 6 or not any(name.startswith("new") for name in known):
+    while set(known) != {*old[3:], *new[:3], "origin"}:
         told = await _lists(fleet, rev)
         rev = told["rev"]
         for one in told["targets"]:
             known[one["uid"]] = one
             if one["state"] == "Gone":
                 del known[one["uid"]]
-    assert sorted(known) == ["cache-3", "cache-4", "new-0", "new-1", "new-2", "origin"]
-    assert all((one["boot_ms"] > 0) == name.startswith("new") for name, one in known.items())
+    assert all((one["boot_ms"] > 0) == (name in new) for name, one in known.items())
     assert rev == fleet.rev == 10 and fleet.counts.list_bytes > 0
-    for name, word in (("cache-4", b"hit"), ("new-0", b"miss")):
+    for name, word in ((old[4], b"hit"), (new[0], b"miss")):
         ((_, note, _),) = await _ask(known[name]["endpoint"], (b"C.GET", b"k", b"i", b"c=read"))
         assert note == word
 
