--- a/applehub/checked.py
+++ b/applehub/checked.py
@@ -1,44 +1,49 @@
-"""TOML files checked by pydantic, for the programs beside the router: all faults at once, each a line that
-names file, key and expectation. Nothing of `run` imports this."""
+"""TOML files that are checked by pydantic models, for the programs beside the router.
+
+All faults of a file are reported at once, one line each, with the file, the key and what was expected.
+Nothing that `run` loads imports this module: pydantic slows the start.
+"""
 
 import tomllib
 from pathlib import Path
-from typing import Any, TypeVar
+from typing import TypeVar
 
 from pydantic import BaseModel, ConfigDict, ValidationError
 
-Checked = TypeVar("Checked", bound=BaseModel)
+Model = TypeVar("Model", bound=BaseModel)
+RawTable = dict[str, object]  # a TOML table by its keys, not checked yet
 
 
-class Part(BaseModel):
-    """A table of a file: unknown keys are errors."""
+class Table(BaseModel):
+    """A table of a file, as a model whose fields are its keys: an unknown key is a fault."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, allow_inf_nan=False)
 
 
-def problems_of(name: str, error: ValidationError) -> str:
-    """A line for each fault; name is what the file is called."""
+def describe_faults(file: str, error: ValidationError) -> str:
+    """Returns a line for each fault that a model found in a file."""
     lines = []
-    for one in error.errors():
-        key = ".".join(str(step) for step in one["loc"]) or "the whole"
-        got = "" if one["type"] in ("missing", "value_error") else f", got {one['input']!r}"
-        lines.append(f"{name}: {key}: {one['msg']}{got}")
+    for fault in error.errors():
+        key = ".".join(str(step) for step in fault["loc"]) or "the whole"
+        # Without the value where there is none, and where the model's own check names it.
+        got = "" if fault["type"] in {"missing", "value_error"} else f", got {fault['input']!r}"
+        lines.append(f"{file}: {key}: {fault['msg']}{got}")
     return "\n".join(lines)
 
 
-def read_toml(path: Path, failure: type[ValueError]) -> dict[str, Any]:
-    """What a file holds, not checked yet. Raises `failure` where it can't be read or is no TOML."""
+def read_toml(path: Path, failure: type[ValueError]) -> RawTable:
+    """Returns what a file holds, not checked yet. Raises `failure` if it cannot be read or is not TOML."""
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as problem:
-        raise failure(f"{path}: {problem.strerror or problem}") from None
+        raise failure(f"{path}: {problem.strerror or problem}") from problem
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
-        raise failure(f"{path}: not TOML: {problem}") from None
+        raise failure(f"{path}: not TOML: {problem}") from problem
 
 
-def checked(name: str, model: type[Checked], raw: dict[str, Any], failure: type[ValueError]) -> Checked:
-    """What a file holds, as a model. Raises `failure` with every fault of it."""
+def validate(file: str, model: type[Model], raw: RawTable, failure: type[ValueError]) -> Model:
+    """Returns the content of a file as a model. Raises `failure`, which names every fault of the file."""
     try:
         return model.model_validate(raw)
     except ValidationError as error:
-        raise failure(problems_of(name, error)) from None
+        raise failure(describe_faults(file, error)) from error
--- a/applehub/lab/__main__.py
+++ b/applehub/lab/__main__.py
@@ -53,7 +53,8 @@
         raise SpecError(f"{file}: No such file or directory; `lab list` names those shipped")
     raw = read_toml(path, SpecError)
     if seeds is not None:
-        raw["seeds"] = {**(raw.get("seeds") or {}), "count": seeds}
+        table = raw.get("seeds")
+        raw["seeds"] = {**(table if isinstance(table, dict) else {}), "count": seeds}
     return make_plan(str(path), raw)
 
 
--- a/applehub/lab/fleet/plan.py
+++ b/applehub/lab/fleet/plan.py
@@ -6,7 +6,7 @@
 
 from pydantic import Field, model_validator
 
-from applehub.checked import Part, checked, read_toml
+from applehub.checked import Table, read_toml, validate
 from applehub.events import Event
 from applehub.lab.spec import SpecError
 from applehub.release.plan import GateSettings, Limits, Stage
@@ -18,7 +18,7 @@
 Patterns = Annotated[list[str], Field(min_length=1)]
 
 
-class Fleet(Part):
+class Fleet(Table):
     """The processes."""
 
     routers: Annotated[int, Field(ge=1, le=60)] = 3
@@ -44,7 +44,7 @@
     changes: NotNegative = 0.0  # changes of the list that a writer asks for, a second
 
 
-class Load(Part):
+class Load(Table):
     """Open loop: what is asked waits for no answer."""
 
     rate: Annotated[float, Field(gt=0, le=5000)] = 100.0
@@ -60,7 +60,7 @@
     seed: Annotated[int, Field(ge=0)] = 1
 
 
-class Rules(Part):
+class Rules(Table):
     """Bounds that the checks hold the fleet to."""
 
     answer_slack_ms: NotNegative = 500.0
@@ -90,7 +90,7 @@
 }
 
 
-class Released(Part):
+class Released(Table):
     """A release that the project's own controller carries out while the load goes on; bad: see BAD."""
 
     what: Literal["servers", "routers", "configuration"]
@@ -103,7 +103,7 @@
     ends: Literal["done", "returned"] = "done"  # how it has to end
 
 
-class Trigger(Part):
+class Trigger(Table):
     """A moment: the count-th event of a kind, counted since the trigger was armed."""
 
     event: Event
@@ -112,7 +112,7 @@
     match: dict[str, Any] = Field(default={})  # fields and the values they must have
 
 
-class Fault(Part):
+class Fault(Table):
     """What every fault has: when it begins (`at`: s of the load; or `on` an event) and when it ends."""
 
     name: str = ""
@@ -214,7 +214,7 @@
 AnyFault = Annotated[Process | Link | Server | Listing | ByHand | Clock | Disk, Field(discriminator="kind")]
 
 
-class Plan(Part):
+class Plan(Table):
     """A whole plan."""
 
     name: Annotated[str, Field(min_length=1)]
@@ -241,7 +241,7 @@
 
 def make_plan(name: str, raw: dict[str, Any]) -> Plan:
     """Checks what a file holds. Raises SpecError, a line for each fault."""
-    return checked(name, Plan, raw, SpecError)
+    return validate(name, Plan, raw, SpecError)
 
 
 def load_plan(path: Path) -> Plan:
--- a/applehub/lab/spec.py
+++ b/applehub/lab/spec.py
@@ -9,7 +9,7 @@
 
 from pydantic import Field, ValidationError, model_validator
 
-from applehub.checked import Part, checked, problems_of
+from applehub.checked import Table, describe_faults, validate
 from applehub.settings import Json
 
 Share = Annotated[float, Field(ge=0, le=1)]
@@ -23,7 +23,7 @@
     """An experiment's file is of no use; each line names the file, the key and what was expected."""
 
 
-class Kind(Part):
+class Kind(Table):
     """A model of cache server."""
 
     name: str
@@ -37,7 +37,7 @@
     cold_s: Positive = 18
 
 
-class Topology(Part):
+class Topology(Table):
     """The fleet."""
 
     servers: Count = 15
@@ -51,7 +51,7 @@
     ]
 
 
-class Servers(Part):
+class Servers(Table):
     """What all cache servers have in common."""
 
     memory: Positive = 1.3  # of the fleet, by the keys that one pooled cache needs for its hits
@@ -69,7 +69,7 @@
     full_tax: Share = 0.09  # part of its capacity that a full connection table takes
 
 
-class Origin(Part):
+class Origin(Table):
     """The shared origin; its capacity follows from the reads that one pooled cache would miss."""
 
     headroom: Positive = 2.6
@@ -81,7 +81,7 @@
     capacity_rps: NotNegative = 0  # 0: by headroom
 
 
-class Network(Part):
+class Network(Table):
     """One-way delays and connects."""
 
     same_ms: NotNegative = 0.22
@@ -91,7 +91,7 @@
     dial_timeout_ms: Positive = 120
 
 
-class Discovery(Part):
+class Discovery(Table):
     """The service that lists servers."""
 
     notice_s: NotNegative = 3  # until it knows that a process ended
@@ -102,7 +102,7 @@
     spread_ms: NotNegative = 65  # until a change has reached a subscriber
 
 
-class RequestClass(Part):
+class RequestClass(Table):
     """A class of requests."""
 
     name: str
@@ -117,7 +117,7 @@
     write: bool = False
 
 
-class Keys(Part):
+class Keys(Table):
     """What is asked for: Zipf popularity, p(rank) ~ 1 / (rank + offset) ** skew."""
 
     per_server: Count = 2000
@@ -127,7 +127,7 @@
     drift_per_s: NotNegative = 0.0005  # part of the keys that others take the place of in a second
 
 
-class Workload(Part):
+class Workload(Table):
     """Open-loop arrivals."""
 
     load: Positive = 0.5  # part of what all warm servers can do
@@ -148,7 +148,7 @@
     ]  # fmt: skip
 
 
-class Clients(Part):
+class Clients(Table):
     """What clients do on their own."""
 
     retries: Annotated[int, Field(ge=0, le=10)] = 2
@@ -159,7 +159,7 @@
     notice_s: NotNegative = 2  # until the front deals nobody to a dead router
 
 
-class Routers(Part):
+class Routers(Table):
     """What a router costs and is allowed."""
 
     request_us: NotNegative = 450  # processor time of a request on the router's part of a core
@@ -175,7 +175,7 @@
     )
 
 
-class Peers(Part):
+class Peers(Table):
     """What routers tell one another, over the network of the day."""
 
     on: bool = False
@@ -187,7 +187,7 @@
     liars: Share = 0  # routers that say that every server fails them and bears nothing
 
 
-class Rules(Part):
+class Rules(Table):
     """The rules' figures; told to the routers."""
 
     answer_slack_ms: NotNegative = 20
@@ -199,7 +199,7 @@
     ask_within_s: Positive = 10
 
 
-class Goal(Part):
+class Goal(Table):
     """How a day is weighed; prices are points taken off, each times its share."""
 
     whole: Share = 0.55
@@ -212,7 +212,7 @@
     handshake: NotNegative = 0.02
 
 
-class Burst(Part):
+class Burst(Table):
     """The rate rises to a multiple and falls again."""
 
     kind: Literal["burst"]
@@ -222,7 +222,7 @@
     edge_s: Positive = 0.5  # how long it rises and falls
 
 
-class Ramp(Part):
+class Ramp(Table):
     """The rate goes evenly to a multiple and stays there."""
 
     kind: Literal["ramp"]
@@ -231,7 +231,7 @@
     factor: Positive
 
 
-class Shift(Part):
+class Shift(Table):
     """Part of all traffic moves into one zone."""
 
     kind: Literal["shift"]
@@ -241,7 +241,7 @@
     share: Share = 0.3
 
 
-class HotKey(Part):
+class HotKey(Table):
     """A few keys take a share of all reads."""
 
     kind: Literal["hot_key"]
@@ -251,7 +251,7 @@
     keys: Count = 2
 
 
-class Scan(Part):
+class Scan(Table):
     """A share of the reads asks for keys that are wanted once."""
 
     kind: Literal["scan"]
@@ -260,7 +260,7 @@
     share: Share = 0.1
 
 
-class Neighbour(Part):
+class Neighbour(Table):
     """Another program takes cores on some servers, on and off."""
 
     kind: Literal["neighbour"]
@@ -271,7 +271,7 @@
     period_s: Positive = 3
 
 
-class Shrink(Part):
+class Shrink(Table):
     """Servers drain and go, and the traffic falls with them."""
 
     kind: Literal["shrink"]
@@ -281,7 +281,7 @@
     drain_s: Positive = 4
 
 
-class Sick(Part):
+class Sick(Table):
     """Some servers are slow, fail, or say nothing, for a while."""
 
     kind: Literal["slow", "failing", "silent"]
@@ -291,7 +291,7 @@
     size: Share = 0.7  # of its speed that a slow one loses; of its answers that a failing one spoils
 
 
-class ZoneLoss(Part):
+class ZoneLoss(Table):
     """All servers of a zone die and come back cold."""
 
     kind: Literal["zone_loss"]
@@ -300,7 +300,7 @@
     zone: int = 0
 
 
-class Partition(Part):
+class Partition(Table):
     """A zone is cut off from the others: what crosses says nothing."""
 
     kind: Literal["partition"]
@@ -309,7 +309,7 @@
     zone: int = 0
 
 
-class Breaks(Part):
+class Breaks(Table):
     """Answers get lost, and connections are reset under requests."""
 
     kind: Literal["breaks"]
@@ -319,7 +319,7 @@
     reset: Share = 0.02
 
 
-class Replace(Part):
+class Replace(Table):
     """Servers are replaced by new ones, cold, with new ids."""
 
     kind: Literal["join"]
@@ -329,7 +329,7 @@
     drain_s: Positive = 2
 
 
-class KillRouters(Part):
+class KillRouters(Table):
     """Routers are killed at once and start again with nothing."""
 
     kind: Literal["kill_routers"]
@@ -338,7 +338,7 @@
     down_s: Positive = 1
 
 
-class RollRouters(Part):
+class RollRouters(Table):
     """Routers are restarted in batches, each answering what it holds first."""
 
     kind: Literal["roll_routers"]
@@ -348,7 +348,7 @@
     down_s: Positive = 1
 
 
-class Reload(Part):
+class Reload(Table):
     """Every router reads its settings anew (SIGHUP): another number of attempts, discovery elsewhere."""
 
     kind: Literal["reload"]
@@ -357,7 +357,7 @@
     moves: bool = False
 
 
-class DiscoveryTrouble(Part):
+class DiscoveryTrouble(Table):
     """Discovery answers nothing, or is that much slower."""
 
     kind: Literal["discovery"]
@@ -374,14 +374,14 @@
 ]  # fmt: skip
 
 
-class Seeds(Part):
+class Seeds(Table):
     """Which seeds are played."""
 
     first: Annotated[int, Field(ge=0)] = 1
     count: Annotated[int, Field(ge=1, le=10_000)] = 1
 
 
-class Day(Part):
+class Day(Table):
     """One point of an experiment: all that a play needs but its policy and its seed."""
 
     seconds: Annotated[float, Field(gt=0, le=7200)] = 50
@@ -435,7 +435,7 @@
     """Checks what a file holds; gives it and the points of its sweep, each with its settings.
 
     name is what errors call it. Raises SpecError, a line for each fault, where it makes no sense."""
-    whole = checked(name, Experiment, raw, SpecError)
+    whole = validate(name, Experiment, raw, SpecError)
     points: list[tuple[Json, Day]] = []
     day = {key: value for key, value in raw.items() if key in Day.model_fields}
     for values in itertools.product(*whole.sweep.values()):
@@ -446,7 +446,7 @@
                 _set(one, key, value)
             points.append((point, Day.model_validate(one)))
         except ValidationError as error:
-            raise SpecError(problems_of(f"{name}: sweep {point}", error)) from None
+            raise SpecError(describe_faults(f"{name}: sweep {point}", error)) from None
         except (LookupError, TypeError, ValueError, AttributeError):
             raise SpecError(f"{name}: sweep {point}: expected the dotted path of a setting") from None
     return whole, points
--- a/applehub/registry/config.py
+++ b/applehub/registry/config.py
@@ -5,7 +5,7 @@
 
 from pydantic import Field, field_validator, model_validator
 
-from applehub.checked import Part, checked, read_toml
+from applehub.checked import Table, read_toml, validate
 from applehub.node.discovery import ListError, read_endpoint
 
 Positive = Annotated[float, Field(gt=0)]
@@ -16,7 +16,7 @@
     """The file is of no use; a line for each fault names file, key and expectation."""
 
 
-class Timing(Part):
+class Timing(Table):
     """Of the agreement. The lease must be shorter than the least time of an election, by what clocks drift
     apart."""
 
@@ -31,7 +31,7 @@
         return self
 
 
-class Leases(Part):
+class Leases(Table):
     """Of the servers that register themselves."""
 
     brake_part: Annotated[float, Field(gt=0, le=1)] = 0.3
@@ -39,7 +39,7 @@
     look_ms: Positive = 200.0
 
 
-class Limits(Part):
+class Limits(Table):
     """What one replica bears."""
 
     callers: Count = 5000  # connections of routers at once
@@ -51,7 +51,7 @@
     compact: Count = 2000  # entries of the log, before it is cut
 
 
-class Config(Part):
+class Config(Table):
     """All of it."""
 
     name: Annotated[str, Field(min_length=1)]
@@ -98,7 +98,7 @@
 
 def parse(name: str, raw: dict[str, Any]) -> Config:
     """Checks what a file holds. Raises ConfigError."""
-    return checked(name, Config, raw, ConfigError)
+    return validate(name, Config, raw, ConfigError)
 
 
 def load(path: Path) -> Config:
--- a/applehub/release/plan.py
+++ b/applehub/release/plan.py
@@ -8,7 +8,7 @@
 
 from pydantic import Field, model_validator
 
-from applehub.checked import Part, checked, read_toml
+from applehub.checked import Table, read_toml, validate
 from applehub.release.errors import PlanError
 from applehub.release.state_machine import ReleaseKind
 
@@ -20,7 +20,7 @@
 Fraction = Annotated[float, Field(ge=0, le=1)]
 
 
-class PlannedUnit(Part):
+class PlannedUnit(Table):
     """One process that is upgraded: a cache server or a router."""
 
     name: Name
@@ -28,7 +28,7 @@
     agent: Address | None = None  # of the agent that executes steps there; `rehearse` needs none
 
 
-class Stage(Part):
+class Stage(Table):
     """Units that are upgraded together: a number of them, or a part of the rest, in some zones or in all."""
 
     name: Name
@@ -44,7 +44,7 @@
         return self
 
 
-class Limits(Part):
+class Limits(Table):
     """How many units may be out of service at once, and how a step that fails is retried."""
 
     out_at_once: Count = 1
@@ -52,7 +52,7 @@
     step_s: Annotated[float, Field(gt=0, le=3600)] = 60.0  # without an outcome: the order is sent again
 
 
-class GateSettings(Part):
+class GateSettings(Table):
     """How the new version is compared with the old one while both serve."""
 
     look_s: Annotated[float, Field(ge=0.05, le=60)] = 1.0  # between polls
@@ -69,7 +69,7 @@
     busy: Annotated[float, Field(gt=0, le=1)] = 0.8  # part of the other units' capacity that may be in use
 
 
-class Plan(Part):
+class Plan(Table):
     """A whole plan."""
 
     name: Name
@@ -126,4 +126,4 @@
 
 def load_plan(path: Path) -> Plan:
     """Reads the file of a plan. Raises PlanError with every fault of it."""
-    return checked(str(path), Plan, read_toml(path, PlanError), PlanError)
+    return validate(str(path), Plan, read_toml(path, PlanError), PlanError)
