--- a/tests/test_beyond_bench.py
+++ b/tests/test_beyond_bench.py
@@ -526,4 +526,29 @@
                 await asyncio.sleep(0.02)
             assert len(bench.origin.got) == 200
 
+
+@pytest.mark.parametrize("answered", [None, 0.1, 2.4], ids=["never", "soon", "late"])
+@pytest.mark.parametrize(
+    "sent", [GET[:30], GET[:1], LONG_WRITE[:150_000]], ids=["half", "a byte", "half a value"]
+)
+def test_a_command_begun_behind_one_in_work_has_its_own_time(
+    monkeypatch: pytest.MonkeyPatch, sent: bytes, answered: float | None
+) -> None:
+    """Its time began only once all before it was answered: 5.5 s after it had stopped."""
+
+    async def test() -> None:
+        loop = asyncio.get_running_loop()
+        async with router(lambda asked, line: None) as bench:
+            caller = await bench.caller()
+            caller.get(info=INFO)
+            caller.writer.write(sent)
+            await soon(lambda: bench.cache.got)
+            stopped = loop.time()
+            if answered is not None:
+                loop.call_later(answered, bench.cache.lines[0].write, hit())
+            assert str(await caller.answer()) == ("BUSY" if answered is None else "b'v'")
+            assert str(await caller.answer()) == "ERR Protocol error: no whole command in time"
+            assert loop.time() - stopped <= OWED_TO_BAD_CLIENTS
+            assert await caller.answer() is None
+
     play(monkeypatch, test)
