--- a/applehub/node/origin.py
+++ b/applehub/node/origin.py
@@ -64,8 +64,8 @@
         super().close()
         self._uncount()
 
-    def lost(self) -> None:
-        super().lost()
+    def lost(self, problem: Exception | None = None) -> None:
+        super().lost(problem)
         self._uncount()
 
     def read(self, data: bytes) -> None:
