--- a/applehub/registry/__main__.py
+++ b/applehub/registry/__main__.py
@@ -14,41 +14,44 @@
 import click
 
 from applehub.events import Event, Writer
-from applehub.registry import raft
-from applehub.registry.config import Config, ConfigError, load
+from applehub.registry.config import Config, load
 from applehub.registry.descriptors import allow_callers
-from applehub.registry.host import Host
-from applehub.registry.server import Service
-from applehub.registry.store import Store, StoreError, StoreRefusedError
+from applehub.registry.errors import ConfigError, StoreError, StoreRefusedError
+from applehub.registry.host import Host, HostOptions
+from applehub.registry.service import Service
+from applehub.registry.store import ReplicaStore
 
-MILLI = 1_000_000
 START_PATIENCE = 60.0  # s in which a disk that refuses may come back at the start: twice an outage of 30 s
-START_PAUSE = 0.2  # s between tries
+START_PAUSE = 0.2  # s between attempts
+CONFIG_OF_NO_USE = 2  # exit code
+DISK_OF_NO_USE = 3  # exit code
 log = logging.getLogger("applehub.registry")
 
 
 def make_host(config: Config) -> Host:
-    """The host of this replica, with what its disk holds. Raises StoreError."""
+    """The host of this replica, with what its disk has. Raises StoreError."""
     names = sorted(config.peers) or [config.name]
-    timing = raft.Timing(
-        int(config.timing.heartbeat_ms * MILLI),
-        int(config.timing.election_ms * MILLI),
-        int(config.timing.lease_ms * MILLI),
+    options = HostOptions(
+        replica_id=names.index(config.name),
+        addresses={number: config.peers[name] for number, name in enumerate(names) if config.peers},
+        timing=config.timing.for_replica(),
+        max_changes=config.limits.changes,
+        compact_after=config.limits.compact,
     )
-    addresses = {number: config.peers[name] for number, name in enumerate(names) if config.peers}
-    limits, store = config.limits, Store(config.state_dir)
+    store = ReplicaStore(config.state_dir)
     try:
-        return Host(names.index(config.name), addresses, timing, store, limits.changes, limits.compact)
+        return Host(options, store)
     except BaseException:
         store.close()
         raise
 
 
-async def opened(config: Config, stopping: asyncio.Event) -> Host | None:
+async def open_host(config: Config, stopping: asyncio.Event) -> Host | None:
     """The host, which a disk that refuses for a while may delay; none: the replica is to stop first. Raises
     StoreError."""
     loop = asyncio.get_running_loop()
-    end, logged = loop.time() + START_PATIENCE, False
+    end = loop.time() + START_PATIENCE
+    logged = False
     while not stopping.is_set():
         try:
             return make_host(config)
@@ -64,18 +67,19 @@
 
 
 async def serve(config: Config, path: Path, events: Writer) -> None:
-    """Runs until it is told to stop. Raises StoreError, and OSError where it can't listen."""
-    loop, stopping = asyncio.get_running_loop(), asyncio.Event()
+    """Runs until it is to stop. Raises StoreError, and OSError where it can't listen."""
+    loop = asyncio.get_running_loop()
+    stopping = asyncio.Event()
     allow_callers(config.limits.callers)
     loop.add_signal_handler(signal.SIGTERM, stopping.set)
-    host = await opened(config, stopping)
+    host = await open_host(config, stopping)
     if host is None:
         return
     service = Service(config, host, events)
     loop.add_signal_handler(signal.SIGHUP, reload, path, service, events)
     await host.start()
     listen, staff = await service.start()
-    events.say(Event.READY, address=listen, staff=staff, version=host.entries.version)
+    events.say(Event.READY, address=listen, staff=staff, version=host.endpoints.version)
     host.failed.add_done_callback(lambda _: stopping.set())
     await stopping.wait()
     await service.stop()
@@ -106,17 +110,17 @@
         config = load(file)
     except ConfigError as problem:
         click.echo(str(problem), err=True)
-        sys.exit(2)
+        sys.exit(CONFIG_OF_NO_USE)
     events = Writer(sys.stdout.buffer, config.name, 0)
     try:
         asyncio.run(serve(config, file, events))
     except StoreError as problem:
         events.say(Event.DAMAGED, why=str(problem))
         click.echo(str(problem), err=True)
-        sys.exit(3)
+        sys.exit(DISK_OF_NO_USE)
     except OSError as problem:
         click.echo(f"{file}: can't listen: {problem.strerror or problem}", err=True)
-        sys.exit(2)
+        sys.exit(CONFIG_OF_NO_USE)
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/applehub/registry/admin_api.py
@@ -0,0 +1,177 @@
+"""Servers, status and figures for writers and staff."""
+
+import time
+from http import HTTPStatus
+from typing import Annotated
+
+import orjson
+from aiohttp import web
+from pydantic import BaseModel, ConfigDict, Field, ValidationError
+
+from applehub.registry.commands import Command, PutServer, ServerState, SetState
+from applehub.registry.config import Config
+from applehub.registry.endpoint_list import CommandResult
+from applehub.registry.errors import NotLeaseHolderError
+from applehub.registry.host import Host
+from applehub.registry.list_api import ListApi
+from applehub.registry.metrics import Metrics
+from applehub.registry.replica_state import MILLI
+from applehub.registry.replies import Replies, fresh_base
+from applehub.registry.server_leases import SECOND, ServerLeases
+
+ERRORS = {
+    HTTPStatus.NOT_FOUND: "no such server",
+    HTTPStatus.CONFLICT: "the entry has another version than expected",
+}
+
+
+class Registration(BaseModel):
+    """What a writer says of a server."""
+
+    model_config = ConfigDict(extra="forbid")
+
+    endpoint: Annotated[str, Field(pattern=r"^[^\s:]+:\d{1,5}$")]
+    az: str
+    model: str
+    pod_group: int = 0
+    capacity_hint: Annotated[float, Field(gt=0)] = 1.0
+    boot_ms: Annotated[int, Field(ge=0)] = 0
+    state: Annotated[str, Field(pattern="^(Ready|Terminating)$")] = "Ready"
+    lease_ms: Annotated[int, Field(ge=0, le=3_600_000)] = 0
+    endpoints: dict[str, str] = {}
+
+
+class AdminApi:
+    """Answers writers and staff."""
+
+    def __init__(self, config: Config, list_api: ListApi, metrics: Metrics, leases: ServerLeases) -> None:
+        """list_api: of the same replica, for its figures."""
+        self._name = config.name
+        self._host: Host = list_api.host
+        self._list_api = list_api
+        self._metrics = metrics
+        self._leases = leases
+        self.replies = Replies(config, self._host, metrics)
+
+    def add_routes(self, router: web.UrlDispatcher) -> None:
+        """Adds the calls that this class answers."""
+        router.add_put("/v1/servers/{uid}", self.put)
+        router.add_post("/v1/servers/{uid}/renew", self.renew)
+        router.add_post("/v1/servers/{uid}/state", self.set_state)
+        router.add_delete("/v1/servers/{uid}", self.delete)
+        router.add_get("/v1/servers", self.servers)
+        router.add_get("/v1/status", self.status)
+        router.add_get("/metrics", self.scrape)
+
+    async def _agree(self, command: Command) -> web.Response:
+        """Has a command agreed on; its result is the writer's answer."""
+        try:
+            result = await self._host.propose(command)
+        except NotLeaseHolderError as problem:
+            return self.replies.elsewhere(str(problem))
+        return self._answer(result)
+
+    def _answer(self, result: CommandResult) -> web.Response:
+        content: dict[str, object] = {"version": result.list_version, "entry": result.entry_version}
+        if result.status in ERRORS:
+            content["error"] = ERRORS[result.status]
+        return self.replies.json(result.status, content)
+
+    async def put(self, request: web.Request) -> web.Response:
+        """Registers a server, or changes it; the same again changes nothing."""
+        try:
+            registration = Registration.model_validate_json(await request.read())
+            expected = _expected(request)
+        except ValidationError as error:
+            return self.replies.invalid(error)
+        except ValueError:
+            problem = "expected: expected a whole number"
+            return self.replies.json(HTTPStatus.BAD_REQUEST, {"error": problem})
+        uid = request.match_info["uid"]
+        command = PutServer(
+            uid=uid,
+            fields=registration.model_dump(exclude={"state", "lease_ms", "endpoints"}),
+            endpoints=registration.endpoints,
+            state=ServerState(registration.state),
+            lease_ms=registration.lease_ms,
+            expected=expected,
+            base=fresh_base(),
+        )
+        answer = await self._agree(command)
+        if answer.status == HTTPStatus.OK:
+            self._leases.renew(time.monotonic_ns(), uid)
+        return answer
+
+    async def renew(self, request: web.Request) -> web.Response:
+        """Renews a lease: known to the lease holder alone, so it costs no agreement."""
+        uid = request.match_info["uid"]
+        if not self._host.is_lease_holder():
+            return self.replies.elsewhere()
+        version = self._host.endpoints.version
+        entry = self._host.endpoints.entries.get(uid)
+        if entry is None or entry.state is ServerState.GONE:
+            content = {"error": ERRORS[HTTPStatus.NOT_FOUND], "version": version}
+            return self.replies.json(HTTPStatus.NOT_FOUND, content)
+        self._leases.renew(time.monotonic_ns(), uid)
+        return self.replies.json(HTTPStatus.OK, {"version": version, "lease_ms": entry.lease_ms})
+
+    async def set_state(self, request: web.Request) -> web.Response:
+        """Ready, Terminating or Gone."""
+        try:
+            state = ServerState(orjson.loads(await request.read())["state"])
+            expected = _expected(request)
+        except (ValueError, KeyError, TypeError):
+            states = ", ".join(ServerState)
+            content = {"error": f"expected state: one of {states}"}
+            return self.replies.json(HTTPStatus.BAD_REQUEST, content)
+        uid = request.match_info["uid"]
+        return await self._agree(SetState(uid=uid, state=state, expected=expected, base=fresh_base()))
+
+    async def delete(self, request: web.Request) -> web.Response:
+        """Sets a server to Gone."""
+        uid = request.match_info["uid"]
+        return await self._agree(SetState(uid=uid, state=ServerState.GONE, base=fresh_base()))
+
+    async def servers(self, _: web.Request) -> web.Response:
+        """All entries, with their versions."""
+        endpoints = self._host.endpoints
+        servers = [
+            {
+                **one.target(""), "version": one.version, "lease_ms": one.lease_ms, "suspect": one.suspect,
+                "endpoints": one.endpoints,
+            }
+            for one in endpoints.entries.values()
+        ]  # fmt: skip
+        return self.replies.json(HTTPStatus.OK, {"version": endpoints.version, "servers": servers})
+
+    async def status(self, _: web.Request) -> web.Response:
+        """How this replica stands."""
+        host = self._host
+        replica = host.replica
+        content = {
+            "name": self._name, "role": replica.role, "primary": host.is_lease_holder(),
+            "term": replica.term, "version": host.endpoints.version, "commit": replica.commit_index,
+            "applied": host.applied_index, "log": len(replica.log), "callers": self._list_api.callers,
+            "staleness_ms": host.staleness() // MILLI, "braked": self._leases.braked,
+            "disk_refuses": host.disk_refuses,
+        }  # fmt: skip
+        return self.replies.json(HTTPStatus.OK, content)
+
+    async def scrape(self, _: web.Request) -> web.Response:
+        """Figures for Prometheus."""
+        metrics = self._metrics
+        endpoints = self._host.endpoints
+        metrics.version.set(endpoints.version)
+        metrics.servers.set(sum(one.state is not ServerState.GONE for one in endpoints.entries.values()))
+        metrics.watchers.set(len(self._list_api.watchers.waiting))
+        metrics.primary.set(self._host.is_lease_holder())
+        metrics.braked.set(self._leases.braked)
+        metrics.disk_refuses.set(self._host.disk_refuses)
+        metrics.staleness.set(self._host.staleness() / SECOND)
+        return web.Response(body=metrics.text(), content_type="text/plain")
+
+
+def _expected(request: web.Request) -> int | None:
+    """The version that the entry has to have. Raises ValueError."""
+    expected = request.query.get("expected")
+    return None if expected is None else int(expected)
--- a/applehub/registry/config.py
+++ b/applehub/registry/config.py
@@ -1,4 +1,4 @@
-"""What a replica of the list service is told: a TOML file, checked whole."""
+"""The configuration of a replica of the list service: a TOML file, checked completely."""
 
 from pathlib import Path
 from typing import Annotated, Any
@@ -7,17 +7,16 @@
 
 from applehub.checked import Part, checked, read_toml
 from applehub.node.discovery import ListError, read_endpoint
+from applehub.registry.errors import ConfigError
+from applehub.registry.replica_state import MILLI
+from applehub.registry.replica_state import Timing as ReplicaTiming
 
 Positive = Annotated[float, Field(gt=0)]
 Count = Annotated[int, Field(ge=1)]
 
 
-class ConfigError(ValueError):
-    """The file is of no use; a line for each fault names file, key and expectation."""
-
-
 class Timing(Part):
-    """Of the agreement. The lease must be shorter than the least time of an election, by what clocks drift
+    """Spans of the agreement. The lease must be shorter than the least election timeout, by what clocks drift
     apart."""
 
     heartbeat_ms: Positive = 50.0
@@ -30,6 +29,12 @@
             raise ValueError("expected 2 * heartbeat_ms <= lease_ms < election_ms")
         return self
 
+    def for_replica(self) -> ReplicaTiming:
+        """The spans as the agreement counts them, in ns."""
+        return ReplicaTiming(
+            int(self.heartbeat_ms * MILLI), int(self.election_ms * MILLI), int(self.lease_ms * MILLI)
+        )
+
 
 class Leases(Part):
     """Of the servers that register themselves."""
@@ -43,25 +48,23 @@
     """What one replica bears."""
 
     callers: Count = 5000  # connections of routers at once
-    whole_a_second: Positive = 400.0  # whole lists; those past it wait their turn
-    patience_ms: Positive = 1000.0  # for a turn; who would wait longer is told when to come again
+    whole_a_second: Positive = 400.0  # complete lists; those past it wait
+    patience_ms: Positive = 1000.0  # of that wait; who would wait longer is answered with a Retry-After
     slow_s: Positive = 10.0  # for a caller to take its answer
-    stale_ms: Positive = 2000.0  # a follower that has not heard from the primary for longer serves no more
+    stale_ms: Positive = 2000.0  # a follower that has not heard from the leader for longer serves no more
     changes: Count = 10_000  # kept for those behind
-    compact: Count = 2000  # entries of the log, before it is cut
+    compact: Count = 2000  # entries of the log, before it is compacted
 
 
 class Config(Part):
-    """All of it."""
+    """All of the file."""
 
     name: Annotated[str, Field(min_length=1)]
     state_dir: Path
     listen: str = "127.0.0.1:0"  # for routers
     staff: str = "127.0.0.1:0"  # for writers, staff and metrics
-    peers: dict[str, str] = Field(default={})  # of the whole group by name, this one's listening address too
-    views: dict[str, str] = Field(
-        default={}
-    )  # by a caller's address, which of an entry's endpoints it is told
+    peers: dict[str, str] = Field(default={})  # addresses of the group by name, this one's too
+    views: dict[str, str] = Field(default={})  # by a caller's address: which of a server's endpoints it gets
     log_calls: bool = False
     timing: Timing = Timing()
     leases: Leases = Leases()
@@ -69,16 +72,16 @@
 
     @field_validator("listen", "staff")
     @classmethod
-    def _address(cls, told: str) -> str:
-        _endpoint(told)
-        return told
+    def _address(cls, address: str) -> str:
+        _check_endpoint(address)
+        return address
 
     @field_validator("peers")
     @classmethod
-    def _addresses(cls, told: dict[str, str]) -> dict[str, str]:
-        for address in told.values():
-            _endpoint(address)
-        return told
+    def _addresses(cls, addresses: dict[str, str]) -> dict[str, str]:
+        for address in addresses.values():
+            _check_endpoint(address)
+        return addresses
 
     @model_validator(mode="after")
     def _in_group(self) -> "Config":
@@ -89,15 +92,15 @@
         return self
 
 
-def _endpoint(told: str) -> None:
+def _check_endpoint(address: str) -> None:
     try:
-        read_endpoint(told)
+        read_endpoint(address)
     except ListError:
-        raise ValueError(f"expected HOST:PORT, got {told!r}") from None
+        raise ValueError(f"expected HOST:PORT, got {address!r}") from None
 
 
 def parse(name: str, raw: dict[str, Any]) -> Config:
-    """Checks what a file holds. Raises ConfigError."""
+    """Checks what a file contains; name is what the errors call it. Raises ConfigError."""
     return checked(name, Config, raw, ConfigError)
 
 
--- /dev/null
+++ b/applehub/registry/election.py
@@ -0,0 +1,111 @@
+"""How a replica becomes leader: pre-votes, votes, and the leases that votes must not break."""
+
+from dataclasses import dataclass
+
+from applehub.registry.actions import Action, Send
+from applehub.registry.messages import RequestVote, RequestVoteResponse
+from applehub.registry.replica_state import FollowerProgress, Role
+from applehub.registry.replication import Replication
+
+
+@dataclass(slots=True)
+class Election(Replication):
+    """The part of a replica that elects leaders."""
+
+    def _tick(self, jitter: float, actions: list[Action]) -> None:
+        if self.role is Role.LEADER:
+            for follower, progress in self.progress.items():
+                if self.now - progress.sent_at >= self.timing.heartbeat:
+                    self._send_entries(follower, actions)
+            # A leader that no majority answers steps down: clients find another one sooner.
+            if max(self.lease_until(), self.leader_since) + 2 * self.timing.election < self.now:
+                self._become_follower(self.term, None)
+                self._postpone_election(jitter)
+        elif self.now >= self.election_due:
+            self._postpone_election(jitter)
+            self._start_pre_vote(actions)
+
+    def _postpone_election(self, jitter: float) -> None:
+        self.election_due = self.now + int(self.timing.election * (1 + jitter))
+
+    def _start_pre_vote(self, actions: list[Action]) -> None:
+        """Asks whether it would be elected; that changes no term and no vote, so nothing need be saved."""
+        self.role = Role.CANDIDATE
+        self.leader = None
+        self.pre_vote = True
+        self._request_votes(self.term + 1, actions)
+
+    def _start_election(self, actions: list[Action]) -> None:
+        """Begins a term. The own vote is on disk before any other is asked for."""
+        self.pre_vote = False
+        self.term += 1
+        self.voted_for = self.replica_id
+        self._save_vote(actions)
+        self._request_votes(self.term, actions)
+
+    def _request_votes(self, term: int, actions: list[Action]) -> None:
+        self.votes = frozenset({self.replica_id})
+        for member in self.members:
+            if member != self.replica_id:
+                request = RequestVote(term, self.pre_vote, self.last_index, self.last_term)
+                actions.append(Send(member, request))
+        self._count_votes(actions)
+
+    def _count_votes(self, actions: list[Action]) -> None:
+        if len(self.votes) < self.majority:
+            return
+        if self.pre_vote:
+            self._start_election(actions)
+            return
+        self.role = Role.LEADER
+        self.leader = self.replica_id
+        self.leader_since = self.now
+        others = (member for member in self.members if member != self.replica_id)
+        self.progress = {member: FollowerProgress(self.last_index + 1) for member in others}
+        # An entry of its own term: only by it can what was before be committed (Raft, 5.4.2).
+        self._propose((b"",), actions)
+
+    def _receive_vote_request(self, sender: int, request: RequestVote, actions: list[Action]) -> None:
+        """Answers a candidate, unless a lease may still run: within the least election timeout since it heard
+        from a leader, a replica does not even take up a candidate's term (thesis, 4.2.3); nor does a leader
+        that holds its lease."""
+        leads = self.role is Role.LEADER
+        if self.lease_until() > self.now if leads else self.now - self.leader_contact < self.timing.election:
+            return
+        up_to_date = (request.last_term, request.last_index) >= (self.last_term, self.last_index)
+        if request.pre_vote:
+            granted = request.term > self.term and up_to_date
+            term = request.term if granted else self.term
+            actions.append(Send(sender, RequestVoteResponse(term, True, granted)))
+            return
+        before = (self.term, self.voted_for)
+        if request.term > self.term:
+            self._become_follower(request.term, None)
+        may_vote = self.role is Role.FOLLOWER and self.voted_for in (None, sender)
+        granted = request.term == self.term and up_to_date and may_vote
+        if granted:
+            self.voted_for = sender
+            self.election_due = self.now + 2 * self.timing.election
+        if (self.term, self.voted_for) != before:
+            self._save_vote(actions)
+        actions.append(Send(sender, RequestVoteResponse(self.term, False, granted)))
+
+    def _receive_vote_response(
+        self, sender: int, response: RequestVoteResponse, actions: list[Action]
+    ) -> None:
+        if response.term > self.term and not (response.pre_vote and response.granted):
+            self._become_follower(response.term, None)
+            self._save_vote(actions)
+        elif self._is_current_vote(response):
+            self.votes |= {sender}
+            self._count_votes(actions)
+
+    def _is_current_vote(self, response: RequestVoteResponse) -> bool:
+        """Whether a vote is for the election, or the pre-vote, that is under way."""
+        term = self.term + 1 if self.pre_vote else self.term
+        return (
+            self.role is Role.CANDIDATE
+            and response.granted
+            and response.pre_vote is self.pre_vote
+            and response.term == term
+        )
--- /dev/null
+++ b/applehub/registry/lease_watch.py
@@ -0,0 +1,62 @@
+"""Takes servers out of the list whose leases have run out, at the group's lease holder."""
+
+import asyncio
+import logging
+import time
+
+from applehub.events import Event, Writer
+from applehub.registry.commands import RemoveSuspects, SetSuspect
+from applehub.registry.config import Leases
+from applehub.registry.errors import NotLeaseHolderError
+from applehub.registry.host import Host
+from applehub.registry.server_leases import ServerLeases
+
+log = logging.getLogger("applehub.registry")
+
+
+class LeaseWatch:
+    """Checks the leases again and again."""
+
+    def __init__(self, config: Leases, host: Host, events: Writer) -> None:
+        """This replica leads nobody yet."""
+        self.leases = ServerLeases(config.brake_part, config.brake_least)
+        self._config = config
+        self._host = host
+        self._events = events
+        self._was_lease_holder = False
+
+    def retune(self, config: Leases) -> None:
+        """Takes up other limits."""
+        self._config = config
+        self.leases.brake_part = config.brake_part
+        self.leases.brake_least = config.brake_least
+
+    async def run(self) -> None:
+        """Runs until it is cancelled."""
+        while True:
+            await asyncio.sleep(self._config.look_ms / 1000)
+            now = time.monotonic_ns()
+            is_lease_holder = self._host.is_lease_holder()
+            if is_lease_holder is not self._was_lease_holder:
+                self._was_lease_holder = is_lease_holder
+                event = Event.LEADS if is_lease_holder else Event.FOLLOWS
+                self._events.say(event, term=self._host.replica.term)
+                if is_lease_holder:
+                    self.leases.begin(now, self._host.endpoints.entries)
+            if is_lease_holder:
+                await self._check(now)
+
+    async def _check(self, now: int) -> None:
+        braked = self.leases.braked
+        suspect, gone, recovered = self.leases.check(now, self._host.endpoints.entries)
+        if self.leases.braked is not braked:
+            self._events.say(Event.BRAKE, on=self.leases.braked)
+        try:
+            if suspect:
+                await self._host.propose(SetSuspect(on=True, uids=tuple(suspect)))
+            if recovered:
+                await self._host.propose(SetSuspect(on=False, uids=tuple(recovered)))
+            if gone:
+                await self._host.propose(RemoveSuspects(uids=tuple(gone)))
+        except NotLeaseHolderError as problem:
+            log.warning("leases that ran out are left to the next primary: %s", problem)
--- /dev/null
+++ b/applehub/registry/lock_api.py
@@ -0,0 +1,92 @@
+"""Locks for those who must be alone, as the controller of a release."""
+
+import time
+from http import HTTPStatus
+from typing import Annotated
+
+from aiohttp import web
+from pydantic import BaseModel, ConfigDict, Field, ValidationError
+
+from applehub.registry.commands import SetLock
+from applehub.registry.errors import NotLeaseHolderError
+from applehub.registry.host import Host
+from applehub.registry.locks import LockLeases
+from applehub.registry.replica_state import MILLI
+from applehub.registry.replies import Replies, fresh_base
+
+
+class Claim(BaseModel):
+    """The call of who wants a lock."""
+
+    model_config = ConfigDict(extra="forbid")
+
+    holder: Annotated[str, Field(min_length=1, max_length=200)]
+    lease_ms: Annotated[int, Field(ge=100, le=3_600_000)] = 10_000
+
+
+class LockApi:
+    """Answers those who want a lock."""
+
+    def __init__(self, host: Host, replies: Replies) -> None:
+        """No holder has renewed."""
+        self._host = host
+        self._replies = replies
+        self.leases = LockLeases()
+        self._leases_term = -1  # in which this replica began to count them
+
+    def add_routes(self, router: web.UrlDispatcher) -> None:
+        """Adds the calls that this class answers."""
+        router.add_put("/v1/locks/{name}", self.lock)
+        router.add_delete("/v1/locks/{name}", self.unlock)
+
+    async def lock(self, request: web.Request) -> web.Response:
+        """Takes a lock that is free or whose lease has run out, or renews one's own."""
+        try:
+            claim = Claim.model_validate_json(await request.read())
+        except ValidationError as error:
+            return self._replies.invalid(error)
+        name = request.match_info["name"]
+        now = time.monotonic_ns()
+        if not self._knows_renewals(now):
+            return self._replies.elsewhere()
+        lock = self._host.endpoints.locks.get(name)
+        remaining = self.leases.remaining(now, name, lock)
+        if lock is not None and remaining:
+            if lock.holder != claim.holder:
+                content = {"error": "held", "holder": lock.holder, "left_ms": remaining // MILLI}
+                return self._replies.json(HTTPStatus.CONFLICT, content)
+            self.leases.renew(now, name)
+            return self._replies.json(HTTPStatus.OK, {"fence": lock.fence, "lease_ms": lock.lease_ms})
+        return await self._set(name, claim.holder, claim.lease_ms, lock.fence if lock else 0)
+
+    async def unlock(self, request: web.Request) -> web.Response:
+        """Releases a lock, if `holder` holds it; else nothing changes."""
+        name = request.match_info["name"]
+        if not self._knows_renewals(time.monotonic_ns()):
+            return self._replies.elsewhere()
+        lock = self._host.endpoints.locks.get(name)
+        if lock is None or lock.holder != request.query.get("holder"):
+            return self._replies.json(HTTPStatus.CONFLICT, {"error": "not held by that holder"})
+        return await self._set(name, "", 0, lock.fence)
+
+    def _knows_renewals(self, now: int) -> bool:
+        """Whether this replica knows who has renewed: the group's lease holder, since it became that."""
+        is_lease_holder = self._host.is_lease_holder()
+        if is_lease_holder and self._leases_term != self._host.replica.term:
+            self.leases.begin(now)
+            self._leases_term = self._host.replica.term
+        return is_lease_holder
+
+    async def _set(self, name: str, holder: str, lease_ms: int, expected: int) -> web.Response:
+        """Has a lock's next holder agreed on."""
+        command = SetLock(name=name, holder=holder, lease_ms=lease_ms, expected=expected, base=fresh_base())
+        proposed_at = time.monotonic_ns()
+        try:
+            result = await self._host.propose(command)
+        except NotLeaseHolderError as problem:
+            return self._replies.elsewhere(str(problem))
+        if result.status is HTTPStatus.CONFLICT:
+            content = {"error": "taken meanwhile", "fence": result.entry_version}
+            return self._replies.json(HTTPStatus.CONFLICT, content)
+        self.leases.renew(proposed_at, name)
+        return self._replies.json(HTTPStatus.OK, {"fence": result.entry_version, "lease_ms": lease_ms})
--- /dev/null
+++ b/applehub/registry/metrics.py
@@ -0,0 +1,31 @@
+"""Figures of one replica, for a scraper."""
+
+from prometheus_client import CollectorRegistry, Counter, Gauge, generate_latest
+
+
+class Metrics:
+    """The counters and gauges. Their names are those that the page for operators gives."""
+
+    def __init__(self) -> None:
+        """All at zero, in a collection of their own."""
+        self._collection = CollectorRegistry()
+        self.calls = Counter(
+            "list_calls", "Calls of routers, by how they ended", ["how"], registry=self._collection
+        )
+        self.writes = Counter(
+            "list_writes", "Calls of writers, by status", ["status"], registry=self._collection
+        )
+        self.version = self._gauge("list_version", "Version that this replica serves")
+        self.servers = self._gauge("list_servers", "Entries that are not gone")
+        self.watchers = self._gauge("list_watchers", "Callers that wait")
+        self.primary = self._gauge("list_primary", "1 at the primary")
+        self.braked = self._gauge("list_braked", "1 while nothing is taken out")
+        self.disk_refuses = self._gauge("list_disk_refuses", "1 while the disk takes no writes")
+        self.staleness = self._gauge("list_staleness_seconds", "Since the primary was heard")
+
+    def _gauge(self, name: str, description: str) -> Gauge:
+        return Gauge(name, description, registry=self._collection)
+
+    def text(self) -> bytes:
+        """All of them, as Prometheus reads them."""
+        return generate_latest(self._collection)
--- /dev/null
+++ b/applehub/registry/model/mutants.py
@@ -0,0 +1,103 @@
+"""Replicas with a fault each, which the explorer must find."""
+
+from typing import NamedTuple
+
+from applehub.registry.actions import Action, Event, MessageReceived, Restore, Save
+from applehub.registry.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    LogEntry,
+    RequestVote,
+    Snapshot,
+)
+from applehub.registry.replica import Replica
+
+
+class ForgetsVote(Replica):
+    """Stores its term and not whom it voted for."""
+
+    def _save(
+        self,
+        actions: list[Action],
+        start: int,
+        entries: tuple[LogEntry, ...] = (),
+        snapshot: Snapshot | None = None,
+    ) -> None:
+        actions.append(Save(self.term, None, start, entries, snapshot))
+
+
+class CommitsStale(Replica):
+    """Commits what a majority has whatever its term."""
+
+    def _advance_commit_index(self, actions: list[Action]) -> None:
+        stored = sorted([self.last_index, *(one.match_index for one in self.progress.values())], reverse=True)
+        index = stored[self.majority - 1]
+        if index > self.commit_index:
+            self.commit_index = index
+            self._apply_committed(actions)
+
+
+class InstallsOverNewer(Replica):
+    """Takes up a snapshot although it has newer entries."""
+
+    def _install_snapshot(self, message: InstallSnapshot, changed: bool, actions: list[Action]) -> None:
+        del changed
+        snapshot = message.snapshot
+        self.log = ()
+        self.snapshot = snapshot
+        self.commit_index = self.last_applied = snapshot.last_index
+        self._save(actions, snapshot.last_index + 1, self.log, snapshot)
+        actions.append(Restore(snapshot))
+
+
+class OverlongLease(Replica):
+    """Counts its lease from when an answer came, not from when it was asked for."""
+
+    def _receive_entries_response(
+        self, sender: int, response: AppendEntriesResponse, actions: list[Action]
+    ) -> None:
+        super()._receive_entries_response(sender, response._replace(sent_at=self.now), actions)
+
+
+class VotesUnsaved(Replica):
+    """Votes while its disk refuses to keep the vote."""
+
+    def _handle_unsaved(self, event: Event) -> list[Action]:
+        if isinstance(event, MessageReceived) and isinstance(event.message, RequestVote):
+            return _answer_unsaved(self, event)
+        return super()._handle_unsaved(event)
+
+
+class AcknowledgesUnsaved(Replica):
+    """Acknowledges entries that its disk refuses to keep."""
+
+    def _handle_unsaved(self, event: Event) -> list[Action]:
+        if isinstance(event, MessageReceived) and isinstance(event.message, AppendEntries):
+            return _answer_unsaved(self, event)
+        return super()._handle_unsaved(event)
+
+
+def _answer_unsaved(replica: Replica, event: MessageReceived) -> list[Action]:
+    """What the replica would do with a good disk, without the Saves."""
+    actions: list[Action] = []
+    replica._receive(event.sender, event.message, actions)  # noqa: SLF001 (of this module's own classes)
+    return [action for action in actions if not isinstance(action, Save)]
+
+
+class Mutant(NamedTuple):
+    """A class of replicas, and whether their hosts hold back what follows a Save."""
+
+    replica_class: type[Replica]
+    holds_back: bool
+
+
+MUTANTS: dict[str, Mutant] = {
+    "a vote not stored": Mutant(ForgetsVote, True),
+    "an acknowledgement before the sync": Mutant(Replica, False),
+    "a stale commit": Mutant(CommitsStale, True),
+    "a snapshot over newer entries": Mutant(InstallsOverNewer, True),
+    "a lease that outlives its clock": Mutant(OverlongLease, True),
+    "a vote that the disk refused": Mutant(VotesUnsaved, True),
+    "an acknowledgement that the disk refused": Mutant(AcknowledgesUnsaved, True),
+}
--- /dev/null
+++ b/applehub/registry/model/steps.py
@@ -0,0 +1,177 @@
+"""How states follow one another: what hosts do with actions, and the steps that both grains have."""
+
+from abc import ABC, abstractmethod
+from collections.abc import Callable, Iterator, Sequence
+from dataclasses import replace
+from functools import partial
+
+from applehub.registry.actions import (
+    Action,
+    Apply,
+    Compact,
+    Event,
+    MessageReceived,
+    Propose,
+    Restore,
+    Save,
+    Send,
+    StorageFailed,
+    StorageRetried,
+    StoredState,
+    Tick,
+)
+from applehub.registry.model.invariants import check_leases, check_replica, record_applied, record_restored
+from applehub.registry.model.state import GROUP, LONG_AGO, TIMING, Bounds, Envelope, State, fold
+from applehub.registry.replica import Replica
+from applehub.registry.replica_state import Role
+
+Step = tuple[str, Callable[[State], None]]
+
+
+class Model(ABC):
+    """The steps of a group whose replicas are of a class, within bounds."""
+
+    def __init__(self, replica_class: type[Replica], bounds: Bounds, holds_back: bool = True) -> None:
+        """holds_back: whether the host holds what follows a Save until it is on disk, as it must."""
+        self.replica_class = replica_class
+        self.bounds = bounds
+        self.holds_back = holds_back
+
+    @abstractmethod
+    def steps(self, state: State) -> Iterator[Step]:
+        """All that may happen next."""
+
+    def first(self) -> State:
+        """The empty group."""
+        disks = [StoredState() for _ in GROUP]
+        replicas = [self.replica_class(one, GROUP, TIMING, 0, replace(disks[one])) for one in GROUP]
+        return State(replicas, disks, [() for _ in GROUP])
+
+    # What hosts do
+
+    def handle(self, state: State, replica_id: int, event: Event) -> None:
+        """Has a replica handle an event; what it wants done waits for its sync."""
+        actions = tuple(state.replicas[replica_id].handle(state.now, event))
+        check_replica(state, replica_id)
+        unsynced = (*state.unsynced[replica_id], *actions)
+        if not self.holds_back:
+            state.unsynced[replica_id] = tuple(one for one in unsynced if isinstance(one, Save))
+            self.carry_out(state, replica_id, [one for one in unsynced if not isinstance(one, Save)])
+            return
+        state.unsynced[replica_id] = unsynced
+        if not any(isinstance(one, Save) for one in unsynced):
+            self.sync(state, replica_id)
+
+    def sync(self, state: State, replica_id: int) -> None:
+        """The disk takes all that waits, or refuses it."""
+        actions = state.unsynced[replica_id]
+        state.unsynced[replica_id] = ()
+        if replica_id in state.refusing and any(isinstance(one, Save) for one in actions):
+            self.refuse_save(state, replica_id, actions)
+        else:
+            self.carry_out(state, replica_id, actions)
+
+    def refuse_save(self, state: State, replica_id: int, actions: Sequence[Action]) -> None:
+        """The disk refuses what waits: the host sends nothing of it, and applies what the others have."""
+        kinds = (Save, Apply, Restore) if state.refusing[replica_id] else (Apply, Restore)
+        self.carry_out(state, replica_id, [one for one in actions if isinstance(one, kinds)])
+        self.handle(state, replica_id, StorageFailed())
+
+    def carry_out(self, state: State, replica_id: int, actions: Sequence[Action]) -> None:
+        """Does what a replica wants done, in order."""
+        for action in actions:
+            match action:
+                case Save():
+                    _write(state.disks[replica_id], action)
+                case Send():
+                    state.messages = (*state.messages, (replica_id, action.receiver, action.message))
+                case Apply():
+                    record_applied(state, replica_id, action)
+                case Restore():
+                    record_restored(state, replica_id, action)
+
+    # Steps
+
+    def restart(self, state: State, replica_id: int) -> None:
+        """Loses what was not synced, and all that it remembered."""
+        state.unsynced[replica_id] = ()
+        state.restarts += 1
+        disk = state.disks[replica_id]
+        state.applied[replica_id] = disk.snapshot.last_index
+        state.replicas[replica_id] = self.replica_class(replica_id, GROUP, TIMING, state.now, replace(disk))
+
+    def compact(self, state: State, replica_id: int) -> None:
+        """The host makes a snapshot of what it has applied."""
+        index = state.applied[replica_id]
+        self.handle(state, replica_id, Compact(index, fold(state.committed[:index])))
+
+    def propose(self, state: State, replica_id: int) -> None:
+        """A writer has a new command."""
+        state.proposals += 1
+        self.handle(state, replica_id, Propose((b"p%d" % state.proposals,)))
+
+    def wait(self, state: State) -> None:
+        """Time passes, and nobody looks at the clock."""
+        state.now += LONG_AGO
+        check_leases(state)
+
+    def time_out(self, state: State, replica_id: int) -> None:
+        """A replica's election timeout is over."""
+        state.now = max(state.now, state.replicas[replica_id].election_due)
+        self.handle(state, replica_id, Tick(0.0))
+
+    def send_heartbeat(self, state: State, replica_id: int) -> None:
+        """A leader's heartbeat is due."""
+        self.handle(state, replica_id, Tick(0.0))
+
+    def deliver(self, state: State, envelope: Envelope, doubled: bool = False) -> None:
+        """A message arrives; doubled: and will once more."""
+        if not doubled:
+            state.take(envelope)
+        sender, receiver, message = envelope
+        self.handle(state, receiver, MessageReceived(sender, message))
+
+    def refuse(self, state: State, replica_id: int, written: bool) -> None:
+        """From now on the disk refuses each write; with `written`, the write is there all the same."""
+        state.refusals += 1
+        state.refusing[replica_id] = written
+
+    def accept(self, state: State, replica_id: int) -> None:
+        """The disk takes writes again."""
+        del state.refusing[replica_id]
+
+    def retry_storage(self, state: State, replica_id: int) -> None:
+        """The host tries its disk again."""
+        self.handle(state, replica_id, StorageRetried())
+
+    def disk_steps(self, state: State, replica_id: int) -> Iterator[Step]:
+        """What may happen to a disk that refuses, or begins to."""
+        if replica_id in state.refusing:
+            yield f"accept {replica_id}", partial(self.accept, replica_id=replica_id)
+        elif state.refusals < self.bounds.refusals:
+            yield f"refuse {replica_id}", partial(self.refuse, replica_id=replica_id, written=False)
+            yield f"refuse {replica_id}, written", partial(self.refuse, replica_id=replica_id, written=True)
+        if state.replicas[replica_id].storage_failed:
+            yield f"retry {replica_id}", partial(self.retry_storage, replica_id=replica_id)
+
+    def common_steps(self, state: State) -> Iterator[Step]:
+        """Steps of one replica by itself."""
+        for replica_id in GROUP:
+            replica = state.replicas[replica_id]
+            yield from self.disk_steps(state, replica_id)
+            if state.restarts < self.bounds.restarts:
+                yield f"restart {replica_id}", partial(self.restart, replica_id=replica_id)
+            if replica.role is Role.LEADER and state.proposals < self.bounds.proposals:
+                yield f"propose {replica_id}", partial(self.propose, replica_id=replica_id)
+            if state.applied[replica_id] > replica.snapshot.last_index + 1:
+                yield f"compact {replica_id}", partial(self.compact, replica_id=replica_id)
+
+
+def _write(disk: StoredState, save: Save) -> None:
+    disk.term = save.term
+    disk.voted_for = save.voted_for
+    if save.snapshot is not None:
+        disk.snapshot = save.snapshot
+        disk.log = save.entries
+    else:
+        disk.log = (*disk.log[: save.start - disk.snapshot.last_index - 1], *save.entries)
--- /dev/null
+++ b/applehub/registry/replies.py
@@ -0,0 +1,56 @@
+"""Answers to writers and staff, as JSON."""
+
+import time
+from collections.abc import Mapping
+from http import HTTPStatus
+from typing import Any
+
+import orjson
+from aiohttp import web
+from pydantic import ValidationError
+
+from applehub.registry.config import Config
+from applehub.registry.endpoint_list import BASE_STEP
+from applehub.registry.host import NOT_LEASE_HOLDER, Host
+from applehub.registry.metrics import Metrics
+
+SECOND = 1_000_000_000  # ns
+RETRY = {"Retry-After": "1"}
+
+
+def fresh_base() -> int:
+    """The version with which a list that is fresh begins: wall-clock seconds, a point in time and no span."""
+    return time.time_ns() // SECOND * BASE_STEP
+
+
+class Replies:
+    """Makes answers, and counts them."""
+
+    def __init__(self, config: Config, host: Host, metrics: Metrics) -> None:
+        """config: for the names of the group."""
+        self._names = sorted(config.peers)
+        self._host = host
+        self._metrics = metrics
+
+    def json(
+        self, status: int, content: Mapping[str, Any], headers: Mapping[str, str] | None = None
+    ) -> web.Response:
+        """An answer with a body."""
+        self._metrics.writes.labels(str(int(status))).inc()
+        body = orjson.dumps(content)
+        return web.Response(status=status, body=body, content_type="application/json", headers=headers)
+
+    def elsewhere(self, problem: str = NOT_LEASE_HOLDER) -> web.Response:
+        """The writer has to ask another replica, which the answer names where it is known."""
+        leader = self._host.replica.leader
+        is_other = leader is not None and leader != self._host.options.replica_id
+        primary = self._names[leader] if leader is not None and is_other and self._names else None
+        return self.json(HTTPStatus.SERVICE_UNAVAILABLE, {"error": problem, "primary": primary}, RETRY)
+
+    def invalid(self, error: ValidationError) -> web.Response:
+        """The body of a call has faults: all of them."""
+        faults = [
+            {"key": ".".join(map(str, one["loc"])) or "the whole", "expected": one["msg"]}
+            for one in error.errors()
+        ]
+        return self.json(HTTPStatus.BAD_REQUEST, {"error": "of no use", "faults": faults})
--- /dev/null
+++ b/applehub/registry/service.py
@@ -0,0 +1,97 @@
+"""The service over HTTP: `/api/targets` for routers as PROTOCOL has it, and a second address for writers and
+staff."""
+
+import asyncio
+import contextlib
+
+from aiohttp import web
+
+from applehub.events import Event, Writer
+from applehub.node.discovery import read_endpoint
+from applehub.registry.admin_api import AdminApi
+from applehub.registry.config import Config
+from applehub.registry.host import Host
+from applehub.registry.lease_watch import LeaseWatch
+from applehub.registry.list_api import ListApi
+from applehub.registry.listener import Listener
+from applehub.registry.lock_api import LockApi
+from applehub.registry.metrics import Metrics
+
+MAX_BODY = 1 << 16  # bytes of a writer's call
+KEEPALIVE = 75.0  # s that a connection may be idle: more than the longest watch
+SHUTDOWN_TIMEOUT = 0.5  # s for calls under way
+
+
+class Service:
+    """One replica's two addresses."""
+
+    def __init__(self, config: Config, host: Host, events: Writer) -> None:
+        """Takes up the host's list. Needs a running event loop."""
+        self.config = config
+        self.host = host
+        self.events = events
+        metrics = Metrics()
+        self.lease_watch = LeaseWatch(config.leases, host, events)
+        self.list_api = ListApi(config, host, events, metrics)
+        self.admin_api = AdminApi(config, self.list_api, metrics, self.lease_watch.leases)
+        self.lock_api = LockApi(host, self.admin_api.replies)
+        self._version = host.endpoints.version  # up to which changes were logged
+        self._listeners: list[Listener] = []
+        self._runners: list[web.AppRunner] = []
+        self._task: asyncio.Task[None] | None = None
+        host.on_new_version = self._on_new_version
+
+    def retune(self, config: Config) -> None:
+        """Takes up what may change while it runs: views, limits, leases."""
+        self.config = config
+        self.list_api.retune(config)
+        self.lease_watch.retune(config.leases)
+
+    async def start(self) -> tuple[str, str]:
+        """Listens; gives the addresses for routers and for staff. Raises OSError where it can't."""
+        staff = web.Application(client_max_size=MAX_BODY)
+        self.admin_api.add_routes(staff.router)
+        self.lock_api.add_routes(staff.router)
+        public_address = await self._listen(self.list_api.application(), self.config.listen)
+        staff_address = await self._listen(staff, self.config.staff)
+        self._task = asyncio.get_running_loop().create_task(self.lease_watch.run())
+        return public_address, staff_address
+
+    async def _listen(self, application: web.Application, address: str) -> str:
+        runner = web.AppRunner(
+            application,
+            access_log=None,
+            keepalive_timeout=KEEPALIVE,
+            handler_cancellation=True,
+            shutdown_timeout=SHUTDOWN_TIMEOUT,
+        )
+        await runner.setup()
+        self._runners.append(runner)
+        assert runner.server is not None
+        listener = Listener(read_endpoint(address), runner.server)
+        self._listeners.append(listener)
+        host, port = listener.address
+        return f"{host}:{port}"
+
+    async def stop(self) -> None:
+        """Watches end with an answer; then the addresses close."""
+        if self._task is not None:
+            self._task.cancel()
+            with contextlib.suppress(asyncio.CancelledError):
+                await self._task
+        self.list_api.end()
+        for listener in self._listeners:
+            listener.close()
+        for runner in self._runners:
+            await runner.cleanup()
+
+    def _on_new_version(self) -> None:
+        """Logs changes, where this replica made them, and wakes the watchers."""
+        endpoints = self.host.endpoints
+        if self.host.is_lease_holder():
+            for change in endpoints.changes:
+                if change.version > self._version and change.uid in endpoints.entries:
+                    state = endpoints.entries[change.uid].state
+                    self.events.say(Event.LISTED, version=change.version, server=change.uid, state=state)
+        self._version = endpoints.version
+        self.list_api.watchers.wake()
--- /dev/null
+++ b/applehub/registry/watchers.py
@@ -0,0 +1,50 @@
+"""Callers that wait for a change of the list, woken a few at a time."""
+
+import asyncio
+import contextlib
+
+WAKE_BATCH = 64  # watchers woken in one turn of the loop, so that renewals and peers are not kept waiting
+WAKE_PAUSE = 0.1  # s after a round in which changes gather for the next: thousands of answers take as long
+
+
+class Watchers:
+    """Callers that wait for a newer version."""
+
+    def __init__(self) -> None:
+        """Nobody waits. Needs a running event loop."""
+        self.loop = asyncio.get_running_loop()
+        self.waiting: dict[asyncio.Future[None], None] = {}
+        self._waking = self._changed_since = False
+
+    async def wait(self, seconds: float) -> None:
+        """Returns when there is a change, or the time is over."""
+        future: asyncio.Future[None] = self.loop.create_future()
+        self.waiting[future] = None
+        try:
+            with contextlib.suppress(TimeoutError):
+                await asyncio.wait_for(future, seconds)
+        finally:
+            self.waiting.pop(future, None)
+
+    def wake(self) -> None:
+        """There is a change: watchers are woken at once after a quiet time, else in the next round."""
+        if self._waking:
+            self._changed_since = True
+        else:
+            self._waking = True
+            self._wake_batch(list(self.waiting))
+
+    def _wake_batch(self, remaining: list["asyncio.Future[None]"]) -> None:
+        for future in remaining[:WAKE_BATCH]:
+            if not future.done():
+                future.set_result(None)
+        if len(remaining) > WAKE_BATCH:
+            self.loop.call_soon(self._wake_batch, remaining[WAKE_BATCH:])
+        else:
+            self.loop.call_later(WAKE_PAUSE, self._end_round)
+
+    def _end_round(self) -> None:
+        self._waking = False
+        if self._changed_since:
+            self._changed_since = False
+            self.wake()
--- a/applehub/registry/wire.py
+++ b/applehub/registry/wire.py
@@ -1,43 +1,73 @@
-"""Messages between replicas as JSON lines: the message's kind, its sender, its fields. Commands and snapshots
-are UTF-8 texts, so they travel as strings."""
+"""Messages between replicas as JSON lines: the message's kind, its sender, its fields.
+
+Kinds and keys are those that replicas of earlier versions send and read; they differ from the names that the
+code uses. Commands and snapshots are UTF-8 texts, so they are sent as strings."""
 
 from typing import Any
 
 import orjson
 
-from applehub.registry.raft import Append, Appended, Ask, Entry, Install, Message, Snapshot, Vote
-
-KINDS: dict[str, type[Any]] = {one.__name__: one for one in (Ask, Vote, Append, Appended, Install)}
+from applehub.registry.errors import MessageError
+from applehub.registry.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    LogEntry,
+    Message,
+    RequestVote,
+    RequestVoteResponse,
+    Snapshot,
+)
 
-
-class WireError(ValueError):
-    """A line that is no message."""
+# By class: the kind, and a key for each field, in order.
+FORMS: dict[type[Message], tuple[str, tuple[str, ...]]] = {
+    RequestVote: ("Ask", ("term", "trial", "last_index", "last_term")),
+    RequestVoteResponse: ("Vote", ("term", "trial", "granted")),
+    AppendEntries: ("Append", ("term", "prev_index", "prev_term", "entries", "commit", "sent")),
+    AppendEntriesResponse: ("Appended", ("term", "ok", "place", "sent")),
+    InstallSnapshot: ("Install", ("term", "snapshot", "sent")),
+}
+CLASSES = {kind: (message_class, keys) for message_class, (kind, keys) in FORMS.items()}
 
 
 def encode(sender: int, message: Message) -> bytes:
-    told: dict[str, Any] = {"kind": type(message).__name__, "from": sender, **message._asdict()}
-    if isinstance(message, Append):
-        told["entries"] = [(term, data.decode()) for term, data in message.entries]
-    elif isinstance(message, Install):
-        place, term, data = message.snapshot
-        told["snapshot"] = (place, term, data.decode())
-    return orjson.dumps(told) + b"\n"
+    """The line of a message."""
+    kind, keys = FORMS[type(message)]
+    line: dict[str, object] = {"kind": kind, "from": sender, **dict(zip(keys, message, strict=True))}
+    if isinstance(message, AppendEntries):
+        line["entries"] = [(term, command.decode()) for term, command in message.entries]
+    elif isinstance(message, InstallSnapshot):
+        index, term, data = message.snapshot
+        line["snapshot"] = (index, term, data.decode())
+    return orjson.dumps(line) + b"\n"
 
 
 def decode(line: bytes) -> tuple[int, Message]:
-    """Gives the sender and the message. Raises WireError."""
+    """The sender and the message. Raises MessageError."""
     try:
-        told = orjson.loads(line)
-        kind, sender = KINDS[told.pop("kind")], told.pop("from")
-        if kind is Append:
-            told["entries"] = tuple(Entry(term, data.encode()) for term, data in told["entries"])
-        elif kind is Install:
-            place, term, data = told["snapshot"]
-            told["snapshot"] = Snapshot(place, term, data.encode())
-        message: Message = kind(**told)
-        numbers = [value for value in message if not isinstance(value, tuple)]
-        if type(sender) is not int or not all(type(one) in (int, bool) for one in numbers):
-            raise WireError(f"{line[:80]!r}: expected numbers")
+        fields = orjson.loads(line)
+        sender = _number(fields.pop("from"))
+        message_class, keys = CLASSES[fields.pop("kind")]
+        values = [_value(key, fields.pop(key)) for key in keys]
+        message: Message = message_class(*values)
     except (ValueError, KeyError, TypeError, AttributeError) as problem:
-        raise WireError(f"{line[:80]!r}: {type(problem).__name__}: {problem}") from None
+        raise MessageError(f"{line[:80]!r}: {type(problem).__name__}: {problem}") from problem
+    if fields:
+        raise MessageError(f"{line[:80]!r}: unknown keys {sorted(fields)}")
     return sender, message
+
+
+def _value(key: str, value: Any) -> Any:
+    """The value of a field. Raises ValueError and what it is made of."""
+    if key == "entries":
+        return tuple(LogEntry(_number(term), command.encode()) for term, command in value)
+    if key == "snapshot":
+        index, term, data = value
+        return Snapshot(_number(index), _number(term), data.encode())
+    return _number(value)
+
+
+def _number(value: object) -> int:
+    if not isinstance(value, int):  # a truth value is one
+        raise TypeError(f"expected a number, got {value!r}")
+    return value
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -17,15 +17,30 @@
 from applehub.events import Event, Writer, read
 from applehub.lab.__main__ import main
 from applehub.lab.fleet.ground import claim_block
-from applehub.registry import raft, wire
-from applehub.registry.config import ConfigError, parse
-from applehub.registry.entries import BASE_STEP, Entries
-from applehub.registry.host import Host
-from applehub.registry.leases import MILLI, SECOND, Leases
-from applehub.registry.model import CALM, MUTANTS, STARTS, Bounds, Coarse, Fine, begin, explore, walks
-from applehub.registry.raft import Append, Entry, Replica, Save, Saved, Snapshot
-from applehub.registry.server import Service
-from applehub.registry.store import Store, StoreError
+from applehub.registry import wire
+from applehub.registry.actions import Propose, Save, StoredState, Tick
+from applehub.registry.config import parse
+from applehub.registry.endpoint_list import BASE_STEP, EndpointList
+from applehub.registry.errors import ConfigError, MessageError, StoreError
+from applehub.registry.host import Host, HostOptions
+from applehub.registry.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    LogEntry,
+    RequestVote,
+    RequestVoteResponse,
+    Snapshot,
+)
+from applehub.registry.model.explorer import CALM, STARTS, begin, explore, walks
+from applehub.registry.model.grains import CoarseModel, FineModel
+from applehub.registry.model.mutants import MUTANTS
+from applehub.registry.model.state import Bounds
+from applehub.registry.replica import Replica
+from applehub.registry.replica_state import Role, Timing
+from applehub.registry.server_leases import MILLI, SECOND, LeaseChanges, ServerLeases
+from applehub.registry.service import Service
+from applehub.registry.store import ReplicaStore
 
 # Where each mutant shows itself, and how deep the good replica is seen whole from there.
 SHOWN = {
@@ -42,32 +57,32 @@
 @pytest.mark.parametrize("mutant", SHOWN)
 def test_the_model_holds_and_each_mutant_is_found(mutant: str) -> None:
     start, bounds, depth = SHOWN[mutant]
-    good, (kind, holds_back) = Coarse(Replica, bounds), MUTANTS[mutant]
+    good, (kind, holds_back) = CoarseModel(Replica, bounds), MUTANTS[mutant]
     found = explore(good, begin(good, STARTS[start]), depth)
     assert not found.broken and found.depth == depth, found
-    bad = Coarse(kind, bounds, holds_back)
+    bad = CoarseModel(kind, bounds, holds_back)
     assert explore(bad, begin(bad, STARTS[start]), depth).broken
 
 
 def test_each_message_crash_and_sync_by_itself() -> None:
-    good = Fine(Replica, Bounds())
+    good = FineModel(Replica, Bounds())
     found = explore(good, good.first(), 6)
     assert not found.broken and found.states > 5000
-    deep = Bounds(terms=8, proposals=4, restarts=4, letters=8)
-    assert not walks(Fine(Replica, deep), 200, 150).broken
-    assert walks(Fine(Replica, deep, holds_back=False), 200, 150).broken
+    deep = Bounds(terms=8, proposals=4, restarts=4, messages=8)
+    assert not walks(FineModel(Replica, deep), 200, 150).broken
+    assert walks(FineModel(Replica, deep, holds_back=False), 200, 150).broken
 
 
 def test_a_group_of_one_agrees_with_itself_once_its_disk_has_it() -> None:
-    alone = Replica(0, (0,), raft.Timing(), 0)
-    alone.due = 0
-    elected = alone.handle(1, raft.Tick(0.5))
-    assert alone.is_primary(1)
-    actions = alone.handle(2, raft.Propose((b"x", b"y")))
+    alone = Replica(0, (0,), Timing(), 0)
+    alone.election_due = 0
+    elected = alone.handle(1, Tick(0.5))
+    assert alone.is_lease_holder(1)
+    actions = alone.handle(2, Propose((b"x", b"y")))
     assert [type(one).__name__ for one in elected + actions] == [
         "Save", "Proposed", "Save", "Apply", "Proposed", "Save", "Apply", "Apply",
     ]  # fmt: skip
-    assert alone.commit == 3
+    assert alone.commit_index == 3
 
 
 def put(uid: str, **more: Any) -> bytes:
@@ -83,7 +98,7 @@
 
 
 def test_a_version_for_every_change_and_none_for_the_same_again() -> None:
-    held = Entries(kept=4)
+    held = EndpointList(max_changes=4)
     assert held.apply(put("a")) == (200, 50, 50)
     assert held.apply(put("a")) == (200, 50, 50)  # a writer that heard no answer asks again
     assert held.apply(put("b")) == (200, 51, 51)
@@ -100,21 +115,21 @@
         held.apply(put("b", lease_ms=lease))
     assert held.since(52)[0]  # further behind than what is kept
     assert list(held.entries) == ["b"]  # what is gone is forgotten with its change
-    again = Entries.restored(4, held.snapshot())
+    again = EndpointList.restored(4, held.snapshot())
     assert again == held and again.apply(put("b", lease_ms=9)) == held.apply(put("b", lease_ms=9))
 
 
 def test_leases_run_out_but_never_most_of_them_at_once() -> None:
-    held = Entries(kept=100)
+    held = EndpointList(max_changes=100)
     for number in range(10):
         held.apply(put(f"s{number}"))
-    watch = Leases(brake_part=0.3, brake_least=2)
+    watch = ServerLeases(brake_part=0.3, brake_least=2)
     watch.begin(0, held.entries)
 
-    def look(at_ms: int, *renew: int) -> tuple[list[str], list[str], list[str]]:
+    def look(at_ms: int, *renew: int) -> LeaseChanges:
         for number in renew:
             watch.renew(at_ms * MILLI, f"s{number}")
-        found = watch.look(at_ms * MILLI, held.entries)
+        found = watch.check(at_ms * MILLI, held.entries)
         for uids, command in ((found[0], {"do": "suspect", "on": True}), (found[1], {"do": "gone"})):
             held.apply(orjson.dumps({**command, "uids": uids}))
         return found
@@ -128,33 +143,33 @@
         assert look(at) == ([], [], []) and watch.braked == (at > 3100)
     assert look(3900, *range(1, 10)) == ([], [], []) and not watch.braked
     stood = 3900 * MILLI + 3600 * SECOND  # this process stood still: nobody could renew
-    assert watch.look(stood, held.entries) == ([], [], []) and not watch.braked
+    assert watch.check(stood, held.entries) == ([], [], []) and not watch.braked
 
 
 SAVES = [
-    Save(1, 0, 1, (Entry(1, b"a"), Entry(1, b"bb")), None),
-    Save(2, None, 2, (Entry(2, b"c"), Entry(2, b"d" * 5000)), None),
-    Save(2, 1, 3, (Entry(2, b"d" * 5000),), Snapshot(2, 2, b"whole")),
+    Save(1, 0, 1, (LogEntry(1, b"a"), LogEntry(1, b"bb")), None),
+    Save(2, None, 2, (LogEntry(2, b"c"), LogEntry(2, b"d" * 5000)), None),
+    Save(2, 1, 3, (LogEntry(2, b"d" * 5000),), Snapshot(2, 2, b"whole")),
 ]
 
 
 def test_the_disk_gives_back_what_was_saved(tmp_path: Path) -> None:
-    store = Store(tmp_path)
-    assert store.load() == Saved()
+    store = ReplicaStore(tmp_path)
+    assert store.load() == StoredState()
     store.save(SAVES[:2])
-    assert store.load() == Saved(2, None, Snapshot(0, 0, b""), (Entry(1, b"a"), *SAVES[1].entries))
+    assert store.load() == StoredState(2, None, Snapshot(0, 0, b""), (LogEntry(1, b"a"), *SAVES[1].entries))
     with pytest.raises(StoreError, match="another process has it"):
-        Store(tmp_path)
+        ReplicaStore(tmp_path)
     store.save(SAVES[2:])
     store.close()
-    assert Store(tmp_path).load() == Saved(2, 1, Snapshot(2, 2, b"whole"), SAVES[2].entries)
+    assert ReplicaStore(tmp_path).load() == StoredState(2, 1, Snapshot(2, 2, b"whole"), SAVES[2].entries)
 
 
 def test_flipped_bits_and_torn_files_are_refused_or_change_nothing(tmp_path: Path) -> None:
     """Every eleventh byte of both files is flipped, and both are cut short: never is something else
     served."""
     whole = tmp_path / "whole"
-    store = Store(whole)
+    store = ReplicaStore(whole)
     store.save(SAVES)
     right = store.load()
     copied = tmp_path / "copied"
@@ -174,7 +189,7 @@
             (tmp_path / "one" / file.name).write_bytes(text)
             one = None
             try:
-                one = Store(tmp_path / "one")
+                one = ReplicaStore(tmp_path / "one")
                 assert one.load() == right
             except StoreError as problem:
                 refused += 1
@@ -187,11 +202,11 @@
 
 def test_messages_come_back_and_others_are_turned_down() -> None:
     for message in (
-        raft.Ask(3, True, 7, 2),
-        raft.Vote(3, False, True),
-        Append(3, 6, 2, (Entry(3, b'{"a":1}'),), 5, 123),
-        raft.Appended(3, True, 7, 123),
-        raft.Install(3, Snapshot(9, 2, b"{}"), 5),
+        RequestVote(3, True, 7, 2),
+        RequestVoteResponse(3, False, True),
+        AppendEntries(3, 6, 2, (LogEntry(3, b'{"a":1}'),), 5, 123),
+        AppendEntriesResponse(3, True, 7, 123),
+        InstallSnapshot(3, Snapshot(9, 2, b"{}"), 5),
     ):
         assert wire.decode(wire.encode(2, message)) == (2, message)
     for line in (
@@ -200,7 +215,7 @@
         b'{"kind":"Ask"}',
         b'{"kind":"Vote","from":1,"term":"x","trial":true,"granted":true}',
     ):
-        with pytest.raises(wire.WireError):
+        with pytest.raises(MessageError):
             wire.decode(line)
 
 
@@ -226,7 +241,9 @@
 
 async def test_writers_staff_and_watchers_of_one_replica(tmp_path: Path) -> None:
     config = parse("x", {"name": "a", "state_dir": str(tmp_path / "a"), "leases": {"look_ms": 20}})
-    host = Host(0, {}, raft.Timing(), Store(config.state_dir), 100, 3)  # cuts its log every third entry
+    host = Host(
+        HostOptions(0, max_changes=100, compact_after=3), ReplicaStore(config.state_dir)
+    )  # cuts its log every third entry
     out = (tmp_path / "events").open("wb")
     service = Service(config, host, Writer(out, "a", 0))
     await host.start()
@@ -242,7 +259,7 @@
             async with session.get(f"http://{listen}/api/targets{query}") as answer:
                 return answer.status, await answer.json() if answer.status == 200 else None
 
-        while not host.is_primary():
+        while not host.is_lease_holder():
             await asyncio.sleep(0.01)
         assert await targets() == (200, {"rev": 0, "all": True, "targets": []})
         status, told = await ask("PUT", "/v1/servers/s", body)
@@ -259,7 +276,7 @@
             assert (await ask(method, f"/v1/servers/{path}"))[0] == 404
 
         watch = asyncio.create_task(targets(f"?from={first}&hold_ms=60000"))
-        while not service.watchers.waiting:
+        while not service.list_api.watchers.waiting:
             await asyncio.sleep(0.01)
         assert (await ask("POST", "/v1/servers/s/state", {"state": "Terminating"}))[0] == 200
         _, told = await watch
@@ -283,39 +300,43 @@
         status, told = await ask("PUT", "/v1/locks/release", other)
         assert status == 409 and told["holder"] == "me" and 0 < told["left_ms"] <= 60_000
         assert (await ask("DELETE", "/v1/locks/release?holder=another"))[0] == 409
-        service.holds.renewed["release"] = service.holds.began = time.monotonic_ns() - 61 * SECOND
+        service.lock_api.leases.renewed_at["release"] = service.lock_api.leases.began_at = (
+            time.monotonic_ns() - 61 * SECOND
+        )
         status, told = await ask("PUT", "/v1/locks/release", other)  # its holder has not renewed
         assert status == 200 and told["fence"] > held["fence"]
         assert (await ask("PUT", "/v1/locks/release", mine))[0] == 409
         assert (await ask("DELETE", "/v1/locks/release?holder=another"))[0] == 200
         assert (await ask("PUT", "/v1/locks/release", mine))[1]["fence"] > told["fence"]
-        assert Entries.restored(9, host.entries.snapshot()).locks == host.entries.locks
+        assert EndpointList.restored(9, host.endpoints.snapshot()).locks == host.endpoints.locks
 
         for name in ("l0", "l1", "l2"):
             assert (await ask("PUT", f"/v1/servers/{name}", {**body, "lease_ms": 60_000}))[0] == 200
         long_ago = time.monotonic_ns() - 121 * SECOND
-        service.leases.renewed = dict.fromkeys(("l0", "l1", "l2"), long_ago)
-        while not service.leases.braked:  # none has renewed: too many at once to be believed
+        service.lease_watch.leases.renewed_at = dict.fromkeys(("l0", "l1", "l2"), long_ago)
+        while not service.lease_watch.leases.braked:  # none has renewed: too many at once to be believed
             await asyncio.sleep(0.01)
-        assert all(one.state != "Gone" for one in host.entries.entries.values())
+        assert all(one.state != "Gone" for one in host.endpoints.entries.values())
         for name in ("l1", "l2"):
             assert (await ask("POST", f"/v1/servers/{name}/renew"))[0] == 200
-        while host.entries.entries["l0"].state != "Gone":  # the others have: one is gone
+        while host.endpoints.entries["l0"].state != "Gone":  # the others have: one is gone
             await asyncio.sleep(0.01)
         _, told = await ask("GET", "/v1/servers")
         assert {one["uid"] for one in told["servers"] if one["state"] == "Gone"} == {"l0"}
         async with session.get(f"http://{staff}/metrics") as answer:
             assert "list_primary 1.0" in await answer.text()
-        service.turns.free_at = service.loop.time() + 1000  # too many whole lists are asked for
+        service.list_api.admission.free_at = (
+            asyncio.get_running_loop().time() + 1000
+        )  # too many whole lists are asked for
         async with session.get(f"http://{listen}/api/targets") as answer:
             assert answer.status == 503 and int(answer.headers["Retry-After"]) > 900
-        host.replica.role = raft.Role.FOLLOWER  # it has lost the lead
+        host.replica.role = Role.FOLLOWER  # it has lost the lead
         status, told = await ask("PUT", "/v1/servers/s", {**body, "az": "c"})
         assert status == 503 and told["error"] == "not the primary"
     await service.stop()
     await host.stop()
     out.close()
-    assert host.replica.snapshot.place > 0
+    assert host.replica.snapshot.last_index > 0
     kinds = [one.event for one in read(tmp_path / "events")]
     assert {Event.LEADS, Event.LISTED, Event.BRAKE} <= set(kinds)
 
--- a/tests/test_registry_disk.py
+++ b/tests/test_registry_disk.py
@@ -16,19 +16,41 @@
 from typing import Any
 
 import aiohttp
-import orjson
 import pytest
 from registry_group import Group
 
 from applehub.lab.fleet.ground import claim_block
 from applehub.lab.fleet.processes import environment
-from applehub.registry import raft
-from applehub.registry.__main__ import opened
+from applehub.registry.__main__ import open_host
+from applehub.registry.actions import (
+    Apply,
+    MessageReceived,
+    Propose,
+    Proposed,
+    Save,
+    Send,
+    StorageFailed,
+    StorageRetried,
+    StoredState,
+    Tick,
+)
+from applehub.registry.commands import PutServer, ServerState
 from applehub.registry.config import parse
-from applehub.registry.host import Host, NotPrimaryError
-from applehub.registry.model import MUTANTS, REFUSING, STARTS, Coarse, Fine, begin, explore, walks
-from applehub.registry.raft import Append, Entry, Replica, Save, Saved, Snapshot
-from applehub.registry.store import Store, StoreError, StoreRefusedError
+from applehub.registry.errors import NotLeaseHolderError, StoreError, StoreRefusedError
+from applehub.registry.host import Host, HostOptions
+from applehub.registry.messages import (
+    NO_SNAPSHOT,
+    AppendEntries,
+    AppendEntriesResponse,
+    LogEntry,
+    RequestVote,
+)
+from applehub.registry.model.explorer import REFUSING, STARTS, begin, explore, walks
+from applehub.registry.model.grains import CoarseModel, FineModel
+from applehub.registry.model.mutants import MUTANTS
+from applehub.registry.replica import Replica
+from applehub.registry.replica_state import Timing
+from applehub.registry.store import ReplicaStore
 
 # Where a disk has refused, the mutant that shows itself there, and the depth.
 REFUSED = {
@@ -41,41 +63,43 @@
 @pytest.mark.parametrize("start", REFUSED)
 def test_the_model_holds_where_disks_refuse_and_each_mutant_is_found(start: str) -> None:
     mutant, depth = REFUSED[start]
-    good = Coarse(Replica, REFUSING)
+    good = CoarseModel(Replica, REFUSING)
     found = explore(good, begin(good, STARTS[start]), depth)
     assert not found.broken and found.depth == depth, found
     if mutant is not None:
         kind, holds_back = MUTANTS[mutant]
-        bad = Coarse(kind, REFUSING, holds_back)
+        bad = CoarseModel(kind, REFUSING, holds_back)
         assert explore(bad, begin(bad, STARTS[start]), depth).broken
 
 
 def test_each_refusal_and_retry_by_itself_among_messages_and_crashes() -> None:
-    good = Fine(Replica, REFUSING)
+    good = FineModel(Replica, REFUSING)
     found = explore(good, good.first(), 5)
     assert not found.broken and found.depth == 5, found
-    deep = replace(REFUSING, terms=8, proposals=4, restarts=4, letters=8, refusals=6)
-    assert not walks(Fine(Replica, deep), 200, 150).broken
+    deep = replace(REFUSING, terms=8, proposals=4, restarts=4, messages=8, refusals=6)
+    assert not walks(FineModel(Replica, deep), 200, 150).broken
 
 
 def test_a_replica_whose_disk_refuses_votes_for_none_and_acknowledges_nothing_but_applies() -> None:
-    replica = Replica(0, (0, 1, 2), raft.Timing(), 0)
-    replica.handle(1, raft.StorageFailed())
-    late = 10 * raft.Timing().election
-    assert not replica.handle(late, raft.Tick(0.0))  # it stands for no election
+    replica = Replica(0, (0, 1, 2), Timing(), 0)
+    replica.handle(1, StorageFailed())
+    late = 10 * Timing().election
+    assert not replica.handle(late, Tick(0.0))  # it stands for no election
     for trial in (True, False):
-        assert not replica.handle(late, raft.Received(1, raft.Ask(1, trial, 0, 0)))
-    entry = Entry(1, b"x")
-    assert replica.handle(late, raft.Received(1, Append(1, 0, 0, (entry,), 1, 5))) == [raft.Apply(1, 1, b"x")]
-    assert replica.handle(late, raft.Propose((b"y",))) == [raft.Proposed(0, 1)]
-    (save,) = replica.handle(late, raft.StorageRetried())
-    assert save == Save(1, None, 1, (entry,), Snapshot(0, 0, b""))
-    answers = replica.handle(late, raft.Received(1, Append(1, 1, 1, (), 1, 6)))
-    assert answers == [raft.Send(1, raft.Appended(1, True, 1, 6))]
+        assert not replica.handle(late, MessageReceived(1, RequestVote(1, trial, 0, 0)))
+    entry = LogEntry(1, b"x")
+    assert replica.handle(late, MessageReceived(1, AppendEntries(1, 0, 0, (entry,), 1, 5))) == [
+        Apply(1, 1, b"x")
+    ]
+    assert replica.handle(late, Propose((b"y",))) == [Proposed(0, 1)]
+    (save,) = replica.handle(late, StorageRetried())
+    assert save == Save(1, None, 1, (entry,), NO_SNAPSHOT)
+    answers = replica.handle(late, MessageReceived(1, AppendEntries(1, 1, 1, (), 1, 6)))
+    assert answers == [Send(1, AppendEntriesResponse(1, True, 1, 6))]
 
 
 def save(number: int) -> Save:
-    return Save(1, None, number, (Entry(1, b"%d" % number),), None)
+    return Save(1, None, number, (LogEntry(1, b"%d" % number),), None)
 
 
 class RefusingDisk:
@@ -96,6 +120,12 @@
         self.disk, self.real = disk, real
 
     def execute(self, text: str, *more: Any) -> Any:
+        return self.strike(self.real.execute, text, *more)
+
+    def executemany(self, text: str, *more: Any) -> Any:
+        return self.strike(self.real.executemany, text, *more)
+
+    def strike(self, call: Callable[..., Any], text: str, *more: Any) -> Any:
         word, _, when = self.disk.how.partition(" ")
         if word == "full" and text.startswith("BEGIN"):
             self.disk.refused += 1
@@ -104,11 +134,11 @@
         elif word and text.startswith(word):
             self.disk.refused += 1
             if when == "after":
-                self.real.execute(text, *more)
+                call(text, *more)
             problem = sqlite3.OperationalError("disk I/O error")
             problem.sqlite_errorcode = sqlite3.SQLITE_IOERR_FSYNC
             raise problem
-        return self.real.execute(text, *more)
+        return call(text, *more)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.real, name)
@@ -136,9 +166,9 @@
 def test_a_refused_write_is_there_whole_or_not_at_all_and_may_be_written_again(
     tmp_path: Path, disk: RefusingDisk, how: str
 ) -> None:
-    store = Store(tmp_path)
+    store = ReplicaStore(tmp_path)
     store.save([save(1)])
-    large = Save(1, None, 2, (Entry(1, b"2" * 100_000),), None)
+    large = Save(1, None, 2, (LogEntry(1, b"2" * 100_000),), None)
     written = how == "COMMIT after"
     for _ in range(2):
         disk.how = "" if how == "system" else how
@@ -147,10 +177,10 @@
         disk.how = ""
         assert len(store.load().log) == (2 if written else 1)
     store.save([large, save(3)])
-    right = Saved(1, None, Snapshot(0, 0, b""), (*save(1).entries, *large.entries, *save(3).entries))
+    right = StoredState(1, None, NO_SNAPSHOT, (*save(1).entries, *large.entries, *save(3).entries))
     assert store.load() == right
     store.close()
-    assert Store(tmp_path).load() == right
+    assert ReplicaStore(tmp_path).load() == right
 
 
 def test_a_folder_that_refuses_is_told_from_one_that_is_damaged(
@@ -169,9 +199,9 @@
 
             patch.setattr(os, call, fail)  # those of the folder's sync
             with pytest.raises(StoreError) as told:
-                Store(tmp_path / f"{call}-{error}")
+                ReplicaStore(tmp_path / f"{call}-{error}")
             assert type(told.value) is raised
-        store = Store(tmp_path / f"{call}-{error}")  # its lock was let go
+        store = ReplicaStore(tmp_path / f"{call}-{error}")  # its lock was let go
         with monkeypatch.context() as patch:
             patch.setattr(os, call, fail)
             with pytest.raises(StoreError) as told:
@@ -184,19 +214,19 @@
 KILLED = """
 import os, signal, sys
 from pathlib import Path
-from applehub.registry.raft import Entry, Save
-from applehub.registry.store import Store
+from applehub.registry.actions import Save
+from applehub.registry.messages import LogEntry
+from applehub.registry.store import ReplicaStore
 
-store = Store(Path(sys.argv[1]))
-store.save([Save(1, None, 1, (Entry(1, b"x" * 50_000),), None)])
-execute = store.__class__._set
+store = ReplicaStore(Path(sys.argv[1]))
+store.save([Save(1, None, 1, (LogEntry(1, b"x" * 50_000),), None)])
 
 def die(*_):
     os.kill(os.getpid(), signal.SIGKILL)
 
-store._connection().execute("PRAGMA cache_size=1")  # changed pages go to the file before the commit
-store.__class__._set = die
-store.save([Save(2, 0, 1, tuple(Entry(2, b"y" * 3000) for _ in range(200)), None)])
+store._connect().execute("PRAGMA cache_size=1")  # changed pages go to the file before the commit
+store._write_meta = die
+store.save([Save(2, 0, 1, tuple(LogEntry(2, b"y" * 3000) for _ in range(200)), None)])
 """
 
 
@@ -206,23 +236,14 @@
     content = (tmp_path / "replica.sqlite").read_bytes()
     assert b"y" * 1000 in content  # the file is half written
     assert (tmp_path / "replica.sqlite-journal").stat().st_size > 0
-    store = Store(tmp_path)
-    assert store.load() == Saved(1, None, Snapshot(0, 0, b""), (Entry(1, b"x" * 50_000),))
+    store = ReplicaStore(tmp_path)
+    assert store.load() == StoredState(1, None, NO_SNAPSHOT, (LogEntry(1, b"x" * 50_000),))
     store.save([save(2)])
     assert len(store.load().log) == 2
 
 
-def put(uid: str) -> bytes:
-    told = {
-        "do": "put",
-        "uid": uid,
-        "fields": {},
-        "endpoints": {},
-        "state": "Ready",
-        "lease_ms": 0,
-        "base": 5,
-    }
-    return orjson.dumps(told)
+def put(uid: str) -> PutServer:
+    return PutServer(uid=uid, fields={}, endpoints={}, state=ServerState.READY, lease_ms=0, base=5)
 
 
 async def until(holds: Callable[[], bool]) -> None:
@@ -236,27 +257,27 @@
 async def test_a_single_replica_acknowledges_nothing_while_its_disk_refuses(
     tmp_path: Path, disk: RefusingDisk, how: str
 ) -> None:
-    host = Host(0, {}, raft.Timing(), Store(tmp_path), 100, 3)
+    host = Host(HostOptions(0, max_changes=100, compact_after=3), ReplicaStore(tmp_path))
     await host.start()
-    await until(host.is_primary)
+    await until(host.is_lease_holder)
     assert (await host.propose(put("a"))).status == 200
     disk.how = how
-    with pytest.raises(NotPrimaryError):
+    with pytest.raises(NotLeaseHolderError):
         await host.propose(put("b" * (10_000 if how == "full" else 1)))
-    assert host.disk_refuses and not host.is_primary() and not host.failed.done()
-    assert list(host.entries.entries) == ["a"]  # still served; what may not last is not
+    assert host.disk_refuses and not host.is_lease_holder() and not host.failed.done()
+    assert list(host.endpoints.entries) == ["a"]  # still served; what may not last is not
     before = disk.refused
     await until(lambda: disk.refused > before + 2)
     disk.how = ""
-    await until(host.is_primary)
+    await until(host.is_lease_holder)
     assert not host.disk_refuses
     assert (await host.propose(put("c"))).status == 200
-    held = dict(host.entries.entries)
+    held = dict(host.endpoints.entries)
     await host.stop()
-    again = Host(0, {}, raft.Timing(), Store(tmp_path), 100, 3)
+    again = Host(HostOptions(0, max_changes=100, compact_after=3), ReplicaStore(tmp_path))
     await again.start()
-    await until(lambda: again.is_primary() and again.applied >= host.applied)
-    assert again.entries.entries == held and {"a", "c"} <= set(held)
+    await until(lambda: again.is_lease_holder() and again.applied_index >= host.applied_index)
+    assert again.endpoints.entries == held and {"a", "c"} <= set(held)
     await again.stop()
 
 
@@ -266,16 +287,16 @@
     config = parse("x", {"name": "a", "state_dir": str(tmp_path)})
     stopping = asyncio.Event()
     disk.how = "PRAGMA synchronous before"
-    opening = asyncio.create_task(opened(config, stopping))
+    opening = asyncio.create_task(open_host(config, stopping))
     await until(lambda: disk.refused > 1)
     disk.how = ""
     host = await opening
     assert host is not None
     await host.start()
-    await until(host.is_primary)
+    await until(host.is_lease_holder)
     await host.stop()
     disk.how = "PRAGMA synchronous before"
-    opening = asyncio.create_task(opened(config, stopping))
+    opening = asyncio.create_task(open_host(config, stopping))
     before = disk.refused
     await until(lambda: disk.refused > before)
     stopping.set()
--- a/tests/test_registry_stored.py
+++ b/tests/test_registry_stored.py
@@ -6,9 +6,20 @@
 
 import pytest
 
-from applehub.registry import raft, wire
-from applehub.registry.host import Host
-from applehub.registry.store import Store
+from applehub.registry import wire
+from applehub.registry.commands import ServerState, SetState
+from applehub.registry.host import Host, HostOptions
+from applehub.registry.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    LogEntry,
+    Message,
+    RequestVote,
+    RequestVoteResponse,
+    Snapshot,
+)
+from applehub.registry.store import ReplicaStore
 
 # Written by the version at 0447801: eight commands to a group of one, whose log was cut after the eighth.
 STORED = Path(__file__).parent / "stored" / "registry_0447801"
@@ -23,14 +34,18 @@
 ]
 CHANGES = [(50, "a"), (51, "b"), (52, "b"), (53, "c"), (54, "a"), (55, "d")]
 
-LINES: dict[bytes, raft.Message] = {
-    b'{"kind":"Ask","from":2,"term":3,"trial":true,"last_index":7,"last_term":2}\n': raft.Ask(3, True, 7, 2),
-    b'{"kind":"Vote","from":2,"term":3,"trial":false,"granted":true}\n': raft.Vote(3, False, True),
+LINES: dict[bytes, Message] = {
+    b'{"kind":"Ask","from":2,"term":3,"trial":true,"last_index":7,"last_term":2}\n': RequestVote(
+        3, True, 7, 2
+    ),
+    b'{"kind":"Vote","from":2,"term":3,"trial":false,"granted":true}\n': RequestVoteResponse(3, False, True),
     b'{"kind":"Append","from":2,"term":3,"prev_index":6,"prev_term":2,"entries":[[3,"{\\"a\\":1}"]],"commit":5,'
-    b'"sent":123}\n': raft.Append(3, 6, 2, (raft.Entry(3, b'{"a":1}'),), 5, 123),
-    b'{"kind":"Appended","from":2,"term":3,"ok":true,"place":7,"sent":123}\n': raft.Appended(3, True, 7, 123),
-    b'{"kind":"Install","from":2,"term":3,"snapshot":[9,2,"{}"],"sent":5}\n': raft.Install(
-        3, raft.Snapshot(9, 2, b"{}"), 5
+    b'"sent":123}\n': AppendEntries(3, 6, 2, (LogEntry(3, b'{"a":1}'),), 5, 123),
+    b'{"kind":"Appended","from":2,"term":3,"ok":true,"place":7,"sent":123}\n': AppendEntriesResponse(
+        3, True, 7, 123
+    ),
+    b'{"kind":"Install","from":2,"term":3,"snapshot":[9,2,"{}"],"sent":5}\n': InstallSnapshot(
+        3, Snapshot(9, 2, b"{}"), 5
     ),
 }
 
@@ -38,22 +53,22 @@
 async def test_a_replica_goes_on_from_the_folder_of_the_version_before(tmp_path: Path) -> None:
     folder = tmp_path / "replica"
     shutil.copytree(STORED, folder)
-    host = Host(0, {}, raft.Timing(), Store(folder), 100, 100)
-    assert (host.replica.term, host.replica.voted, host.replica.last_index) == (1, 0, 9)
+    host = Host(HostOptions(0, max_changes=100, compact_after=100), ReplicaStore(folder))
+    assert (host.replica.term, host.replica.voted_for, host.replica.last_index) == (1, 0, 9)
     await host.start()
     async with asyncio.timeout(60):
-        while not host.is_primary():
+        while not host.is_lease_holder():
             await asyncio.sleep(0.01)
-    held = host.entries
+    held = host.endpoints
     assert [
         (one.uid, one.endpoints, one.lease_ms, one.state, one.version, one.suspect)
         for one in held.entries.values()
     ] == ENTRIES
     assert all(one.fields == FIELDS for one in held.entries.values())
     assert [tuple(one) for one in held.changes] == CHANGES
-    assert (held.version, held.forgotten) == (55, 0)
+    assert (held.version, held.dropped_version) == (55, 0)
     assert tuple(held.locks["release"]) == ("me", 50, 60_000)
-    assert (await host.propose(b'{"do":"state","uid":"c","state":"Gone"}')).version == 56
+    assert (await host.propose(SetState(uid="c", state=ServerState.GONE))).list_version == 56
     await host.stop()
 
 
--- a/tests/test_registry_system.py
+++ b/tests/test_registry_system.py
@@ -13,13 +13,13 @@
 import pytest
 
 from applehub.events import Writer
+from applehub.lab.fleet.ground import claim_block
 from applehub.lab.fleet.system_call_faults import SystemCallFault, SystemCallFaults
-from applehub.registry import raft
 from applehub.registry.config import parse
-from applehub.registry.host import Host
+from applehub.registry.host import Host, HostOptions
 from applehub.registry.listener import Listener
-from applehub.registry.server import Service
-from applehub.registry.store import Store
+from applehub.registry.service import Service
+from applehub.registry.store import ReplicaStore
 
 OUTAGE = 0.1  # s
 WITHIN = 0.05  # s of an outage's end in which accepting has to go on
@@ -48,13 +48,13 @@
 @asynccontextmanager
 async def replica(folder: Path) -> AsyncIterator[Replica]:
     config = parse("x", {"name": "a", "state_dir": str(folder / "a"), "leases": {"look_ms": 10}})
-    host = Host(0, {}, raft.Timing(), Store(config.state_dir), 100, 100)
+    host = Host(HostOptions(0), ReplicaStore(config.state_dir))
     with (folder / "events").open("wb") as events:
         service = Service(config, host, Writer(events, "a", 0))
         await host.start()
         listen, staff = await service.start()
         async with asyncio.timeout(60), aiohttp.ClientSession() as session:
-            while not host.is_primary():
+            while not host.is_lease_holder():
                 await asyncio.sleep(0.01)
             yield Replica(host, service, session, listen, staff)
         await service.stop()
@@ -111,15 +111,9 @@
     tmp_path: Path,
 ) -> None:
     """Two of three replicas, in this process: accept, socket and connect fail until each has failed."""
-    ports = []
-    for _ in range(3):
-        listener = Listener(("127.0.0.1", 0), asyncio.Protocol)
-        ports.append(listener.address[1])
-        listener.close()
-    addresses = {number: f"127.0.0.1:{port}" for number, port in enumerate(ports)}
-    hosts = [
-        Host(number, addresses, raft.Timing(), Store(tmp_path / str(number)), 100, 100) for number in (0, 1)
-    ]
+    block, claim = claim_block()
+    addresses = {number: f"{block}.211.{number + 1}:7000" for number in range(3)}
+    hosts = [Host(HostOptions(number, addresses), ReplicaStore(tmp_path / str(number))) for number in (0, 1)]
     faults = [
         SystemCallFault("socket", "ENFILE", times=2),
         SystemCallFault("connect", "EADDRNOTAVAIL", times=2),
@@ -127,16 +121,15 @@
     ]
     for host in hosts:
         await host.start()
-    with SystemCallFaults(
-        *faults, *(SystemCallFault("accept", "ENFILE", times=2, local=f"*:{p}") for p in ports)
-    ) as made:
+    with SystemCallFaults(*faults, SystemCallFault("accept", "ENFILE", times=2, local="*:7000")) as made:
         async with asyncio.timeout(60):
-            while not any(host.is_primary() for host in hosts):
+            while not any(host.is_lease_holder() for host in hosts):
                 await asyncio.sleep(0.01)
         for call in ("socket", "connect", "accept"):
             assert made.count(call) >= 2
     for host in hosts:
         await host.stop()
+    claim.close()
 
 
 @pytest.mark.parametrize("step_s", [3, -3, 3600, -3600])
@@ -150,24 +143,26 @@
         status, lock = await one.ask("PUT", "/v1/locks/l", {"holder": "me", "lease_ms": 60_000})
         assert status == 200
         watch = asyncio.create_task(one.targets(f"?from={told['entry']}&hold_ms=60000"))
-        while not one.service.watchers.waiting:
+        while not one.service.list_api.watchers.waiting:
             await asyncio.sleep(0.01)
         now, now_ns = time.time, time.time_ns
         monkeypatch.setattr(time, "time", lambda: now() + step_s)
         monkeypatch.setattr(time, "time_ns", lambda: now_ns() + step_s * 1_000_000_000)
-        looked = one.service.leases.looked
-        while one.service.leases.looked == looked:  # the watch over leases has looked since
+        looked = one.service.lease_watch.leases.checked_at
+        while one.service.lease_watch.leases.checked_at == looked:  # the watch over leases has looked since
             await asyncio.sleep(0.01)
         status, other = await one.ask("PUT", "/v1/locks/l", {"holder": "other"})
         assert status == 409 and 0 < other["left_ms"] <= 60_000
         assert await one.ask("PUT", "/v1/locks/l", {"holder": "me", "lease_ms": 60_000}) == (200, lock)
-        entry = one.host.entries.entries["s"]
+        entry = one.host.endpoints.entries["s"]
         assert entry.state == "Ready" and not entry.suspect
-        assert not watch.done() and one.host.is_primary()
+        assert not watch.done() and one.host.is_lease_holder()
         assert (await one.ask("DELETE", "/v1/servers/s"))[0] == 200
         _, told_later = await watch
         assert told_later["rev"] == told["entry"] + 1  # versions of a list go on by one, whatever the clock
-        one.service.holds.renewed["l"] = one.service.holds.began = time.monotonic_ns() - 61 * 10**9
+        one.service.lock_api.leases.renewed_at["l"] = one.service.lock_api.leases.began_at = (
+            time.monotonic_ns() - 61 * 10**9
+        )
         assert (await one.ask("PUT", "/v1/locks/l", {"holder": "other"}))[0] == 200
 
 
@@ -179,4 +174,4 @@
         for line in file.read_text().splitlines()
         if "time.time" in line or "datetime" in line
     }
-    assert used == {("server.py", 'command["base"] = time.time_ns() // 1_000_000_000 * BASE_STEP')}
+    assert used == {("replies.py", "return time.time_ns() // SECOND * BASE_STEP")}
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -48,10 +48,11 @@
 )
 from applehub.policy.keys import DEALS_KEPT, KeyRanges
 from applehub.policy.servers import Server
-from applehub.registry import watches
+from applehub.registry import answers as answers_module
+from applehub.registry.answers import AnswerCache
 from applehub.registry.descriptors import allow_callers
-from applehub.registry.entries import Entries
-from applehub.registry.watches import Answers, Watchers
+from applehub.registry.endpoint_list import EndpointList
+from applehub.registry.watchers import Watchers
 from applehub.settings import read_names
 
 LARGE = 1024  # routers, and cache servers
@@ -344,8 +345,8 @@
 # The list service
 
 
-def kept_list(servers: int) -> Entries:
-    entries = Entries(10_000)
+def kept_list(servers: int) -> EndpointList:
+    entries = EndpointList(10_000)
     for number in range(servers):
         fields = {"endpoint": "10.0.0.1:6379", "az": "a", "model": "std", "pod_group": 0}
         told = {"do": "put", "uid": f"c{number}", "fields": fields, "endpoints": {}, "lease_ms": 0}
@@ -356,7 +357,7 @@
 def test_a_change_is_encoded_once_for_each_of_many_views_and_memory_stays_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    entries, answers = kept_list(LARGE), Answers()
+    entries, answers = kept_list(LARGE), AnswerCache()
     before = entries.version - 1
     first = [answers.get(entries, before, f"v{number}")[0] for number in range(LARGE)]
     again = [answers.get(entries, before, f"v{number}")[0] for number in range(LARGE)]
@@ -364,10 +365,12 @@
     assert answers.size == sum(map(len, first))
     whole = answers.get(entries, None, "v0")[0]
     assert len(json.loads(whole)["targets"]) == LARGE
-    monkeypatch.setattr(watches, "MOST_KEPT", 5 * len(whole))
+    monkeypatch.setattr(answers_module, "MAX_CACHED", 5 * len(whole))
     for number in range(20):
         answers.get(entries, None, f"v{number}")
-    assert answers.size == sum(len(body) for body, _, _ in answers.kept.values()) <= watches.MOST_KEPT
+    assert (
+        answers.size == sum(len(body) for body, _, _ in answers.cached.values()) <= answers_module.MAX_CACHED
+    )
     assert answers.get(entries, None, "v3")[0] == whole  # made anew
 
 
