--- a/applehub/registry/host.py
+++ b/applehub/registry/host.py
@@ -84,6 +84,7 @@
         self._unsaved: list[Action] = []  # what waits until the disk takes writes again
         self._storage_retry: asyncio.TimerHandle | None = None
         self._stopping = False
+        self._has_own_term = False  # whether an entry of a term of this run is applied
         self._disk = ThreadPoolExecutor(1, "disk")
         self._peers = {
             member: PeerConnection(address)
@@ -132,8 +133,13 @@
         return self.replica.term_at(self.applied_index) == self.replica.term
 
     def staleness(self) -> int:
-        """ns since this replica last knew that it had all that was committed; 0 at the lease holder."""
-        return 0 if self.is_lease_holder() else time.monotonic_ns() - self.replica.leader_contact
+        """ns since this replica last knew that it had all that was committed; 0 at the lease holder.
+
+        In a group of one nothing is committed without it: 0 too while its disk refuses."""
+        alone = not self._peers and self._has_own_term
+        if alone or self.is_lease_holder():
+            return 0
+        return time.monotonic_ns() - self.replica.leader_contact
 
     async def propose(self, command: Command) -> CommandResult:
         """Has a command agreed on; gives what became of it once a majority has it on disk. Raises
@@ -254,6 +260,7 @@
     def _apply(self, action: Apply) -> None:
         result = self.endpoints.apply(action.command)
         self.applied_index = action.log_index
+        self._has_own_term = self._has_own_term or action.term == self.replica.term
         pending = self._pending.pop(action.log_index, None)
         if pending is not None and not pending.answer.done():
             if pending.term == action.term:
--- a/tests/test_registry_disk.py
+++ b/tests/test_registry_disk.py
@@ -268,6 +268,7 @@
     assert list(host.endpoints.entries) == ["a"]  # still served; what may not last is not
     before = disk.refused
     await until(lambda: disk.refused > before + 2)
+    assert host.staleness() == 0  # nothing can have changed without it: it serves its list for as long
     disk.how = ""
     await until(host.is_lease_holder)
     assert not host.disk_refuses
