--- a/applehub/registry/host.py
+++ b/applehub/registry/host.py
@@ -81,6 +81,7 @@
         self._proposals: list[tuple[bytes, asyncio.Future[CommandResult]]] = []
         self._waiting: list[Action] = []  # for the sync that is under way
         self._syncing = False
+        self._sync_began_at = 0  # ns of the monotonic clock
         self._unsaved: list[Action] = []  # what waits until the disk takes writes again
         self._storage_retry: asyncio.TimerHandle | None = None
         self._stopping = False
@@ -139,7 +140,10 @@
         alone = not self._peers and self._has_own_term
         if alone or self.is_lease_holder():
             return 0
-        return time.monotonic_ns() - self.replica.leader_contact
+        known_at = self.replica.leader_contact
+        if self._syncing:  # what has come since then waits for the disk
+            known_at = min(known_at, self._sync_began_at)
+        return time.monotonic_ns() - known_at
 
     async def propose(self, command: Command) -> CommandResult:
         """Has a command agreed on; gives what became of it once a majority has it on disk. Raises
@@ -185,6 +189,7 @@
         self._carry_out(waiting[:first])
         if first < len(waiting):
             self._syncing = True
+            self._sync_began_at = time.monotonic_ns()
             rest = waiting[first:]
             saves = [action for action in rest if isinstance(action, Save)]
             done = self.loop.run_in_executor(self._disk, self.store.save, saves)
--- a/tests/test_registry_disk.py
+++ b/tests/test_registry_disk.py
@@ -8,6 +8,7 @@
 import sqlite3
 import subprocess
 import sys
+import threading
 import time
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager, nullcontext
@@ -282,6 +283,35 @@
     await again.stop()
 
 
+async def test_a_list_grows_old_while_a_sync_does_not_end(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A follower's sync stands still; its leader's heartbeats go on, and the clock by 10 s."""
+    claimed, claim = claim_block()
+    addresses = {number: f"{claimed}.212.{number + 1}:7000" for number in range(3)}
+    store, ended = ReplicaStore(tmp_path), threading.Event()
+    host = Host(HostOptions(0, addresses), store)
+    save = store.save
+
+    def save_late(saves: list[Save]) -> None:
+        ended.wait()
+        save(saves)
+
+    monkeypatch.setattr(store, "save", save_late)
+    now, passed = time.monotonic_ns, 0
+    monkeypatch.setattr(time, "monotonic_ns", lambda: now() + passed)
+    host.handle(MessageReceived(1, AppendEntries(1, 0, 0, (LogEntry(1, b""),), 1, 5)))
+    passed = 10**10
+    host.handle(MessageReceived(1, AppendEntries(1, 1, 1, (), 1, 6)))
+    staleness, applied = host.staleness(), host.applied_index
+    ended.set()
+    assert staleness >= passed and applied == 0
+    await until(lambda: host.applied_index == 1)
+    assert host.staleness() < passed
+    await host.stop()
+    claim.close()
+
+
 async def test_a_start_waits_for_a_disk_that_refuses_and_ends_when_told(
     tmp_path: Path, disk: RefusingDisk
 ) -> None:
