--- a/applehub/node/shared.py
+++ b/applehub/node/shared.py
@@ -32,15 +32,19 @@
         # ends, so a crashed process never counts as running.
         fcntl.lockf(self.runs, fcntl.LOCK_EX | fcntl.LOCK_NB, 1, os.getpid())
         self._others = False
+        self._unknown = False  # the system did not tell at the last call of `others`, which was logged
 
     def others(self) -> bool:
         """Whether another process of this router runs; as last known, if the system does not tell."""
         whole = struct.pack(FLOCK, fcntl.F_WRLCK, os.SEEK_SET, 0, 0, 0)
         try:
             found: int = struct.unpack(FLOCK, fcntl.fcntl(self.runs, fcntl.F_GETLK, whole))[0]
-            self._others = found != fcntl.F_UNLCK
         except OSError as problem:
-            log.warning("whether another process serves can't be told: %s", problem)
+            if not self._unknown:
+                log.warning("whether another process serves can't be told: %s", problem)
+            self._unknown = True
+        else:
+            self._others, self._unknown = found != fcntl.F_UNLCK, False
         return self._others
 
     def leave(self) -> None:
--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -1,5 +1,7 @@
 """Cache servers out by hand: the module's part, the file two processes share, and the calls."""
 
+import errno
+import fcntl
 import os
 import subprocess
 import sys
@@ -165,6 +167,24 @@
     assert not shared.others()
 
 
+def test_the_last_answer_holds_while_the_system_does_not_tell_of_other_processes(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
+    """Set up: the question after the other process's lock fails three times (ENOLCK), twice over. Expected:
+    the answer before, nothing raised, and one line for each time."""
+    shared = Shared(str(tmp_path))
+    for _ in range(2):
+        with monkeypatch.context() as patch:
+
+            def refuse(*_: object) -> bytes:
+                raise OSError(errno.ENOLCK, "refused")
+
+            patch.setattr(fcntl, "fcntl", refuse)
+            assert [shared.others() for _ in range(3)] == [False] * 3
+        assert not shared.others()
+    assert caplog.text.count("whether another process serves can't be told") == 2
+
+
 async def test_requests_under_way_at_a_server_taken_out_get_its_answer(tmp_path: Path) -> None:
     async with router(lambda asked, line: None if asked[2] == b"i1" else MISS) as bench:
         hands = by_hand(bench, tmp_path)
