--- a/applehub/node/override_file.py
+++ b/applehub/node/override_file.py
@@ -29,6 +29,8 @@
 
 ONLINE_KEPT_NS = 600 * 1_000_000_000  # a call back into service is remembered: by then the server is warm
 NS_PER_MS = 1_000_000
+LOCK_WAIT = 0.05  # s for which a call waits for another process's; nothing else is served meanwhile
+LOCK_PAUSE = 0.001  # s between two tries
 Identity = tuple[int, int, int]  # of a file's content: inode, size, modification time
 log = logging.getLogger("applehub")
 
@@ -113,9 +115,17 @@
 
     @contextlib.contextmanager
     def _exclusive(self) -> Iterator[None]:
-        """Excludes writers in other processes."""
+        """Excludes writers in other processes. Raises OSError, also if one holds the lock past LOCK_WAIT."""
         with open(self.lock_path, "wb") as held:
-            fcntl.flock(held, fcntl.LOCK_EX)
+            until = time.monotonic() + LOCK_WAIT
+            while True:
+                try:
+                    fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
+                    break
+                except BlockingIOError:
+                    if time.monotonic() >= until:
+                        raise
+                time.sleep(LOCK_PAUSE)
             yield
 
     def _present(self) -> dict[str, Override]:
--- a/tests/test_override_file.py
+++ b/tests/test_override_file.py
@@ -1,6 +1,7 @@
 """Operators' calls on a disk that refuses, over kills, and while wall clocks are stepped: what was
 acknowledged is owed, and an error answer means that nothing took effect or says what is not known."""
 
+import fcntl
 import json
 import os
 import subprocess
@@ -213,6 +214,33 @@
     assert one.out() == stored_out(tmp_path) == {"c0"}
 
 
+@pytest.mark.parametrize("released", [False, True])
+def test_a_call_waits_for_another_processs_lock_and_not_for_long(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, released: bool
+) -> None:
+    """Set up: the lock is held, as by a process that hangs in a sync, and released at the third try or never.
+    Expected: the call is taken then, or refused with no effect; the event loop is not held up for good."""
+    one, clock, pauses = Process(tmp_path), 0.0, 0
+    with open(tmp_path / "applehub-by-hand.lock", "wb") as held:
+        fcntl.flock(held, fcntl.LOCK_EX)
+
+        def pause(seconds: float) -> None:
+            nonlocal clock, pauses
+            clock, pauses = clock + seconds, pauses + 1
+            if released and pauses == 3:
+                fcntl.flock(held, fcntl.LOCK_UN)
+
+        monkeypatch.setattr(time, "monotonic", lambda: clock)
+        monkeypatch.setattr(time, "sleep", pause)
+        if released:
+            assert one.hands.offline("c0") == "+OK"
+        else:
+            with pytest.raises(CallError, match=NO_EFFECT):
+                one.hands.offline("c0")
+        assert clock <= 0.06
+    assert one.out() == ({"c0"} if released else set())
+
+
 def test_writes_may_be_short(tmp_path: Path) -> None:
     one = Process(tmp_path)
     with SystemCallFaults(
