--- a/applehub/policy/keys.py
+++ b/applehub/policy/keys.py
@@ -25,7 +25,7 @@
 
     def deal(self, now: int, names: list[str]) -> None:
         """Notes a new list; deals that every key has left behind are forgotten."""
-        if names != self.deals[-1][1]:
+        if names is not self.deals[-1][1] and names != self.deals[-1][1]:
             self.deals.append((now, names))
         done = max(n for n, (since, _) in enumerate(self.deals) if n < 1 or since <= now - self.turn)
         self.deals = deals = self.deals[max(done, not self.deals[0][1]) :] or self.deals
--- a/applehub/policy/placement.py
+++ b/applehub/policy/placement.py
@@ -46,7 +46,7 @@
             # Guards against a range that is more than its server bears: the far end passes to the next, which
             # bears its part of that; what nobody bears goes back. What warms up takes up keys by its age.
             warming = 0 < server.cold_since > now - ramp_time
-            bears = server.share * server.size * (1 if warming else roster.kind(server).share)
+            bears = server.share * roster.size(server) * (1 if warming else roster.kind(server).share)
             if depth >= bears and server not in passed:
                 depth = (depth - bears) / (1 - bears)
                 passed.append(server)
--- a/applehub/policy/roster.py
+++ b/applehub/policy/roster.py
@@ -1,6 +1,8 @@
 """The servers of the current list, with what their answers have told."""
 
-from collections import defaultdict
+import math
+from bisect import bisect_left
+from collections import Counter, defaultdict
 from dataclasses import replace
 
 from applehub import interface as api
@@ -16,6 +18,7 @@
 FADES = 600 * SECOND  # from then on what an earlier process had seen counts for nothing
 BROKEN = frozenset((api.Status.RESET, api.Status.MOOT))  # after and before the last byte was written
 BREAKS = 4  # attempts in a row that broke before a server counts as unreachable
+FEW = 16  # changes in one of so many entries, up to which each is taken up alone
 
 
 class Roster:
@@ -30,6 +33,9 @@
         self.copies = 1  # processes that serve as this router now
         self.routers = 0  # processes of all routers that were heard to be there
         self.origin: Server | None = None
+        self.weights: dict[str, float] = {}  # listed, of the ready cache servers
+        self.alike: Counter[float] = Counter()  # how many of them have the same weight
+        self.mean_weight = 0.0
         self.ranges = KeyRanges(turn.settings.ramp_time)
         self.kinds: defaultdict[int, Kind] = defaultdict(Kind)
         self.flow = Rate(4 * turn.shortest_aim)  # of requests
@@ -70,7 +76,8 @@
                 self._member(api.Member(name, api.State.GONE), True)
         for entry in event.entries:
             self._member(entry, event.kind is api.ListKind.CACHED)
-        self._deal()
+        delta = event.kind is api.ListKind.DELTA
+        self._deal({entry.server for entry in event.entries} if delta else None)
 
     def on_by_hand(self, event: api.ByHand) -> None:
         server = self.servers.get(event.server)
@@ -86,7 +93,7 @@
             server.fails = server.refusals = server.breaks = 0
             self._chill(server, max(server.cold_since, event.since))
         self._set_state(server, server.listed)
-        self._deal()
+        self._deal({event.server})
 
     def _set_state(self, server: Server, listed: api.State) -> None:
         out = server.member.server in self.by_hand
@@ -96,15 +103,60 @@
     def on_copies(self, event: api.Copies) -> None:
         self.copies = event.count
 
-    def _deal(self) -> None:
-        origin_kind = self.turn.settings.origin_kind if self.turn.settings.aside else -1
-        ready = [server for server in self.servers.values() if server.member.state is api.State.READY]
-        caches = [server for server in ready if server.member.kind != origin_kind]
-        self.ranges.deal(self.turn.now, sorted(server.member.server for server in caches))
-        mean = sum(server.member.weight for server in caches) / max(1, len(caches))
-        for server in caches:  # guards against an equal range for an unequal machine: the small bear less
-            server.size = server.member.weight / mean if mean else 1.0
-        self.origin = next((server for server in ready if server.member.kind == origin_kind), None)
+    def _deal(self, changed: set[str] | None = None) -> None:
+        """Deals the ready cache servers to keys. Guards a large fleet's processor time: where all but a few
+        entries stand as they were, only those that changed are looked at."""
+        if changed is None or len(changed) * FEW > len(self.servers):
+            self.weights.clear()
+            self.alike.clear()
+            names = sorted(filter(self._take_weight, self.servers))
+        else:
+            names = self._renamed(changed)
+        self.ranges.deal(self.turn.now, names)
+        self.mean_weight = math.fsum(weight * count for weight, count in self.alike.items()) / max(
+            1, len(names)
+        )
+        before = self.origin.member.server if self.origin is not None else ""
+        if changed is None or before in changed or any(map(self._is_origin, changed)):
+            name = next(filter(self._is_origin, self.servers), "")
+            self.origin = self.servers.get(name)
+
+    def _renamed(self, changed: set[str]) -> list[str]:
+        """The sorted names of the ready cache servers, of which so many changed. Lists that were dealt stay
+        as they are, since keys take them up later."""
+        names = self.ranges.deals[-1][1]
+        for name in sorted(changed):
+            before = name in self.weights
+            if self._take_weight(name) is not before:
+                names = names.copy() if names is self.ranges.deals[-1][1] else names
+                place = bisect_left(names, name)
+                names[place : place + before] = [] if before else [name]
+        return names
+
+    def _take_weight(self, name: str) -> bool:
+        """Notes what a server weighs, if it is a ready cache server; whether it is."""
+        before = self.weights.pop(name, None)
+        if before is not None:
+            self.alike[before] -= 1
+            if not self.alike[before]:
+                del self.alike[before]
+        server = self.servers.get(name)
+        if server is None or server.member.state is not api.State.READY or self._is_origin(name):
+            return False
+        self.weights[name] = server.member.weight
+        self.alike[server.member.weight] += 1
+        return True
+
+    def _is_origin(self, name: str) -> bool:
+        """Whether a server can be the origin now."""
+        settings, server = self.turn.settings, self.servers.get(name)
+        kind = settings.origin_kind if settings.aside else -1
+        return server is not None and server.member.kind == kind and server.member.state is api.State.READY
+
+    def size(self, server: Server) -> float:
+        """Its listed weight by the mean. Guards against an equal range for an unequal machine: the small bear
+        less."""
+        return server.member.weight / self.mean_weight if self.mean_weight else 1.0
 
     def _member(self, entry: api.Member, old: bool) -> None:
         if entry.state is api.State.GONE:
--- a/applehub/policy/servers.py
+++ b/applehub/policy/servers.py
@@ -61,7 +61,6 @@
     share: float = 1.0  # the part of its range that it bears
     cut_at: int = 0
     linked: bool = False  # it took this router's last connect
-    size: float = 1.0  # its listed weight by the fleet's mean
     cold_since: int = 0  # 0: warm since long ago
     trial: bool = False  # what is out was sent to see whether it has recovered
     load: api.Load | None = None
--- a/tests/measure_sizes.py
+++ b/tests/measure_sizes.py
@@ -31,7 +31,7 @@
 from applehub.settings import read_names, read_settings
 
 RUNS = 5
-SERVERS = (16, 60, 300, 1024)
+SERVERS = (16, 200, 1024, 3200)
 MEMBERS = (65, 260, 520, 1024)
 DECISIONS = 5000
 DELTAS = 20
