--- a/applehub/policy/failed_starts.py
+++ b/applehub/policy/failed_starts.py
@@ -16,6 +16,7 @@
 MOST_WAIT = SECOND // 20  # what the rules allow beside each limit: the end of a lack is noticed within it
 MOST_AT_ONCE = 4  # tries each FIRST_WAIT, 800 a second: of more at once some would be refused as a burst
 MOST_TRIES = 64  # of one request: over two seconds of trying alone, past which it is no failure of a moment
+LOG_EVERY = 10 * SECOND  # one line says that this machine fails, however many attempts do
 
 
 class FailedStarts:
@@ -26,11 +27,15 @@
         self.waiting: deque[Job] = deque()
         self.wait, self.most = FIRST_WAIT, 1  # until the next tries, and how many they are
         self.failed = self.planned = False
+        self.logged_at = -LOG_EVERY
 
     def take(self, job: Job, event: api.Outcome) -> None:
         """An attempt was not begun: nothing is spent, and another is made as long as that is of use. Where no
         way leads to a server another is tried at once; of what this machine lacks, others get none either, so
         each second try goes to the same."""
+        if self.turn.now - self.logged_at >= LOG_EVERY:
+            self.logged_at = self.turn.now
+            self.turn.log(f"this machine could not begin an attempt at {event.server}: {event.status}")
         job.out.discard(event.attempt)
         job.live.pop(event.attempt, None)
         job.not_begun += 1
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -36,6 +36,10 @@
     router.tell(api.Members(api.ListKind.FAILED, []))
     router.wait(5 * SECOND)
     router.tell(api.Fleet(9, accused={f"c{number}": (9, 9) for number in range(4)}))
+    for key, status in (("m1", api.Status.LOCAL_FAILURE), ("m2", api.Status.UNREACHABLE)):
+        router.wait(11 * SECOND)
+        _, (send, *_) = router.ask(key)
+        router.end(send, status, elapsed=0)
     told = {re.sub(r"\bc\d\b", "S", re.sub(r"\b\d+\b", "N", line)) for line in router.log}
     page = (ROOT / "docs" / "on-call.md").read_text()
     assert told == set(re.findall(r"^\| `(.*?)` \|", page, re.M))
