--- a/applehub/node/pool.py
+++ b/applehub/node/pool.py
@@ -191,13 +191,11 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        if self.transport.get_extra_info("peername") is None:
-            # asyncio takes EAGAIN for a connect that goes on, and the closed socket for one that is
-            # up. It has no peer.
+        self.taken = self.transport.get_extra_info("peername") is not None
+        if not self.taken:
+            # asyncio takes EAGAIN for a connect that goes on, and the closed socket for one that is up. It
+            # has no peer, and the first write to it fails.
             self.failure = Status.LOCAL_FAILURE
-            self.transport.abort()
-            return
-        self.taken = True
         self.unread = Unread(self.transport.get_extra_info("socket"))
         self.transport.set_write_buffer_limits(0)  # so that every byte that waits here is told
         if self.exchange is None:
