--- a/applehub/events.py
+++ b/applehub/events.py
@@ -20,75 +20,75 @@
 BLOCK = 1 << 16  # bytes that are read at once
 
 
-class Event(StrEnum):
+class EventKind(StrEnum):
     """Kinds of events. The comments name their fields, beside those of every line."""
 
     STARTED = "started"  # pid
     READY = "ready"  # address
     EXITED = "exited"  # code; planned: whether the proving ground ended it
-    SAMPLE = "sample"  # cpu_s, memory_mb, descriptors: of a process, since its start
-    FAULT = "fault"  # fault: its number; kind, processes, edges: what it affects
-    HEALED = "healed"  # fault
-    UNDONE = "undone"  # fault, why: it could not be injected; of: the process that did not start
-    ASKED = "asked"  # request, router, cls, key, wait_ms: written to a router completely
-    ANSWERED = "answered"  # request, router, how: served, refused or failed; ms
-    CLOSED = "closed"  # request, router: the connection ended without a complete answer
-    GAVE_UP = "gave_up"  # request, router: no answer within its deadline and the slack
-    EXTRA = "extra"  # request, router: an answer to no open request
-    LEFT = "left"  # request, router: the client closed its connection before an answer
-    UNREACHED = "unreached"  # request, router: the connection was not established
-    ATTEMPT = "attempt"  # request, router, server, cls: a server read it completely
-    ENDED = "ended"  # request, router, server, how
-    FELL = "fell"  # server: it got more than its slow start permits
-    LISTED = "listed"  # version, server, state: a change of the endpoint list
-    LIST_ASKED = "list_asked"  # router, since: the version that the caller has, or none
-    TOLD = "told"  # router, version, states: the list was written to the router
-    LEADS = "leads"  # term: a replica of the list service became leader
-    FOLLOWS = "follows"  # term: it is leader no longer
-    BRAKE = "brake"  # on: whether so many leases expired at once that no entry is removed
-    RELOADED = "reloaded"  # taken: whether the file was applied; why not
-    DAMAGED = "damaged"  # why: stored data can't be used
-    ACKED = "acked"  # server, entry, version: a change that the list service acknowledged
-    HELD = "held"  # of, servers: the versions of all entries at the leader, in the end
-    PEERS = "peers"  # router, figures: what it has received from the other routers
-    AGREED = "agreed"  # routers: each of this many that run knows exactly these
-    RELEASE = "release"  # mode, why: the mode of a release from now on
-    ORDERED = "ordered"  # unit, number, step, version: an order was sent to an agent
-    STEPPED = "stepped"  # unit, number, good, why: the outcome of an order
-    TURNED_DOWN = "turned_down"  # unit, number, why: an agent refused an order
-    CONDEMNED = "condemned"  # why: a gate found the new version bad
-    UNWELL = "unwell"  # why: no unit is begun meanwhile; empty: units are begun again
-    WISHED = "wished"  # what: the request of staff that a controller carried out
-    LOCK = "lock"  # held, fence: whether this controller may send orders
-    MOVED = "moved"  # unit, step, version, number, why: a host executed a step, or failed to
-    CALL = "call"  # router, words, answer: a call of an operator at the console
+    RESOURCE_SAMPLE = "sample"  # cpu_s, memory_mb, descriptors: of a process, since its start
+    FAULT_BEGUN = "fault"  # fault: its number; kind, processes, edges: what it affects
+    FAULT_ENDED = "healed"  # fault
+    FAULT_NOT_BEGUN = "undone"  # fault, why: it could not be injected; of: the process that did not start
+    REQUEST_SENT = "asked"  # request, router, cls, key, wait_ms: written to a router completely
+    REQUEST_ANSWERED = "answered"  # request, router, how: served, refused or failed; ms
+    CLOSED_UNANSWERED = "closed"  # request, router: the connection ended without a complete answer
+    REQUEST_TIMED_OUT = "gave_up"  # request, router: no answer within its deadline and the slack
+    ANSWER_UNEXPECTED = "extra"  # request, router: an answer to no open request
+    CLIENT_LEFT = "left"  # request, router: the client closed its connection before an answer
+    CONNECT_FAILED = "unreached"  # request, router: the connection was not established
+    ATTEMPT_BEGUN = "attempt"  # request, router, server, cls: a server read it completely
+    ATTEMPT_ENDED = "ended"  # request, router, server, how
+    SERVER_OVERLOADED = "fell"  # server: it got more than its slow start permits
+    LIST_CHANGED = "listed"  # version, server, state: a change of the endpoint list
+    LIST_POLLED = "list_asked"  # router, since: the version that the caller has, or none
+    LIST_SENT = "told"  # router, version, states: the list was written to the router
+    LEADERSHIP_WON = "leads"  # term: a replica of the list service became leader
+    LEADERSHIP_LOST = "follows"  # term: it is leader no longer
+    EXPIRY_PAUSED = "brake"  # on: whether so many leases expired at once that no entry is removed
+    CONFIG_RELOADED = "reloaded"  # taken: whether the file was applied; why not
+    STORE_DAMAGED = "damaged"  # why: stored data can't be used
+    CHANGE_ACKNOWLEDGED = "acked"  # server, entry, version: a change that the list service acknowledged
+    ENTRIES_HELD = "held"  # of, servers: the versions of all entries at the leader, in the end
+    PEER_FIGURES = "peers"  # router, figures: what it has received from the other routers
+    PEERS_AGREED = "agreed"  # routers: each of this many that run knows exactly these
+    RELEASE_MODE = "release"  # mode, why: the mode of a release from now on
+    ORDER_SENT = "ordered"  # unit, number, step, version: an order was sent to an agent
+    ORDER_OUTCOME = "stepped"  # unit, number, good, why: the outcome of an order
+    ORDER_REFUSED = "turned_down"  # unit, number, why: an agent refused an order
+    VERSION_REJECTED = "condemned"  # why: a gate found the new version bad
+    FLEET_UNHEALTHY = "unwell"  # why: no unit is begun meanwhile; empty: units are begun again
+    STAFF_REQUEST = "wished"  # what: the request of staff that a controller carried out
+    LOCK_CHANGED = "lock"  # held, fence: whether this controller may send orders
+    STEP_EXECUTED = "moved"  # unit, step, version, number, why: a host executed a step, or failed to
+    OPERATOR_CALL = "call"  # router, words, answer: a call of an operator at the console
 
 
 @dataclass(frozen=True, slots=True)
-class Record:
-    """One event as it was read. more: the fields of its kind."""
+class EventRecord:
+    """One event as it was read. fields: those of its kind."""
 
     mono: int
     wall: int
     process: str
     incarnation: int
-    event: Event
+    event: EventKind
     request: str
-    more: dict[str, Any]
+    fields: dict[str, Any]
 
-    def line(self, since: int = 0) -> str:
+    def to_text(self, since: int = 0) -> str:
         """For people: ms since a reading of CLOCK_MONOTONIC in ns, the process, the event and its fields."""
-        fields = " ".join(f"{name}={value}" for name, value in self.more.items())
+        fields = " ".join(f"{name}={value}" for name, value in self.fields.items())
         process = f"{self.process}#{self.incarnation}" if self.incarnation else self.process
         elapsed_ms = (self.mono - since) / 1e6
         return f"{elapsed_ms:12.3f} ms  {process:14} {self.event:10} {self.request} {fields}".rstrip()
 
 
-class EventError(ValueError):
+class EventFormatError(ValueError):
     """A line is not of the schema."""
 
 
-class Writer:
+class EventWriter:
     """Writes one process's events. Each line is handed to the system at once, so that SIGKILL loses none.
 
     A file that refuses (ENOSPC, EIO) ends no program: lines are held, up to MOST_HELD bytes, and written
@@ -114,7 +114,7 @@
             self._write = raw.write
             self._close = target.close
 
-    def say(self, event: Event, **fields: object) -> None:
+    def write(self, event: EventKind, **fields: object) -> None:
         """Writes a line, or holds it until the file takes it."""
         line = orjson.dumps(
             {
@@ -149,24 +149,24 @@
         self._close()
 
 
-def parse(line: bytes) -> Record:
-    """Decodes a line. Raises EventError."""
+def parse_event(line: bytes) -> EventRecord:
+    """Decodes a line. Raises EventFormatError."""
     try:
         fields = orjson.loads(line)
-        return Record(
+        return EventRecord(
             mono=fields.pop("mono"),
             wall=fields.pop("wall"),
             process=fields.pop("process"),
             incarnation=fields.pop("incarnation"),
-            event=Event(fields.pop("event")),
+            event=EventKind(fields.pop("event")),
             request=fields.pop("request", ""),
-            more=fields,
+            fields=fields,
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise EventError(f"{line[:80]!r}: {type(error).__name__}: {error}") from error
+        raise EventFormatError(f"{line[:80]!r}: {type(error).__name__}: {error}") from error
 
 
-def whole_lines(path: Path, since: int = 0) -> list[bytes]:
+def complete_lines(path: Path, since: int = 0) -> list[bytes]:
     """The complete lines of a file from an offset in bytes on, each with its end.
 
     The file is read at once. Reading line by line beside the writer would give the first part of a line, and
@@ -178,12 +178,12 @@
     return content[: content.rfind(b"\n") + 1].splitlines(keepends=True)
 
 
-def read(path: Path) -> Iterator[Record]:
+def read_events(path: Path) -> Iterator[EventRecord]:
     """All events of a file, in order, without a last line that was cut off with its process.
 
-    Raises OSError, EventError.
+    Raises OSError, EventFormatError.
     """
-    return map(parse, whole_lines(path))
+    return map(parse_event, complete_lines(path))
 
 
 def _cut_half_line(path: Path) -> None:
--- a/applehub/lab/fleet/checks.py
+++ b/applehub/lab/fleet/checks.py
@@ -6,14 +6,20 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from applehub.events import Event, Record
+from applehub.events import EventKind, EventRecord
 from applehub.lab.fleet.history import History, Span
 from applehub.lab.fleet.plan import NEW, OLD, Plan
 from applehub.peers.records import RETENTION, type_name
 
 MILLI = 1_000_000
 MOST_SHOWN = 14  # events of one broken rule
-ENDS = (Event.ANSWERED, Event.CLOSED, Event.GAVE_UP, Event.UNREACHED, Event.LEFT)
+ENDS = (
+    EventKind.REQUEST_ANSWERED,
+    EventKind.CLOSED_UNANSWERED,
+    EventKind.REQUEST_TIMED_OUT,
+    EventKind.CONNECT_FAILED,
+    EventKind.CLIENT_LEFT,
+)
 # Faults under which the platform takes a request of that router for lost without the router's doing.
 LOSES = frozenset({"kill", "power", "stop", "slow", "bad"})
 ENDS_IT = frozenset({"kill", "power", "bad"})  # of these, those that may end a router's process
@@ -32,17 +38,19 @@
 
     check: str
     what: str
-    shown: list[Record]
+    shown: list[EventRecord]
 
     def text(self, history: History) -> str:
         """For people: the faults in it among the events, in order; times from the load's begin."""
         first, last = self.shown[0].mono, self.shown[-1].mono
         spans = [
-            one for one in history.records
-            if one.event in (Event.FAULT, Event.HEALED) and first - 2000 * MILLI <= one.mono <= last
+            one for one in history.of(EventKind.FAULT_BEGUN, EventKind.FAULT_ENDED)
+            if first - 2000 * MILLI <= one.mono <= last
         ]  # fmt: skip
         lines = sorted([*spans[-4:], *self.shown[-MOST_SHOWN:]], key=lambda one: one.mono)
-        return "\n".join([f"{self.check}: {self.what}", *("  " + one.line(history.begin) for one in lines)])
+        return "\n".join(
+            [f"{self.check}: {self.what}", *("  " + one.to_text(history.begin) for one in lines)]
+        )
 
 
 Check = Callable[[History, Plan], Iterator[Broken]]
@@ -50,31 +58,35 @@
 
 def answered(history: History, plan: Plan) -> Iterator[Broken]:
     """Each taken request has exactly one final answer, in its time and the slack."""
-    asked: dict[str, Record] = {}
-    ends: dict[str, Record] = {}
+    asked: dict[str, EventRecord] = {}
+    ends: dict[str, EventRecord] = {}
     for one in history.records:
-        if one.event is Event.ASKED:
+        if one.event is EventKind.REQUEST_SENT:
             asked[one.request] = one
         elif one.event in ENDS:
             ends[one.request] = one
-        elif one.event is Event.EXTRA:
-            yield Broken("answered", f"{one.more['router']} gave an answer that nobody asked for", [one])
+        elif one.event is EventKind.ANSWER_UNEXPECTED:
+            yield Broken("answered", f"{one.fields['router']} gave an answer that nobody asked for", [one])
     for name, first in asked.items():
         end = ends.get(name)
-        if end is not None and end.event in (Event.ANSWERED, Event.LEFT):
+        if end is not None and end.event in (EventKind.REQUEST_ANSWERED, EventKind.CLIENT_LEFT):
             continue  # to who has left nothing is owed
         if end is None:
             yield Broken("answered", "a request that never ended", [first])
         elif not _excused(history, first, end):
-            how = "not answered in its time" if end.event is Event.GAVE_UP else "its connection was ended"
+            how = (
+                "not answered in its time"
+                if end.event is EventKind.REQUEST_TIMED_OUT
+                else "its connection was ended"
+            )
             between = [
                 one for one in history.records if one.request == name and first.mono < one.mono < end.mono
             ]
             yield Broken("answered", how, [first, *between, end])
 
 
-def _excused(history: History, asked: Record, end: Record) -> bool:
-    router = asked.more["router"]
+def _excused(history: History, asked: EventRecord, end: EventRecord) -> bool:
+    router = asked.fields["router"]
     for span in history.struck(asked.mono, end.mono, router, f"clients>{router}"):
         if span.kind in LOSES_ON_EDGE or span.kind in LOSES:
             return True
@@ -88,26 +100,26 @@
 def resends(history: History, plan: Plan) -> Iterator[Broken]:
     """No attempt past what the class allows: none after one that may have run for `once`, within the window
     for `put`, at most so many for any."""
-    attempts: dict[str, list[Record]] = defaultdict(list)
-    ends: dict[tuple[str, str], list[Record]] = defaultdict(list)
+    attempts: dict[str, list[EventRecord]] = defaultdict(list)
+    ends: dict[tuple[str, str], list[EventRecord]] = defaultdict(list)
     window = int(plan.rules.keyed_window_ms * MILLI)
-    for one in history.of(Event.ATTEMPT, Event.ENDED):
-        if one.event is Event.ATTEMPT:
+    for one in history.of(EventKind.ATTEMPT_BEGUN, EventKind.ATTEMPT_ENDED):
+        if one.event is EventKind.ATTEMPT_BEGUN:
             attempts[one.request].append(one)
         else:
-            ends[one.request, one.more["server"]].append(one)
+            ends[one.request, one.fields["server"]].append(one)
     for name, made in attempts.items():
         if len(made) < 2:
             continue
         # One is out at a time, so a server's ends come in the order of its attempts.
-        left = {key: iter(ends[key]) for key in {(name, one.more["server"]) for one in made}}
-        ended = [next(left[name, one.more["server"]], None) for one in made]
+        left = {key: iter(ends[key]) for key in {(name, one.fields["server"]) for one in made}}
+        ended = [next(left[name, one.fields["server"]], None) for one in made]
         shown = sorted([*made, *(end for end in ended if end is not None)], key=lambda one: one.mono)
         ran = [
             one for one, end in zip(made, ended, strict=True)
-            if end is None or end.more["how"] not in NEVER_RAN
+            if end is None or end.fields["how"] not in NEVER_RAN
         ]  # fmt: skip
-        cls, router = made[0].more["cls"], made[0].more["router"]
+        cls, router = made[0].fields["cls"], made[0].fields["router"]
         if len(made) > ATTEMPTS:
             yield Broken("resends", f"{len(made)} attempts", shown)
         elif any(span.kind in ENDS_IT for span in history.struck(made[0].mono, made[-1].mono, router)):
@@ -123,7 +135,7 @@
     """What a router was told of a server, and since when."""
 
     state: str
-    since: Record
+    since: EventRecord
 
 
 def drained(history: History, plan: Plan) -> Iterator[Broken]:
@@ -131,20 +143,20 @@
     one that the router's list never named."""
     known: dict[str, dict[str, _Known]] = defaultdict(dict)
     slack = int(plan.rules.drain_slack_ms * MILLI)
-    for one in history.of(Event.TOLD, Event.ATTEMPT):
-        router = one.more["router"]
-        if one.event is Event.TOLD:
-            states = dict(one.more["states"])
-            if one.more.get("whole"):
+    for one in history.of(EventKind.LIST_SENT, EventKind.ATTEMPT_BEGUN):
+        router = one.fields["router"]
+        if one.event is EventKind.LIST_SENT:
+            states = dict(one.fields["states"])
+            if one.fields.get("whole"):
                 states |= {name: "Gone" for name in known[router] if name not in states}
-            if one.more.get("start"):  # a new process knows what it is started with, and no more
+            if one.fields.get("start"):  # a new process knows what it is started with, and no more
                 known[router] = {}
             for name, state in states.items():
                 before = known[router].get(name)
                 if before is None or before.state != state:
                     known[router][name] = _Known(state, one)
             continue
-        server = one.more["server"]
+        server = one.fields["server"]
         told = known[router].get(server)
         if told is None:
             yield Broken("drained", f"{router} sent to {server}, which its list never named", [one])
@@ -154,9 +166,9 @@
             yield Broken("drained", what, [told.since, one])
 
 
-def _held_up(history: History, attempt: Record) -> int:
+def _held_up(history: History, attempt: EventRecord) -> int:
     """How long a send may have been on its way, or the router asleep, by the faults of that time."""
-    router, server, reach = attempt.more["router"], attempt.more["server"], 30_000 * MILLI
+    router, server, reach = attempt.fields["router"], attempt.fields["server"], 30_000 * MILLI
     edges = (f"{router}>{server}", *(f"{router}>{name}" for name in LISTS))
     spans = [
         span for edge in edges for span in history.struck(attempt.mono - reach, attempt.mono, router, edge)
@@ -169,45 +181,46 @@
 def by_hand(history: History, plan: Plan) -> Iterator[Broken]:
     """A cache server out by hand gets nothing new from the yes and the slack on until the call back, over
     restarts too, for as long as the router's disk is kept."""
-    out: dict[tuple[str, str], Record] = {}
+    out: dict[tuple[str, str], EventRecord] = {}
     slack = int(plan.rules.by_hand_slack_ms * MILLI)
     lost = [
-        one for one in history.of(Event.FAULT) if one.more["kind"] == "kill" and not one.more["keep_disk"]
+        one for one in history.of(EventKind.FAULT_BEGUN)
+        if one.fields["kind"] == "kill" and not one.fields["keep_disk"]
     ]  # fmt: skip
-    for one in history.of(Event.CALL, Event.ATTEMPT, Event.FAULT):
-        if one.event is Event.FAULT:
+    for one in history.of(EventKind.OPERATOR_CALL, EventKind.ATTEMPT_BEGUN, EventKind.FAULT_BEGUN):
+        if one.event is EventKind.FAULT_BEGUN:
             if one in lost:
-                for key in [key for key in out if key[0] in one.more["processes"]]:
+                for key in [key for key in out if key[0] in one.fields["processes"]]:
                     del out[key]
-        elif one.event is Event.CALL and one.more["answer"] == "+OK":
-            call, _, server = one.more["words"].partition(" ")
+        elif one.event is EventKind.OPERATOR_CALL and one.fields["answer"] == "+OK":
+            call, _, server = one.fields["words"].partition(" ")
             if call == "OFFLINE":
-                out.setdefault((one.more["router"], server), one)
+                out.setdefault((one.fields["router"], server), one)
             elif call == "ONLINE":
-                out.pop((one.more["router"], server), None)
-        elif one.event is Event.ATTEMPT:
-            call_out = out.get((one.more["router"], one.more["server"]))
+                out.pop((one.fields["router"], server), None)
+        elif one.event is EventKind.ATTEMPT_BEGUN:
+            call_out = out.get((one.fields["router"], one.fields["server"]))
             if call_out is not None and one.mono - call_out.mono > slack + _held_up(history, one):
-                what = f"{one.more['router']} sent to {one.more['server']}, which is out by hand"
+                what = f"{one.fields['router']} sent to {one.fields['server']}, which is out by hand"
                 yield Broken("by_hand", what, [call_out, one])
 
 
 def versions(history: History, plan: Plan) -> Iterator[Broken]:
     """No router's version of the list goes back within one life of its process. While two processes of a
     router run, nobody can tell which of them asks."""
-    held: dict[str, Record] = {}
-    for one in history.of(Event.LIST_ASKED, Event.STARTED):
-        lives = history.lives.get(one.more.get("router", ""), [])
-        if one.event is Event.STARTED:
-            held.pop(one.more["of"], None)
+    held: dict[str, EventRecord] = {}
+    for one in history.of(EventKind.LIST_POLLED, EventKind.STARTED):
+        lives = history.lives.get(one.fields.get("router", ""), [])
+        if one.event is EventKind.STARTED:
+            held.pop(one.fields["of"], None)
         elif sum(life.begin <= one.mono <= life.end for life in lives) > 1:
-            held.pop(one.more["router"], None)
-        elif one.more["since"] is not None:
-            before = held.get(one.more["router"])
-            if before is not None and before.more["since"] > one.more["since"]:
-                what = f"{one.more['router']} held {before.more['since']}, then {one.more['since']}"
+            held.pop(one.fields["router"], None)
+        elif one.fields["since"] is not None:
+            before = held.get(one.fields["router"])
+            if before is not None and before.fields["since"] > one.fields["since"]:
+                what = f"{one.fields['router']} held {before.fields['since']}, then {one.fields['since']}"
                 yield Broken("versions", what, [before, one])
-            held[one.more["router"]] = one
+            held[one.fields["router"]] = one
 
 
 def stale(history: History, plan: Plan) -> Iterator[Broken]:
@@ -221,7 +234,7 @@
         ):
             continue
         if not any(_tells(one, change, end) for one in heard):
-            what = f"{router} was not told of version {change.more['version']} within {bound // MILLI} ms"
+            what = f"{router} was not told of version {change.fields['version']} within {bound // MILLI} ms"
             yield Broken("stale", what, [change])
 
 
@@ -238,23 +251,23 @@
             _tells(one, change, free + bound) and not _struck(history, one.mono, one.mono, router)
             for one in heard
         ):
-            what = f"{router} does not know version {change.more['version']} {bound // MILLI} ms later"
+            what = f"{router} does not know version {change.fields['version']} {bound // MILLI} ms later"
             yield Broken("told", what, [change])
 
 
-def _changes(history: History) -> Iterator[tuple[Record, str, list[Record]]]:
+def _changes(history: History) -> Iterator[tuple[EventRecord, str, list[EventRecord]]]:
     """Each change of the list with each router that ever heard of one, and all that it was told."""
-    heard: dict[str, list[Record]] = defaultdict(list)
-    for one in history.of(Event.TOLD):
-        heard[one.more["router"]].append(one)
-    for change in history.of(Event.LISTED):
+    heard: dict[str, list[EventRecord]] = defaultdict(list)
+    for one in history.of(EventKind.LIST_SENT):
+        heard[one.fields["router"]].append(one)
+    for change in history.of(EventKind.LIST_CHANGED):
         for router, records in heard.items():
             yield change, router, records
 
 
-def _tells(one: Record, change: Record, by: int) -> bool:
+def _tells(one: EventRecord, change: EventRecord, by: int) -> bool:
     """Whether a router is told of a change by it, in time."""
-    return change.mono <= one.mono <= by and one.more["version"] >= change.more["version"]
+    return change.mono <= one.mono <= by and one.fields["version"] >= change.fields["version"]
 
 
 def _lived(history: History, router: str, begin: int, end: int) -> bool:
@@ -280,10 +293,10 @@
     ]  # fmt: skip
 
 
-def _slowed(history: History, left: Record, attempt: Record) -> int:
+def _slowed(history: History, left: EventRecord, attempt: EventRecord) -> int:
     """For how long, since a client left, that could not be seen, or an attempt was on its way: a server that
     is stopped reads what came before once it goes on."""
-    router, server = attempt.more["router"], attempt.more["server"]
+    router, server = attempt.fields["router"], attempt.fields["server"]
     ways = ((router, f"clients>{router}"), (server, f"{router}>{server}"))
     spans = [
         span for process, edge in ways for span in history.struck(left.mono, attempt.mono, process, edge)
@@ -295,28 +308,28 @@
 def departed(history: History, plan: Plan) -> Iterator[Broken]:
     """No attempt begins for a client that has left, past the bound; two cases are put down to the network."""
     bound = int(plan.rules.departed_ms * MILLI)
-    left = {one.request: one for one in history.of(Event.LEFT)}
-    after = [(left[one.request], one) for one in history.of(Event.ATTEMPT) if one.request in left]
+    left = {one.request: one for one in history.of(EventKind.CLIENT_LEFT)}
+    after = [(left[one.request], one) for one in history.of(EventKind.ATTEMPT_BEGUN) if one.request in left]
     late = [[gone, one] for gone, one in after if one.mono - gone.mono > bound + _slowed(history, gone, one)]
     for case in late[2:]:
         ms = (case[1].mono - case[0].mono) / MILLI
         yield Broken(
-            "departed", f"{case[1].more['router']} began an attempt {ms:.0f} ms after its client left", case
+            "departed", f"{case[1].fields['router']} began an attempt {ms:.0f} ms after its client left", case
         )
 
 
 def kept(history: History, plan: Plan) -> Iterator[Broken]:
     """No change of the list that was said yes to is lost, and no version is used twice."""
-    made: dict[int, Record] = {}
-    held = history.of(Event.HELD)
-    for one in history.of(Event.ACKED):
-        entry, server = one.more["entry"], one.more["server"]
+    made: dict[int, EventRecord] = {}
+    held = history.of(EventKind.ENTRIES_HELD)
+    for one in history.of(EventKind.CHANGE_ACKNOWLEDGED):
+        entry, server = one.fields["entry"], one.fields["server"]
         before = made.setdefault(entry, one)
-        if before.more["server"] != server:
+        if before.fields["server"] != server:
             yield Broken(
-                "kept", f"version {entry} for {before.more['server']} and for {server}", [before, one]
+                "kept", f"version {entry} for {before.fields['server']} and for {server}", [before, one]
             )
-        if held and held[-1].more["servers"].get(server, 0) < entry:
+        if held and held[-1].fields["servers"].get(server, 0) < entry:
             yield Broken("kept", f"{server}: version {entry} was lost", [one, held[-1]])
 
 
@@ -333,8 +346,8 @@
         span for span in history.spans
         if span.kind != "hup" and (span.processes & set(names) or any(map(span.reaches, edges)))
     ]  # fmt: skip
-    for one in history.of(Event.PEERS):
-        router, figures = one.more["router"], one.more["figures"]
+    for one in history.of(EventKind.PEER_FIGURES):
+        router, figures = one.fields["router"], one.fields["figures"]
         for name, bound in bounds.items():
             age = figures[f"age_ms.{name}"]
             if age > bound:
@@ -352,31 +365,31 @@
 def standing(history: History, plan: Plan) -> Iterator[Broken]:
     """No process ends but by a plan, no cold server is pushed over, and each fault is carried out: a router
     that never came up is excused by what struck it since its start."""
-    for one in history.of(Event.UNDONE):
-        of = one.more.get("of", "")
+    for one in history.of(EventKind.FAULT_NOT_BEGUN):
+        of = one.fields.get("of", "")
         begin = max((life.begin for life in history.lives.get(of, []) if life.begin < one.mono), default=0)
         struck = history.struck(begin, one.mono, of)
         if not any(span.begin > begin or span.kind in ("stop", "slow") for span in struck):
-            what = f"fault {one.more['fault']} could not be carried out: {one.more['why']}"
+            what = f"fault {one.fields['fault']} could not be carried out: {one.fields['why']}"
             yield Broken("standing", what, [one])
-    for one in history.of(Event.EXITED, Event.FELL):
-        if one.event is Event.FELL:
-            yield Broken("standing", f"{one.more['server']} was cold and fell over", [one])
-        elif not one.more["planned"] and not _bad(history, one.mono, one.more["of"]):
-            yield Broken("standing", f"{one.more['of']} ended with code {one.more['code']}", [one])
+    for one in history.of(EventKind.EXITED, EventKind.SERVER_OVERLOADED):
+        if one.event is EventKind.SERVER_OVERLOADED:
+            yield Broken("standing", f"{one.fields['server']} was cold and fell over", [one])
+        elif not one.fields["planned"] and not _bad(history, one.mono, one.fields["of"]):
+            yield Broken("standing", f"{one.fields['of']} ended with code {one.fields['code']}", [one])
 
 
 def limits(history: History, plan: Plan) -> Iterator[Broken]:
     """Each router keeps to its memory and its descriptors."""
     found: set[tuple[str, str]] = set()
     most = {"descriptors": plan.fleet.sockets, "memory_mb": plan.fleet.memory_mb}
-    for one in history.of(Event.SAMPLE):
-        router = one.more["of"]
+    for one in history.of(EventKind.RESOURCE_SAMPLE):
+        router = one.fields["of"]
         for what, bound in most.items():
-            over = router.startswith("router-") and one.more[what] > bound
+            over = router.startswith("router-") and one.fields[what] > bound
             if over and (router, what) not in found and not _bad(history, one.mono, router):
                 found.add((router, what))
-                yield Broken("limits", f"{router} holds {one.more[what]} {what}, {bound} allowed", [one])
+                yield Broken("limits", f"{router} holds {one.fields[what]} {what}, {bound} allowed", [one])
 
 
 def _bad(history: History, at: int, process: str) -> bool:
@@ -389,12 +402,12 @@
     done twice, and never are units of two zones, or too many, out."""
     if plan.release is None:
         return
-    done: dict[int, Record] = {}
-    versions: dict[str, Record] = {}
-    out: dict[str, Record] = {}
-    moved = [one for one in history.of(Event.MOVED) if not one.more["why"]]
+    done: dict[int, EventRecord] = {}
+    versions: dict[str, EventRecord] = {}
+    out: dict[str, EventRecord] = {}
+    moved = [one for one in history.of(EventKind.STEP_EXECUTED) if not one.fields["why"]]
     for one in moved:
-        unit, step, number = one.more["unit"], one.more["step"], one.more["number"]
+        unit, step, number = one.fields["unit"], one.fields["step"], one.fields["number"]
         if number in done:
             yield Broken("released", f"step {number} was done twice", [done[number], one])
         done[number] = one
@@ -407,17 +420,17 @@
         zones = {int(name.rpartition("-")[2]) % plan.fleet.zones for name in out}
         if len(zones) > 1 or len(out) > plan.release.limits.out_at_once:
             yield Broken("released", f"out at once: {', '.join(sorted(out))}", list(out.values()))
-    modes = history.of(Event.RELEASE)
-    if not modes or modes[-1].more["mode"] != plan.release.ends:
-        how = modes[-1].more["mode"] if modes else "not begun"
+    modes = history.of(EventKind.RELEASE_MODE)
+    if not modes or modes[-1].fields["mode"] != plan.release.ends:
+        how = modes[-1].fields["mode"] if modes else "not begun"
         yield Broken(
             "released", f"the release is {how}, not {plan.release.ends}", modes[-1:] or history.records[-1:]
         )
         return
     wanted = NEW if plan.release.ends == "done" else OLD
     for unit, one in versions.items():
-        if one.more["version"] != wanted:
-            yield Broken("released", f"{unit} is left at {one.more['version']}", [one])
+        if one.fields["version"] != wanted:
+            yield Broken("released", f"{unit} is left at {one.fields['version']}", [one])
     if out:
         yield Broken("released", f"left out: {', '.join(sorted(out))}", list(out.values()))
 
--- a/applehub/lab/fleet/clients.py
+++ b/applehub/lab/fleet/clients.py
@@ -13,7 +13,7 @@
 
 import hiredis
 
-from applehub.events import Event, Writer
+from applehub.events import EventKind, EventWriter
 from applehub.lab.fleet.control import Handler, Json
 from applehub.lab.streams import Draws
 from applehub.node.discovery import read_endpoint
@@ -134,8 +134,8 @@
         line.send(asked)
         if not asked.again:
             asked.at = time.monotonic_ns()
-            clients.events.say(
-                Event.ASKED, request=asked.name, router=self.name, cls=asked.cls, key=asked.key,
+            clients.events.write(
+                EventKind.REQUEST_SENT, request=asked.name, router=self.name, cls=asked.cls, key=asked.key,
                 wait_ms=clients.wait_ms,
             )  # fmt: skip
             left = clients.wait_ms / 1000 + clients.slack
@@ -147,12 +147,12 @@
         """Its client goes, if it still waits there: whatever else waits on that connection goes with it."""
         if line.asked is asked:
             line.asked = None
-            self.clients.end(asked, Event.LEFT)
+            self.clients.end(asked, EventKind.CLIENT_LEFT)
             if line.transport is not None:
                 line.transport.abort()
 
     def _give_up(self, line: Line, asked: Asked) -> None:
-        self.clients.end(asked, Event.GAVE_UP)
+        self.clients.end(asked, EventKind.REQUEST_TIMED_OUT)
         for one in self.lines:
             if one.asked is asked:
                 one.asked = None
@@ -162,7 +162,7 @@
     def answered(self, line: Line, answer: object) -> None:
         asked, line.asked, line.used = line.asked, None, True
         if asked is None:
-            self.clients.events.say(Event.EXTRA, router=self.name, answer=repr(answer)[:60])
+            self.clients.events.write(EventKind.ANSWER_UNEXPECTED, router=self.name, answer=repr(answer)[:60])
             return
         if isinstance(answer, bytes):
             how = "served"
@@ -171,7 +171,7 @@
         else:
             how = "failed"
         took = (time.monotonic_ns() - asked.at) / 1e6
-        self.clients.end(asked, Event.ANSWERED, how=how, ms=round(took, 1))
+        self.clients.end(asked, EventKind.REQUEST_ANSWERED, how=how, ms=round(took, 1))
         self.idle.append(line)
 
     def lost(self, line: Line) -> None:
@@ -185,13 +185,13 @@
             asked.again = True
             self.ask(asked, fresh=True)
         else:
-            self.clients.end(asked, Event.CLOSED)
+            self.clients.end(asked, EventKind.CLOSED_UNANSWERED)
 
 
 class Clients:
     """All clients of a play."""
 
-    def __init__(self, told: Json, events: Writer) -> None:
+    def __init__(self, told: Json, events: EventWriter) -> None:
         self.told, self.events, self.loop = told, events, asyncio.get_running_loop()
         self.source, self.wait_ms, self.slack = told["source"], told["wait_ms"], told["slack_ms"] / 1000
         self.routers = [Router(self, name, address) for name, address in told["routers"].items()]
@@ -247,18 +247,18 @@
         self.open[asked.name] = asked
         router.ask(asked)
 
-    def end(self, asked: Asked, event: Event, **more: object) -> None:
+    def end(self, asked: Asked, event: EventKind, **more: object) -> None:
         if self.open.pop(asked.name, None) is None:
             return
         if asked.timer is not None:
             asked.timer.cancel()
-        self.events.say(event, request=asked.name, router=asked.router, **more)
+        self.events.write(event, request=asked.name, router=asked.router, **more)
 
     def unreached(self, asked: Asked, why: str) -> None:
         """No connection came up: the request was never taken, unless an earlier connection had taken it."""
-        self.end(asked, Event.CLOSED if asked.again else Event.UNREACHED, why=why)
+        self.end(asked, EventKind.CLOSED_UNANSWERED if asked.again else EventKind.CONNECT_FAILED, why=why)
 
 
 async def begin(told: Json) -> tuple[Json, Handler]:
-    clients = Clients(told, Writer(Path(told["events"]), told["name"], told["incarnation"]))
+    clients = Clients(told, EventWriter(Path(told["events"]), told["name"], told["incarnation"]))
     return {}, clients.command
--- a/applehub/lab/fleet/faults.py
+++ b/applehub/lab/fleet/faults.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from applehub.events import Event
+from applehub.events import EventKind
 from applehub.lab.fleet import plan as spec
 from applehub.lab.fleet.failing_calls import PREFIX, SEEN
 from applehub.lab.fleet.processes import KILLED_AFTER, Process, RouterProcess, Standin
@@ -208,7 +208,7 @@
         for router in self.struck:
             words = f"{word} {self.fault.server}"
             answer = await router.call(words)
-            self.ground.events.say(Event.CALL, router=router.name, words=words, answer=answer)
+            self.ground.events.write(EventKind.OPERATOR_CALL, router=router.name, words=words, answer=answer)
 
 
 class Surrounded(Striking):
--- a/applehub/lab/fleet/ground.py
+++ b/applehub/lab/fleet/ground.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from applehub.events import Event, Writer
+from applehub.events import EventKind, EventWriter
 from applehub.lab.clock import MILLI, SECOND
 from applehub.lab.fleet.lists import Lists
 from applehub.lab.fleet.plan import BAD_FAULTS, NEW, Plan
@@ -80,7 +80,7 @@
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan, self.folder = plan, folder
-        self.events = Writer(folder / "events-ground.jsonl", "ground", 0)
+        self.events = EventWriter(folder / "events-ground.jsonl", "ground", 0)
         self.relay = Standin("relay", "relay", folder, self.events)
         self.list = Standin("list", "list", folder, self.events)
         self.lists = Lists(
@@ -330,8 +330,13 @@
         told = self.told(router)
         known = told["known"]
         states = {one["uid"]: one["state"] for one in known["targets"]}
-        self.events.say(
-            Event.TOLD, router=router.name, version=known["rev"], whole=True, start=True, states=states
+        self.events.write(
+            EventKind.LIST_SENT,
+            router=router.name,
+            version=known["rev"],
+            whole=True,
+            start=True,
+            states=states,
         )
         inherited = self.listeners.get(router.name)
         if self.plan.fleet.peers:
@@ -382,12 +387,14 @@
         """A bad version begins to run there: what becomes of requests on it is the version's doing."""
         if self.plan.release is not None and self.plan.release.bad and unit not in self.bad:
             number = self.bad[unit] = BAD_FAULTS + len(self.bad)
-            self.events.say(Event.FAULT, fault=number, kind="bad", processes=[unit], edges=[], keep_disk=True)
+            self.events.write(
+                EventKind.FAULT_BEGUN, fault=number, kind="bad", processes=[unit], edges=[], keep_disk=True
+            )
 
     def heal_bad(self, unit: str) -> None:
         """It runs there no more."""
         if unit in self.bad:
-            self.events.say(Event.HEALED, fault=self.bad[unit])
+            self.events.write(EventKind.FAULT_ENDED, fault=self.bad[unit])
 
     def configure(self, router: RouterProcess) -> None:
         """Writes a router's file anew, for its version of the configuration."""
@@ -403,7 +410,7 @@
     def undone(self, fault: int, router: Process) -> None:
         """A router that a fault (-1: the play's begin, or a new start) calls for does not come up."""
         why = f"{router.name} was never ready"
-        self.events.say(Event.UNDONE, fault=fault, of=router.name, why=why)
+        self.events.write(EventKind.FAULT_NOT_BEGUN, fault=fault, of=router.name, why=why)
 
     def told(self, router: RouterProcess) -> Json:
         """The configuration of a router."""
--- a/applehub/lab/fleet/history.py
+++ b/applehub/lab/fleet/history.py
@@ -4,7 +4,7 @@
 from fnmatch import fnmatchcase
 from pathlib import Path
 
-from applehub.events import Event, Record, read
+from applehub.events import EventKind, EventRecord, read_events
 
 NEVER = 1 << 62
 
@@ -46,7 +46,7 @@
 class History:
     """All of a play."""
 
-    records: list[Record]
+    records: list[EventRecord]
     spans: list[Span] = field(default_factory=list)
     lives: dict[str, list[Life]] = field(default_factory=dict)
     begin: int = 0
@@ -54,7 +54,7 @@
     def struck(self, begin: int, end: int, process: str = "", edge: str = "") -> list[Span]:
         return [one for one in self.spans if one.strikes(begin, end, process, edge)]
 
-    def of(self, *events: Event) -> list[Record]:
+    def of(self, *events: EventKind) -> list[EventRecord]:
         return [one for one in self.records if one.event in events]
 
 
@@ -69,30 +69,30 @@
 
 def gather(folder: Path) -> History:
     """Merges the events of all processes below a folder, in the order of the clock that they share."""
-    records = [one for path in files(folder) for one in read(path)]
+    records = [one for path in files(folder) for one in read_events(path)]
     return ordered(records)
 
 
-def ordered(records: list[Record]) -> History:
+def ordered(records: list[EventRecord]) -> History:
     records = sorted(records, key=lambda one: one.mono)
     history = History(records, begin=records[0].mono if records else 0)
     spans: dict[int, Span] = {}
     for one in records:
-        more = one.more
+        more = one.fields
         match one.event:
-            case Event.FAULT:
+            case EventKind.FAULT_BEGUN:
                 spans[more["fault"]] = Span(
                     more["fault"], more["kind"], frozenset(more["processes"]), tuple(more["edges"]), one.mono
                 )
-            case Event.HEALED:
+            case EventKind.FAULT_ENDED:
                 spans[more["fault"]].end = one.mono
-            case Event.STARTED:
+            case EventKind.STARTED:
                 lives = history.lives.setdefault(more["of"], [])
                 lives.append(Life(more["of"], more["number"], one.mono))
-            case Event.READY | Event.EXITED if "of" in more:
+            case EventKind.READY | EventKind.EXITED if "of" in more:
                 for life in history.lives.get(more["of"], []):
                     if life.number == more["number"]:
-                        if one.event is Event.READY:
+                        if one.event is EventKind.READY:
                             life.ready = one.mono
                         else:
                             life.end = one.mono
--- a/applehub/lab/fleet/listing.py
+++ b/applehub/lab/fleet/listing.py
@@ -9,7 +9,7 @@
 import h11
 import orjson
 
-from applehub.events import Event, Writer
+from applehub.events import EventKind, EventWriter
 from applehub.lab.fleet.control import Handler, Json
 from applehub.lab.live.standins import Reply, addressed
 
@@ -19,7 +19,7 @@
 class Listing:
     """The list and its changes."""
 
-    def __init__(self, told: Json, events: Writer) -> None:
+    def __init__(self, told: Json, events: EventWriter) -> None:
         self.events, self.sources, self.endpoints = events, told["sources"], told["endpoints"]
         self.entries: dict[str, Json] = {one["uid"]: one for one in told["entries"]}
         self.version: int = told["version"]
@@ -39,7 +39,9 @@
                 self.entries[told["server"]][name] = value
             self.changed[told["server"]] = self.version
             state = self.entries[told["server"]]["state"]
-            self.events.say(Event.LISTED, version=self.version, server=told["server"], state=state)
+            self.events.write(
+                EventKind.LIST_CHANGED, version=self.version, server=told["server"], state=state
+            )
             news, self.news = self.news, asyncio.Event()
             news.set()
         if told["do"] == "touch":  # its caller keeps no copy of the state
@@ -50,7 +52,7 @@
         router = self.sources.get(address, "")
         asked = parse_qs(urlsplit(request.target.decode()).query)
         since = int(asked["from"][0]) if "from" in asked else None
-        self.events.say(Event.LIST_ASKED, router=router, since=since)
+        self.events.write(EventKind.LIST_POLLED, router=router, since=since)
         turn = max(self.free_at, self.loop.time())
         if self.overloaded or turn - self.loop.time() > PATIENCE:
             return Reply(503, b"")
@@ -70,7 +72,9 @@
             if (entry["state"] != "Gone" if whole else self.changed.get(name, 0) > (since or 0))
         ]
         states = {name: self.entries[name]["state"] for name in names}
-        self.events.say(Event.TOLD, router=router, version=self.version, whole=whole, states=states)
+        self.events.write(
+            EventKind.LIST_SENT, router=router, version=self.version, whole=whole, states=states
+        )
         targets = [
             {**self.entries[name], "endpoint": self.endpoints.get(router, {}).get(name, "")} for name in names
         ]
@@ -78,7 +82,7 @@
 
 
 async def begin(told: Json) -> tuple[Json, Handler]:
-    listing = Listing(told, Writer(Path(told["events"]), told["name"], told["incarnation"]))
+    listing = Listing(told, EventWriter(Path(told["events"]), told["name"], told["incarnation"]))
     server = await asyncio.get_running_loop().create_server(
         lambda: addressed(listing.answer), "127.0.0.1", 0, backlog=512
     )
--- a/applehub/lab/fleet/lists.py
+++ b/applehub/lab/fleet/lists.py
@@ -6,7 +6,7 @@
 
 import aiohttp
 
-from applehub.events import Event, Writer
+from applehub.events import EventKind, EventWriter
 from applehub.lab.fleet.processes import RegistryProcess
 from applehub.lab.live.bench import LiveError
 
@@ -19,7 +19,7 @@
 class Lists:
     """The replicas and what staff asks of them."""
 
-    def __init__(self, replicas: list[RegistryProcess], events: Writer) -> None:
+    def __init__(self, replicas: list[RegistryProcess], events: EventWriter) -> None:
         self.replicas, self.events = replicas, events
         self.session: aiohttp.ClientSession | None = None
         self.agreeing: RegistryProcess | None = None
@@ -50,7 +50,9 @@
         """Has a change made, and writes down that it was. Raises LiveError."""
         told = await self.agreed(method, path, body)
         server = path.split("/")[3]
-        self.events.say(Event.ACKED, server=server, entry=told["entry"], version=told["version"])
+        self.events.write(
+            EventKind.CHANGE_ACKNOWLEDGED, server=server, entry=told["entry"], version=told["version"]
+        )
 
     async def agreed(self, method: str, path: str, body: Json) -> Json:
         """Asks every replica in turn, first the one that agreed last, until one says that it is done: a
@@ -78,7 +80,9 @@
         if told is None:
             raise LiveError(f"{primary.name} does not tell its entries")
         servers = {one["uid"]: one["version"] for one in told[1]["servers"]}
-        self.events.say(Event.HELD, of=primary.name, version=told[1]["version"], servers=servers)
+        self.events.write(
+            EventKind.ENTRIES_HELD, of=primary.name, version=told[1]["version"], servers=servers
+        )
 
     async def close(self) -> None:
         if self.session is not None:
--- a/applehub/lab/fleet/machines.py
+++ b/applehub/lab/fleet/machines.py
@@ -9,7 +9,7 @@
 
 from applehub.durable.folder import Folder
 from applehub.durable.store import Store
-from applehub.events import Event
+from applehub.events import EventKind
 from applehub.lab.fleet.ground import Ground
 from applehub.lab.fleet.plan import NEW, OLD, Released
 from applehub.lab.fleet.processes import RouterProcess, Standin
@@ -85,8 +85,13 @@
                 ](unit, order.version)
         except (LiveError, OSError) as problem:
             why = str(problem)
-        self.ground.events.say(
-            Event.MOVED, unit=order.unit, step=order.step, version=order.version, number=order.number, why=why
+        self.ground.events.write(
+            EventKind.STEP_EXECUTED,
+            unit=order.unit,
+            step=order.step,
+            version=order.version,
+            number=order.number,
+            why=why,
         )
         return why
 
--- a/applehub/lab/fleet/plan.py
+++ b/applehub/lab/fleet/plan.py
@@ -7,7 +7,7 @@
 from pydantic import Field, model_validator
 
 from applehub.checked import Part, checked, read_toml
-from applehub.events import Event
+from applehub.events import EventKind
 from applehub.lab.fleet.system_calls import ON_FILES, SystemCall, SystemCallFault
 from applehub.lab.spec import SpecError
 from applehub.release.plan import GateSettings, Limits, Stage
@@ -107,7 +107,7 @@
 class Trigger(Part):
     """A moment: the count-th event of a kind, counted since the trigger was armed."""
 
-    event: Event
+    event: EventKind
     process: str = "*"
     count: Count = 1
     match: dict[str, Any] = Field(default={})  # fields and the values they must have
--- a/applehub/lab/fleet/play.py
+++ b/applehub/lab/fleet/play.py
@@ -6,7 +6,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from applehub.events import Event
+from applehub.events import EventKind
 from applehub.lab.fleet import faults
 from applehub.lab.fleet.ground import Ground, together
 from applehub.lab.fleet.history import History, gather
@@ -64,7 +64,7 @@
             running = [one for one in self.ground.routers if one.running]
             held = await asyncio.gather(*(self._ask_peers(one) for one in running))
             if set(held) == {len(running)}:
-                self.ground.events.say(Event.AGREED, routers=len(running))
+                self.ground.events.write(EventKind.PEERS_AGREED, routers=len(running))
             await asyncio.sleep(SAMPLE)
 
     async def _ask_peers(self, router: RouterProcess) -> int:
@@ -73,7 +73,9 @@
         told = [line.partition("=") for line in await router.lines("PEERS")]
         figures = {name.removeprefix("peers."): int(value) for name, _, value in told if value}
         if figures:
-            self.ground.events.say(Event.PEERS, router=router.name, number=number, figures=figures)
+            self.ground.events.write(
+                EventKind.PEER_FIGURES, router=router.name, number=number, figures=figures
+            )
         return figures.get("routers", 0)
 
     async def _whole(self, striking: list[asyncio.Task[None]]) -> None:
@@ -94,16 +96,16 @@
         await asyncio.sleep(max(0.0, self.began + load.seconds - self.loop.time()))
 
     async def _fault(self, number: int, fault: AnyFault) -> None:
-        say = self.ground.events.say
+        write = self.ground.events.write
         try:
             if fault.on is not None:
                 await self.tail.wait(fault.on)
             elif fault.at is not None:
                 await asyncio.sleep(max(0.0, self.began + fault.at - self.loop.time()))
             one = faults.of(self.ground, number, await self._named(fault))
-            say(
-                Event.FAULT, fault=number, kind=fault.kind, processes=one.processes, edges=one.edges,
-                keep_disk=getattr(fault, "keep_disk", True),
+            write(
+                EventKind.FAULT_BEGUN, fault=number, kind=fault.kind, processes=one.processes,
+                edges=one.edges, keep_disk=getattr(fault, "keep_disk", True),
             )  # fmt: skip
             await one.begin()
             if fault.until is not None:
@@ -111,9 +113,9 @@
             elif fault.for_s is not None:
                 await asyncio.sleep(fault.for_s)
             await one.end()
-            say(Event.HEALED, fault=number)
+            write(EventKind.FAULT_ENDED, fault=number)
         except asyncio.CancelledError:
-            say(Event.UNDONE, fault=number, why=f"not over after {self.plan.load.most_s:g} s")
+            write(EventKind.FAULT_NOT_BEGUN, fault=number, why=f"not over after {self.plan.load.most_s:g} s")
             raise
 
     async def _named(self, fault: AnyFault) -> AnyFault:
--- a/applehub/lab/fleet/processes.py
+++ b/applehub/lab/fleet/processes.py
@@ -18,7 +18,7 @@
 import orjson
 import psutil
 
-from applehub.events import Event, Writer, read
+from applehub.events import EventKind, EventWriter, read_events
 from applehub.lab.fleet.control import MOST_LINE, Json
 from applehub.lab.live.bench import LiveError
 
@@ -41,7 +41,7 @@
 
 
 def environment(**more: str) -> dict[str, str]:
-    """This process's, less what a router would read, with the project's folder to import from."""
+    """This process's, less what a router would read_events, with the project's folder to import from."""
     path = os.pathsep.join(filter(None, [ROOT, os.environ.get("PYTHONPATH")]))
     kept = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")}
     return {**kept, "PYTHONPATH": path, **more}
@@ -58,7 +58,7 @@
 
     ends_itself: frozenset[int] = frozenset()  # codes with which it ends when it has done its work
 
-    def __init__(self, name: str, folder: Path, events: Writer) -> None:
+    def __init__(self, name: str, folder: Path, events: EventWriter) -> None:
         self.name, self.events = name, events
         self.folder = folder / name
         self.folder.mkdir()
@@ -90,7 +90,7 @@
             )  # fmt: skip
         self.planned, self.ended = False, asyncio.Event()
         self._watched = psutil.Process(process.pid)
-        self.events.say(Event.STARTED, of=self.name, number=self.incarnation, pid=process.pid)
+        self.events.write(EventKind.STARTED, of=self.name, number=self.incarnation, pid=process.pid)
         task = asyncio.get_running_loop().create_task(self._wait(process, self.incarnation, self.ended))
         self._waits.add(task)
         task.add_done_callback(self._waits.discard)
@@ -99,7 +99,7 @@
     async def _wait(self, process: asyncio.subprocess.Process, number: int, ended: asyncio.Event) -> None:
         code = await process.wait()
         planned = self.planned or process is not self.process or code in self.ends_itself
-        self.events.say(Event.EXITED, of=self.name, number=number, code=code, planned=planned)
+        self.events.write(EventKind.EXITED, of=self.name, number=number, code=code, planned=planned)
         ended.set()
         if not planned:
             self.crashed.set()
@@ -128,8 +128,8 @@
             return
         with suppress(psutil.Error):
             times = self._watched.cpu_times()
-            self.events.say(
-                Event.SAMPLE,
+            self.events.write(
+                EventKind.RESOURCE_SAMPLE,
                 of=self.name,
                 number=self.incarnation,
                 cpu_s=round(times.user + times.system, 3),
@@ -141,7 +141,7 @@
 class Standin(Process):
     """One of the ground's own, told what to do over its standard input."""
 
-    def __init__(self, role: str, name: str, folder: Path, events: Writer) -> None:
+    def __init__(self, role: str, name: str, folder: Path, events: EventWriter) -> None:
         super().__init__(name, folder, events)
         self.role = role
         self.turn = asyncio.Lock()
@@ -159,7 +159,9 @@
             "events": str(self.events_file),
         }  # fmt: skip
         answer = await self.ask(whole)
-        self.events.say(Event.READY, of=self.name, number=self.incarnation, address=answer.get("address"))
+        self.events.write(
+            EventKind.READY, of=self.name, number=self.incarnation, address=answer.get("address")
+        )
         return answer
 
     async def close(self) -> None:
@@ -193,7 +195,7 @@
 class RegistryProcess(Process):
     """A replica of the project's list service; its events go to the history as it writes them."""
 
-    def __init__(self, name: str, folder: Path, events: Writer) -> None:
+    def __init__(self, name: str, folder: Path, events: EventWriter) -> None:
         super().__init__(name, folder, events)
         self.listen = self.staff = ""
 
@@ -207,10 +209,12 @@
         loop = asyncio.get_running_loop()
         end = loop.time() + START_WITHIN
         while loop.time() < end and self.running:
-            for one in read(events):
-                if one.event is Event.READY:
-                    self.listen, self.staff = one.more["address"], one.more["staff"]
-                    self.events.say(Event.READY, of=self.name, number=self.incarnation, address=self.listen)
+            for one in read_events(events):
+                if one.event is EventKind.READY:
+                    self.listen, self.staff = one.fields["address"], one.fields["staff"]
+                    self.events.write(
+                        EventKind.READY, of=self.name, number=self.incarnation, address=self.listen
+                    )
                     return
             await asyncio.sleep(0.02)
         said = (self.folder / "stderr.log").read_text()[-800:]
@@ -250,7 +254,7 @@
 class RouterProcess(Process):
     """A router under `run`'s own command line, or with the shim where a plan wants a spoilt one."""
 
-    def __init__(self, name: str, folder: Path, events: Writer) -> None:
+    def __init__(self, name: str, folder: Path, events: EventWriter) -> None:
         super().__init__(name, folder, events)
         self.disk, self.durable, self.control = (
             self.folder / part for part in ("disk", "durable", "control")
@@ -350,7 +354,7 @@
         end = loop.time() + within
         while loop.time() < end and self.running:
             if await self.call("HEALTH") == "+OK":
-                self.events.say(Event.READY, of=self.name, number=self.incarnation, address=self.listen)
+                self.events.write(EventKind.READY, of=self.name, number=self.incarnation, address=self.listen)
                 return True
             await asyncio.sleep(0.02)
         return False
--- a/applehub/lab/fleet/report.py
+++ b/applehub/lab/fleet/report.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from applehub.events import Event, Record
+from applehub.events import EventKind, EventRecord
 from applehub.lab.fleet.history import History, Span
 
 SECOND = 1_000_000_000
@@ -25,14 +25,20 @@
 
 def ends_of(history: History, aim_ms: float) -> list[tuple[int, str]]:
     """Each request: when it was asked (or not reached), and how it ended; late: served past the aim."""
-    asked: dict[str, Record] = {}
+    asked: dict[str, EventRecord] = {}
     ends: list[tuple[int, str]] = []
-    for one in history.of(Event.ASKED, Event.ANSWERED, Event.CLOSED, Event.GAVE_UP, Event.UNREACHED):
-        if one.event is Event.ASKED:
+    for one in history.of(
+        EventKind.REQUEST_SENT,
+        EventKind.REQUEST_ANSWERED,
+        EventKind.CLOSED_UNANSWERED,
+        EventKind.REQUEST_TIMED_OUT,
+        EventKind.CONNECT_FAILED,
+    ):
+        if one.event is EventKind.REQUEST_SENT:
             asked[one.request] = one
             continue
-        how = one.more["how"] if one.event is Event.ANSWERED else str(one.event)
-        if how == "served" and one.more["ms"] > aim_ms:
+        how = one.fields["how"] if one.event is EventKind.REQUEST_ANSWERED else str(one.event)
+        if how == "served" and one.fields["ms"] > aim_ms:
             how = "late"
         first = asked.get(one.request, one)
         ends.append((first.mono, how))
--- a/applehub/lab/fleet/scale.py
+++ b/applehub/lab/fleet/scale.py
@@ -12,7 +12,7 @@
 import orjson
 import psutil
 
-from applehub.events import Writer
+from applehub.events import EventWriter
 from applehub.lab.fleet.ground import claim_block
 from applehub.lab.fleet.lists import Lists
 from applehub.lab.fleet.processes import Process, RegistryProcess, Standin
@@ -161,7 +161,7 @@
     }
 
 
-async def stand_in(folder: Path, events: Writer, servers: int) -> Subject:
+async def stand_in(folder: Path, events: EventWriter, servers: int) -> Subject:
     """The ground's stand-in, in memory."""
     process = Standin("list", "list", folder, events)
     entries = [{"uid": f"server-{n}", **_entry(n, 0)} for n in range(servers)]
@@ -179,7 +179,7 @@
     return Subject([process], [answer["address"]], change, process.kill)
 
 
-async def service(folder: Path, events: Writer, servers: int, replicas: int, block: str) -> Subject:
+async def service(folder: Path, events: EventWriter, servers: int, replicas: int, block: str) -> Subject:
     """The project's list service."""
     ours = [RegistryProcess(f"list-{n}", folder, events) for n in range(replicas)]
     peers = {one.name: f"{block}.222.{n + 1}:7000" for n, one in enumerate(ours)}
@@ -247,7 +247,7 @@
         for replicas, what in ((0, "the stand-in"), (1, "one replica"), (3, "three replicas")):
             with tempfile.TemporaryDirectory(prefix="lists-") as made:
                 folder = Path(made)
-                events = Writer(folder / "events.jsonl", "scale", 0)
+                events = EventWriter(folder / "events.jsonl", "scale", 0)
                 if replicas:
                     subject = await service(folder, events, servers, replicas, block)
                 else:
--- a/applehub/lab/fleet/servers.py
+++ b/applehub/lab/fleet/servers.py
@@ -11,7 +11,7 @@
 import h11
 import hiredis
 
-from applehub.events import Event, Writer
+from applehub.events import EventKind, EventWriter
 from applehub.lab.fleet.control import Handler, Json
 from applehub.lab.live.standins import Reply, addressed
 from applehub.node.discovery import read_endpoint
@@ -84,7 +84,7 @@
 class Cache(Station):
     """A cache server that was started cold: its speed rises evenly from a part to the whole."""
 
-    def __init__(self, told: Json, events: Writer) -> None:
+    def __init__(self, told: Json, events: EventWriter) -> None:
         super().__init__(told)
         self.told, self.events, self.name = told, events, told["name"]
         self.sources: dict[str, str] = told["sources"]
@@ -117,7 +117,9 @@
         bears = told["tip_multiple"] * self.speed() / self.part * told["fall_s"]
         if len(self.sent) > 1.1 * bears + 3:  # a little slack for chance
             self.fallen = True
-            self.events.say(Event.FELL, server=self.name, sent=len(self.sent), bears=round(bears, 1))
+            self.events.write(
+                EventKind.SERVER_OVERLOADED, server=self.name, sent=len(self.sent), bears=round(bears, 1)
+            )
 
     def report(self) -> bytes:
         return b"backlog=%d,errors_per_s=%.3f,x0=0.9" % (self.waiting(), self.errors * 10)
@@ -166,11 +168,11 @@
         if cache.bad == "mute":
             os.kill(os.getpid(), signal.SIGSTOP)
         who = {"request": name, "router": self.router, "server": cache.name}
-        cache.events.say(Event.ATTEMPT, **who, cls=class_of(words[3]))
+        cache.events.write(EventKind.ATTEMPT_BEGUN, **who, cls=class_of(words[3]))
         cache.count()
         done = cache.admit() if not cache.fallen else None
         if done is None:
-            cache.events.say(Event.ENDED, **who, how="full")
+            cache.events.write(EventKind.ATTEMPT_ENDED, **who, how="full")
             self._answer(b"-BUSY " + cache.report() + b"\r\n")
         else:
             cache.loop.call_at(done, self._done, words, who)
@@ -178,19 +180,19 @@
     def _done(self, words: list[bytes], who: dict[str, str]) -> None:
         cache, key = self.cache, words[1]
         if self.transport is None:
-            cache.events.say(Event.ENDED, **who, how="left")
+            cache.events.write(EventKind.ATTEMPT_ENDED, **who, how="left")
         elif cache.fails():
-            cache.events.say(Event.ENDED, **who, how="failed")
+            cache.events.write(EventKind.ATTEMPT_ENDED, **who, how="failed")
             self._answer(b"-ERR failed " + cache.report() + b"\r\n")
         elif words[0] == b"C.GET" and key in cache.kept and cache.bad != "forgets":
-            cache.events.say(Event.ENDED, **who, how="hit")
+            cache.events.write(EventKind.ATTEMPT_ENDED, **who, how="hit")
             self._answer(b"*3\r\n" + bulk(cache.value) + bulk(b"hit") + bulk(cache.report()))
         else:
             cache.missed[words[2]] = key
             cache.counts["missed"] += 1
             if len(cache.missed) > 10_000:
                 del cache.missed[next(iter(cache.missed))]
-            cache.events.say(Event.ENDED, **who, how="miss")
+            cache.events.write(EventKind.ATTEMPT_ENDED, **who, how="miss")
             self._answer(b"*3\r\n$-1\r\n" + bulk(b"miss") + bulk(cache.report()))
 
     def _answer(self, answer: bytes) -> None:
@@ -201,7 +203,7 @@
 class Origin(Station):
     """The origin; it tells the cache servers what to keep and what to drop, on connections of its own."""
 
-    def __init__(self, told: Json, events: Writer) -> None:
+    def __init__(self, told: Json, events: EventWriter) -> None:
         super().__init__(told)
         self.events, self.sources = events, told["sources"]
         self.wait, self.value = told["ms"] / 1000, b"v" * told["value"]
@@ -222,10 +224,10 @@
         headers = dict(request.headers)
         name, key = headers[b"x-call-id"], request.target[1:]
         who = {"request": name.decode(), "router": self.sources.get(address, ""), "server": "origin"}
-        self.events.say(Event.ATTEMPT, **who, cls=class_of(headers.get(b"x-call-info", b"")))
+        self.events.write(EventKind.ATTEMPT_BEGUN, **who, cls=class_of(headers.get(b"x-call-info", b"")))
         done = self.admit()
         if done is None:
-            self.events.say(Event.ENDED, **who, how="rejected")
+            self.events.write(EventKind.ATTEMPT_ENDED, **who, how="rejected")
             return Reply(503, b"", (("X-Rejected", "1"),))
         failed = self.fails()
         if request.method == b"PUT" and not failed:
@@ -233,9 +235,9 @@
         try:
             await asyncio.sleep(done - self.loop.time() + self.wait)
         except asyncio.CancelledError:
-            self.events.say(Event.ENDED, **who, how="left")
+            self.events.write(EventKind.ATTEMPT_ENDED, **who, how="left")
             raise
-        self.events.say(Event.ENDED, **who, how="failed" if failed else "ok")
+        self.events.write(EventKind.ATTEMPT_ENDED, **who, how="failed" if failed else "ok")
         if failed:
             return Reply(500, b"")
         if request.method != b"PUT":
@@ -245,7 +247,7 @@
 
 async def begin(told: Json) -> tuple[Json, Handler]:
     """Starts a cache server or the origin, as told."""
-    events = Writer(Path(told["events"]), told["name"], told["incarnation"])
+    events = EventWriter(Path(told["events"]), told["name"], told["incarnation"])
     loop = asyncio.get_running_loop()
     if told["role"] == "cache":
         cache = Cache(told, events)
--- a/applehub/lab/fleet/triggers.py
+++ b/applehub/lab/fleet/triggers.py
@@ -6,7 +6,7 @@
 from fnmatch import fnmatchcase
 from pathlib import Path
 
-from applehub.events import Record, parse, whole_lines
+from applehub.events import EventRecord, complete_lines, parse_event
 from applehub.lab.fleet.history import files
 from applehub.lab.fleet.plan import Trigger
 
@@ -48,19 +48,19 @@
 
     def look(self) -> None:
         for path in files(self.folder):
-            lines = whole_lines(path, self.read.get(path, 0))
+            lines = complete_lines(path, self.read.get(path, 0))
             self.read[path] = self.read.get(path, 0) + sum(map(len, lines))
             if self.armed:
                 for line in lines:
-                    self._offer(parse(line))
+                    self._offer(parse_event(line))
 
-    def _offer(self, record: Record) -> None:
+    def _offer(self, record: EventRecord) -> None:
         for armed in self.armed:
             wanted = armed.trigger
             if (
                 record.event is wanted.event
                 and fnmatchcase(record.process, wanted.process)
-                and all(record.more.get(name) == value for name, value in wanted.match.items())
+                and all(record.fields.get(name) == value for name, value in wanted.match.items())
             ):
                 armed.left -= 1
                 if armed.left <= 0:
--- a/applehub/registry/__main__.py
+++ b/applehub/registry/__main__.py
@@ -13,7 +13,7 @@
 
 import click
 
-from applehub.events import Event, Writer
+from applehub.events import EventKind, EventWriter
 from applehub.registry import raft
 from applehub.registry.config import Config, ConfigError, load
 from applehub.registry.descriptors import allow_callers
@@ -63,7 +63,7 @@
     return None
 
 
-async def serve(config: Config, path: Path, events: Writer) -> None:
+async def serve(config: Config, path: Path, events: EventWriter) -> None:
     """Runs until it is told to stop. Raises StoreError, and OSError where it can't listen."""
     loop, stopping = asyncio.get_running_loop(), asyncio.Event()
     allow_callers(config.limits.callers)
@@ -75,7 +75,7 @@
     loop.add_signal_handler(signal.SIGHUP, reload, path, service, events)
     await host.start()
     listen, staff = await service.start()
-    events.say(Event.READY, address=listen, staff=staff, version=host.entries.version)
+    events.write(EventKind.READY, address=listen, staff=staff, version=host.entries.version)
     host.failed.add_done_callback(lambda _: stopping.set())
     await stopping.wait()
     await service.stop()
@@ -84,16 +84,16 @@
         host.failed.result()
 
 
-def reload(path: Path, service: Service, events: Writer) -> None:
+def reload(path: Path, service: Service, events: EventWriter) -> None:
     """Takes up a file that is of use; one that is not changes nothing."""
     try:
         config = load(path)
     except ConfigError as problem:
-        events.say(Event.RELOADED, taken=False, why=str(problem))
+        events.write(EventKind.CONFIG_RELOADED, taken=False, why=str(problem))
         return
     allow_callers(config.limits.callers)
     service.retune(config)
-    events.say(Event.RELOADED, taken=True)
+    events.write(EventKind.CONFIG_RELOADED, taken=True)
 
 
 @click.command()
@@ -107,11 +107,11 @@
     except ConfigError as problem:
         click.echo(str(problem), err=True)
         sys.exit(2)
-    events = Writer(sys.stdout.buffer, config.name, 0)
+    events = EventWriter(sys.stdout.buffer, config.name, 0)
     try:
         asyncio.run(serve(config, file, events))
     except StoreError as problem:
-        events.say(Event.DAMAGED, why=str(problem))
+        events.write(EventKind.STORE_DAMAGED, why=str(problem))
         click.echo(str(problem), err=True)
         sys.exit(3)
     except OSError as problem:
--- a/applehub/registry/server.py
+++ b/applehub/registry/server.py
@@ -12,7 +12,7 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge, generate_latest
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from applehub.events import Event, Writer
+from applehub.events import EventKind, EventWriter
 from applehub.node.discovery import read_endpoint
 from applehub.registry.config import Config
 from applehub.registry.entries import BASE_STEP, STATES, Result
@@ -82,7 +82,7 @@
 class Service:
     """One replica's two addresses."""
 
-    def __init__(self, config: Config, host: Host, events: Writer) -> None:
+    def __init__(self, config: Config, host: Host, events: EventWriter) -> None:
         self.config, self.host, self.events = config, host, events
         self.loop = asyncio.get_running_loop()
         self.answers, self.watchers, self.metrics = Answers(), Watchers(), Metrics()
@@ -152,7 +152,9 @@
             for change in entries.changes:
                 if change.version > self.version and change.uid in entries.entries:
                     state = entries.entries[change.uid].state
-                    self.events.say(Event.LISTED, version=change.version, server=change.uid, state=state)
+                    self.events.write(
+                        EventKind.LIST_CHANGED, version=change.version, server=change.uid, state=state
+                    )
         self.version = entries.version
         self.watchers.wake()
 
@@ -186,7 +188,7 @@
             self.metrics.calls.labels("malformed").inc()
             return web.Response(status=400, text="expected from and hold_ms to be whole numbers\n")
         if self.config.log_calls:
-            self.events.say(Event.LIST_ASKED, router=view or address, since=since)
+            self.events.write(EventKind.LIST_POLLED, router=view or address, since=since)
         if since is not None and since > self.host.entries.version and not self.host.is_primary():
             await self._newer(since - 1, CATCH_UP)  # its caller was told by one that is ahead
             if since > self.host.entries.version:
@@ -234,7 +236,9 @@
             return response
         self.metrics.calls.labels("whole" if whole else "changes").inc()
         if self.config.log_calls:
-            self.events.say(Event.TOLD, router=name, version=entries.version, whole=whole, states=states)
+            self.events.write(
+                EventKind.LIST_SENT, router=name, version=entries.version, whole=whole, states=states
+            )
         return response
 
     # Writers and staff
@@ -421,7 +425,10 @@
             now, led = time.monotonic_ns(), self.host.is_primary()
             if led is not self.led:
                 self.led = led
-                self.events.say(Event.LEADS if led else Event.FOLLOWS, term=self.host.replica.term)
+                self.events.write(
+                    EventKind.LEADERSHIP_WON if led else EventKind.LEADERSHIP_LOST,
+                    term=self.host.replica.term,
+                )
                 if led:
                     self.leases.begin(now, self.host.entries.entries)
             if led:
@@ -431,7 +438,7 @@
         braked = self.leases.braked
         suspect, gone, back = self.leases.look(now, self.host.entries.entries)
         if self.leases.braked is not braked:
-            self.events.say(Event.BRAKE, on=self.leases.braked)
+            self.events.write(EventKind.EXPIRY_PAUSED, on=self.leases.braked)
         try:
             for uids, command in (
                 (suspect, {"do": "suspect", "on": True}),
--- a/applehub/release/__main__.py
+++ b/applehub/release/__main__.py
@@ -17,7 +17,7 @@
 from prometheus_client import start_http_server
 
 from applehub.durable.store import StoreError
-from applehub.events import EventError, read
+from applehub.events import EventFormatError, read_events
 from applehub.release.backoff import when_disk_permits
 from applehub.release.controller import Controller
 from applehub.release.errors import ReleaseError
@@ -46,7 +46,7 @@
     def wrapped(*arguments: Parameters.args, **options: Parameters.kwargs) -> None:
         try:
             command(*arguments, **options)
-        except (ReleaseError, StoreError, EventError, OSError) as error:
+        except (ReleaseError, StoreError, EventFormatError, OSError) as error:
             click.echo(str(error), err=True)
             sys.exit(UNUSABLE)
 
@@ -132,8 +132,8 @@
 @guarded
 def history(folder: Path) -> None:
     """Prints what happened, a line each."""
-    for record in read(folder / EVENTS_FILE):
-        click.echo(record.line())
+    for record in read_events(folder / EVENTS_FILE):
+        click.echo(record.to_text())
 
 
 @main.command()
--- a/applehub/release/controller.py
+++ b/applehub/release/controller.py
@@ -14,7 +14,7 @@
 import aiohttp
 
 from applehub.durable.store import StoreError
-from applehub.events import Event
+from applehub.events import EventKind
 from applehub.release.agent_client import REQUEST_TIMEOUT, AgentClient
 from applehub.release.backoff import Backoff
 from applehub.release.errors import PlanError
@@ -99,7 +99,7 @@
     def _note_lock(self, held: bool) -> None:
         if held is not self.lock_held:
             self.lock_held = held
-            self.folder.events.say(Event.LOCK, held=held, fence=self._lock.fence)
+            self.folder.events.write(EventKind.LOCK_CHANGED, held=held, fence=self._lock.fence)
 
     async def _poll(self) -> list[Order]:
         """Polls the whole fleet; returns the orders that follow."""
@@ -111,7 +111,7 @@
             orders += self._handle_outcome(unit, outcome)
         verdict = self._gates.evaluate(self._clock.now(), status.reports)
         if verdict.halt_reason and self.record.mode is ReleaseMode.RUNNING:
-            self.folder.events.say(Event.CONDEMNED, why=verdict.halt_reason)
+            self.folder.events.write(EventKind.VERSION_REJECTED, why=verdict.halt_reason)
             self._machine.reject_version(verdict.halt_reason)
         self._note_health(verdict)
         self.metrics.update(self.record, self._gates)
@@ -121,21 +121,25 @@
         pending = outcome.number == self.record.units[unit].order_number
         if outcome.release_id != self.record.release_id or outcome.succeeded is None or not pending:
             return []
-        self.folder.events.say(
-            Event.STEPPED, unit=unit, number=outcome.number, good=outcome.succeeded, why=outcome.error
+        self.folder.events.write(
+            EventKind.ORDER_OUTCOME,
+            unit=unit,
+            number=outcome.number,
+            good=outcome.succeeded,
+            why=outcome.error,
         )
         return self._machine.handle_outcome(self._clock.now(), unit, outcome.number, outcome.succeeded)
 
     def _carry_out_requests(self) -> None:
         try:
             for request in apply_new(self.record, self._requests):
-                self.folder.events.say(Event.WISHED, what=request.kind)
+                self.folder.events.write(EventKind.STAFF_REQUEST, what=request.kind)
         except OSError as error:
             log.info("staff requests can't be read, and are at a later poll: %r", error)
 
     def _note_health(self, verdict: Verdict) -> None:
         if bool(verdict.hold_reason) is not bool(self.hold_reason):
-            self.folder.events.say(Event.UNWELL, why=verdict.hold_reason)
+            self.folder.events.write(EventKind.FLEET_UNHEALTHY, why=verdict.hold_reason)
         self.hold_reason = verdict.hold_reason
 
     def _queue(self, orders: list[Order]) -> None:
@@ -169,12 +173,12 @@
         """Sends an order; one that did not arrive is sent again after the plan's step_s."""
         self.metrics.orders.labels(order.step).inc()
         events = self.folder.events
-        events.say(
-            Event.ORDERED, unit=order.unit, number=order.number, step=order.step, version=order.version
+        events.write(
+            EventKind.ORDER_SENT, unit=order.unit, number=order.number, step=order.step, version=order.version
         )
         refusal = await self.client.send(OrderMessage(self.record.release_id, self._lock.fence, order))
         if refusal:
-            events.say(Event.TURNED_DOWN, unit=order.unit, number=order.number, why=refusal)
+            events.write(EventKind.ORDER_REFUSED, unit=order.unit, number=order.number, why=refusal)
 
 
 def _agents_of(plan: Plan, units: list[str]) -> dict[str, str]:
--- a/applehub/release/rehearsal.py
+++ b/applehub/release/rehearsal.py
@@ -12,7 +12,7 @@
 import orjson
 
 from applehub.durable.store import Store
-from applehub.events import Event
+from applehub.events import EventKind
 from applehub.release.backoff import when_disk_permits
 from applehub.release.clock import ScaledClock, SystemClock
 from applehub.release.errors import StoredStateError
@@ -94,15 +94,21 @@
     def _execute_all(self, orders: list[Order]) -> list[Order]:
         """Executes orders; returns those that follow."""
         for order in orders:
-            self._folder.events.say(
-                Event.ORDERED, unit=order.unit, number=order.number, step=order.step, version=order.version
+            self._folder.events.write(
+                EventKind.ORDER_SENT,
+                unit=order.unit,
+                number=order.number,
+                step=order.step,
+                version=order.version,
             )
         time.sleep(self._options.step_s / self._options.pace)
         outcomes = [(order, self._execute(order)) for order in orders]
         when_disk_permits(self._fleet.save)  # the units' own memory, before the controller is told
         following: list[Order] = []
         for order, succeeded in outcomes:
-            self._folder.events.say(Event.STEPPED, unit=order.unit, number=order.number, good=succeeded)
+            self._folder.events.write(
+                EventKind.ORDER_OUTCOME, unit=order.unit, number=order.number, good=succeeded
+            )
             following += self._machine.handle_outcome(
                 self._folder.clock.now(), order.unit, order.number, succeeded
             )
--- a/applehub/release/release_folder.py
+++ b/applehub/release/release_folder.py
@@ -9,7 +9,7 @@
 
 from applehub.durable.folder import Folder
 from applehub.durable.store import Loaded, Store, StoreError
-from applehub.events import Event, Writer
+from applehub.events import EventKind, EventWriter
 from applehub.release.clock import Clock, SystemClock
 from applehub.release.errors import PlanError, StoredStateError
 from applehub.release.plan import Plan
@@ -83,7 +83,7 @@
         self._codec = RecordCodec(self.clock)
         try:
             self._record = decode_loaded(self._store.open(), self._codec.decode)
-            self.events = Writer(path / EVENTS_FILE, "release", 0)
+            self.events = EventWriter(path / EVENTS_FILE, "release", 0)
         except BaseException:
             self._store.close()  # otherwise it stays held, and this process can't open it once more
             raise
@@ -137,7 +137,7 @@
             self._stored = content
         if record.mode is not self._announced_mode:
             self._announced_mode = record.mode
-            self.events.say(Event.RELEASE, mode=record.mode, why=record.reason)
+            self.events.write(EventKind.RELEASE_MODE, mode=record.mode, why=record.reason)
 
     def close(self) -> None:
         """Lets go of the folder; what was not saved is not stored."""
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from applehub.events import Event, Writer, read
+from applehub.events import EventKind, EventWriter, read_events
 from applehub.lab.fleet.system_call_faults import SystemCallFault, SystemCallFaults
 
 
 def addresses(path: Path) -> list[str]:
-    return [one.more["address"] for one in read(path)]
+    return [one.fields["address"] for one in read_events(path)]
 
 
 @pytest.mark.parametrize("error", ["ENOSPC", "EIO"])
@@ -18,17 +18,17 @@
     """The file takes 7 bytes of a line, refuses for three lines, and then takes 5 bytes at a time."""
     path = tmp_path / "events.jsonl"
     with SystemCallFaults(SystemCallFault("write", error, times=0, path=str(path))) as faults:
-        writer = Writer(path, "me", 1)
-        writer.say(Event.READY, address="a")
+        writer = EventWriter(path, "me", 1)
+        writer.write(EventKind.READY, address="a")
         faults.replace(
             SystemCallFault("write", short=7, times=1, path=str(path)),
             SystemCallFault("write", error, times=3, path=str(path)),
             SystemCallFault("write", short=5, path=str(path)),
         )
         for address in "bcd":
-            writer.say(Event.READY, address=address)
+            writer.write(EventKind.READY, address=address)
         assert addresses(path) == ["a"]
-        writer.say(Event.READY, address="e")
+        writer.write(EventKind.READY, address="e")
         writer.close()
     assert addresses(path) == list("abcde") and writer.dropped == 0
 
@@ -37,9 +37,9 @@
     monkeypatch.setattr("applehub.events.MOST_HELD", 1_000)
     path = tmp_path / "events.jsonl"
     with SystemCallFaults(SystemCallFault("write", "ENOSPC", path=str(path))) as faults:
-        writer = Writer(path, "me", 1)
+        writer = EventWriter(path, "me", 1)
         for number in range(100):
-            writer.say(Event.READY, address=str(number))
+            writer.write(EventKind.READY, address=str(number))
         faults.replace()
         writer.close()
     kept = addresses(path)
@@ -52,13 +52,13 @@
     tmp_path: Path, length: int
 ) -> None:
     path = tmp_path / "events.jsonl"
-    writer = Writer(path, "me", 1)
-    writer.say(Event.READY, address="a")
+    writer = EventWriter(path, "me", 1)
+    writer.write(EventKind.READY, address="a")
     writer.close()
     with open(path, "ab") as file:
         file.write(b"x" * length)
-    writer = Writer(path, "me", 2)
-    writer.say(Event.READY, address="b")
+    writer = EventWriter(path, "me", 2)
+    writer.write(EventKind.READY, address="b")
     writer.close()
     assert addresses(path) == ["a", "b"]
 
@@ -66,13 +66,13 @@
 def test_a_file_that_holds_half_a_line_alone_is_begun_anew(tmp_path: Path) -> None:
     path = tmp_path / "events.jsonl"
     path.write_bytes(b'{"mono":1')
-    writer = Writer(path, "me", 1)
-    writer.say(Event.READY, address="a")
+    writer = EventWriter(path, "me", 1)
+    writer.write(EventKind.READY, address="a")
     writer.close()
     assert addresses(path) == ["a"]
 
 
 def test_a_stream_gets_each_line_at_once() -> None:
     stream = BytesIO()
-    Writer(stream, "me", 1).say(Event.READY, address="a")
+    EventWriter(stream, "me", 1).write(EventKind.READY, address="a")
     assert stream.getvalue().endswith(b"}\n") and b'"address":"a"' in stream.getvalue()
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -10,7 +10,7 @@
 import pytest
 from test_fleet import ASKED, event
 
-from applehub.events import Event
+from applehub.events import EventKind
 from applehub.lab.fleet.checks import judge
 from applehub.lab.fleet.commands import find
 from applehub.lab.fleet.draw import DIALS, FAILING, STEPS, draw
@@ -137,10 +137,10 @@
 ) -> None:
     struck = {"kind": "system_call", "processes": ["router-0"], "edges": edges, "keep_disk": True}
     records = [
-        event(1.0, Event.FAULT, fault=0, **struck),
-        event(1.1, Event.ASKED, "r", **ASKED),
-        event(1.2, Event.CLOSED, "r", router="router-0"),
-        event(1.3, Event.HEALED, fault=0),
+        event(1.0, EventKind.FAULT_BEGUN, fault=0, **struck),
+        event(1.1, EventKind.REQUEST_SENT, "r", **ASKED),
+        event(1.2, EventKind.CLOSED_UNANSWERED, "r", router="router-0"),
+        event(1.3, EventKind.FAULT_ENDED, fault=0),
     ]
     broken = judge(ordered(records), Plan(name="p"))
     assert [one.check for one in broken] == ([] if excused else ["answered"])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,7 +16,7 @@
 import pytest
 from click.testing import CliRunner
 
-from applehub.events import Event, EventError, Record, Writer, parse, read
+from applehub.events import EventFormatError, EventKind, EventRecord, EventWriter, parse_event, read_events
 from applehub.lab import fleet as fleet_package
 from applehub.lab.__main__ import main
 from applehub.lab.fleet import relay
@@ -101,8 +101,8 @@
             assert one.connect_ex((host, port)) != 0
 
 
-def event(at: float, what: Event, request: str = "", /, **more: object) -> Record:
-    return Record(int(at * 1e9), 0, "test", 0, what, request, more)
+def event(at: float, what: EventKind, request: str = "", /, **more: object) -> EventRecord:
+    return EventRecord(int(at * 1e9), 0, "test", 0, what, request, more)
 
 
 ASKED = {"router": "router-0", "cls": "read", "key": "k", "wait_ms": 1000}
@@ -116,14 +116,17 @@
 def test_a_lost_request_is_excused_by_the_faults_that_the_rules_name(fault: str, excused: bool) -> None:
     struck = {"fault": 0, "kind": fault, "processes": ["router-0"], "edges": [], "keep_disk": True}
     records = [
-        event(1.0, Event.FAULT, **struck),
-        event(1.1, Event.ASKED, "r", **ASKED),
-        event(1.2, Event.CLOSED, "r", router="router-0"),
-        event(1.3, Event.HEALED, fault=0),
+        event(1.0, EventKind.FAULT_BEGUN, **struck),
+        event(1.1, EventKind.REQUEST_SENT, "r", **ASKED),
+        event(1.2, EventKind.CLOSED_UNANSWERED, "r", router="router-0"),
+        event(1.3, EventKind.FAULT_ENDED, fault=0),
     ]
     broken = judge(ordered(records), Plan(name="p"))
     assert [one.check for one in broken] == ([] if excused else ["answered"])
-    other = [event(3.0, Event.ASKED, "s", **ASKED), event(3.1, Event.CLOSED, "s", router="router-0")]
+    other = [
+        event(3.0, EventKind.REQUEST_SENT, "s", **ASKED),
+        event(3.1, EventKind.CLOSED_UNANSWERED, "s", router="router-0"),
+    ]
     (found,) = judge(ordered([*records[:1], records[3], *other]), Plan(name="p"))
     assert found.text(ordered(records)).count("\n") == 4  # the fault's two events, then the request's
 
@@ -134,9 +137,9 @@
 ) -> None:
     struck = {"fault": 1, "kind": "kill", "processes": ["router-0"], "edges": [], "keep_disk": True}
     records = [
-        event(1.0, Event.STARTED, of="router-0", number=1),
-        event(since, Event.FAULT, **struck),
-        event(2.0, Event.UNDONE, fault=0, of="router-0", why="router-0 was never ready"),
+        event(1.0, EventKind.STARTED, of="router-0", number=1),
+        event(since, EventKind.FAULT_BEGUN, **struck),
+        event(2.0, EventKind.FAULT_NOT_BEGUN, fault=0, of="router-0", why="router-0 was never ready"),
     ]
     assert [one.check for one in judge(ordered(records), Plan(name="p"))] == ([] if excused else ["standing"])
 
@@ -146,13 +149,13 @@
 )
 def test_what_may_have_run_must_not_be_sent_again(how: str, breaks: bool) -> None:
     records = [
-        event(1.0, Event.ATTEMPT, "r", **SENT),
-        event(1.1, Event.ENDED, "r", how=how, **SENT),
-        event(1.2, Event.ATTEMPT, "r", **{**SENT, "server": "origin"}),
+        event(1.0, EventKind.ATTEMPT_BEGUN, "r", **SENT),
+        event(1.1, EventKind.ATTEMPT_ENDED, "r", how=how, **SENT),
+        event(1.2, EventKind.ATTEMPT_BEGUN, "r", **{**SENT, "server": "origin"}),
     ]
     told = event(
         0.5,
-        Event.TOLD,
+        EventKind.LIST_SENT,
         router="router-0",
         version=1,
         whole=True,
@@ -208,15 +211,15 @@
 
 
 def test_events_survive_a_torn_end_and_nothing_else(tmp_path: Path) -> None:
-    writer = Writer(tmp_path / "events.jsonl", "me", 2)
-    writer.say(Event.READY, address="here")
+    writer = EventWriter(tmp_path / "events.jsonl", "me", 2)
+    writer.write(EventKind.READY, address="here")
     writer.close()
     with open(tmp_path / "events.jsonl", "ab") as file:
         file.write(b'{"mono":1,"wa')
-    (one,) = read(tmp_path / "events.jsonl")
-    assert (one.process, one.incarnation, one.event, one.more["address"]) == ("me", 2, "ready", "here")
-    with pytest.raises(EventError):
-        parse(b'{"mono":1,"wall":1,"process":"a","incarnation":1,"event":"sneezed"}')
+    (one,) = read_events(tmp_path / "events.jsonl")
+    assert (one.process, one.incarnation, one.event, one.fields["address"]) == ("me", 2, "ready", "here")
+    with pytest.raises(EventFormatError):
+        parse_event(b'{"mono":1,"wall":1,"process":"a","incarnation":1,"event":"sneezed"}')
 
 
 def test_a_plan_of_no_use_tells_every_fault_of_it() -> None:
@@ -269,17 +272,17 @@
 LIST = {"router": "router-0", "states": {"cache-0": "Terminating"}, "whole": False}
 
 
-def up(at: float = 0.5) -> list[Record]:
+def up(at: float = 0.5) -> list[EventRecord]:
     return [
-        event(at, Event.STARTED, of="router-0", number=1),
-        event(at + 0.1, Event.READY, of="router-0", number=1),
-        event(at + 0.2, Event.TOLD, **{**LIST, "states": {"cache-0": "Ready"}}, version=1),
+        event(at, EventKind.STARTED, of="router-0", number=1),
+        event(at + 0.1, EventKind.READY, of="router-0", number=1),
+        event(at + 0.2, EventKind.LIST_SENT, **{**LIST, "states": {"cache-0": "Ready"}}, version=1),
     ]
 
 
-def strike(number: int, kind: str, edge: str, begin: float, end: float) -> list[Record]:
+def strike(number: int, kind: str, edge: str, begin: float, end: float) -> list[EventRecord]:
     struck = {"fault": number, "kind": kind, "processes": [], "edges": [edge], "keep_disk": True}
-    return [event(begin, Event.FAULT, **struck), event(end, Event.HEALED, fault=number)]
+    return [event(begin, EventKind.FAULT_BEGUN, **struck), event(end, EventKind.FAULT_ENDED, fault=number)]
 
 
 @pytest.mark.parametrize(
@@ -297,12 +300,12 @@
 def test_a_change_counts_as_told_six_seconds_after_the_way_is_free(
     kind: str, until: float, heard: float, holds: bool
 ) -> None:
-    records = [*up(), event(2.0, Event.LISTED, version=2, server="cache-0", state="Terminating")]
+    records = [*up(), event(2.0, EventKind.LIST_CHANGED, version=2, server="cache-0", state="Terminating")]
     if kind != "none":
         records += strike(0, kind, "router-0>list", 1.5, until)
     records += [
-        event(heard, Event.TOLD, **LIST, version=2),
-        event(40.0, Event.AGREED, routers=1),
+        event(heard, EventKind.LIST_SENT, **LIST, version=2),
+        event(40.0, EventKind.PEERS_AGREED, routers=1),
     ]
     plan = Plan(name="p", rules={"stale_ms": 30_000})  # type: ignore[arg-type]
     assert [one.check for one in judge(ordered(records), plan)] == ([] if holds else ["told"])
@@ -324,14 +327,14 @@
     for number in range(cases):
         name, at = f"r{number}", 2.0 + number
         records += [
-            event(at, Event.ASKED, name, **ASKED),
-            event(at + 0.1, Event.LEFT, name, router="router-0"),
-            event(at + 0.1 + after, Event.ATTEMPT, name, **{**SENT, "cls": "read"}),
+            event(at, EventKind.REQUEST_SENT, name, **ASKED),
+            event(at + 0.1, EventKind.CLIENT_LEFT, name, router="router-0"),
+            event(at + 0.1 + after, EventKind.ATTEMPT_BEGUN, name, **{**SENT, "cls": "read"}),
         ]
     if struck:
         begin, end = strike(0, struck, "router-0>cache-0", 1.5, 30.0)
         if struck == "stop":
-            begin.more.update(processes=["cache-0"], edges=[])
+            begin.fields.update(processes=["cache-0"], edges=[])
         records += [begin, end]
     assert [one.check for one in judge(ordered(records), Plan(name="p"))] == ["departed"] * breaks
 
@@ -341,8 +344,8 @@
     records = [
         *up(),
         *strike(0, "hang", "router-0>list", 1.9, 1.9),
-        event(2.0, Event.LISTED, version=2, server="cache-0", state="Terminating"),
-        event(2.1, Event.TOLD, **LIST, version=2),
-        event(at, Event.ATTEMPT, "r", **{**SENT, "cls": "read"}),
+        event(2.0, EventKind.LIST_CHANGED, version=2, server="cache-0", state="Terminating"),
+        event(2.1, EventKind.LIST_SENT, **LIST, version=2),
+        event(at, EventKind.ATTEMPT_BEGUN, "r", **{**SENT, "cls": "read"}),
     ]
     assert [one.check for one in judge(ordered(records), Plan(name="p"))] == ([] if holds else ["drained"])
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -14,7 +14,7 @@
 from click.testing import CliRunner
 from registry_group import Group
 
-from applehub.events import Event, Writer, read
+from applehub.events import EventKind, EventWriter, read_events
 from applehub.lab.__main__ import main
 from applehub.lab.fleet.ground import claim_block
 from applehub.registry import raft, wire
@@ -228,7 +228,7 @@
     config = parse("x", {"name": "a", "state_dir": str(tmp_path / "a"), "leases": {"look_ms": 20}})
     host = Host(0, {}, raft.Timing(), Store(config.state_dir), 100, 3)  # cuts its log every third entry
     out = (tmp_path / "events").open("wb")
-    service = Service(config, host, Writer(out, "a", 0))
+    service = Service(config, host, EventWriter(out, "a", 0))
     await host.start()
     listen, staff = await service.start()
     body = {"endpoint": "127.0.0.1:1", "az": "a", "model": "m", "endpoints": {"v": "127.0.0.1:2"}}
@@ -316,8 +316,8 @@
     await host.stop()
     out.close()
     assert host.replica.snapshot.place > 0
-    kinds = [one.event for one in read(tmp_path / "events")]
-    assert {Event.LEADS, Event.LISTED, Event.BRAKE} <= set(kinds)
+    kinds = [one.event for one in read_events(tmp_path / "events")]
+    assert {EventKind.LEADERSHIP_WON, EventKind.LIST_CHANGED, EventKind.EXPIRY_PAUSED} <= set(kinds)
 
 
 @pytest.fixture
--- a/tests/test_registry_system.py
+++ b/tests/test_registry_system.py
@@ -12,7 +12,7 @@
 import aiohttp
 import pytest
 
-from applehub.events import Writer
+from applehub.events import EventWriter
 from applehub.lab.fleet.system_call_faults import SystemCallFault, SystemCallFaults
 from applehub.registry import raft
 from applehub.registry.config import parse
@@ -50,7 +50,7 @@
     config = parse("x", {"name": "a", "state_dir": str(folder / "a"), "leases": {"look_ms": 10}})
     host = Host(0, {}, raft.Timing(), Store(config.state_dir), 100, 100)
     with (folder / "events").open("wb") as events:
-        service = Service(config, host, Writer(events, "a", 0))
+        service = Service(config, host, EventWriter(events, "a", 0))
         await host.start()
         listen, staff = await service.start()
         async with asyncio.timeout(60), aiohttp.ClientSession() as session:
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -9,7 +9,7 @@
 import pytest
 from click.testing import CliRunner
 
-from applehub.events import Event, read
+from applehub.events import EventKind, read_events
 from applehub.release.__main__ import main
 from applehub.release.clock import SystemClock
 from applehub.release.errors import PlanError
@@ -156,9 +156,9 @@
     record = json.loads(call("status", "--state", str(state), "--json")[1])
     assert record["mode"] == "done" and {unit["version"] for unit in record["units"].values()} == {"1.8"}
     steps: dict[int, set[str]] = {}
-    for one in read(events):
-        if one.event is Event.ORDERED:
-            steps.setdefault(one.more["number"], set()).add(f"{one.more['unit']} {one.more['step']}")
+    for one in read_events(events):
+        if one.event is EventKind.ORDER_SENT:
+            steps.setdefault(one.fields["number"], set()).add(f"{one.fields['unit']} {one.fields['step']}")
     assert all(len(meant) == 1 for meant in steps.values()) and len(steps) == 15
 
 
--- a/tests/test_release_disk.py
+++ b/tests/test_release_disk.py
@@ -20,7 +20,7 @@
 
 from applehub.durable.folder import Folder
 from applehub.durable.store import Store
-from applehub.events import Event, read
+from applehub.events import EventKind, read_events
 from applehub.lab.fleet.system_call_faults import SystemCall, SystemCallFault, SystemCallFaults
 from applehub.release.__main__ import main
 from applehub.release.agent import Agent
@@ -383,8 +383,8 @@
                 assert await rounds(controller, clock, 60) and controller.record.mode is ReleaseMode.DONE
                 assert faults.count("write") > 0
                 faults.replace()
-    events = [one.event for one in read(state / "events.jsonl")]
-    assert events.count(Event.ORDERED) == 3 and events[-1] is Event.RELEASE
+    events = [one.event for one in read_events(state / "events.jsonl")]
+    assert events.count(EventKind.ORDER_SENT) == 3 and events[-1] is EventKind.RELEASE_MODE
 
 
 async def test_reading_a_release_leaves_a_line_alone_that_is_being_written(tmp_path: Path) -> None:
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -20,7 +20,7 @@
 from virtual import play
 
 from applehub import interface as api
-from applehub.events import Event
+from applehub.events import EventKind
 from applehub.node.discovery import Directory, read_endpoint
 from applehub.node.pool import Pools
 from applehub.node.watch import Watch
@@ -399,7 +399,7 @@
     assert running.stdout is not None and running.stderr is not None
     try:
         async with asyncio.timeout(PATIENCE):
-            while (told := json.loads(await running.stdout.readline())).get("event") != Event.READY:
+            while (told := json.loads(await running.stdout.readline())).get("event") != EventKind.READY:
                 pass
         host, _, port = told["address"].rpartition(":")
         yield host, int(port)
