--- a/applehub/node/clients.py
+++ b/applehub/node/clients.py
@@ -36,10 +36,10 @@
 class Slot:
     """The place of one answer on its connection."""
 
-    __slots__ = ("answer", "client", "held", "stream")
+    __slots__ = ("answer", "client", "held", "stream", "waits")
 
     def __init__(self, client: "Client") -> None:
-        self.client = client
+        self.client, self.waits = client, client.waits
         self.answer: bytes | None = None
         self.held: Held | None = None
         self.stream: Stream | None = None
@@ -55,9 +55,6 @@
         self.stream = stream
         stream.wake = self.client.advance
 
-    def waits(self) -> bool:
-        return self.client.waits()
-
     def break_off(self) -> None:
         """The value can't be finished: the client is to see that it is not whole."""
         stream, self.held, self.stream = self.stream, None, None
@@ -156,9 +153,8 @@
 
     def waits(self) -> bool:
         """Whether the client is there, also by what the system has of it and nobody has read yet."""
-        if self.phase is Phase.GONE or self.transport is None:
-            return False
-        return not Unread(self.transport.get_extra_info("socket"), END).waits()
+        transport = self.transport if self.phase is not Phase.GONE else None
+        return transport is not None and not Unread(transport.get_extra_info("socket"), END).waits()
 
     def _depart(self) -> None:
         """Withdraws all that is in work or waits here. Guards the servers against work for nobody."""
