--- a/applehub/release/rehearsal.py
+++ b/applehub/release/rehearsal.py
@@ -44,7 +44,11 @@
     def __init__(self, folder: ReleaseFolder) -> None:
         """Raises StoreError, StoredStateError, OSError."""
         self._store = Store(folder.disk, "machines", FORMAT_VERSION)
-        self.units = decode_loaded(self._store.open(), _decoded_units) or {}
+        try:
+            self.units = decode_loaded(self._store.open(), _decoded_units) or {}
+        except BaseException:
+            self._store.close()  # otherwise it stays held, and this process can't open it once more
+            raise
 
     def __enter__(self) -> Self:
         """Holds the store until the end of the context."""
@@ -57,9 +61,8 @@
         self._store.close()
 
     def provision(self, names: list[str], version: str) -> None:
-        """Has a unit for each name; those that exist stay as they are."""
+        """Has a unit for each name; those that exist stay as they are. To be saved."""
         self.units = {name: self.units.get(name, SimulatedUnit(version)) for name in names}
-        self.save()
 
     def save(self) -> None:
         """Stores the units. Raises StoreError, OSError."""
@@ -131,13 +134,14 @@
 
     Raises StoreError, PlanError, StoredStateError, OSError.
     """
+    clock = ScaledClock(SystemClock(), options.pace)
     with (
-        ReleaseFolder(path, ScaledClock(SystemClock(), options.pace)) as folder,
-        SimulatedFleet(folder) as fleet,
+        when_disk_permits(lambda: ReleaseFolder(path, clock)) as folder,
+        when_disk_permits(lambda: SimulatedFleet(folder)) as fleet,
     ):
         if folder.begin(plan, options.again) or not fleet.units:
             fleet.provision(list(folder.record.units), plan.old)
-        folder.save()
+            when_disk_permits(fleet.save)
         Rehearsal(folder, fleet, options).run()
     return folder
 
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -1,6 +1,7 @@
 """Releases: the controller as a model, its mutants, plans of no use, and a controller that is killed."""
 
 import json
+import os
 import random
 import subprocess
 import sys
@@ -10,6 +11,8 @@
 from click.testing import CliRunner
 
 from applehub.events import EventKind, read_events
+from applehub.lab.fleet.system_call_faults import in_environment, recorded
+from applehub.lab.fleet.system_calls import SystemCall, SystemCallFault
 from applehub.release.__main__ import main
 from applehub.release.clock import SystemClock
 from applehub.release.errors import PlanError
@@ -153,10 +156,51 @@
         process.kill()
         process.wait()
     assert subprocess.run([*words, "2000"], stdout=subprocess.DEVNULL).returncode == 0
+    assert_each_step_was_ordered_once(state)
+
+
+REFUSED_CALLS: list[tuple[SystemCall, str, int]] = [
+    ("open", "EMFILE", 3),
+    ("write", "ENOSPC", 1),
+    ("fsync", "EIO", 2),
+    ("rename", "EIO", 3),
+    ("write", "EIO", 4),
+]
+
+
+def test_a_process_killed_while_its_disk_refuses_its_record_does_no_step_twice(
+    plan: Path, tmp_path: Path
+) -> None:
+    """Each process stores a few records, then half of one; its disk refuses from there on until it is killed.
+    The last one meets a disk that refuses four times, and ends the release."""
+    state = tmp_path / "state"
+    words = [sys.executable, "-m", "applehub.lab.fleet.system_call_faults", "applehub.release", "rehearse"]
+    words += [str(plan), "--state", str(state), "--pace", "2000"]
+    for number, (call_, error, stored) in enumerate(REFUSED_CALLS):
+        record = tmp_path / f"injected-{number}"
+        prefix = f"{state}/release.new"
+        faults = [SystemCallFault("write", short=100, from_call=stored, times=1, path=prefix)]
+        faults += [SystemCallFault(call_, error, from_call=stored, path=prefix)]
+        process = subprocess.Popen(
+            words, env={**os.environ, **in_environment(faults, record)}, stdout=subprocess.DEVNULL
+        )
+        while (call_, error) not in recorded(record):
+            assert process.poll() is None
+        process.kill()
+        process.wait()
+    faults = [SystemCallFault("fsync", "EIO", from_call=2, times=4, path=str(state))]
+    environment = {**os.environ, **in_environment(faults, tmp_path / "last")}
+    assert subprocess.run(words, env=environment, stdout=subprocess.DEVNULL).returncode == 0
+    assert recorded(tmp_path / "last")["fsync", "EIO"] == 4
+    assert_each_step_was_ordered_once(state)
+
+
+def assert_each_step_was_ordered_once(state: Path) -> None:
+    """The release is done, and each of its 15 steps had a number of its own."""
     record = json.loads(call("status", "--state", str(state), "--json")[1])
     assert record["mode"] == "done" and {unit["version"] for unit in record["units"].values()} == {"1.8"}
     steps: dict[int, set[str]] = {}
-    for one in read_events(events):
+    for one in read_events(state / "events.jsonl"):
         if one.event is EventKind.ORDER_SENT:
             steps.setdefault(one.fields["number"], set()).add(f"{one.fields['unit']} {one.fields['step']}")
     assert all(len(meant) == 1 for meant in steps.values()) and len(steps) == 15
