--- a/applehub/policy/placement.py
+++ b/applehub/policy/placement.py
@@ -41,7 +41,8 @@
             head = int(turn.settings.cold_from * ramp_time) if name == owner else 0
             if name in job.tried or server.cold_since > max(0, warm + head):
                 continue
-            if not server.open(now):
+            # Guards against an entry that became the origin's: keys that its range held still name it.
+            if name not in roster.weights or not server.open(now):
                 continue
             # Guards against a range that is more than its server bears: the far end passes to the next, which
             # bears its part of that; what nobody bears goes back. What warms up takes up keys by its age.
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -1,7 +1,7 @@
 """One small test for each failure found on the bench; each fails without its fix."""
 
 import pytest
-from support import MILLI, SECOND, START, Router, fleet, settings
+from support import MILLI, ORIGIN_KIND, SECOND, START, Router, fleet, settings
 
 from applehub import interface as api
 from applehub.policy import Balancer
@@ -184,6 +184,16 @@
     assert any(isinstance(action, api.Send) for action in actions)
 
 
+def test_a_cache_server_that_is_listed_as_the_origin_now_is_no_cache() -> None:
+    """Drawn lists: the last cache server became the origin while it was cold, and a request for one of its
+    keys divided by no servers. A warm one was asked as a cache for as long as keys take up a list."""
+    for since in (START - SECOND, 0):
+        router = Router(members=[api.Member("c0", since=since)])
+        router.tell(api.Members(api.ListKind.DELTA, [api.Member("c0", kind=ORIGIN_KIND, since=since)]))
+        name, actions = router.ask("k")
+        assert actions == [api.Refuse(name)]
+
+
 def test_evidence_of_a_sick_origin_is_kept_until_there_is_enough() -> None:
     """Full size: one of 400 routers sees a likely miss in two seconds, never two within one period."""
     monitor = Monitor(SECOND // 2)
