--- a/applehub/policy/roster.py
+++ b/applehub/policy/roster.py
@@ -162,9 +162,7 @@
         if entry.state is api.State.GONE:
             gone = self.servers.pop(entry.server, None)
             if gone is not None:
-                if self.kind(gone).least is gone:
-                    self.kind(gone).least = None
-                gone.member = entry
+                gone.member, gone.listed = entry, entry.state
             return
         server = self.servers.get(entry.server)
         if server is None:
@@ -176,9 +174,10 @@
         elif entry.since > server.member.since:
             self._chill(server, max(server.cold_since, entry.since))
             server.fails = 0
-        if entry.kind != server.member.kind:
-            self.kind(server).least = None
+        moved = entry.kind != server.member.kind
         server.member = entry
+        if moved and server.base:
+            self.kind(server).note(server)
         self._set_state(server, entry.state)
 
     def _chill(self, server: Server, since: int) -> None:
@@ -239,6 +238,7 @@
             server = self.servers.get(name)
             if server is not None and not server.base and part > 0 and server.cold_since <= max(0, since):
                 server.latency, server.base, server.held = seen.latency, seen.base, seen.held
+                self.kind(server).note(server)
                 server.share = 1 + (seen.share - 1) * part
 
     def put_out(self, name: str, own: int) -> bool:
@@ -298,7 +298,7 @@
         elapsed = turn.shortest_aim if full else event.elapsed  # a quick "full" proves no quick server
         if full or status in (api.Status.OK, api.Status.TIMEOUT) or (missed and server.trial):
             server.learn(now, 2 * turn.shortest_aim, elapsed, server.out + 1, full)
-            self.kind(server).learned(server, self.servers.values())
+            self.kind(server).learned(server)
         if full or missed or status in (api.Status.OK, api.Status.TIMEOUT):
             # Guards against a router that sees little of a server: who waits there tells what others send.
             slow = elapsed > turn.shortest_aim // 2
--- a/applehub/policy/servers.py
+++ b/applehub/policy/servers.py
@@ -1,13 +1,14 @@
 """What one router has seen of one server, and of all servers of a kind."""
 
-from collections.abc import Iterable
 from dataclasses import dataclass, field
+from heapq import heappop, heappush
 
 from applehub import interface as api
 from applehub.policy.rates import SECOND, SMOOTHING, Bank, weight_of
 
 SLOW = 3 / 4  # part of a request's aim past which an answer is slow and its server swamped
 NEAR_LIMIT = 2  # times its uncrowded answer time from which on a server is near what it bears
+HEAP_LEAST = 64  # entries that a heap may hold before it is looked through
 KIND_STEP = 1 / 16  # part of a kind's share that a slow answer of one of its servers takes
 
 
@@ -16,24 +17,39 @@
     """What this router has seen of all servers of one kind: of each alone it may see too little."""
 
     uncrowded: float = 0.0  # the least answer time of one of them, ns
-    least: "Server | None" = None  # whose that is, as far as it is known
     share: float = 1.0  # the part of an equal range that one of them bears
+    # Of all of them, with numbers as servers have no order; what no longer holds goes as it comes to the top.
+    heap: "list[tuple[float, int, Server, int]]" = field(default_factory=list)
+    pushed: int = 0
+    most: int = HEAP_LEAST  # entries; past it all that no longer holds goes
 
     def bear(self, slow: bool) -> None:
         """As a server's own share, in smaller steps, since many answers of each jam come here."""
         self.share = min(self.share + KIND_STEP / 4, 1.0) if not slow else self.share * (1 - KIND_STEP)
         self.share = max(self.share, SMOOTHING)
 
-    def learned(self, server: "Server", all_servers: Iterable["Server"]) -> None:
-        """Takes up a server's new answer time when uncrowded. Guards a large fleet's processor time: all are
-        looked through only when the one with the least has grown slower, or is gone."""
-        if self.least is None or (server is self.least and server.base > self.uncrowded):
-            kind = server.member.kind
-            alike = (one for one in all_servers if one.base and one.member.kind == kind)
-            self.least = min(alike, key=lambda one: one.base)
-        elif server.base < self.uncrowded:
-            self.least = server
-        self.uncrowded = self.least.base
+    def note(self, server: "Server") -> None:
+        """Takes note of a server's answer time when uncrowded, at each change of it. Guards a large fleet's
+        processor time: a heap gives the least, and servers are not looked through for it."""
+        self.pushed += 1
+        heappush(self.heap, (server.base, self.pushed, server, server.member.kind))
+        if len(self.heap) > self.most:
+            latest = {id(entry[2]): entry for entry in self.heap if self._holds(entry)}
+            self.heap = sorted(latest.values())
+            self.most = 2 * len(self.heap) + HEAP_LEAST
+
+    def learned(self, server: "Server") -> None:
+        """Takes up a server's new answer time when uncrowded."""
+        self.note(server)
+        while not self._holds(self.heap[0]):
+            heappop(self.heap)
+        self.uncrowded = self.heap[0][0]
+
+    @staticmethod
+    def _holds(entry: "tuple[float, int, Server, int]") -> bool:
+        """Whether that is still so, of a server that is listed and of the kind."""
+        base, _, server, kind = entry
+        return base == server.base and server.member.kind == kind and server.listed is not api.State.GONE
 
 
 @dataclass(slots=True, eq=False)
--- a/tests/test_dealing.py
+++ b/tests/test_dealing.py
@@ -114,3 +114,43 @@
     lists = [names for _, names in roster.ranges.deals]
     assert all(one is not other for one, other in pairwise(lists))  # none that was dealt is changed
     assert [len(names) for names in lists if names] == [servers, servers - 1, servers]
+
+
+def least_of(router: Router, kind: int) -> float:
+    """The least answer time when uncrowded of the listed servers of a kind, all looked through."""
+    servers = router.balancer.roster.servers.values()
+    return min((one.base for one in servers if one.base and one.member.kind == kind), default=0.0)
+
+
+@pytest.mark.parametrize("servers", [2, 16, 200])
+def test_the_least_answer_time_of_a_kind_is_that_of_the_servers_listed_now(servers: int) -> None:
+    """Servers come and go, change their kind, and are known from a process that ran before."""
+    draw = random.Random(servers)
+    router = Router(members=fleet(servers))
+    roster = router.balancer.roster
+    seen = {f"c{number}": api.Seen(8.0 * MILLI, draw.uniform(4, 8) * MILLI, 1.0, 1.0) for number in range(3)}
+    router.tell(api.Learnt(0, seen))
+    for number in range(2000):
+        router.wait(10 * MILLI)
+        _, actions = router.ask(f"k{draw.randrange(50)}")
+        for send in actions:
+            if isinstance(send, api.Send):
+                router.end(send, api.Status.OK, elapsed=int(draw.expovariate(0.1) * MILLI) + MILLI)
+                kind = roster.servers[send.server].member.kind
+                assert roster.kinds[kind].uncrowded == least_of(router, kind)
+        if number % 5 == 0:
+            router.tell(api.Members(api.ListKind.DELTA, [drawn_entry(draw, servers)]))
+        assert all(len(kind.heap) <= 4 * servers + 128 for kind in roster.kinds.values())
+
+
+def test_an_answer_looks_at_no_server_but_its_own() -> None:
+    """At 3,200 servers a third of a request's processor time went into the least answer time of a kind."""
+    router = Router(members=fleet(3200))
+    roster = router.balancer.roster
+    roster.servers = counted = Counted(roster.servers)
+    asked = 400
+    for number in range(asked):
+        _, (send,) = router.ask(f"k{number % 7}")
+        assert isinstance(send, api.Send)
+        router.end(send, api.Status.OK, elapsed=(10 + number) * MILLI)
+    assert counted.seen <= 10 * asked
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -960,7 +960,7 @@
     for _ in range(500):
         one = draw.choice(servers[::2])
         one.base = draw.uniform(1, 9)
-        kind.learned(one, servers)
+        kind.learned(one)
         assert kind.uncrowded == min(other.base for other in servers[::2] if other.base)
 
 
