--- a/applehub/registry/__main__.py
+++ b/applehub/registry/__main__.py
@@ -13,7 +13,7 @@
 
 import click
 
-from applehub.events import Event, Writer
+from applehub.events import EventKind, EventWriter
 from applehub.registry.config import Config, load
 from applehub.registry.descriptors import allow_callers
 from applehub.registry.errors import ConfigError, StoreError, StoreRefusedError
@@ -66,7 +66,7 @@
     return None
 
 
-async def serve(config: Config, path: Path, events: Writer) -> None:
+async def serve(config: Config, path: Path, events: EventWriter) -> None:
     """Runs until it is to stop. Raises StoreError, and OSError where it can't listen."""
     loop = asyncio.get_running_loop()
     stopping = asyncio.Event()
@@ -79,7 +79,7 @@
     loop.add_signal_handler(signal.SIGHUP, reload, path, service, events)
     await host.start()
     listen, staff = await service.start()
-    events.say(Event.READY, address=listen, staff=staff, version=host.endpoints.version)
+    events.write(EventKind.READY, address=listen, staff=staff, version=host.endpoints.version)
     host.failed.add_done_callback(lambda _: stopping.set())
     await stopping.wait()
     await service.stop()
@@ -88,16 +88,16 @@
         host.failed.result()
 
 
-def reload(path: Path, service: Service, events: Writer) -> None:
+def reload(path: Path, service: Service, events: EventWriter) -> None:
     """Takes up a file that is of use; one that is not changes nothing."""
     try:
         config = load(path)
     except ConfigError as problem:
-        events.say(Event.RELOADED, taken=False, why=str(problem))
+        events.write(EventKind.CONFIG_RELOADED, taken=False, why=str(problem))
         return
     allow_callers(config.limits.callers)
     service.retune(config)
-    events.say(Event.RELOADED, taken=True)
+    events.write(EventKind.CONFIG_RELOADED, taken=True)
 
 
 @click.command()
@@ -111,11 +111,11 @@
     except ConfigError as problem:
         click.echo(str(problem), err=True)
         sys.exit(CONFIG_OF_NO_USE)
-    events = Writer(sys.stdout.buffer, config.name, 0)
+    events = EventWriter(sys.stdout.buffer, config.name, 0)
     try:
         asyncio.run(serve(config, file, events))
     except StoreError as problem:
-        events.say(Event.DAMAGED, why=str(problem))
+        events.write(EventKind.STORE_DAMAGED, why=str(problem))
         click.echo(str(problem), err=True)
         sys.exit(DISK_OF_NO_USE)
     except OSError as problem:
--- a/applehub/registry/lease_watch.py
+++ b/applehub/registry/lease_watch.py
@@ -4,7 +4,7 @@
 import logging
 import time
 
-from applehub.events import Event, Writer
+from applehub.events import EventKind, EventWriter
 from applehub.registry.commands import RemoveSuspects, SetSuspect
 from applehub.registry.config import Leases
 from applehub.registry.errors import NotLeaseHolderError
@@ -17,7 +17,7 @@
 class LeaseWatch:
     """Checks the leases again and again."""
 
-    def __init__(self, config: Leases, host: Host, events: Writer) -> None:
+    def __init__(self, config: Leases, host: Host, events: EventWriter) -> None:
         """This replica leads nobody yet."""
         self.leases = ServerLeases(config.brake_part, config.brake_least)
         self._config = config
@@ -39,8 +39,8 @@
             is_lease_holder = self._host.is_lease_holder()
             if is_lease_holder is not self._was_lease_holder:
                 self._was_lease_holder = is_lease_holder
-                event = Event.LEADS if is_lease_holder else Event.FOLLOWS
-                self._events.say(event, term=self._host.replica.term)
+                event = EventKind.LEADERSHIP_WON if is_lease_holder else EventKind.LEADERSHIP_LOST
+                self._events.write(event, term=self._host.replica.term)
                 if is_lease_holder:
                     self.leases.begin(now, self._host.endpoints.entries)
             if is_lease_holder:
@@ -50,7 +50,7 @@
         braked = self.leases.braked
         suspect, gone, recovered = self.leases.check(now, self._host.endpoints.entries)
         if self.leases.braked is not braked:
-            self._events.say(Event.BRAKE, on=self.leases.braked)
+            self._events.write(EventKind.EXPIRY_PAUSED, on=self.leases.braked)
         try:
             if suspect:
                 await self._host.propose(SetSuspect(on=True, uids=tuple(suspect)))
--- a/applehub/registry/list_api.py
+++ b/applehub/registry/list_api.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from applehub.events import Event, Writer
+from applehub.events import EventKind, EventWriter
 from applehub.registry.admission import Admission
 from applehub.registry.answers import AnswerCache
 from applehub.registry.config import Config
@@ -32,7 +32,7 @@
 class ListApi:
     """Answers routers."""
 
-    def __init__(self, config: Config, host: Host, events: Writer, metrics: Metrics) -> None:
+    def __init__(self, config: Config, host: Host, events: EventWriter, metrics: Metrics) -> None:
         """Nobody has called. Needs a running event loop."""
         self.host = host
         self.watchers = Watchers()
@@ -73,7 +73,7 @@
                 self._metrics.calls.labels("malformed").inc()
                 return web.Response(status=400, text="expected from and hold_ms to be whole numbers\n")
             if self._config.log_calls:
-                self._events.say(Event.LIST_ASKED, router=call.name, since=call.since)
+                self._events.write(EventKind.LIST_POLLED, router=call.name, since=call.since)
             rejected = await self._await_turn(call)
             return rejected if rejected is not None else await self._answer(request, call)
         finally:
@@ -141,7 +141,11 @@
             return response
         self._metrics.calls.labels("whole" if answer.complete else "changes").inc()
         if self._config.log_calls:
-            self._events.say(
-                Event.TOLD, router=call.name, version=version, whole=answer.complete, states=answer.states
+            self._events.write(
+                EventKind.LIST_SENT,
+                router=call.name,
+                version=version,
+                whole=answer.complete,
+                states=answer.states,
             )
         return response
--- a/applehub/registry/service.py
+++ b/applehub/registry/service.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from applehub.events import Event, Writer
+from applehub.events import EventKind, EventWriter
 from applehub.node.discovery import read_endpoint
 from applehub.registry.admin_api import AdminApi
 from applehub.registry.config import Config
@@ -25,7 +25,7 @@
 class Service:
     """One replica's two addresses."""
 
-    def __init__(self, config: Config, host: Host, events: Writer) -> None:
+    def __init__(self, config: Config, host: Host, events: EventWriter) -> None:
         """Takes up the host's list. Needs a running event loop."""
         self.config = config
         self.host = host
@@ -92,6 +92,8 @@
             for change in endpoints.changes:
                 if change.version > self._version and change.uid in endpoints.entries:
                     state = endpoints.entries[change.uid].state
-                    self.events.say(Event.LISTED, version=change.version, server=change.uid, state=state)
+                    self.events.write(
+                        EventKind.LIST_CHANGED, version=change.version, server=change.uid, state=state
+                    )
         self._version = endpoints.version
         self.list_api.watchers.wake()
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -14,7 +14,7 @@
 from click.testing import CliRunner
 from registry_group import Group
 
-from applehub.events import Event, Writer, read
+from applehub.events import EventKind, EventWriter, read_events
 from applehub.lab.__main__ import main
 from applehub.lab.fleet.ground import claim_block
 from applehub.registry import wire
@@ -245,7 +245,7 @@
         HostOptions(0, max_changes=100, compact_after=3), ReplicaStore(config.state_dir)
     )  # cuts its log every third entry
     out = (tmp_path / "events").open("wb")
-    service = Service(config, host, Writer(out, "a", 0))
+    service = Service(config, host, EventWriter(out, "a", 0))
     await host.start()
     listen, staff = await service.start()
     body = {"endpoint": "127.0.0.1:1", "az": "a", "model": "m", "endpoints": {"v": "127.0.0.1:2"}}
@@ -337,8 +337,8 @@
     await host.stop()
     out.close()
     assert host.replica.snapshot.last_index > 0
-    kinds = [one.event for one in read(tmp_path / "events")]
-    assert {Event.LEADS, Event.LISTED, Event.BRAKE} <= set(kinds)
+    kinds = [one.event for one in read_events(tmp_path / "events")]
+    assert {EventKind.LEADERSHIP_WON, EventKind.LIST_CHANGED, EventKind.EXPIRY_PAUSED} <= set(kinds)
 
 
 @pytest.fixture
