--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -10,6 +10,7 @@
 
 
 def addresses(path: Path) -> list[str]:
+    """The addresses of a file's READY events."""
     return [one.fields["address"] for one in read_events(path)]
 
 
@@ -34,6 +35,7 @@
 
 
 def test_what_a_file_refuses_for_long_is_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A full file and 100 lines: the first are held and written later, the others are dropped and counted."""
     monkeypatch.setattr("applehub.events.MOST_HELD", 1_000)
     path = tmp_path / "events.jsonl"
     with SystemCallFaults(SystemCallFault("write", "ENOSPC", path=str(path))) as faults:
@@ -51,6 +53,7 @@
 def test_a_writer_that_follows_a_killed_one_does_not_join_its_line_to_half_a_line(
     tmp_path: Path, length: int
 ) -> None:
+    """A file that ends in half a line, of up to several blocks: it is cut off, and the next line is whole."""
     path = tmp_path / "events.jsonl"
     writer = EventWriter(path, "me", 1)
     writer.write(EventKind.READY, address="a")
@@ -64,6 +67,7 @@
 
 
 def test_a_file_that_holds_half_a_line_alone_is_begun_anew(tmp_path: Path) -> None:
+    """A file without a whole line: nothing of it stays."""
     path = tmp_path / "events.jsonl"
     path.write_bytes(b'{"mono":1')
     writer = EventWriter(path, "me", 1)
@@ -73,6 +77,7 @@
 
 
 def test_a_stream_gets_each_line_at_once() -> None:
+    """A stream in memory: the line is there after `write`."""
     stream = BytesIO()
     EventWriter(stream, "me", 1).write(EventKind.READY, address="a")
     assert stream.getvalue().endswith(b"}\n") and b'"address":"a"' in stream.getvalue()
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -40,6 +40,7 @@
 
 @pytest.fixture
 def plan(tmp_path: Path) -> Path:
+    """The file of a plan: five units in two zones, a canary and the rest."""
     file = tmp_path / "plan.toml"
     file.write_text(PLAN)
     return file
@@ -47,6 +48,7 @@
 
 @pytest.mark.parametrize("back_on_halt", [False, True])
 def test_every_order_of_steps_crashes_and_lost_messages_keeps_the_rules(back_on_halt: bool) -> None:
+    """All transitions of the model to a depth of 8, with one failed step and one crash: no violation."""
     model = ModelChecker(ModelRules(), FaultBudget(1, 1), rollback_on_halt=back_on_halt)
     model.explore(depth=8)
     assert model.violations == [] and model.states > 1_500 and model.deepest == 8
@@ -61,12 +63,15 @@
 
 
 def test_orders_that_go_out_before_their_record_is_kept_are_found() -> None:
+    """A controller that sends orders of a refused record: the checker finds a violation."""
     model = ModelChecker(ModelRules(waits_for_disk=False), FaultBudget(1, 1, 1))
     model.explore(depth=14, max_states=9_000)
     assert model.violations, model.states
 
 
 class TwoZones(ReleaseStateMachine):
+    """A mutant: begins units as if all were in one zone."""
+
     def _begin_units(self, now: float, waiting: list[str], version: str, capacity: int | None) -> list[Order]:
         zones = {name: unit.zone for name, unit in self.record.units.items()}
         for unit in self.record.units.values():
@@ -78,6 +83,8 @@
 
 
 class BeginsHalted(ReleaseStateMachine):
+    """A mutant: begins units while the release is halted."""
+
     def tick(self, now: float, healthy: bool = True, capacity: int | None = None) -> list[Order]:
         halted = self.record.mode is ReleaseMode.HALTED
         self.record.mode = ReleaseMode.RUNNING if halted else self.record.mode
@@ -87,6 +94,8 @@
 
 
 class Forgets(ReleaseStateMachine):
+    """A mutant: a controller that starts forgets the orders without an outcome."""
+
     def resend_pending(self, now: float) -> list[Order]:
         for unit in self.record.units.values():
             unit.order_number = 0
@@ -94,6 +103,7 @@
 
 
 def restarts_numbers(record: ReleaseRecord) -> None:
+    """A mutant: a crash has the numbers of orders begin anew."""
     record.last_order_number = 0
 
 
@@ -109,12 +119,14 @@
     ids=["two zones", "begins while halted", "forgets what is out", "no fencing", "numbers begin anew"],
 )
 def test_each_mutant_is_found(mutant: ModelRules, crashes: int) -> None:
+    """A state machine, or agents, with one fault: the checker finds a violation."""
     model = ModelChecker(mutant, FaultBudget(crashes, crashes))
     model.explore(depth=14, max_states=9_000)
     assert model.violations, model.states
 
 
 def test_a_plan_of_no_use_tells_every_fault_of_it(plan: Path) -> None:
+    """Unknown keys, duplicates, units in no stage: each fault is named, and the command ends with 2."""
     plan.write_text("more = 1\n" + PLAN)
     with pytest.raises(PlanError, match="more"):
         load_plan(plan)
@@ -128,11 +140,13 @@
 
 
 def call(*words: str) -> tuple[int, str]:
+    """Runs a command of `python -m applehub.release`; its exit status and output."""
     done = CliRunner().invoke(main, list(words))
     return done.exit_code, done.output
 
 
 def test_a_version_that_never_comes_up_is_halted_and_returned(plan: Path, tmp_path: Path) -> None:
+    """A unit whose new version fails: halted with 3, rolled back by staff, tried again with --again alone."""
     state = ["--state", str(tmp_path / "state")]
     code, said = call("rehearse", str(plan), *state, "--pace", "5000", "--broken", "c2")
     assert code == 3 and "c2: admit failed 2 times" in said and "on the way" not in said
@@ -145,6 +159,7 @@
 
 
 def test_a_controller_killed_between_any_two_steps_does_none_twice(plan: Path, tmp_path: Path) -> None:
+    """A rehearsal killed at 12 of its events, then completed: each step has a number of its own."""
     state = tmp_path / "state"
     words = [sys.executable, "-m", "applehub.release", "rehearse", str(plan), "--state", str(state), "--pace"]
     events = state / "events.jsonl"
@@ -230,6 +245,7 @@
 
 
 def gate(plan: Path) -> tuple[HealthGates, ReleaseRecord]:
+    """Gates over five units, c0 of the new version, with no wait for a baseline."""
     record = new_record(load_plan(plan))
     record.units["c0"].version = "1.8"
     return HealthGates(GateSettings(before_s=0.0), record), record
@@ -242,6 +258,7 @@
 
 
 def test_silence_missing_metrics_and_costs_halt_what_the_old_version_does_not_share(plan: Path) -> None:
+    """A new unit that is silent, lacks metrics or costs more halts; what all units suffer holds at most."""
     gates, record = gate(plan)
     whole: dict[str, LoadReport | None] = {name: report(1) for name in record.units}
     assert gates.evaluate(1.0, whole) == Verdict("", "", 3)
@@ -269,6 +286,7 @@
 
 
 def test_a_controller_that_was_killed_goes_on_watching_where_it_was(plan: Path) -> None:
+    """Three controllers one after another, of two polls each: the record adds up the time watched."""
     record = new_record(load_plan(plan))
     codec = RecordCodec(SystemClock())
     held = []
@@ -283,6 +301,7 @@
 
 
 def test_no_room_holds_a_release_up_and_a_way_back_but_little(plan: Path) -> None:
+    """Without capacity or health no unit is begun; a rollback completes the unit that is out."""
     machine = ReleaseStateMachine(new_record(load_plan(plan)))
     assert machine.tick(0.0, True, 0) == [] and machine.tick(0.0, False, 5) == []
     assert [order.unit for order in machine.tick(0.0, True, 5)] == ["c0"]
--- a/tests/test_release_disk.py
+++ b/tests/test_release_disk.py
@@ -166,6 +166,7 @@
 async def test_requests_that_come_between_two_looks_are_carried_out_in_their_order_and_once(
     tmp_path: Path,
 ) -> None:
+    """`back` and `resume` between two polls, of which one can't read them: both are carried out, once."""
     state, clock, machine = tmp_path / "state", SteppedClock(), ObedientMachine(["u0", "u1"])
     async with running_agent(machine, tmp_path / "agent") as (_, address):
         async with controlling(state, make_plan(), clock, address) as controller:
@@ -200,6 +201,7 @@
 
 
 def test_a_request_that_the_disk_refuses_is_no_acknowledgement(tmp_path: Path) -> None:
+    """`halt` on a full disk: exit status 2, a text that says so, and the record as it was."""
     state = tmp_path / "state"
     folder = ReleaseFolder(state)
     folder.begin(make_plan(), False)
@@ -231,6 +233,7 @@
 
 @pytest.mark.parametrize("call", ["open", "read"])
 def test_a_start_waits_while_the_disk_refuses(tmp_path: Path, call: SystemCall) -> None:
+    """The folder can't be read seven times: it is opened after waits that double from 0.1 s."""
     waits: list[float] = []
     folder = ReleaseFolder(tmp_path)
     folder.begin(make_plan(), False)
@@ -244,6 +247,7 @@
 
 
 def test_a_start_in_a_folder_of_no_use_does_not_wait(tmp_path: Path) -> None:
+    """A file in the folder's place: an error at once."""
     (tmp_path / "file").touch()
     with pytest.raises(FileExistsError):
         when_disk_permits(lambda: ReleaseFolder(tmp_path / "file"), lambda _: pytest.fail("it waits"))
@@ -294,6 +298,7 @@
 
 
 async def test_a_known_order_is_answered_while_the_disk_refuses(tmp_path: Path) -> None:
+    """An order that is known, with the same fence: 200. With a higher fence, which can't be stored: 503."""
     machine = ObedientMachine(["u0"])
     async with (
         running_agent(machine, tmp_path / "agent") as (agent, address),
@@ -342,6 +347,7 @@
 
 
 async def test_an_agent_killed_before_its_outcome_is_kept_carries_the_step_out_again(tmp_path: Path) -> None:
+    """An agent ends while its disk refuses an outcome: the next one executes the step again."""
     machine, waits = ObedientMachine(["u0"]), asyncio.Queue[float]()
     faults = SystemCallFaults(SystemCallFault("fsync", "EIO", path=str(tmp_path / "agent")))
     machine.check = lambda order: faults.install()
@@ -362,6 +368,7 @@
 
 
 async def test_the_memory_of_an_agent_of_the_version_before_is_read(tmp_path: Path) -> None:
+    """An agent's memory of 0447801, one order done and one under way: read, and encoded as it was."""
     folder = Path(shutil.copytree(STORED / "agent", tmp_path / "agent"))
     store = Store(Folder(str(folder)), "orders", FORMAT_VERSION)
     before = store.load().value
@@ -376,6 +383,7 @@
 
 
 async def test_events_that_the_disk_refuses_hold_no_release_up(tmp_path: Path) -> None:
+    """The events' file is full during a whole release: it is done, and the events are there in the end."""
     state, clock, machine = tmp_path / "state", SteppedClock(), ObedientMachine(["u0"])
     async with running_agent(machine, tmp_path / "agent") as (_, address):
         with SystemCallFaults(SystemCallFault("write", "ENOSPC", path=f"{state}/events")) as faults:
@@ -388,6 +396,7 @@
 
 
 async def test_reading_a_release_leaves_a_line_alone_that_is_being_written(tmp_path: Path) -> None:
+    """`status` beside a controller in the middle of a line: the line stays."""
     state = tmp_path / "state"
     folder = ReleaseFolder(state)
     folder.begin(make_plan(), False)
--- a/tests/test_release_messages.py
+++ b/tests/test_release_messages.py
@@ -28,6 +28,7 @@
 
 
 def test_messages_have_the_forms_that_agents_and_controllers_of_the_version_before_speak() -> None:
+    """An order and a status, encoded and decoded, against their JSON."""
     message = OrderMessage("r", 3, Order("u0", Step.DRAIN, "1.8", 7))
     assert message.encode() == ORDER and OrderMessage.decode(ORDER) == message
     units = {
@@ -39,6 +40,7 @@
 
 @pytest.mark.parametrize("content", [b"", b"{}", b"[]", ORDER.replace(b"drain", b"dance")])
 def test_an_order_that_makes_no_sense_is_a_message_error(content: bytes) -> None:
+    """Bodies that are no order: MessageError."""
     with pytest.raises(MessageError):
         OrderMessage.decode(content)
 
--- a/tests/test_release_time.py
+++ b/tests/test_release_time.py
@@ -45,6 +45,7 @@
 async def test_a_stage_is_watched_for_its_time_whatever_the_wall_clock_does(
     tmp_path: Path, step_s: float
 ) -> None:
+    """The wall clock is stepped 10 s into a watch of 20 s: it ends after 20 s all the same."""
     clock, machine = SteppedClock(), ObedientMachine(["u0", "u1"])
     async with (
         running_agent(machine, tmp_path / "agent") as (_, address),
@@ -66,6 +67,7 @@
 async def test_an_order_without_an_answer_is_sent_again_after_its_time(
     tmp_path: Path, step_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The wall clock is stepped 30 s into a wait of 60 s: the same order is sent after 60 s, not before."""
     clock, sent = SteppedClock(), []
     async with controlling(tmp_path / "state", make_plan(1), clock, "127.0.0.1:1") as controller:
 
@@ -87,6 +89,7 @@
 
 @pytest.mark.parametrize("step_s", WALL_STEPS)
 async def test_the_lock_is_held_for_its_lease_and_no_longer(tmp_path: Path, step_s: float) -> None:
+    """The wall clock is stepped within the lease: it covers 7.2 s of 8, and no order is sent after them."""
     clock, machine = SteppedClock(), ObedientMachine(["u0"])
     async with (
         running_agent(machine, tmp_path / "agent") as (_, address),
@@ -171,6 +174,7 @@
 
 @pytest.mark.parametrize("step_s", WALL_STEPS)
 def test_a_controller_that_follows_on_the_same_machine_goes_on_with_the_watch(step_s: float) -> None:
+    """A record stored when a watch of 20 s began, read 15 s later: the watch ends after 5 s more."""
     clock = SteppedClock()
     stored = RecordCodec(clock).encode(watched_record(clock))
     clock.reading += 15.0
@@ -191,6 +195,7 @@
     ids=["restarted, up for longer", "restarted", "unknown", "a reading that lies ahead"],
 )
 def test_a_watch_by_a_clock_that_can_not_be_compared_begins_anew(identity: str, reading: float) -> None:
+    """A record of another boot, or with a reading from the future: the watch takes its 20 s once more."""
     first = SteppedClock()
     stored = RecordCodec(first).encode(watched_record(first))
     clock = SteppedClock(identity, reading)
@@ -206,6 +211,7 @@
 
 
 def test_a_clock_that_can_not_be_identified_is_comparable_with_none() -> None:
+    """A machine without a boot id: no reading is taken over, not even its own."""
     clock = SteppedClock(identity="")
     assert RecordCodec(clock).decode(RecordCodec(clock).encode(watched_record(clock))).watch_started is None
     assert ScaledClock(clock, 60.0).identity == ""
@@ -223,6 +229,7 @@
 
 
 def test_the_system_clock_does_not_follow_the_wall_clock(monkeypatch: pytest.MonkeyPatch) -> None:
+    """`time.time` returns 1: the clock of the waits goes on, and its identity stays."""
     clock, before = SystemClock(), SystemClock().now()
     monkeypatch.setattr("time.time", lambda: 1.0)
     assert clock.unix_time() == 1.0 and before <= clock.now() < before + 60.0
@@ -234,10 +241,12 @@
 
 
 def stored_folder(tmp_path: Path, name: str) -> Path:
+    """A copy of a folder that the version before wrote."""
     return Path(shutil.copytree(STORED / name, tmp_path / name))
 
 
 def test_a_record_that_the_version_before_wrote_is_read_and_its_watch_begins_anew(tmp_path: Path) -> None:
+    """A record in a watch and one with an order under way, both of 0447801: their state is taken over."""
     clock = SteppedClock(offset=1_796_207_300.0 - 5_000.0)  # 7 s after the old controller began to watch
     folder = ReleaseFolder(stored_folder(tmp_path, "watched"), clock=clock)
     record = folder.record
