--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -81,3 +81,11 @@
     stream = BytesIO()
     EventWriter(stream, "me", 1).write(EventKind.READY, address="a")
     assert stream.getvalue().endswith(b"}\n") and b'"address":"a"' in stream.getvalue()
+
+
+def test_events_that_the_version_before_wrote_are_read() -> None:
+    """A file of the release controller of 0447801, of one event."""
+    path = Path(__file__).parent / "stored" / "release_0447801" / "in_flight" / "events.jsonl"
+    (record,) = read_events(path)
+    assert (record.process, record.incarnation, record.event) == ("release", 0, EventKind.RELEASE_MODE)
+    assert record.fields == {"mode": "running", "why": ""} and record.mono < record.wall
