--- a/applehub/lab/fleet/commands.py
+++ b/applehub/lab/fleet/commands.py
@@ -220,6 +220,7 @@
         "requests": len(ends),
         "ended": totals(history, aim),
         "checks": {name: sum(one.check == name for one in broken) for name in CHECKS},
+        "broken": [f"{one.check}: {one.what}" for one in broken],
         "faults": [
             {
                 "kind": one.span.kind, "at_s": round((one.span.begin - history.begin) / 1e9, 2),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -46,12 +46,13 @@
 
 
 def play(*words: str) -> tuple[int, dict[str, int], str]:
-    """Plays on the ground in a process of its own; gives its code, the broken rules by check, what it
-    said."""
+    """Plays on the ground in a process of its own; gives its code, the broken rules by check, and what it
+    said and what broke each."""
     command = [sys.executable, "-m", "applehub.lab", "fleet", *words, "--json"]
     done = subprocess.run(command, env=environment(), capture_output=True, text=True, timeout=300)
     told = orjson.loads(done.stdout) if done.stdout else {"checks": {}}
-    return done.returncode, {name: count for name, count in told["checks"].items() if count}, done.stderr
+    counts = {name: count for name, count in told["checks"].items() if count}
+    return done.returncode, counts, "\n".join([done.stderr, *told.get("broken", [])])
 
 
 def crossing_for_any_machine() -> str:
