--- a/tests/measure_sizes.py
+++ b/tests/measure_sizes.py
@@ -16,6 +16,7 @@
 
 import psutil
 from peers import entry, info
+from popularity_trials import trial
 from support import MILLI, SECOND
 
 from applehub import interface as api
@@ -32,9 +33,11 @@
 
 RUNS = 5
 SERVERS = (16, 200, 1024, 3200)
+SERVERS_OF_KEYS = (16, 300, 1024, 3200)
 MEMBERS = (65, 260, 520, 1024)
 DECISIONS = 5000
 DELTAS = 20
+LATER = 60_000  # requests after a router's first
 TICKS = 100
 MEGABYTE, KILOBYTE = 1 << 20, 1 << 10
 Measured = dict[str, float]
@@ -118,6 +121,18 @@
     return {"a request and its answer, us": cost_of(play) / DECISIONS * 1e6}
 
 
+def measure_hot_keys(servers: int) -> Measured:
+    """Requests for hot keys that are found, and requests wrongly taken for such, of five routers."""
+    first, later = trial(servers, LATER, range(1, 6))
+    return {
+        "for hot keys, %": later.hot / later.requests * 100,
+        "found of the first 500, %": first.found_part * 100,
+        "falsely taken of these, %": first.false_part * 100,
+        "found later, %": later.found_part * 100,
+        "falsely taken later, %": later.false_part * 100,
+    }
+
+
 def measure_peers(members: int) -> Measured:
     """What a process holds of its peers, and its ticks; once more with verdicts of as many servers."""
     me = Peer(members, 0, PeerState.ALIVE, bytes(4), 1, "n0")
@@ -158,6 +173,7 @@
     "servers on the list": (SERVERS, lambda size: asyncio.run(measure_list(size))),
     "servers held": (SERVERS, lambda size: asyncio.run(measure_memory(size))),
     "servers decided among": (SERVERS, measure_decisions),
+    "servers that keys are hot for": (SERVERS_OF_KEYS, measure_hot_keys),
     "routers": (MEMBERS, measure_peers),
 }
 
