--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -1,6 +1,7 @@
 """Releases: the controller as a model, its mutants, plans of no use, and a controller that is killed."""
 
 import json
+import os
 import random
 import subprocess
 import sys
@@ -10,6 +11,8 @@
 from click.testing import CliRunner
 
 from applehub.events import EventKind, read_events
+from applehub.lab.fleet.system_call_faults import in_environment, recorded
+from applehub.lab.fleet.system_calls import SystemCall, SystemCallFault
 from applehub.release.__main__ import main
 from applehub.release.clock import SystemClock
 from applehub.release.errors import PlanError
@@ -37,6 +40,7 @@
 
 @pytest.fixture
 def plan(tmp_path: Path) -> Path:
+    """The file of a plan: five units in two zones, a canary and the rest."""
     file = tmp_path / "plan.toml"
     file.write_text(PLAN)
     return file
@@ -44,6 +48,7 @@
 
 @pytest.mark.parametrize("back_on_halt", [False, True])
 def test_every_order_of_steps_crashes_and_lost_messages_keeps_the_rules(back_on_halt: bool) -> None:
+    """All transitions of the model to a depth of 8, with one failed step and one crash: no violation."""
     model = ModelChecker(ModelRules(), FaultBudget(1, 1), rollback_on_halt=back_on_halt)
     model.explore(depth=8)
     assert model.violations == [] and model.states > 1_500 and model.deepest == 8
@@ -58,12 +63,15 @@
 
 
 def test_orders_that_go_out_before_their_record_is_kept_are_found() -> None:
+    """A controller that sends orders of a refused record: the checker finds a violation."""
     model = ModelChecker(ModelRules(waits_for_disk=False), FaultBudget(1, 1, 1))
     model.explore(depth=14, max_states=9_000)
     assert model.violations, model.states
 
 
 class TwoZones(ReleaseStateMachine):
+    """A mutant: begins units as if all were in one zone."""
+
     def _begin_units(self, now: float, waiting: list[str], version: str, capacity: int | None) -> list[Order]:
         zones = {name: unit.zone for name, unit in self.record.units.items()}
         for unit in self.record.units.values():
@@ -75,6 +83,8 @@
 
 
 class BeginsHalted(ReleaseStateMachine):
+    """A mutant: begins units while the release is halted."""
+
     def tick(self, now: float, healthy: bool = True, capacity: int | None = None) -> list[Order]:
         halted = self.record.mode is ReleaseMode.HALTED
         self.record.mode = ReleaseMode.RUNNING if halted else self.record.mode
@@ -84,6 +94,8 @@
 
 
 class Forgets(ReleaseStateMachine):
+    """A mutant: a controller that starts forgets the orders without an outcome."""
+
     def resend_pending(self, now: float) -> list[Order]:
         for unit in self.record.units.values():
             unit.order_number = 0
@@ -91,6 +103,7 @@
 
 
 def restarts_numbers(record: ReleaseRecord) -> None:
+    """A mutant: a crash has the numbers of orders begin anew."""
     record.last_order_number = 0
 
 
@@ -106,12 +119,14 @@
     ids=["two zones", "begins while halted", "forgets what is out", "no fencing", "numbers begin anew"],
 )
 def test_each_mutant_is_found(mutant: ModelRules, crashes: int) -> None:
+    """A state machine, or agents, with one fault: the checker finds a violation."""
     model = ModelChecker(mutant, FaultBudget(crashes, crashes))
     model.explore(depth=14, max_states=9_000)
     assert model.violations, model.states
 
 
 def test_a_plan_of_no_use_tells_every_fault_of_it(plan: Path) -> None:
+    """Unknown keys, duplicates, units in no stage: each fault is named, and the command ends with 2."""
     plan.write_text("more = 1\n" + PLAN)
     with pytest.raises(PlanError, match="more"):
         load_plan(plan)
@@ -125,11 +140,13 @@
 
 
 def call(*words: str) -> tuple[int, str]:
+    """Runs a command of `python -m applehub.release`; its exit status and output."""
     done = CliRunner().invoke(main, list(words))
     return done.exit_code, done.output
 
 
 def test_a_version_that_never_comes_up_is_halted_and_returned(plan: Path, tmp_path: Path) -> None:
+    """A unit whose new version fails: halted with 3, rolled back by staff, tried again with --again alone."""
     state = ["--state", str(tmp_path / "state")]
     code, said = call("rehearse", str(plan), *state, "--pace", "5000", "--broken", "c2")
     assert code == 3 and "c2: admit failed 2 times" in said and "on the way" not in said
@@ -142,6 +159,7 @@
 
 
 def test_a_controller_killed_between_any_two_steps_does_none_twice(plan: Path, tmp_path: Path) -> None:
+    """A rehearsal killed at 12 of its events, then completed: each step has a number of its own."""
     state = tmp_path / "state"
     words = [sys.executable, "-m", "applehub.release", "rehearse", str(plan), "--state", str(state), "--pace"]
     events = state / "events.jsonl"
@@ -153,10 +171,51 @@
         process.kill()
         process.wait()
     assert subprocess.run([*words, "2000"], stdout=subprocess.DEVNULL).returncode == 0
+    assert_each_step_was_ordered_once(state)
+
+
+REFUSED_CALLS: list[tuple[SystemCall, str, int]] = [
+    ("write", "ENOSPC", 1),  # of the first record of all
+    ("open", "EMFILE", 3),
+    ("fsync", "EIO", 2),
+    ("rename", "EIO", 3),
+    ("write", "EIO", 4),
+]
+
+
+def test_a_process_killed_while_its_disk_refuses_its_record_does_no_step_twice(
+    plan: Path, tmp_path: Path
+) -> None:
+    """Each process stores a few records, then half of one; its disk refuses from there on until it is killed.
+    The last one meets a disk that refuses four times, and ends the release."""
+    state = tmp_path / "state"
+    words = [sys.executable, "-m", "applehub.lab.fleet.system_call_faults", "applehub.release", "rehearse"]
+    words += [str(plan), "--state", str(state), "--pace", "2000"]
+    for number, (call_, error, stored) in enumerate(REFUSED_CALLS):
+        record = tmp_path / f"injected-{number}"
+        prefix = f"{state}/release.new"
+        faults = [SystemCallFault("write", short=100, from_call=stored, times=1, path=prefix)]
+        faults += [SystemCallFault(call_, error, from_call=stored, path=prefix)]
+        process = subprocess.Popen(
+            words, env={**os.environ, **in_environment(faults, record)}, stdout=subprocess.DEVNULL
+        )
+        while recorded(record)[call_, error] < 4:  # more than one save makes: it has tried again
+            assert process.poll() is None
+        process.kill()
+        process.wait()
+    faults = [SystemCallFault("fsync", "EIO", from_call=2, times=4, path=str(state))]
+    environment = {**os.environ, **in_environment(faults, tmp_path / "last")}
+    assert subprocess.run(words, env=environment, stdout=subprocess.DEVNULL).returncode == 0
+    assert recorded(tmp_path / "last")["fsync", "EIO"] == 4
+    assert_each_step_was_ordered_once(state)
+
+
+def assert_each_step_was_ordered_once(state: Path) -> None:
+    """The release is done, and each of its 15 steps had a number of its own."""
     record = json.loads(call("status", "--state", str(state), "--json")[1])
     assert record["mode"] == "done" and {unit["version"] for unit in record["units"].values()} == {"1.8"}
     steps: dict[int, set[str]] = {}
-    for one in read_events(events):
+    for one in read_events(state / "events.jsonl"):
         if one.event is EventKind.ORDER_SENT:
             steps.setdefault(one.fields["number"], set()).add(f"{one.fields['unit']} {one.fields['step']}")
     assert all(len(meant) == 1 for meant in steps.values()) and len(steps) == 15
@@ -186,6 +245,7 @@
 
 
 def gate(plan: Path) -> tuple[HealthGates, ReleaseRecord]:
+    """Gates over five units, c0 of the new version, with no wait for a baseline."""
     record = new_record(load_plan(plan))
     record.units["c0"].version = "1.8"
     return HealthGates(GateSettings(before_s=0.0), record), record
@@ -198,6 +258,7 @@
 
 
 def test_silence_missing_metrics_and_costs_halt_what_the_old_version_does_not_share(plan: Path) -> None:
+    """A new unit that is silent, lacks metrics or costs more halts; what all units suffer holds at most."""
     gates, record = gate(plan)
     whole: dict[str, LoadReport | None] = {name: report(1) for name in record.units}
     assert gates.evaluate(1.0, whole) == Verdict("", "", 3)
@@ -225,6 +286,7 @@
 
 
 def test_a_controller_that_was_killed_goes_on_watching_where_it_was(plan: Path) -> None:
+    """Three controllers one after another, of two polls each: the record adds up the time watched."""
     record = new_record(load_plan(plan))
     codec = RecordCodec(SystemClock())
     held = []
@@ -239,6 +301,7 @@
 
 
 def test_no_room_holds_a_release_up_and_a_way_back_but_little(plan: Path) -> None:
+    """Without capacity or health no unit is begun; a rollback completes the unit that is out."""
     machine = ReleaseStateMachine(new_record(load_plan(plan)))
     assert machine.tick(0.0, True, 0) == [] and machine.tick(0.0, False, 5) == []
     assert [order.unit for order in machine.tick(0.0, True, 5)] == ["c0"]
