--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,9 +1,7 @@
-"""The list service: its agreement as a model, its list, its disk, and three processes that are killed."""
+"""The list service: its list, its disk, its HTTP calls, and three processes that are killed."""
 
-import asyncio
 import shutil
 import signal
-import time
 from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
@@ -14,15 +12,13 @@
 from click.testing import CliRunner
 from registry_group import Group
 
-from applehub.events import EventKind, EventWriter, read_events
 from applehub.lab.__main__ import main
 from applehub.lab.fleet.ground import claim_block
 from applehub.registry import wire
 from applehub.registry.actions import Propose, Save, StoredState, Tick
 from applehub.registry.config import parse
-from applehub.registry.endpoint_list import BASE_STEP, EndpointList
+from applehub.registry.endpoint_list import EndpointList
 from applehub.registry.errors import ConfigError, MessageError, StoreError
-from applehub.registry.host import Host, HostOptions
 from applehub.registry.messages import (
     AppendEntries,
     AppendEntriesResponse,
@@ -32,46 +28,11 @@
     RequestVoteResponse,
     Snapshot,
 )
-from applehub.registry.model.explorer import CALM, STARTS, begin, explore, walks
-from applehub.registry.model.grains import CoarseModel, FineModel
-from applehub.registry.model.mutants import MUTANTS
-from applehub.registry.model.state import Bounds
 from applehub.registry.replica import Replica
-from applehub.registry.replica_state import Role, Timing
+from applehub.registry.replica_state import Timing
 from applehub.registry.server_leases import MILLI, SECOND, LeaseChanges, ServerLeases
-from applehub.registry.service import Service
 from applehub.registry.store import ReplicaStore
 
-# Where each mutant shows itself, and how deep the good replica is seen whole from there.
-SHOWN = {
-    "a vote not stored": ("two candidates of one term", Bounds(), 4),
-    "an acknowledgement before the sync": ("nothing", Bounds(), 5),
-    "a stale commit": (
-        "an old leader elected again, each of two with an entry that no other has", CALM, 4,
-    ),
-    "a snapshot over newer entries": ("a snapshot that is still on its way", CALM, 4),
-    "a lease that outlives its clock": ("an answer that is still on its way", CALM, 4),
-}  # fmt: skip
-
-
-@pytest.mark.parametrize("mutant", SHOWN)
-def test_the_model_holds_and_each_mutant_is_found(mutant: str) -> None:
-    start, bounds, depth = SHOWN[mutant]
-    good, (kind, holds_back) = CoarseModel(Replica, bounds), MUTANTS[mutant]
-    found = explore(good, begin(good, STARTS[start]), depth)
-    assert not found.broken and found.depth == depth, found
-    bad = CoarseModel(kind, bounds, holds_back)
-    assert explore(bad, begin(bad, STARTS[start]), depth).broken
-
-
-def test_each_message_crash_and_sync_by_itself() -> None:
-    good = FineModel(Replica, Bounds())
-    found = explore(good, good.first(), 6)
-    assert not found.broken and found.states > 5000
-    deep = Bounds(terms=8, proposals=4, restarts=4, messages=8)
-    assert not walks(FineModel(Replica, deep), 200, 150).broken
-    assert walks(FineModel(Replica, deep, holds_back=False), 200, 150).broken
-
 
 def test_a_group_of_one_agrees_with_itself_once_its_disk_has_it() -> None:
     alone = Replica(0, (0,), Timing(), 0)
@@ -119,7 +80,7 @@
     assert again == held and again.apply(put("b", lease_ms=9)) == held.apply(put("b", lease_ms=9))
 
 
-def test_leases_run_out_but_never_most_of_them_at_once() -> None:
+def test_leases_expire_but_never_most_of_them_at_once() -> None:
     held = EndpointList(max_changes=100)
     for number in range(10):
         held.apply(put(f"s{number}"))
@@ -153,7 +114,7 @@
 ]
 
 
-def test_the_disk_gives_back_what_was_saved(tmp_path: Path) -> None:
+def test_what_was_saved_is_loaded(tmp_path: Path) -> None:
     store = ReplicaStore(tmp_path)
     assert store.load() == StoredState()
     store.save(SAVES[:2])
@@ -200,7 +161,7 @@
     assert refused
 
 
-def test_messages_come_back_and_others_are_turned_down() -> None:
+def test_messages_are_read_as_they_were_written_and_malformed_lines_rejected() -> None:
     for message in (
         RequestVote(3, True, 7, 2),
         RequestVoteResponse(3, False, True),
@@ -219,7 +180,7 @@
             wire.decode(line)
 
 
-def test_a_file_of_no_use_tells_every_fault() -> None:
+def test_a_configuration_of_no_use_names_every_fault() -> None:
     with pytest.raises(ConfigError) as told:
         parse(
             "x.toml",
@@ -230,7 +191,7 @@
         assert key in said
 
 
-def test_watchers_hear_of_every_change_from_the_service_and_from_its_stand_in() -> None:
+def test_watchers_are_notified_of_every_change_by_the_service_and_by_its_stand_in() -> None:
     words = ["lists", "--servers", "5", "--watchers", "12", "--changes", "4", "--json"]
     result = CliRunner().invoke(main, words)
     assert result.exit_code == 0, result.output
@@ -239,108 +200,6 @@
     assert all(one["together"] > 0 and 0 < one["told_p50"] <= one["told_p99"] for one in rows)
 
 
-async def test_writers_staff_and_watchers_of_one_replica(tmp_path: Path) -> None:
-    config = parse("x", {"name": "a", "state_dir": str(tmp_path / "a"), "leases": {"look_ms": 20}})
-    host = Host(
-        HostOptions(0, max_changes=100, compact_after=3), ReplicaStore(config.state_dir)
-    )  # cuts its log every third entry
-    out = (tmp_path / "events").open("wb")
-    service = Service(config, host, EventWriter(out, "a", 0))
-    await host.start()
-    listen, staff = await service.start()
-    body = {"endpoint": "127.0.0.1:1", "az": "a", "model": "m", "endpoints": {"v": "127.0.0.1:2"}}
-    async with asyncio.timeout(60), aiohttp.ClientSession() as session:
-
-        async def ask(method: str, path: str, body: object = None) -> tuple[int, Any]:
-            async with session.request(method, f"http://{staff}{path}", json=body) as answer:
-                return answer.status, await answer.json()
-
-        async def targets(query: str = "") -> tuple[int, Any]:
-            async with session.get(f"http://{listen}/api/targets{query}") as answer:
-                return answer.status, await answer.json() if answer.status == 200 else None
-
-        while not host.is_lease_holder():
-            await asyncio.sleep(0.01)
-        assert await targets() == (200, {"rev": 0, "all": True, "targets": []})
-        status, told = await ask("PUT", "/v1/servers/s", body)
-        first = told["entry"]
-        assert status == 200 and first >= BASE_STEP
-        assert await ask("PUT", "/v1/servers/s?expected=0", body) == (200, told)  # the same again
-        assert (await ask("PUT", "/v1/servers/s?expected=0", {**body, "az": "b"}))[0] == 409
-        assert (await ask("PUT", "/v1/servers/s?expected=x", body))[0] == 400
-        status, told = await ask("PUT", "/v1/servers/s", {"endpoint": "x", "more": 1})
-        assert status == 400 and [one["key"] for one in told["faults"]] == ["endpoint", "az", "model", "more"]
-        for path, wrong in (("s/state", {"state": "Ill"}), ("s/state", [])):
-            assert (await ask("POST", f"/v1/servers/{path}", wrong))[0] == 400
-        for method, path in (("POST", "t/renew"), ("DELETE", "t")):
-            assert (await ask(method, f"/v1/servers/{path}"))[0] == 404
-
-        watch = asyncio.create_task(targets(f"?from={first}&hold_ms=60000"))
-        while not service.list_api.watchers.waiting:
-            await asyncio.sleep(0.01)
-        assert (await ask("POST", "/v1/servers/s/state", {"state": "Terminating"}))[0] == 200
-        _, told = await watch
-        assert told["rev"] == first + 1 and not told["all"]
-        assert told["targets"] == [
-            {
-                "uid": "s", "state": "Terminating", "endpoint": "127.0.0.1:1", "az": "a", "model": "m",
-                "pod_group": 0, "capacity_hint": 1.0, "boot_ms": 0,
-            }
-        ]  # fmt: skip
-        assert await targets(f"?from={first + 1}&hold_ms=0") == (200, {**told, "targets": []})
-        assert (await targets(f"?from={first + 99}"))[1]["all"]  # a version of another history
-        assert (await targets("?from=x"))[0] == 400
-        service.retune(parse("x", {**config.model_dump(mode="json"), "views": {"127.0.0.1": "v"}}))
-        assert (await targets())[1]["targets"][0]["endpoint"] == "127.0.0.1:2"
-
-        mine, other = ({"holder": name, "lease_ms": 60_000} for name in ("me", "another"))
-        assert (await ask("PUT", "/v1/locks/release", {"holder": ""}))[0] == 400
-        status, held = await ask("PUT", "/v1/locks/release", mine)
-        assert status == 200 and (await ask("PUT", "/v1/locks/release", mine)) == (200, held)  # renewed
-        status, told = await ask("PUT", "/v1/locks/release", other)
-        assert status == 409 and told["holder"] == "me" and 0 < told["left_ms"] <= 60_000
-        assert (await ask("DELETE", "/v1/locks/release?holder=another"))[0] == 409
-        service.lock_api.leases.renewed_at["release"] = service.lock_api.leases.began_at = (
-            time.monotonic_ns() - 61 * SECOND
-        )
-        status, told = await ask("PUT", "/v1/locks/release", other)  # its holder has not renewed
-        assert status == 200 and told["fence"] > held["fence"]
-        assert (await ask("PUT", "/v1/locks/release", mine))[0] == 409
-        assert (await ask("DELETE", "/v1/locks/release?holder=another"))[0] == 200
-        assert (await ask("PUT", "/v1/locks/release", mine))[1]["fence"] > told["fence"]
-        assert EndpointList.restored(9, host.endpoints.snapshot()).locks == host.endpoints.locks
-
-        for name in ("l0", "l1", "l2"):
-            assert (await ask("PUT", f"/v1/servers/{name}", {**body, "lease_ms": 60_000}))[0] == 200
-        long_ago = time.monotonic_ns() - 121 * SECOND
-        service.lease_watch.leases.renewed_at = dict.fromkeys(("l0", "l1", "l2"), long_ago)
-        while not service.lease_watch.leases.braked:  # none has renewed: too many at once to be believed
-            await asyncio.sleep(0.01)
-        assert all(one.state != "Gone" for one in host.endpoints.entries.values())
-        for name in ("l1", "l2"):
-            assert (await ask("POST", f"/v1/servers/{name}/renew"))[0] == 200
-        while host.endpoints.entries["l0"].state != "Gone":  # the others have: one is gone
-            await asyncio.sleep(0.01)
-        _, told = await ask("GET", "/v1/servers")
-        assert {one["uid"] for one in told["servers"] if one["state"] == "Gone"} == {"l0"}
-        async with session.get(f"http://{staff}/metrics") as answer:
-            assert "list_primary 1.0" in await answer.text()
-        service.list_api.admission.free_at = (
-            asyncio.get_running_loop().time() + 1000
-        )  # too many whole lists are asked for
-        async with session.get(f"http://{listen}/api/targets") as answer:
-            assert answer.status == 503 and int(answer.headers["Retry-After"]) > 900
-        host.replica.role = Role.FOLLOWER  # it has lost the lead
-        status, told = await ask("PUT", "/v1/servers/s", {**body, "az": "c"})
-        assert status == 503 and told["error"] == "not the primary"
-    await service.stop()
-    await host.stop()
-    out.close()
-    assert host.replica.snapshot.last_index > 0
-    kinds = [one.event for one in read_events(tmp_path / "events")]
-    assert {EventKind.LEADERSHIP_WON, EventKind.LIST_CHANGED, EventKind.EXPIRY_PAUSED} <= set(kinds)
-
-
 @pytest.fixture
 def group(tmp_path: Path) -> Iterator[Group]:
     block, claim = claim_block()
--- a/tests/test_registry_disk.py
+++ b/tests/test_registry_disk.py
@@ -12,7 +12,6 @@
 import time
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager, nullcontext
-from dataclasses import replace
 from pathlib import Path
 from typing import Any
 
@@ -46,40 +45,10 @@
     LogEntry,
     RequestVote,
 )
-from applehub.registry.model.explorer import REFUSING, STARTS, begin, explore, walks
-from applehub.registry.model.grains import CoarseModel, FineModel
-from applehub.registry.model.mutants import MUTANTS
 from applehub.registry.replica import Replica
 from applehub.registry.replica_state import Timing
 from applehub.registry.store import ReplicaStore
 
-# Where a disk has refused, the mutant that shows itself there, and the depth.
-REFUSED = {
-    "a voter whose disk has refused a vote": ("a vote that the disk refused", 4),
-    "a follower whose disk has refused an entry": ("an acknowledgement that the disk refused", 4),
-    "a leader whose disk has refused an entry": (None, 5),
-}
-
-
-@pytest.mark.parametrize("start", REFUSED)
-def test_the_model_holds_where_disks_refuse_and_each_mutant_is_found(start: str) -> None:
-    mutant, depth = REFUSED[start]
-    good = CoarseModel(Replica, REFUSING)
-    found = explore(good, begin(good, STARTS[start]), depth)
-    assert not found.broken and found.depth == depth, found
-    if mutant is not None:
-        kind, holds_back = MUTANTS[mutant]
-        bad = CoarseModel(kind, REFUSING, holds_back)
-        assert explore(bad, begin(bad, STARTS[start]), depth).broken
-
-
-def test_each_refusal_and_retry_by_itself_among_messages_and_crashes() -> None:
-    good = FineModel(Replica, REFUSING)
-    found = explore(good, good.first(), 5)
-    assert not found.broken and found.depth == 5, found
-    deep = replace(REFUSING, terms=8, proposals=4, restarts=4, messages=8, refusals=6)
-    assert not walks(FineModel(Replica, deep), 200, 150).broken
-
 
 def test_a_replica_whose_disk_refuses_votes_for_none_and_acknowledges_nothing_but_applies() -> None:
     replica = Replica(0, (0, 1, 2), Timing(), 0)
--- a/tests/test_registry_system.py
+++ b/tests/test_registry_system.py
@@ -3,22 +3,18 @@
 import asyncio
 import time
 from asyncio import constants
-from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager
-from dataclasses import dataclass, replace
+from dataclasses import replace
 from pathlib import Path
 from typing import Any
 
 import aiohttp
 import pytest
+from registry_replica import replica
 
-from applehub.events import EventWriter
 from applehub.lab.fleet.ground import claim_block
 from applehub.lab.fleet.system_call_faults import SystemCallFault, SystemCallFaults
-from applehub.registry.config import parse
 from applehub.registry.host import Host, HostOptions
 from applehub.registry.listener import Listener
-from applehub.registry.service import Service
 from applehub.registry.store import ReplicaStore
 
 OUTAGE = 0.1  # s
@@ -26,41 +22,6 @@
 BODY = {"endpoint": "127.0.0.1:1", "az": "a", "model": "m"}
 
 
-@dataclass
-class Replica:
-    """A group of one, in this process."""
-
-    host: Host
-    service: Service
-    session: aiohttp.ClientSession
-    listen: str
-    staff: str
-
-    async def ask(self, method: str, path: str, body: object = None) -> tuple[int, Any]:
-        async with self.session.request(method, f"http://{self.staff}{path}", json=body) as answer:
-            return answer.status, await answer.json()
-
-    async def targets(self, query: str = "") -> tuple[int, Any]:
-        async with self.session.get(f"http://{self.listen}/api/targets{query}") as answer:
-            return answer.status, await answer.json() if answer.status == 200 else None
-
-
-@asynccontextmanager
-async def replica(folder: Path) -> AsyncIterator[Replica]:
-    config = parse("x", {"name": "a", "state_dir": str(folder / "a"), "leases": {"look_ms": 10}})
-    host = Host(HostOptions(0), ReplicaStore(config.state_dir))
-    with (folder / "events").open("wb") as events:
-        service = Service(config, host, EventWriter(events, "a", 0))
-        await host.start()
-        listen, staff = await service.start()
-        async with asyncio.timeout(60), aiohttp.ClientSession() as session:
-            while not host.is_lease_holder():
-                await asyncio.sleep(0.01)
-            yield Replica(host, service, session, listen, staff)
-        await service.stop()
-        await host.stop()
-
-
 @pytest.mark.parametrize("error", ["ENFILE", "EMFILE", "ENOBUFS", "ENOMEM", "ECONNABORTED"])
 async def test_accepting_goes_on_right_after_a_failure_of_accept(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch, error: str
