--- a/applehub/node/clients.py
+++ b/applehub/node/clients.py
@@ -14,7 +14,7 @@
 from applehub.node.driver import Driver, Held
 from applehub.node.memory_budget import LONG_PART
 from applehub.node.stream import Reader, Stream
-from applehub.node.unread import Unread
+from applehub.node.unread import END, Unread
 from applehub.settings import Names
 
 MOST_PIPELINED = 32  # commands of one connection in work; those behind wait unread
@@ -55,6 +55,9 @@
         self.stream = stream
         stream.wake = self.client.advance
 
+    def waits(self) -> bool:
+        return self.client.waits()
+
     def break_off(self) -> None:
         """The value can't be finished: the client is to see that it is not whole."""
         stream, self.held, self.stream = self.stream, None, None
@@ -151,6 +154,12 @@
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
+    def waits(self) -> bool:
+        """Whether the client is there, also by what the system has of it and nobody has read yet."""
+        if self.phase is Phase.GONE or self.transport is None:
+            return False
+        return not Unread(self.transport.get_extra_info("socket"), END).waits()
+
     def _depart(self) -> None:
         """Withdraws all that is in work or waits here. Guards the servers against work for nobody."""
         if self.phase is Phase.GONE:
@@ -213,9 +222,13 @@
 
     def _await_command(self) -> None:
         """Limits the time for a command. Guards the places of clients against peers that send nothing, or
-        a part: a connection with nothing in work and no whole command is worth none."""
-        begun = not self.proven or bool(self.frames.buffer)
-        waits = not self.slots and self.phase is Phase.OPEN and begun
+        a part: a connection with nothing in work and no whole command is worth none. The time of a command
+        that is begun behind others counts from its own first byte, not from their last answer."""
+        silent = not self.proven and not self.slots
+        # Where no more is taken up for now, what is buffered may be whole.
+        takes_up = not self.blocked and len(self.slots) < MOST_PIPELINED
+        begun = bool(self.frames.buffer) and takes_up
+        waits = self.phase is Phase.OPEN and (silent or begun)
         if waits and self.late is None:
             self.late = asyncio.get_running_loop().call_later(PROMPT, self._too_late)
         elif not waits:
@@ -257,7 +270,8 @@
             return
         if not self.slots and (self.phase is Phase.LAST or (self.server.closing and not self._more_comes())):
             # Guards a command that has come in part: its client reads a no, and not an end without an answer.
-            self._end_sending(resp.refused(0) if self.server.closing and self.frames.buffer else b"")
+            in_part = self.phase is Phase.OPEN and self.frames.buffer
+            self._end_sending(resp.refused(0) if self.server.closing and in_part else b"")
         else:
             self.idle_since = asyncio.get_running_loop().time()
             self._steer()
