--- a/tests/test_beyond_bench.py
+++ b/tests/test_beyond_bench.py
@@ -526,4 +526,75 @@
                 await asyncio.sleep(0.02)
             assert len(bench.origin.got) == 200
 
+
+@pytest.mark.parametrize("answered", [None, 0.1, 2.4], ids=["never", "soon", "late"])
+@pytest.mark.parametrize(
+    "sent", [GET[:30], GET[:1], LONG_WRITE[:150_000]], ids=["half", "a byte", "half a value"]
+)
+def test_a_command_begun_behind_one_in_work_has_its_own_time(
+    monkeypatch: pytest.MonkeyPatch, sent: bytes, answered: float | None
+) -> None:
+    """Its time began only once all before it was answered: 5.5 s after it had stopped."""
+
+    async def test() -> None:
+        loop = asyncio.get_running_loop()
+        async with router(lambda asked, line: None) as bench:
+            caller = await bench.caller()
+            caller.get(info=INFO)
+            caller.writer.write(sent)
+            await soon(lambda: bench.cache.got)
+            stopped = loop.time()
+            if answered is not None:
+                loop.call_later(answered, bench.cache.lines[0].write, hit())
+            assert str(await caller.answer()) == ("BUSY" if answered is None else "b'v'")
+            assert str(await caller.answer()) == "ERR Protocol error: no whole command in time"
+            assert loop.time() - stopped <= OWED_TO_BAD_CLIENTS
+            assert await caller.answer() is None
+
+    play(monkeypatch, test)
+
+
+@pytest.mark.parametrize("allowed", [9, 12, 30], ids="{} ms".format)
+@pytest.mark.parametrize("dropped", [True, False], ids=["dropped", "answered late"])
+def test_given_up_requests_with_little_time_make_no_server_seem_swamped(
+    monkeypatch: pytest.MonkeyPatch, allowed: int, dropped: bool
+) -> None:
+    """Each counted as an answer of that time. So the server's own seemed many times longer than when it is at
+    ease: of 12 at once before four servers, two thirds were refused."""
+
+    async def test() -> None:
+        loop, answer_time = asyncio.get_running_loop(), 0.03
+        drops = False
+
+        def near(asked: Any, line: Any) -> None:
+            if not drops:
+                loop.call_later(answer_time, line.write, hit())
+
+        more = [Cache(near) for _ in range(3)]
+        for one in more:
+            await one.start()
+
+        def entries(cache: Cache, origin: Web) -> list[Any]:
+            caches = [entry(f"c{at}", one.address) for at, one in enumerate([cache, *more])]
+            return [*caches, entry("o", origin.address, model="origin")]
+
+        async with router(near, entries=entries) as bench:
+            first = await bench.caller()
+            for number in range(100):
+                first.get(key=b"k%d" % (number % 20), name=b"w%d" % number, info=INFO)
+                assert await first.answer() == b"v"
+            drops = dropped
+            for number in range(100):
+                info = b"c=read,t=acme,d=%d" % allowed
+                first.get(key=b"k%d" % (number % 20), name=b"s%d" % number, info=info)
+                assert str(await first.answer()) == "BUSY"
+            drops, callers = False, [await bench.caller() for _ in range(12)]
+            for turn in range(20):
+                for at, caller in enumerate(callers):
+                    number = turn * 12 + at
+                    caller.get(key=b"k%d" % (number % 20), name=b"i%d" % number, info=INFO)
+                assert [await caller.answer() for caller in callers] == [b"v"] * 12
+        for one in more:
+            await one.stop()
+
     play(monkeypatch, test)
