--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,6 +3,7 @@
 Every wait of the plans is on an event; their bounds in time are far past what the busiest machine needs."""
 
 import asyncio
+import dataclasses
 import os
 import signal
 import socket
@@ -165,6 +166,72 @@
     assert [one.check for one in broken] == (["resends"] if breaks else [])
 
 
+def list_call(at: float, replica: str, since: int) -> EventRecord:
+    """router-0's call, as a replica of the list service read it."""
+    one = event(at, EventKind.LIST_POLLED, router="router-0", since=since)
+    return dataclasses.replace(one, process=replica)
+
+
+def broken_versions(*records: EventRecord) -> list[str]:
+    """What the check `versions` finds in a play, its records in the order of time."""
+    found = judge(ordered([event(0.1, EventKind.STARTED, of="router-0", number=1), *records]), Plan(name="p"))
+    return [one.what for one in found if one.check == "versions"]
+
+
+HELD_UP = {"fault": 0, "kind": "stop", "processes": ["list-0"], "edges": [], "keep_disk": True}
+CUT_OFF = {**HELD_UP, "kind": "silent", "processes": [], "edges": ["router-0>list-0"]}
+
+
+@pytest.mark.parametrize(
+    ("fault", "read_at", "since", "breaks"),
+    [
+        (HELD_UP, 4.01, 7, False),
+        (HELD_UP, 4.01, 6, True),  # the router held 7 before the fault
+        (HELD_UP, 4.6, 7, True),  # what was held up has been read by then
+        (CUT_OFF, 4.01, 7, False),
+        (CUT_OFF, 4.01, 6, True),
+        ({**HELD_UP, "processes": ["list-1"]}, 4.01, 7, True),
+        ({**HELD_UP, "processes": ["router-0"]}, 4.01, 7, True),
+        ({**HELD_UP, "kind": "kill"}, 4.01, 7, True),
+        ({**CUT_OFF, "edges": ["router-1>list-0", "router-0>list-1"]}, 4.01, 7, True),
+        (None, 4.01, 7, True),
+    ],
+)
+def test_a_call_that_a_fault_held_up_is_held_against_what_was_read_before_it(
+    fault: dict[str, object] | None, read_at: float, since: int, breaks: bool
+) -> None:
+    """A replica that was stopped reads afterwards a call whose router has long heard more from another."""
+    struck = [] if fault is None else [
+        event(1.0, EventKind.FAULT_BEGUN, **fault), event(4.0, EventKind.FAULT_ENDED, fault=0)
+    ]  # fmt: skip
+    before = [list_call(0.8, "list-0", 6), list_call(0.9, "list-0", 7)]
+    meanwhile = [list_call(3.7, "list-1", 7), list_call(3.8, "list-1", 9)]
+    late = list_call(read_at, "list-0", since)
+    held = 9 if read_at > 4.5 or not struck or fault not in (HELD_UP, CUT_OFF) else 7
+    expected = [f"router-0 held {held}, then {since}"] if breaks else []
+    assert broken_versions(*before, *struck, *meanwhile, late) == expected
+
+
+def test_a_call_that_was_held_up_lowers_nothing_and_belongs_to_no_later_process() -> None:
+    struck = [event(1.0, EventKind.FAULT_BEGUN, **HELD_UP), event(4.0, EventKind.FAULT_ENDED, fault=0)]
+    before = [list_call(0.9, "list-0", 7), *struck, list_call(3.8, "list-1", 9)]
+    late = list_call(4.01, "list-0", 7)
+    assert broken_versions(*before, late, list_call(4.02, "list-1", 8)) == ["router-0 held 9, then 8"]
+    assert broken_versions(*before, late, list_call(4.02, "list-1", 9)) == []
+    answer = event(4.02, EventKind.LIST_SENT, router="router-0", version=7, whole=True, states={})
+    answer = dataclasses.replace(answer, process="list-0")  # an old list, which the router takes up
+    followed = [*before, late, answer, list_call(4.03, "list-0", 7)]
+    assert broken_versions(*followed) == ["router-0 held 9, then 7"]
+    again = [
+        event(3.0, EventKind.EXITED, of="router-0", number=1, code=-9, planned=True),
+        event(3.1, EventKind.STARTED, of="router-0", number=2),
+        list_call(3.2, "list-1", 5),
+    ]
+    begun_before = [list_call(0.9, "list-0", 7), *struck, *again]
+    assert broken_versions(*begun_before, late, list_call(4.02, "list-1", 5)) == []
+    assert broken_versions(*begun_before, late, list_call(4.02, "list-1", 4)) == ["router-0 held 5, then 4"]
+
+
 class Ear(asyncio.DatagramProtocol):
     """Keeps the datagrams that came."""
 
