--- a/applehub/policy/keys.py
+++ b/applehub/policy/keys.py
@@ -90,13 +90,20 @@
         # The shorter counts find quickly what has become hot, the longer ones what only just is.
         self.counts = Counts(SAMPLES), Counts(2 * SAMPLES)
 
-    def fills(self, key: str, servers: int) -> int:
-        """Counts a request; tells how many servers' fair shares of all requests its key makes up."""
+    def fills(self, key: str, servers: int, proven: bool = True) -> int:
+        """Counts a request; tells how many servers' fair shares of all requests its key makes up.
+
+        proven: whether that has to be proven, see `Counts.proves`; else the shorter counts' share will do.
+        """
         servers, most = max(1, servers), 0
         for one in self.counts:
             before = one.add(key, servers)
-            if before > 1 and before * servers >= one.total and one.proves(before, servers):
-                ranges = 2 * before * servers // one.total  # a server bears about two
+            if before * servers < one.total:
+                continue
+            ranges = 2 * before * servers // one.total  # a server bears about two
+            if not proven:
+                most = ranges if one is self.counts[0] else most
+            elif before > 1 and one.proves(before, servers):
                 most = max(most, min(ranges, before // COPY_COST))
         return most
 
--- a/applehub/policy/replicas.py
+++ b/applehub/policy/replicas.py
@@ -4,18 +4,19 @@
 from applehub.policy.roster import Roster
 from applehub.policy.turn import Turn
 
-FIRST_COPIES, GROWTH = (
-    2,
-    2,
-)  # further ranges that a hot key takes at first, and times as many at each further sign
+FIRST_COPIES = 2  # further ranges that a hot key takes at the first sign
+GROWTH = 2  # times as many at each further sign
 
 
 class Replicas:
     """Takes further ranges for a hot key as its server comes near what it bears, up to as many as it fills.
 
-    Two things are needed. Evidence that the key is hot, by counts (see Popularity). And a reason, by what the
-    key's own server does: each copy has to be fetched once, so that a key whose server has capacity left is
-    better kept in one place, however often it is asked for."""
+    Each copy has to be fetched once, by one router, and serves all of them. With at least as many routers
+    as servers every copy is soon paid by what the others ask for, and each router sees too little to prove
+    that a key is hot before it has swamped its server: its share of this router's requests will do. With
+    fewer routers a copy has to be paid by few, and two things are needed. Evidence that the key is hot, by
+    counts (see Popularity). And a reason, by what the key's own server does: a key whose server has capacity
+    left is better kept in one place, however often it is asked for."""
 
     def __init__(self, turn: Turn, roster: Roster) -> None:
         self.turn, self.roster = turn, roster
@@ -26,8 +27,10 @@
     def choose(self, key: str) -> int:
         """Counts a request for a key; gives how many owners of ranges it passes by."""
         servers = len(self.roster.ranges.deals[-1][1])
-        fills = min(servers, self.popularity.fills(key, servers))
-        return self.turn.random.randrange(1 + min(fills, self._ranges(key, fills, servers)))
+        few_routers = servers > self.turn.settings.balancers
+        fills = min(servers, self.popularity.fills(key, servers, proven=few_routers))
+        ranges = self._ranges(key, fills, servers) if few_routers else fills
+        return self.turn.random.randrange(1 + min(fills, ranges))
 
     def _ranges(self, key: str, fills: int, servers: int) -> int:
         if not fills:
