--- a/applehub/interface.py
+++ b/applehub/interface.py
@@ -1,7 +1,7 @@
-"""What the decision module is told and what it answers: settings, events and actions.
+"""Interface of the decision module: its settings, the events it handles and the actions it returns.
 
 Times and durations are integer nanoseconds; a clock value is passed in with every event.
-Servers, requests and keys are opaque texts; classes, tenants, zones and kinds are indexes.
+Servers, requests and keys are opaque strings; classes, tenants, zones and kinds are indexes.
 """
 
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 
 class Effect(StrEnum):
-    """What a second execution of a request would do."""
+    """Whether a request is idempotent: SAFE always, KEYED with an idempotency key, UNSAFE never."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -17,7 +17,7 @@
 
 
 class Status(StrEnum):
-    """How an attempt or a probe ended."""
+    """Result of an attempt or a health check."""
 
     OK = "ok"
     ERROR = "error"
@@ -28,18 +28,18 @@
     CANCELLED = "cancelled"
     MOOT = "moot"
     MISS = "miss"
-    # This machine could not begin the attempt: it lacked descriptors, buffers, memory or local ports.
+    # This machine could not start the attempt: it lacked descriptors, buffers, memory or local ports.
     LOCAL_FAILURE = "local_failure"
-    # This machine knows no way to the server's address now: the server's trouble, or that of the machine.
+    # This machine has no route to the server's address: the fault is either the server's or the machine's.
     UNREACHABLE = "unreachable"
 
 
-# The attempt never ran, no byte of it was sent, and the server has not refused it.
-NOT_BEGUN = frozenset((Status.LOCAL_FAILURE, Status.UNREACHABLE))
+# The attempt never ran: no byte of it was sent, and the server did not refuse the connection.
+NOT_STARTED = frozenset((Status.LOCAL_FAILURE, Status.UNREACHABLE))
 
 
 class State(StrEnum):
-    """What the list says of a server."""
+    """State of a server in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -47,7 +47,7 @@
 
 
 class ListKind(StrEnum):
-    """What a Members event carries."""
+    """Content of a Members event."""
 
     DELTA = "delta"
     FULL = "full"
@@ -57,94 +57,94 @@
 
 @dataclass(slots=True)
 class RequestClass:
-    """One class of requests; late_worth is the part of its worth that an answer after the aim earns."""
+    """Settings of one class of requests."""
 
-    aim: int
+    latency_objective: int
     deadline: int
     effect: Effect = Effect.SAFE
-    group: str = "all"
-    window: int = 0
-    worth: float = 1.0
-    late_worth: float = 0.0
+    group: str = "all"  # servers that deduplicate by idempotency key: "all", or those of a "zone" or "cell"
+    idempotency_window: int = 0  # how long servers remember an idempotency key
+    priority_weight: float = 1.0
+    late_weight: float = 0.0  # fraction of priority_weight for an answer after the latency objective
     stream: bool = False
 
 
 @dataclass(slots=True)
 class Tenant:
-    """One customer and what it may send, over all routers, in requests a second."""
+    """Settings of one tenant."""
 
-    quota: float = 0.0
+    quota: float = 0.0  # requests per second over all routers; 0: unlimited
 
 
 @dataclass(slots=True)
 class Settings:
-    """What a router is told when it starts."""
+    """Configuration of a router."""
 
     classes: list[RequestClass]
-    balancers: int = 1
+    router_count: int = 1
     tenants: list[Tenant] = field(default_factory=list)
-    aside: bool = False  # the router itself fetches from the origin after a miss
+    cache_aside: bool = False  # after a miss the router itself fetches from the origin
     origin_kind: int = -1
-    must_ask: bool = False  # the server list comes only on request
-    retry_after: bool = False
+    list_on_request: bool = False  # discovery sends the endpoint list only when it is polled
+    retry_after: bool = False  # rejected clients are told when to retry
     max_retry_after: int = 0
     max_attempts: int = 1
     connect_timeout: int = 250_000_000
-    ask_within: int = 10_000_000_000
-    cold_from: float = 1.0
-    ramp_time: int = 0
-    tip_multiple: float = 1.0
-    fall_time: int = 1_000_000_000
-    peers: bool = False  # it hears other routers, and they hear it
+    max_poll_interval: int = 10_000_000_000  # between two polls of discovery
+    slow_start_capacity: float = 1.0  # fraction of its full capacity that a server has when it starts
+    slow_start_time: int = 0  # time until a started server has its full capacity
+    overload_factor: float = 1.0  # multiple of its capacity, over overload_window, that overloads a server
+    overload_window: int = 1_000_000_000
+    peers: bool = False  # the router exchanges gossip with other routers
 
 
 @dataclass(slots=True)
 class Member:
-    """One entry of the server list."""
+    """One entry of the endpoint list."""
 
     server: str
     state: State = State.READY
     kind: int = 0
     zone: int = 0
     cell: int = 0
-    since: int = 0  # clock time of its latest start; 0: long ago
+    since: int = 0  # clock time of the latest start; 0: long ago
     weight: float = 1.0
 
 
 @dataclass(slots=True)
 class Members:
-    """News of the server list."""
+    """Update of the endpoint list."""
 
     kind: ListKind
     entries: list[Member]
 
 
 @dataclass(slots=True)
-class ByHand:
-    """Operators left a server out, whatever the list says of it, or put it back: cold since then."""
+class ServerOverride:
+    """Operator override that excludes a server, whatever its state in the list, or includes it again."""
 
     server: str
-    out: bool
-    since: int
+    excluded: bool
+    since: int  # clock time of the override; a server that is included again warms up from then on
 
 
 @dataclass(slots=True)
-class Retuned:
-    """Other settings hold from now on; requests that were taken before keep their class."""
+class SettingsChanged:
+    """Replaces the settings; requests already in progress keep their class."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
-class Copies:
-    """How many processes serve as this router now, each told of its own part of the work alone."""
+class ProcessCount:
+    """Number of processes that run as this router; each receives only the events of its own requests."""
 
     count: int
 
 
 @dataclass(slots=True)
 class Request:
-    """A client's request, to be given exactly one final answer by its deadline."""
+    """A client's request, which gets exactly one final answer, by its deadline."""
 
     id: str
     cls: int
@@ -152,12 +152,12 @@
     key: str | None = None
     write: bool = False
     tenant: int = 0
-    repeat: bool = False
+    repeat: bool = False  # the client has sent this request before
 
 
 @dataclass(slots=True)
-class Opened:
-    """A streamed answer has begun."""
+class StreamOpened:
+    """The first part of a streamed response has arrived."""
 
     id: str
     attempt: int
@@ -165,55 +165,54 @@
 
 
 @dataclass(slots=True)
-class Load:
-    """A server's own report, late and noisy; what it does not tell is negative."""
+class LoadReport:
+    """A server's own load report, which may be late and inexact; negative values are unknown."""
 
-    inflight: float = -1.0  # requests it holds
+    inflight: float = -1.0  # requests in flight
     queue: float = -1.0  # requests waiting
-    util: float = -1.0  # part of its cores in use
-    latency_ms: float = -1.0  # service time lately, without waiting
-    qps: float = -1.0  # requests served a second
-    eps: float = -1.0  # errors a second
+    util: float = -1.0  # fraction of the cores in use
+    latency_ms: float = -1.0  # recent service time, without waiting
+    qps: float = -1.0  # requests served per second
+    eps: float = -1.0  # errors per second
 
 
 @dataclass(slots=True)
 class Outcome:
-    """An attempt has ended; closed: the request has its final answer. connected: a connection to the server
-    was opened for it, and came up."""
+    """An attempt has ended."""
 
     id: str
     attempt: int
     server: str
     status: Status
-    closed: bool
+    closed: bool  # the request has its final answer
     elapsed: int
-    note: int = 0
-    load: Load | None = None
-    connected: bool = False
+    detail: int = 0  # status-specific number
+    load: LoadReport | None = None
+    connected: bool = False  # a new connection to the server was established for this attempt
 
 
 @dataclass(slots=True)
-class Withdrawn:
-    """The client has left; nothing more is owed."""
+class RequestCancelled:
+    """The client has cancelled the request; no answer is due."""
 
     id: str
 
 
 @dataclass(slots=True)
-class Alarm:
-    """A wake-up asked for with Wake."""
+class TimerFired:
+    """A timer set with SetTimer has expired."""
 
     token: str
 
 
 @dataclass(slots=True)
-class Probed:
-    """The result of a Probe."""
+class ProbeResult:
+    """Result of a health check."""
 
     server: str
     status: Status
     elapsed: int
-    load: Load | None = None
+    load: LoadReport | None = None
 
 
 @dataclass(slots=True)
@@ -225,64 +224,65 @@
 
 
 @dataclass(slots=True)
-class Fleet:
-    """What other routers tell, none of it too old. accused: by server, how many routers it fails now, and how
-    many speak of it."""
+class GossipSummary:
+    """Recent gossip from other routers, aggregated."""
 
-    routers: int  # processes that are there, this one too
-    shares: dict[int, float] = field(default_factory=dict)  # by kind: the part of a range that one bears
-    accused: dict[str, tuple[int, int]] = field(default_factory=dict)
+    router_count: int  # live processes, including this one
+    # By kind: fraction of an equal key range that one server of the kind takes.
+    range_fractions: dict[int, float] = field(default_factory=dict)
+    # By server: the number of routers for which it fails, and of those that report on it.
+    failure_reports: dict[str, tuple[int, int]] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class Seen:
-    """What a router has seen of one server."""
+class ServerStatistics:
+    """What a router has measured of one server."""
 
-    latency: float  # moving average of answer times, ns
-    base: float  # the least of it, when uncrowded, ns
-    held: float  # moving average of the attempts it had out meanwhile
-    share: float  # the part of its range that it bears
+    latency: float  # moving average of response times, ns
+    base_latency: float  # response time without queueing, ns
+    mean_in_flight: float  # moving average of this router's attempts in flight
+    range_fraction: float  # fraction of its key range that the server takes
 
 
 @dataclass(slots=True)
-class Learnt:
-    """What a process of this router that ran before had seen of servers, and for how long that has lain."""
+class SavedStatistics:
+    """Statistics that an earlier process of this router saved, and the time since then."""
 
     age: int
-    servers: dict[str, Seen]
+    servers: dict[str, ServerStatistics]
 
 
 Event = (
     Members
-    | ByHand
-    | Retuned
-    | Copies
+    | ServerOverride
+    | SettingsChanged
+    | ProcessCount
     | Request
-    | Opened
+    | StreamOpened
     | Outcome
-    | Withdrawn
-    | Alarm
-    | Probed
+    | RequestCancelled
+    | TimerFired
+    | ProbeResult
     | PeerMessage
-    | Fleet
-    | Learnt
+    | GossipSummary
+    | SavedStatistics
 )
 
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; timeout 0: until the client gives up. begin_by: the clock time from which on it may
-    not begin any more, since a repeat would run again; 0: no limit."""
+    """Starts an attempt."""
 
     id: str
     server: str
-    timeout: int = 0
-    begin_by: int = 0
+    timeout: int = 0  # 0: until the client gives up
+    # Clock time from which the attempt must not start, since a retry could run a second time; 0: no limit.
+    start_by: int = 0
 
 
 @dataclass(slots=True)
-class Refuse:
-    """Final answer: not done, a further try does no harm."""
+class Reject:
+    """Final answer: the request was not processed and may be retried."""
 
     id: str
     retry_after: int = 0
@@ -290,14 +290,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, perhaps done."""
+    """Final answer: the request failed and may have been processed."""
 
     id: str
 
 
 @dataclass(slots=True)
-class Wake:
-    """Ask for an Alarm with this token after a delay."""
+class SetTimer:
+    """Requests a TimerFired event with this token after a delay."""
 
     delay: int
     token: str
@@ -305,26 +305,25 @@
 
 @dataclass(slots=True)
 class Watch:
-    """Subscribe to changes of the server list."""
+    """Subscribes to changes of the endpoint list."""
 
 
 @dataclass(slots=True)
 class Log:
-    """A line for the operators."""
+    """A log line for the operators."""
 
     text: str
 
 
 @dataclass(slots=True)
-class Tell:
-    """What the other routers may know: r and what is spent of it (tokens a second; r 0: no limit), the part
-    of its range that a server of each kind bears, and who fails this router, with the attempts in a row."""
+class PublishGossip:
+    """Publishes what this router has observed itself to the other routers."""
 
-    rate: float
-    spent: float
-    shares: dict[int, float]
-    failing: dict[str, int]
-    vouched: list[str]  # accused by others, and answered this router lately
+    throttle_rate: float  # tokens per second that the throttle allows; 0: no limit
+    spend_rate: float  # tokens per second that are spent
+    range_fractions: dict[int, float]  # by kind: fraction of an equal key range that one server takes
+    failing: dict[str, int]  # by failing server: the number of consecutive failures
+    healthy: list[str]  # servers that other routers report as failing and that answered this one recently
 
 
-Action = Send | Refuse | Fail | Wake | Watch | Log | Tell
+Action = Send | Reject | Fail | SetTimer | Watch | Log | PublishGossip
--- a/applehub/policy/balancer.py
+++ b/applehub/policy/balancer.py
@@ -41,15 +41,15 @@
         self.release_at = 0
         self.handlers: dict[type, Callable[..., None]] = {
             api.Request: self._on_request,
-            api.Opened: self._on_opened,
+            api.StreamOpened: self._on_opened,
             api.Outcome: self._on_outcome,
             api.Members: self.roster.on_members,
-            api.ByHand: self.roster.on_by_hand,
-            api.Retuned: self._on_retuned,
-            api.Copies: self.roster.on_copies,
-            api.Learnt: self.roster.on_learnt,
-            api.Withdrawn: self._on_withdrawn,
-            api.Fleet: self.hearsay.on_fleet,
+            api.ServerOverride: self.roster.on_by_hand,
+            api.SettingsChanged: self._on_retuned,
+            api.ProcessCount: self.roster.on_copies,
+            api.SavedStatistics: self.roster.on_learnt,
+            api.RequestCancelled: self._on_withdrawn,
+            api.GossipSummary: self.hearsay.on_fleet,
         }
 
     @property
@@ -67,13 +67,13 @@
         handler = self.handlers.get(type(event))
         if handler is not None:
             handler(event)
-        elif type(event) is api.Alarm and event.token == str(turn.wake_at):
+        elif type(event) is api.TimerFired and event.token == str(turn.wake_at):
             # Guards against coarse timers: known by its token, since it may come a little before its time.
             turn.wake_at = 0
         turn.run_agenda()
         return turn.actions
 
-    def _on_retuned(self, event: api.Retuned) -> None:
+    def _on_retuned(self, event: api.SettingsChanged) -> None:
         """Jobs hold the class they came with; what is learned of servers and keys stays."""
         before, turn = self.turn.settings, self.turn
         turn.retune(event.settings)
@@ -110,13 +110,15 @@
 
     def _on_request(self, event: api.Request) -> None:
         spec = self.turn.settings.classes[event.cls]
-        job = self.jobs[event.id] = Job(event, spec, min(event.deadline, self.turn.now + spec.aim))
+        job = self.jobs[event.id] = Job(
+            event, spec, min(event.deadline, self.turn.now + spec.latency_objective)
+        )
         job.marked = self.tenants.over_share(event)
         self.roster.flow.add(self.turn.now)
         if event.key is not None:
             # Guards against a hot key that swamps its one cache.
             job.skip = self.replicas.choose(event.key)
-        if event.write and self.turn.settings.aside:
+        if event.write and self.turn.settings.cache_aside:
             job.at_origin = True
             self._proceed(job)
         elif event.key is not None and self.memory.likely_miss(event.key, self.turn.now):
@@ -197,7 +199,7 @@
         server = self.roster.origin if job.at_origin else self._place(job) or self._spare(job)
         # Guards against work that keeps a jammed origin jammed: the rule for swamped servers holds here too.
         # Guards against reads that crowd writes out: a write has nowhere else to go, so reads are shed first.
-        limit = job.spec.aim * (WRITE_SLACK if job.request.write else SLOW)
+        limit = job.spec.latency_objective * (WRITE_SLACK if job.request.write else SLOW)
         jammed = job.at_origin and server and not server.calm(self.turn.now, limit, NO_CROWD, 0)
         if server is None or jammed or self._too_late(job, server) or not self._may_send(job, server):
             self._give_up(job)
@@ -215,7 +217,7 @@
         """The origin, for a read that no cache may take, while it is idle. Guards against a fleet short of
         warm servers beside an origin with room. It spends a token, as each origin read does."""
         origin, throttle = self.roster.origin, self.monitor.throttle
-        idle = origin is not None and origin.predict() <= SPARE * origin.base
+        idle = origin is not None and origin.predict() <= SPARE * origin.base_latency
         if not idle or job.request.key is None or job.request.write or job.marked or job.begun:
             return None
         if throttle is not None:
@@ -230,7 +232,7 @@
     def _too_late(self, job: Job, server: Server) -> bool:
         """Guards against second tries that can't be timely: they take from those that can. What the origin
         reads is kept for others, and what still earns something late is worth a try."""
-        if job.at_origin or not job.begun or job.spec.late_worth:
+        if job.at_origin or not job.begun or job.spec.late_weight:
             return False
         return server.predict() > job.due - self.turn.now
 
@@ -241,7 +243,7 @@
         if job.spec.effect is not api.Effect.UNSAFE and not job.spec.stream:
             # Guards against an origin slower than an aim: a read given up fills no cache for those after it.
             # Guards against a jam fed by second tries: what still earns something late is waited for.
-            timeout = left if read or job.spec.late_worth else min(left, job.due - now)
+            timeout = left if read or job.spec.late_weight else min(left, job.due - now)
         # Guards against a dial that outlasts the window: the repeat would begin when its id is forgotten.
         begin_by = job.window_ends if job.live and job.spec.effect is api.Effect.KEYED else 0
         server.out += 1
@@ -250,9 +252,9 @@
         job.out.add(job.made)
         job.made += 1
         job.tried.add(server.member.server)
-        if read or (job.likely_miss and not self.turn.settings.aside):
-            self.reads[job.request.id, job.made - 1] = (now, now + int(job.spec.aim * SLOW))
-        if key is not None and not self.turn.settings.aside:
+        if read or (job.likely_miss and not self.turn.settings.cache_aside):
+            self.reads[job.request.id, job.made - 1] = (now, now + int(job.spec.latency_objective * SLOW))
+        if key is not None and not self.turn.settings.cache_aside:
             self.memory.put(key, now)
         elif key is not None and read and not job.apart:
             self.fetches.setdefault(key, [])
@@ -278,7 +280,7 @@
         effect, name = job.spec.effect, job.request.id
         dropped = effect is api.Effect.KEYED and job.spec.group == "all"
         if effect is api.Effect.SAFE or not job.live or (dropped and self.turn.now < job.window_ends):
-            self.turn.actions.append(api.Refuse(name, self.come_back))
+            self.turn.actions.append(api.Reject(name, self.come_back))
         else:
             self.turn.actions.append(api.Fail(name))
         self._end(job)
@@ -291,7 +293,7 @@
         if self.monitor.throttle is not None:
             self.monitor.throttle.leave(job)
 
-    def _on_withdrawn(self, event: api.Withdrawn) -> None:
+    def _on_withdrawn(self, event: api.RequestCancelled) -> None:
         job = self.jobs.get(event.id)
         if job is not None:
             reading = job.reads_origin and (job.out or job.waiting)
@@ -299,7 +301,7 @@
             if reading:
                 self._fetched(job.request.key or "", False)  # what nobody waits for is not stored
 
-    def _on_opened(self, event: api.Opened) -> None:
+    def _on_opened(self, event: api.StreamOpened) -> None:
         """The attempt is the client's from now on. Who waits for its key need not wait for its last byte."""
         read = self.reads.pop((event.id, event.attempt), None)
         if read is not None:
@@ -315,7 +317,7 @@
         job = self.jobs.get(event.id)
         server = self.roster.servers.get(event.server)
         status = self.roster.reachability.status(server, event)
-        if status in api.NOT_BEGUN:
+        if status in api.NOT_STARTED:
             self.reads.pop((event.id, event.attempt), None)
             if server is not None:
                 self.roster.never_sent(server, event)
@@ -368,9 +370,11 @@
         if status in BROKEN:
             job.tried.discard(event.server)  # the key is still there, and another connection leads to it
         # Guards against a slow origin behind the caches: what one could not fetch, no other should try.
-        late = self.turn.now >= job.due and not job.spec.late_worth
-        unfetched = status is api.Status.ERROR and not self.turn.settings.aside and not job.request.write
-        if status is api.Status.MISS and self.turn.settings.aside and not job.at_origin:
+        late = self.turn.now >= job.due and not job.spec.late_weight
+        unfetched = (
+            status is api.Status.ERROR and not self.turn.settings.cache_aside and not job.request.write
+        )
+        if status is api.Status.MISS and self.turn.settings.cache_aside and not job.at_origin:
             job.at_origin = True
             if key is not None:
                 self.memory.learn(key, self.turn.now, False)
@@ -391,7 +395,7 @@
 
     def _after_origin(self, job: Job) -> None:
         """A read the origin failed is refused, to shield it; a write tries again while its aim lasts."""
-        wait = int((job.spec.aim << job.begun) * self.turn.random.uniform(0.5, 1)) // 32
+        wait = int((job.spec.latency_objective << job.begun) * self.turn.random.uniform(0.5, 1)) // 32
         timely = job.request.write and self.turn.now + wait < job.due
         if timely and self.roster.origin and self._may_send(job, self.roster.origin):
             self.turn.later(wait, self._proceed, job)
--- a/applehub/policy/failed_starts.py
+++ b/applehub/policy/failed_starts.py
@@ -45,7 +45,7 @@
         else:
             job.tried.discard(event.server)
             job.pass_by_none()
-        until = job.request.deadline if job.spec.late_worth else job.due
+        until = job.request.deadline if job.spec.late_weight else job.due
         if first:
             self.turn.later(max(0, until - self.turn.now), self._too_long, job)
         if first and no_way and not job.at_origin:
--- a/applehub/policy/hearsay.py
+++ b/applehub/policy/hearsay.py
@@ -23,23 +23,23 @@
         self.heard = False  # whether anything was, since the start
         self.accused: list[str] = []
 
-    def on_fleet(self, event: api.Fleet) -> None:
+    def on_fleet(self, event: api.GossipSummary) -> None:
         """Guards against routers that disagree on who bears a key's range: their shares draw together. One
         that starts takes over the fleet's."""
-        for number, share in event.shares.items():
+        for number, share in event.range_fractions.items():
             kind = self.roster.kinds[number]
-            kind.share += (share - kind.share) * (PULL if self.heard else 1)
-        self.heard = self.heard or bool(event.shares)
-        self.roster.routers = event.routers
-        self.accused = list(event.accused)
-        quorum = min(MOST_QUORUM, max(QUORUM, event.routers * QUORUM_PART))
+            kind.range_fraction += (share - kind.range_fraction) * (PULL if self.heard else 1)
+        self.heard = self.heard or bool(event.range_fractions)
+        self.roster.routers = event.router_count
+        self.accused = list(event.failure_reports)
+        quorum = min(MOST_QUORUM, max(QUORUM, event.router_count * QUORUM_PART))
         out = sum(server.hearsay and server.fails > 0 for server in self.roster.servers.values())
-        for name, (failing, of) in event.accused.items():
+        for name, (failing, of) in event.failure_reports.items():
             room = out + 1 <= MOST_OUT * len(self.roster.servers)
             if room and failing >= max(quorum, of * AGREED):
                 out += self.roster.put_out(name, OWN)
 
-    def tell(self) -> api.Tell:
+    def tell(self) -> api.PublishGossip:
         """Only what this router saw itself: hearsay passed on would keep itself alive."""
         throttle, servers = self.monitor.throttle, self.roster.servers
         failing = {
@@ -49,6 +49,6 @@
         }
         asked = ((name, servers[name]) for name in self.accused if name in servers)
         vouched = [name for name, one in asked if not one.fails and one.answered_at > self.turn.now - OWN]
-        shares = {number: kind.share for number, kind in self.roster.kinds.items()}
+        shares = {number: kind.range_fraction for number, kind in self.roster.kinds.items()}
         rate = throttle.rate if throttle is not None else 0.0
-        return api.Tell(rate, self.monitor.recent(self.turn.now), shares, failing, vouched)
+        return api.PublishGossip(rate, self.monitor.recent(self.turn.now), shares, failing, vouched)
--- a/applehub/policy/job.py
+++ b/applehub/policy/job.py
@@ -39,7 +39,7 @@
     def window_ends(self) -> int:
         """Until when a repeat of what may have run may be decided on, so that it begins in its window also if
         the process stands still in between."""
-        return min(sent for _, sent in self.live.values()) + self.spec.window - HELD_UP
+        return min(sent for _, sent in self.live.values()) + self.spec.idempotency_window - HELD_UP
 
     def pass_by_none(self) -> None:
         """Servers that this machine could not begin an attempt at may be tried again."""
--- a/applehub/policy/placement.py
+++ b/applehub/policy/placement.py
@@ -24,8 +24,8 @@
         """The owner of the key's range, or the next in range order where a departure acts."""
         turn, roster, now = self.turn, self.roster, self.turn.now
         slow, crowd = (SLOW_IF_MARKED, CROWD_IF_MARKED) if job.marked else (SLOW, CROWD)
-        limit = job.spec.aim * slow
-        hops, ramp_time = 0, turn.settings.ramp_time
+        limit = job.spec.latency_objective * slow
+        hops, ramp_time = 0, turn.settings.slow_start_time
         depth, taken_up, owner, names = roster.ranges.locate(job.request.key or job.request.id, now)
         near: Iterable[Server] = (roster.servers[name] for name in names if name in roster.servers)
         skipped = list(islice(near, job.skip))  # they come last
@@ -38,7 +38,7 @@
             name = server.member.server
             # Rule 4: a server that warms up bears of its own range what was taken up since it started.
             warm = taken_up if name == owner else now - ramp_time
-            head = int(turn.settings.cold_from * ramp_time) if name == owner else 0
+            head = int(turn.settings.slow_start_capacity * ramp_time) if name == owner else 0
             if name in job.tried or server.cold_since > max(0, warm + head):
                 continue
             # Guards against an entry that became the origin's: keys that its range held still name it.
@@ -47,7 +47,11 @@
             # Guards against a range that is more than its server bears: the far end passes to the next, which
             # bears its part of that; what nobody bears goes back. What warms up takes up keys by its age.
             warming = 0 < server.cold_since > now - ramp_time
-            bears = server.share * roster.size(server) * (1 if warming else roster.kind(server).share)
+            bears = (
+                server.range_fraction
+                * roster.size(server)
+                * (1 if warming else roster.kind(server).range_fraction)
+            )
             if depth >= bears and server not in passed:
                 depth = (depth - bears) / (1 - bears)
                 passed.append(server)
@@ -58,7 +62,7 @@
             if server.calm(now, limit, crowd, roster.pace(server)):
                 return server
             # Guards against neighbours that fail together: who is slow with nothing of ours out is passed by.
-            hops += server.latency <= limit * server.held
+            hops += server.latency <= limit * server.mean_in_flight
             if job.marked or hops == 2:
                 break
         return None
@@ -66,7 +70,7 @@
     def _in_budget(self, server: Server, servers: int) -> bool:
         """Guards against hot keys that a warming server takes up: it gets the mean flow of what it can do.
         And against many routers that spend at once: none saves more than half the rule's window brings."""
-        turn, part = self.turn, self.roster.warmth(server) * self.roster.kind(server).share
+        turn, part = self.turn, self.roster.warmth(server) * self.roster.kind(server).range_fraction
         rate = self.roster.flow.per_second(turn.now) / servers * part
-        most = min(WARMING_TOKENS / self.roster.copies, rate * turn.settings.fall_time / SECOND / 2)
+        most = min(WARMING_TOKENS / self.roster.copies, rate * turn.settings.overload_window / SECOND / 2)
         return server.budget.take(turn.now, rate, most, turn.random.random())
--- a/applehub/policy/replicas.py
+++ b/applehub/policy/replicas.py
@@ -27,7 +27,7 @@
     def choose(self, key: str) -> int:
         """Counts a request for a key; gives how many owners of ranges it passes by."""
         servers = len(self.roster.ranges.deals[-1][1])
-        few_routers = servers > self.turn.settings.balancers
+        few_routers = servers > self.turn.settings.router_count
         fills = min(servers, self.popularity.fills(key, servers, proven=few_routers))
         ranges = self._ranges(key, fills, servers) if few_routers else fills
         return self.turn.random.randrange(1 + min(fills, ranges))
--- a/applehub/policy/roster.py
+++ b/applehub/policy/roster.py
@@ -36,7 +36,7 @@
         self.weights: dict[str, float] = {}  # listed, of the ready cache servers
         self.alike: Counter[float] = Counter()  # how many of them have the same weight
         self.mean_weight = 0.0
-        self.ranges = KeyRanges(turn.settings.ramp_time)
+        self.ranges = KeyRanges(turn.settings.slow_start_time)
         self.kinds: defaultdict[int, Kind] = defaultdict(Kind)
         self.flow = Rate(4 * turn.shortest_aim)  # of requests
         self.reachability = Reachability(turn)
@@ -44,7 +44,7 @@
 
     def retuned(self) -> None:
         """Other settings hold; what is learned of servers stays."""
-        self.ranges.turn = max(1, self.turn.settings.ramp_time)
+        self.ranges.turn = max(1, self.turn.settings.slow_start_time)
         self.flow.stretch(self.turn.now, 4 * self.turn.shortest_aim)
         self._deal()
 
@@ -61,14 +61,14 @@
         if event.kind is api.ListKind.FAILED:
             # Guards the rule on drains: what discovery has to tell counts as told some seconds later, heard
             # or not, so a first failure gives a short pause, and an outage none that grows on.
-            most = min(LIST_PAUSE, self.turn.settings.ask_within) >> max(0, 2 - self.unheard)
+            most = min(LIST_PAUSE, self.turn.settings.max_poll_interval) >> max(0, 2 - self.unheard)
             self.unheard += 1
             wait = most * self.turn.random.uniform(0.5, 1)
             self.turn.log(f"list unavailable, asked again in {wait / 1e6:.0f} ms")
             self.turn.later(int(wait), self._ask)
             return
         self.unheard = 0
-        if event.kind is api.ListKind.CACHED and self.turn.settings.must_ask:
+        if event.kind is api.ListKind.CACHED and self.turn.settings.list_on_request:
             self._ask(None)
         if event.kind is not api.ListKind.DELTA:
             named = {entry.server for entry in event.entries}
@@ -79,16 +79,16 @@
         delta = event.kind is api.ListKind.DELTA
         self._deal({entry.server for entry in event.entries} if delta else None)
 
-    def on_by_hand(self, event: api.ByHand) -> None:
+    def on_by_hand(self, event: api.ServerOverride) -> None:
         server = self.servers.get(event.server)
-        if event.out:
+        if event.excluded:
             self.by_hand.add(event.server)
         else:
             self.by_hand.discard(event.server)
             self.put_back[event.server] = event.since
         if server is None:
             return
-        if not event.out:
+        if not event.excluded:
             # Restarted while it was out: what it did before tells nothing, and no list may tell of its start.
             server.fails = server.refusals = server.breaks = 0
             self._chill(server, max(server.cold_since, event.since))
@@ -100,7 +100,7 @@
         server.listed = listed
         server.member = replace(server.member, state=api.State.DRAINING if out else listed)
 
-    def on_copies(self, event: api.Copies) -> None:
+    def on_copies(self, event: api.ProcessCount) -> None:
         self.copies = event.count
 
     def _deal(self, changed: set[str] | None = None) -> None:
@@ -150,7 +150,7 @@
     def _is_origin(self, name: str) -> bool:
         """Whether a server can be the origin now."""
         settings, server = self.turn.settings, self.servers.get(name)
-        kind = settings.origin_kind if settings.aside else -1
+        kind = settings.origin_kind if settings.cache_aside else -1
         return server is not None and server.member.kind == kind and server.member.state is api.State.READY
 
     def size(self, server: Server) -> float:
@@ -176,7 +176,7 @@
             server.fails = 0
         moved = entry.kind != server.member.kind
         server.member = entry
-        if moved and server.base:
+        if moved and server.base_latency:
             self.kind(server).note(server)
         self._set_state(server, entry.state)
 
@@ -190,12 +190,12 @@
 
     def warmth(self, server: Server) -> float:
         """The part of its full capacity that a server has by now at the least."""
-        age, cold = self.turn.now - server.cold_since, self.turn.settings.cold_from
-        return min(1.0, cold + (1 - cold) * age / max(1, self.turn.settings.ramp_time))
+        age, cold = self.turn.now - server.cold_since, self.turn.settings.slow_start_capacity
+        return min(1.0, cold + (1 - cold) * age / max(1, self.turn.settings.slow_start_time))
 
     def pace(self, server: Server) -> float:
         """How seldom each router may try a swamped server, so that all together send what one core serves."""
-        routers = max(self.turn.settings.balancers * self.copies, self.routers)
+        routers = max(self.turn.settings.router_count * self.copies, self.routers)
         return routers * self.kind(server).uncrowded
 
     def kind(self, server: Server) -> Kind:
@@ -209,37 +209,52 @@
         if event.load is None or event.load.eps <= 0:
             return 0.0
         servers = max(1, len(self.ranges.deals[-1][1]))
-        mean = self.flow.per_second(self.turn.now) * self.turn.settings.balancers / servers
+        mean = self.flow.per_second(self.turn.now) * self.turn.settings.router_count / servers
         return min(1.0, event.load.eps / max(1.0, mean))
 
     def _fails_most(self, server: Server) -> bool:
         """Guards against a server that fails most of what it is sent, and so quickly that it seems idle.
         Where caches fetch, an error may be the origin's; and the origin has no stand-in."""
-        return self.turn.settings.aside and server is not self.origin and server.errors > 1 / 2
+        return self.turn.settings.cache_aside and server is not self.origin and server.errors > 1 / 2
 
     def _away(self, server: Server, refused: bool) -> float:
         """The longest that a failed server is left alone. Guards against a trial from each of many routers as
         it comes back: what refused twice may be cold then, and all together send what it can do so."""
         wait = float(self.turn.settings.connect_timeout << min(server.fails, 4))
         if refused and server.fails > 1:
-            wait = max(wait, self.pace(server) / max(self.turn.settings.cold_from, SMOOTHING / 2))
+            wait = max(wait, self.pace(server) / max(self.turn.settings.slow_start_capacity, SMOOTHING / 2))
         return wait
 
-    def learnt(self) -> api.Learnt:
+    def learnt(self) -> api.SavedStatistics:
         """What is worth telling to a process of this router that comes after."""
-        known = [(name, one) for name, one in self.servers.items() if one.base]
-        return api.Learnt(0, {n: api.Seen(one.latency, one.base, one.held, one.share) for n, one in known})
+        known = [(name, one) for name, one in self.servers.items() if one.base_latency]
+        return api.SavedStatistics(
+            0,
+            {
+                n: api.ServerStatistics(one.latency, one.base_latency, one.mean_in_flight, one.range_fraction)
+                for n, one in known
+            },
+        )
 
-    def on_learnt(self, event: api.Learnt) -> None:
+    def on_learnt(self, event: api.SavedStatistics) -> None:
         """Guards a start against sending to each server what only its like bear. It counts for less the
         longer it has lain, and not at all for a server that was started since."""
         part, since = 1 - event.age / FADES, self.turn.now - event.age
         for name, seen in event.servers.items():
             server = self.servers.get(name)
-            if server is not None and not server.base and part > 0 and server.cold_since <= max(0, since):
-                server.latency, server.base, server.held = seen.latency, seen.base, seen.held
+            if (
+                server is not None
+                and not server.base_latency
+                and part > 0
+                and server.cold_since <= max(0, since)
+            ):
+                server.latency, server.base_latency, server.mean_in_flight = (
+                    seen.latency,
+                    seen.base_latency,
+                    seen.mean_in_flight,
+                )
                 self.kind(server).note(server)
-                server.share = 1 + (seen.share - 1) * part
+                server.range_fraction = 1 + (seen.range_fraction - 1) * part
 
     def put_out(self, name: str, own: int) -> bool:
         """Leaves a server alone that fails others, as if it had failed here; whether it does. An answer that
@@ -255,7 +270,7 @@
     def never_sent(self, server: Server, event: api.Outcome) -> None:
         """Takes back an attempt that this machine could not begin: nothing of the server was used."""
         server.never_sent(self.turn.now - event.elapsed)
-        if 0 < server.cold_since > self.turn.now - self.turn.settings.ramp_time:
+        if 0 < server.cold_since > self.turn.now - self.turn.settings.slow_start_time:
             server.budget.give_back()
 
     def observe(self, server: Server, event: api.Outcome) -> None:
@@ -313,5 +328,5 @@
             # Guards against a router that sees little of a server: who waits there tells what others send.
             slow = elapsed > turn.shortest_aim // 2
             server.bear(now, event.elapsed, slow)
-            if server is not self.origin and not 0 < server.cold_since > now - turn.settings.ramp_time:
+            if server is not self.origin and not 0 < server.cold_since > now - turn.settings.slow_start_time:
                 self.kind(server).bear(slow)
--- a/applehub/policy/servers.py
+++ b/applehub/policy/servers.py
@@ -17,7 +17,7 @@
     """What this router has seen of all servers of one kind: of each alone it may see too little."""
 
     uncrowded: float = 0.0  # the least answer time of one of them, ns
-    share: float = 1.0  # the part of an equal range that one of them bears
+    range_fraction: float = 1.0  # the part of an equal range that one of them bears
     # Of all of them, with numbers as servers have no order; what no longer holds goes as it comes to the top.
     heap: "list[tuple[float, int, Server, int]]" = field(default_factory=list)
     pushed: int = 0
@@ -25,14 +25,18 @@
 
     def bear(self, slow: bool) -> None:
         """As a server's own share, in smaller steps, since many answers of each jam come here."""
-        self.share = min(self.share + KIND_STEP / 4, 1.0) if not slow else self.share * (1 - KIND_STEP)
-        self.share = max(self.share, SMOOTHING)
+        self.range_fraction = (
+            min(self.range_fraction + KIND_STEP / 4, 1.0)
+            if not slow
+            else self.range_fraction * (1 - KIND_STEP)
+        )
+        self.range_fraction = max(self.range_fraction, SMOOTHING)
 
     def note(self, server: "Server") -> None:
         """Takes note of a server's answer time when uncrowded, at each change of it. Guards a large fleet's
         processor time: a heap gives the least, and servers are not looked through for it."""
         self.pushed += 1
-        heappush(self.heap, (server.base, self.pushed, server, server.member.kind))
+        heappush(self.heap, (server.base_latency, self.pushed, server, server.member.kind))
         if len(self.heap) > self.most:
             latest = {id(entry[2]): entry for entry in self.heap if self._holds(entry)}
             self.heap = sorted(latest.values())
@@ -49,7 +53,9 @@
     def _holds(entry: "tuple[float, int, Server, int]") -> bool:
         """Whether that is still so, of a server that is listed and of the kind."""
         base, _, server, kind = entry
-        return base == server.base and server.member.kind == kind and server.listed is not api.State.GONE
+        return (
+            base == server.base_latency and server.member.kind == kind and server.listed is not api.State.GONE
+        )
 
 
 @dataclass(slots=True, eq=False)
@@ -58,9 +64,9 @@
 
     member: api.Member  # as the list has it, but draining while it is out by hand
     latency: float  # moving average of answer times, ns
-    base: float = 0.0  # its answer time when uncrowded: the least average seen, slowly forgotten
+    base_latency: float = 0.0  # its answer time when uncrowded: the least average seen, slowly forgotten
     learned_at: int = 0
-    held: float = 1.0  # moving average of the attempts this router had out meanwhile
+    mean_in_flight: float = 1.0  # moving average of the attempts this router had out meanwhile
     out: int = 0
     sent_at: int = 0
     sent_before: int = 0  # when the attempt before that was sent
@@ -74,12 +80,12 @@
     down_since: int = 0
     down_until: int = 0
     budget: Bank = field(default_factory=Bank)  # of what it may be sent while it warms up
-    share: float = 1.0  # the part of its range that it bears
+    range_fraction: float = 1.0  # the part of its range that it bears
     cut_at: int = 0
     linked: bool = False  # it took this router's last connect
     cold_since: int = 0  # 0: warm since long ago
     trial: bool = False  # what is out was sent to see whether it has recovered
-    load: api.Load | None = None
+    load: api.LoadReport | None = None
     load_at: int = 0
     silences: int = 0  # time-outs in a row
     hearsay: bool = False  # it fails others, and was left alone for that
@@ -87,7 +93,7 @@
 
     def predict(self) -> float:
         """The answer time to expect of one more request, if it grows with what this router has out."""
-        return self.latency * (self.out + 1) / self.held
+        return self.latency * (self.out + 1) / self.mean_in_flight
 
     def reported(self, now: int) -> float:
         """The same by the server's last report, while that is fresh: it tells what other routers send."""
@@ -101,7 +107,7 @@
         """Whether one more request is answered within the limit, and crowd times its uncrowded answer time.
         A swamped server gets one trial an answer time and no two within pace, so that it can recover."""
         own, reported = self.predict(), self.reported(now)
-        if own <= min(limit, crowd * (self.base or limit)) and reported <= limit * crowd / 2:
+        if own <= min(limit, crowd * (self.base_latency or limit)) and reported <= limit * crowd / 2:
             return True
         if self.out or now - self.sent_at < max(own, reported, pace):
             return False
@@ -110,26 +116,26 @@
 
     def learn(self, now: int, span: int, elapsed: int, out: int, full: bool = False) -> None:
         # Guards a start: a first answer that is slower than the guess that stood there counts whole.
-        guessed = not self.base and elapsed > self.latency and not full
+        guessed = not self.base_latency and elapsed > self.latency and not full
         weight = 1 if guessed else 1 / 2 if self.trial else weight_of(now - self.learned_at, span)
         self.learned_at = now
         self.latency += (elapsed - self.latency) * weight
-        self.held += (out - self.held) * SMOOTHING
-        self.base = min(self.base * (1 + SMOOTHING / 16) or self.latency, self.latency)
+        self.mean_in_flight += (out - self.mean_in_flight) * SMOOTHING
+        self.base_latency = min(self.base_latency * (1 + SMOOTHING / 16) or self.latency, self.latency)
         self.trial = False
 
     def bear(self, now: int, elapsed: int, slow: bool) -> None:
         """A slow answer cuts the share of its range by a quarter, once a jam; a quick one adds a part."""
         if not slow:
-            self.share = min(self.share + SMOOTHING / 2, 1.0)
+            self.range_fraction = min(self.range_fraction + SMOOTHING / 2, 1.0)
         elif now - elapsed >= self.cut_at:
-            self.share, self.cut_at = max(self.share * 3 / 4, SMOOTHING), now
+            self.range_fraction, self.cut_at = max(self.range_fraction * 3 / 4, SMOOTHING), now
 
     def near_limit(self) -> bool:
         """Whether it is near what it bears: it was full or slow lately, or one more answer is expected after
         twice the uncrowded time. Under processor sharing answers take 1 / (1 - u) times that, with a part u
         of its capacity in use: at half, a key with a fair share of its own may fill the rest."""
-        return self.share < 1 or 0 < NEAR_LIMIT * self.base <= self.predict()
+        return self.range_fraction < 1 or 0 < NEAR_LIMIT * self.base_latency <= self.predict()
 
     def never_sent(self, sent: int) -> None:
         """Takes back the last attempt, which this machine could not begin: it was no trial of the server."""
--- a/applehub/policy/tenants.py
+++ b/applehub/policy/tenants.py
@@ -26,5 +26,7 @@
             self.shares[event.tenant].add(self.turn.now)
         both = zip(self.shares, quotas, strict=True)
         used = sorted(rate.per_second(self.turn.now) / one.quota for rate, one in both if one.quota)
-        rate = quotas[event.tenant].quota * max(1 / self.turn.settings.balancers, used[(len(used) - 1) // 2])
+        rate = quotas[event.tenant].quota * max(
+            1 / self.turn.settings.router_count, used[(len(used) - 1) // 2]
+        )
         return not self.banks[event.tenant].take(self.turn.now, rate, max(LEAST_TOTAL, rate))
--- a/applehub/policy/turn.py
+++ b/applehub/policy/turn.py
@@ -21,7 +21,7 @@
         self.retune(settings)
 
     def retune(self, settings: api.Settings) -> None:
-        self.settings, self.shortest_aim = settings, min(spec.aim for spec in settings.classes)
+        self.settings, self.shortest_aim = settings, min(spec.latency_objective for spec in settings.classes)
 
     def log(self, text: str) -> None:
         self.actions.append(api.Log(text))
@@ -37,4 +37,4 @@
         # Guards against an alarm that never comes: one overdue, or none yet, is asked for anew.
         if self.agenda and (self.wake_at <= self.now or self.agenda[0][0] < self.wake_at):
             self.wake_at = self.agenda[0][0]
-            self.actions.append(api.Wake(self.wake_at - self.now, str(self.wake_at)))
+            self.actions.append(api.SetTimer(self.wake_at - self.now, str(self.wake_at)))
--- a/applehub/wirehost.py
+++ b/applehub/wirehost.py
@@ -58,10 +58,10 @@
     return io.Members(LIST[m["kind"]], entries)
 
 
-def _load(report: Json | None) -> io.Load | None:
+def _load(report: Json | None) -> io.LoadReport | None:
     if not report:
         return None
-    return io.Load(
+    return io.LoadReport(
         **{LOAD[name]: value for name, value in report.items() if name in LOAD and value is not None}
     )
 
@@ -94,20 +94,20 @@
 READERS: dict[str, Callable[[Json], io.Event]] = {
     "WORK_ITEM": _request,
     "DONE": _outcome,
-    "FIRED": lambda m: io.Alarm(m["nonce"]),
+    "FIRED": lambda m: io.TimerFired(m["nonce"]),
     "DISCOVERY": _members,
-    "WITHDRAWN": lambda m: io.Withdrawn(m["msgId"]),
-    "OPENED": lambda m: io.Opened(m["msgId"], m["sendNo"], m["server"]),
-    "ECHO": lambda m: io.Probed(
+    "WITHDRAWN": lambda m: io.RequestCancelled(m["msgId"]),
+    "OPENED": lambda m: io.StreamOpened(m["msgId"], m["sendNo"], m["server"]),
+    "ECHO": lambda m: io.ProbeResult(
         m["server"], STATUS[m["disposition"]], m["costTime"], _load(m.get("feedback"))
     ),
     "MEMO": lambda m: io.PeerMessage(m["sender"], m["payload"]),
 }
 WRITERS: dict[type, Callable[[int, Any], Json]] = {
     io.Send: lambda i, a: {"t": "DISPATCH", "i": i, "msgId": a.id, "cap": a.timeout, "server": a.server},
-    io.Refuse: lambda i, a: {"t": "TURN_AWAY", "i": i, "msgId": a.id, "comeBack": a.retry_after},
+    io.Reject: lambda i, a: {"t": "TURN_AWAY", "i": i, "msgId": a.id, "comeBack": a.retry_after},
     io.Fail: lambda i, a: {"t": "END_FAILED", "i": i, "msgId": a.id},
-    io.Wake: lambda i, a: {"t": "REMIND", "i": i, "offset": a.delay, "nonce": a.token},
+    io.SetTimer: lambda i, a: {"t": "REMIND", "i": i, "offset": a.delay, "nonce": a.token},
     io.Watch: lambda i, a: {"t": "WATCH", "i": i, "active": True},
     io.Log: lambda i, a: {"t": "SAY_LOG", "i": i, "msg": a.text},
 }
--- a/tests/support.py
+++ b/tests/support.py
@@ -13,19 +13,19 @@
 def settings(**changes: object) -> api.Settings:
     values: dict[str, object] = {
         "classes": [
-            api.RequestClass(aim=SECOND, deadline=2 * SECOND, late_worth=0.5),
+            api.RequestClass(latency_objective=SECOND, deadline=2 * SECOND, late_weight=0.5),
             api.RequestClass(SECOND, 2 * SECOND, api.Effect.KEYED, "all", 3 * SECOND // 2),
             api.RequestClass(SECOND, 2 * SECOND, api.Effect.UNSAFE),
             api.RequestClass(SECOND, 2 * SECOND, api.Effect.KEYED, "zone", SECOND),
             api.RequestClass(SECOND, 2 * SECOND, api.Effect.KEYED, "cell", SECOND),
         ],
-        "balancers": 3,
-        "aside": True,
+        "router_count": 3,
+        "cache_aside": True,
         "origin_kind": ORIGIN_KIND,
         "max_attempts": 4,
-        "cold_from": 0.2,
-        "ramp_time": 10 * SECOND,
-        "tip_multiple": 3.0,
+        "slow_start_capacity": 0.2,
+        "slow_start_time": 10 * SECOND,
+        "overload_factor": 3.0,
     }
     values.update(changes)
     return api.Settings(**values)  # type: ignore[arg-type]
@@ -54,7 +54,7 @@
         """Plays an event; gives the actions that concern requests or the list."""
         actions: list[api.Action] = []
         for action in self.balancer.handle(self.now, event):
-            if isinstance(action, api.Wake):
+            if isinstance(action, api.SetTimer):
                 self.alarms.append((self.now + action.delay, action.token))
             elif isinstance(action, api.Log):
                 self.log.append(action.text)
@@ -69,7 +69,7 @@
             alarm = min(self.alarms)
             self.alarms.remove(alarm)
             self.now = max(self.now, alarm[0])
-            actions += self.tell(api.Alarm(alarm[1]))
+            actions += self.tell(api.TimerFired(alarm[1]))
         self.now = end
         return actions
 
@@ -87,7 +87,7 @@
         status: api.Status,
         attempt: int = 0,
         elapsed: int = 10 * MILLI,
-        load: api.Load | None = None,
+        load: api.LoadReport | None = None,
     ) -> list[api.Action]:
         """Ends the attempt that this Send began."""
         assert isinstance(send, api.Send)
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -8,7 +8,7 @@
 from applehub.policy.throttle import FEW_TOKENS, LEAST_TOTAL, Throttle
 
 SECOND = 1_000_000_000
-SPEC = RequestClass(aim=SECOND, deadline=2 * SECOND)
+SPEC = RequestClass(latency_objective=SECOND, deadline=2 * SECOND)
 
 
 def job(name: str) -> Job:
