--- a/applehub/policy/balancer.py
+++ b/applehub/policy/balancer.py
@@ -1,403 +1,452 @@
-"""Admission and retries: what becomes of each request, from its arrival to its one final answer."""
+"""Admission and retries: handles each request from its arrival to its final answer."""
 
 from collections.abc import Callable
 from dataclasses import replace
 
 from applehub import interface as api
+from applehub.policy.event_context import EventContext
 from applehub.policy.failed_starts import FailedStarts
-from applehub.policy.hearsay import Hearsay
+from applehub.policy.gossip import Gossip
 from applehub.policy.job import Job
-from applehub.policy.keys import KeyMemory
+from applehub.policy.keys import HitHistory
 from applehub.policy.placement import Placement
 from applehub.policy.replicas import Replicas
-from applehub.policy.roster import BROKEN, Roster
-from applehub.policy.servers import SLOW, Server
+from applehub.policy.server_table import CONNECTION_BROKEN, ServerTable
+from applehub.policy.servers import SLOW_FRACTION, Server
 from applehub.policy.tenants import Tenants
 from applehub.policy.throttle import Monitor, Throttle
-from applehub.policy.turn import Turn
 
-NEVER_RAN = frozenset((api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.MOOT, api.Status.MISS))
-WRITE_SLACK = 2  # times its aim that a write must expect at the origin before it is not sent
-SPARE = 2  # times its uncrowded answer time up to which the origin is idle
-NO_CROWD = 1 << 20  # no limit by it
+# The server did not process the attempt.
+NOT_EXECUTED = frozenset((api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.MOOT, api.Status.MISS))
+# The origin is overloaded for a write that it would answer later than this multiple of its latency objective.
+WRITE_LATENCY_FACTOR = 2
+IDLE_LATENCY_FACTOR = 2  # the origin is idle up to this multiple of its base latency
+UNLIMITED_FACTOR = 1 << 20  # disables the limit relative to the base latency
 
 
 class Balancer:
-    """One router's decisions: takes the time and an event, gives the actions."""
+    """The decisions of one router."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self.turn = turn = Turn(settings, seed)
-        self.roster = Roster(turn)
-        self.learnt = self.roster.learnt
-        self.placement = Placement(turn, self.roster)
-        self.tenants = Tenants(turn)
+        self.context = context = EventContext(settings, seed)
+        self.server_table = ServerTable(context)
+        self.statistics = self.server_table.statistics
+        self.placement = Placement(context, self.server_table)
+        self.tenants = Tenants(context)
         self.jobs: dict[str, Job] = {}
-        self.memory, self.replicas = KeyMemory(), Replicas(turn, self.roster)
-        self.monitor = Monitor(turn.shortest_aim // 2)
-        self.hearsay = Hearsay(turn, self.roster, self.monitor)
-        self.reads: dict[tuple[str, int], tuple[int, int]] = {}  # likely misses out: sent, slow from
-        self.fetches: dict[str, list[Job]] = {}  # keys being read from the origin, and who waits for them
-        self.failed_starts = FailedStarts(turn, self._start_again, self._stop_waiting)
+        self.hit_history, self.replicas = HitHistory(), Replicas(context, self.server_table)
+        self.monitor = Monitor(context.shortest_objective // 2)
+        self.gossip = Gossip(context, self.server_table, self.monitor)
+        # Likely misses in flight, by request and attempt: when each was sent, and when it counts as slow.
+        self.misses_in_flight: dict[tuple[str, int], tuple[int, int]] = {}
+        # Keys that are being read from the origin, and the jobs that wait for the result.
+        self.fetch_waiters: dict[str, list[Job]] = {}
+        self.failed_starts = FailedStarts(context, self._retry_start, self._stop_retrying)
         self.release_at = 0
         self.handlers: dict[type, Callable[..., None]] = {
             api.Request: self._on_request,
-            api.StreamOpened: self._on_opened,
+            api.StreamOpened: self._on_stream_opened,
             api.Outcome: self._on_outcome,
-            api.Members: self.roster.on_members,
-            api.ServerOverride: self.roster.on_by_hand,
-            api.SettingsChanged: self._on_retuned,
-            api.ProcessCount: self.roster.on_copies,
-            api.SavedStatistics: self.roster.on_learnt,
-            api.RequestCancelled: self._on_withdrawn,
-            api.GossipSummary: self.hearsay.on_fleet,
+            api.Members: self.server_table.on_members,
+            api.ServerOverride: self.server_table.on_server_override,
+            api.SettingsChanged: self._on_settings_changed,
+            api.ProcessCount: self.server_table.on_process_count,
+            api.SavedStatistics: self.server_table.on_saved_statistics,
+            api.RequestCancelled: self._on_cancelled,
+            api.GossipSummary: self.gossip.on_summary,
         }
 
     @property
     def settings(self) -> api.Settings:
-        """Those that hold now."""
-        return self.turn.settings
+        """The current settings."""
+        return self.context.settings
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Plays one event at its time."""
-        turn = self.turn
-        turn.now, turn.actions = now, []
-        if self.monitor.born < 0:
-            self.monitor.born = now
-            turn.later(self.monitor.period, self._step)
+        """Handles an event at a clock time and returns the resulting actions."""
+        context = self.context
+        context.now, context.actions = now, []
+        if self.monitor.started_at < 0:
+            self.monitor.started_at = now
+            context.call_later(self.monitor.period, self._run_monitor)
         handler = self.handlers.get(type(event))
         if handler is not None:
             handler(event)
-        elif type(event) is api.TimerFired and event.token == str(turn.wake_at):
-            # Guards against coarse timers: known by its token, since it may come a little before its time.
-            turn.wake_at = 0
-        turn.run_agenda()
-        return turn.actions
-
-    def _on_retuned(self, event: api.SettingsChanged) -> None:
-        """Jobs hold the class they came with; what is learned of servers and keys stays."""
-        before, turn = self.turn.settings, self.turn
-        turn.retune(event.settings)
-        self.monitor.period = turn.shortest_aim // 2
-        self.monitor.spent.stretch(turn.now, 8 * self.monitor.period)
+        elif type(event) is api.TimerFired and event.token == str(context.timer_at):
+            # The token identifies the timer, since a coarse timer may fire slightly early.
+            context.timer_at = 0
+        context.run_due_calls()
+        return context.actions
+
+    def _on_settings_changed(self, event: api.SettingsChanged) -> None:
+        """Applies new settings. Jobs keep their request class; statistics of servers and keys are kept."""
+        before, context = self.context.settings, self.context
+        context.apply_settings(event.settings)
+        self.monitor.period = context.shortest_objective // 2
+        self.monitor.token_usage.set_time_constant(context.now, 8 * self.monitor.period)
         if event.settings.tenants != before.tenants:
-            self.tenants.know()
-        self.roster.retuned()
+            self.tenants.reset()
+        self.server_table.on_settings_changed()
 
     @property
-    def come_back(self) -> int:
-        """How long a client that is refused should stay away, where it may be told."""
-        told, most = self.turn.settings.retry_after, self.turn.settings.max_retry_after
-        return min(self.turn.shortest_aim, most) if told else 0
-
-    def _step(self, _: Job | None) -> None:
-        # Guards against an origin that hangs: a slow read counts as bad before it ends.
-        for read, (sent, slow) in list(self.reads.items()):
-            if slow > self.turn.now:
+    def client_retry_after(self) -> int:
+        """Time, in nanoseconds, after which a rejected client may retry; 0 if clients get no such time."""
+        enabled, limit = self.context.settings.retry_after, self.context.settings.max_retry_after
+        return min(self.context.shortest_objective, limit) if enabled else 0
+
+    def _run_monitor(self, _: Job | None) -> None:
+        # A slow read counts as unhealthy before it ends, so that an origin that hangs is detected.
+        for read, (sent, slow) in list(self.misses_in_flight.items()):
+            if slow > self.context.now:
                 break
-            del self.reads[read]
-            self.monitor.note(False, sent)
-        self._release(None)  # so that the level counts the tokens due by now
+            del self.misses_in_flight[read]
+            self.monitor.record(False, sent)
+        self._release_queued(None)  # adds the tokens due by now to the throttle's level
         before = self.monitor.throttle
-        line = self.monitor.step(self.turn.now, bool(self.reads))
-        if line:
-            self.turn.log(line)
+        log_line = self.monitor.step(self.context.now, bool(self.misses_in_flight))
+        if log_line:
+            self.context.log(log_line)
         if before is not None and self.monitor.throttle is None:
             for job in list(before.queue.values()):
-                self._proceed(job)
-        if self.turn.settings.peers:
-            self.turn.actions.append(self.hearsay.tell())
-        self.turn.later(self.monitor.period, self._step)
+                self._dispatch(job)
+        if self.context.settings.peers:
+            self.context.actions.append(self.gossip.publish())
+        self.context.call_later(self.monitor.period, self._run_monitor)
 
     def _on_request(self, event: api.Request) -> None:
-        spec = self.turn.settings.classes[event.cls]
+        spec = self.context.settings.classes[event.cls]
         job = self.jobs[event.id] = Job(
-            event, spec, min(event.deadline, self.turn.now + spec.latency_objective)
+            event, spec, min(event.deadline, self.context.now + spec.latency_objective)
         )
-        job.marked = self.tenants.over_share(event)
-        self.roster.flow.add(self.turn.now)
+        job.over_quota = self.tenants.is_over_quota(event)
+        self.server_table.request_rate.add(self.context.now)
         if event.key is not None:
-            # Guards against a hot key that swamps its one cache.
-            job.skip = self.replicas.choose(event.key)
-        if event.write and self.turn.settings.cache_aside:
+            # Spreads the requests for a hot key, which would overload a single cache server.
+            job.skip_owners = self.replicas.choose_replica(event.key)
+        if event.write and self.context.settings.cache_aside:
             job.at_origin = True
-            self._proceed(job)
-        elif event.key is not None and self.memory.likely_miss(event.key, self.turn.now):
+            self._dispatch(job)
+        elif event.key is not None and self.hit_history.likely_miss(event.key, self.context.now):
             job.likely_miss = True
-            if not self._join(job):
-                self._spend(job)
+            if not self._join_fetch(job):
+                self._acquire_token(job)
         else:
-            self._proceed(job)
+            self._dispatch(job)
 
-    def _join(self, job: Job) -> bool:
-        """Guards against a flood of reads for one key: who lacks it waits for the read that is out."""
-        waiting = self.fetches.get(job.request.key or "")
-        if waiting is None or self.turn.now >= job.due:
+    def _join_fetch(self, job: Job) -> bool:
+        """Waits for an origin read of the same key that is in flight; returns whether there is one.
+
+        Prevents many concurrent origin reads for one key.
+        """
+        waiting = self.fetch_waiters.get(job.request.key or "")
+        if waiting is None or self.context.now >= job.objective_deadline:
             return False
         waiting.append(job)
-        self.turn.later(job.due - self.turn.now, self._give_up, job)
+        self.context.call_later(job.objective_deadline - self.context.now, self._reject_or_fail, job)
         return True
 
-    def _fetched(self, key: str, stored: bool) -> None:
-        """An origin read has ended: who waited for it finds the key in the cache, or takes its own turn."""
+    def _finish_fetch(self, key: str, stored: bool) -> None:
+        """Completes an origin read: the waiting jobs get the key from the cache or fetch it themselves."""
         throttle = self.monitor.throttle
-        waiting = self.fetches.pop(key, [])
+        waiting = self.fetch_waiters.pop(key, [])
         if stored and throttle is not None:
             waiting += [job for job in throttle.queue.values() if job.request.key == key]
         for job in waiting:
-            if self.jobs.get(job.request.id) is not job or job.out:
+            if self.jobs.get(job.request.id) is not job or job.in_flight:
                 continue
             if throttle is not None:
-                throttle.leave(job)
+                throttle.remove(job)
             if stored:
                 job.at_origin = False
                 job.tried.clear()
-                self._proceed(job)
-            elif not self._join(job):
-                self._spend(job)
+                self._dispatch(job)
+            elif not self._join_fetch(job):
+                self._acquire_token(job)
 
-    def _spend(self, job: Job) -> None:
-        """The throttle's gate: a likely miss, and each origin read, takes a token here."""
+    def _acquire_token(self, job: Job) -> None:
+        """Takes a token from the throttle, which each likely miss and each origin read needs."""
         throttle = self.monitor.throttle
         if throttle is None:
-            self._pay(job)
-            self._proceed(job)
+            self._assign_token(job)
+            self._dispatch(job)
             return
-        self._release(None)
-        wait = throttle.wait_for(1 - throttle.level)
-        verdict = None if job.marked or self.turn.now + wait > job.due else throttle.offer(job)
+        self._release_queued(None)
+        wait = throttle.wait_time(1 - throttle.level)
+        verdict = (
+            None
+            if job.over_quota or self.context.now + wait > job.objective_deadline
+            else throttle.offer(job)
+        )
         if verdict:
-            self._pay(job)
-            self._proceed(job)
+            self._assign_token(job)
+            self._dispatch(job)
         elif job.request.id in throttle.queue:
-            self._plan_release(throttle)
-            self.turn.later(job.due - self.turn.now, self._give_up, job)
+            self._schedule_release(throttle)
+            self.context.call_later(job.objective_deadline - self.context.now, self._reject_or_fail, job)
         else:
-            self._give_up(job)
+            self._reject_or_fail(job)
 
-    def _plan_release(self, throttle: Throttle) -> None:
-        if throttle.queue and self.release_at <= self.turn.now:
-            self.release_at = max(self.turn.now + 1, throttle.last + throttle.wait_for(1))
-            self.turn.later(self.release_at - self.turn.now, self._release)
+    def _schedule_release(self, throttle: Throttle) -> None:
+        if throttle.queue and self.release_at <= self.context.now:
+            self.release_at = max(self.context.now + 1, throttle.refilled_at + throttle.wait_time(1))
+            self.context.call_later(self.release_at - self.context.now, self._release_queued)
 
-    def _release(self, _: Job | None) -> None:
+    def _release_queued(self, _: Job | None) -> None:
         throttle = self.monitor.throttle
         if throttle is None:
             return
-        for job in throttle.refill(self.turn.now):
-            self._pay(job)
-            self._proceed(job)
-        self._plan_release(throttle)
-
-    def _pay(self, job: Job) -> None:
-        """Notes that a job has taken a token, or needed none; it is kept until an attempt uses it."""
-        self.monitor.spent.add(self.turn.now)
-        job.paid = True
-
-    def _proceed(self, job: Job | None) -> None:
-        if job is None or job.request.id not in self.jobs or job.out:
-            return  # ended meanwhile; and never are two attempts out
-        server = self.roster.origin if job.at_origin else self._place(job) or self._spare(job)
-        # Guards against work that keeps a jammed origin jammed: the rule for swamped servers holds here too.
-        # Guards against reads that crowd writes out: a write has nowhere else to go, so reads are shed first.
-        limit = job.spec.latency_objective * (WRITE_SLACK if job.request.write else SLOW)
-        jammed = job.at_origin and server and not server.calm(self.turn.now, limit, NO_CROWD, 0)
-        if server is None or jammed or self._too_late(job, server) or not self._may_send(job, server):
-            self._give_up(job)
+        for job in throttle.refill(self.context.now):
+            self._assign_token(job)
+            self._dispatch(job)
+        self._schedule_release(throttle)
+
+    def _assign_token(self, job: Job) -> None:
+        """Records that a job has a token or needed none; it is kept until an attempt uses it."""
+        self.monitor.token_usage.add(self.context.now)
+        job.has_token = True
+
+    def _dispatch(self, job: Job | None) -> None:
+        if job is None or job.request.id not in self.jobs or job.in_flight:
+            return  # the job has ended, or an attempt is already in flight
+        server = (
+            self.server_table.origin
+            if job.at_origin
+            else self._choose_cache(job) or self._choose_idle_origin(job)
+        )
+        # An overloaded origin gets no more work, as cache servers do. The limit for reads is lower than that
+        # for writes, so that reads are shed first: only the origin can process a write.
+        limit = job.spec.latency_objective * (WRITE_LATENCY_FACTOR if job.request.write else SLOW_FRACTION)
+        overloaded = (
+            job.at_origin and server and not server.has_capacity(self.context.now, limit, UNLIMITED_FACTOR, 0)
+        )
+        if (
+            server is None
+            or overloaded
+            or self._is_too_late(job, server)
+            or not self._may_attempt(job, server)
+        ):
+            self._reject_or_fail(job)
         else:
-            self._send(job, server)
+            self._send_attempt(job, server)
 
-    def _place(self, job: Job) -> Server | None:
-        server = self.placement.place(job)
-        if server is None and job.unreached:  # no other will do: the trouble may be over where it was
-            job.pass_by_none()
-            server = self.placement.place(job)
+    def _choose_cache(self, job: Job) -> Server | None:
+        server = self.placement.choose_server(job)
+        if server is None and job.unreachable:  # no other server is left, and the fault may be over
+            job.clear_unreachable()
+            server = self.placement.choose_server(job)
         return server
 
-    def _spare(self, job: Job) -> Server | None:
-        """The origin, for a read that no cache may take, while it is idle. Guards against a fleet short of
-        warm servers beside an origin with room. It spends a token, as each origin read does."""
-        origin, throttle = self.roster.origin, self.monitor.throttle
-        idle = origin is not None and origin.predict() <= SPARE * origin.base_latency
-        if not idle or job.request.key is None or job.request.write or job.marked or job.begun:
+    def _choose_idle_origin(self, job: Job) -> Server | None:
+        """Returns the origin for a read that no cache server can take, if the origin is idle, else None.
+
+        Uses idle capacity of the origin while too few cache servers have warmed up. Takes a token, as each
+        origin read does.
+        """
+        origin, throttle = self.server_table.origin, self.monitor.throttle
+        idle = origin is not None and origin.predicted_latency() <= IDLE_LATENCY_FACTOR * origin.base_latency
+        if not idle or job.request.key is None or job.request.write or job.over_quota or job.attempts_started:
             return None
         if throttle is not None:
-            self._release(None)
+            self._release_queued(None)
             if throttle.queue or not throttle.offer(job):
-                throttle.leave(job)
+                throttle.remove(job)
                 return None
-        self._pay(job)
-        job.at_origin = job.apart = True
+        self._assign_token(job)
+        job.at_origin = job.detached = True
         return origin
 
-    def _too_late(self, job: Job, server: Server) -> bool:
-        """Guards against second tries that can't be timely: they take from those that can. What the origin
-        reads is kept for others, and what still earns something late is worth a try."""
-        if job.at_origin or not job.begun or job.spec.late_weight:
+    def _is_too_late(self, job: Job, server: Server) -> bool:
+        """Whether a retry cannot meet the latency objective and would waste capacity.
+
+        Origin reads are exempt, since their results are cached, and so are classes that value late answers.
+        """
+        if job.at_origin or not job.attempts_started or job.spec.late_weight:
             return False
-        return server.predict() > job.due - self.turn.now
+        return server.predicted_latency() > job.objective_deadline - self.context.now
 
-    def _send(self, job: Job, server: Server) -> None:
-        key, read, now = job.request.key, job.at_origin and not job.request.write, self.turn.now
+    def _send_attempt(self, job: Job, server: Server) -> None:
+        key, read, now = job.request.key, job.at_origin and not job.request.write, self.context.now
         left = job.request.deadline - now
         timeout = 0
         if job.spec.effect is not api.Effect.UNSAFE and not job.spec.stream:
-            # Guards against an origin slower than an aim: a read given up fills no cache for those after it.
-            # Guards against a jam fed by second tries: what still earns something late is waited for.
-            timeout = left if read or job.spec.late_weight else min(left, job.due - now)
-        # Guards against a dial that outlasts the window: the repeat would begin when its id is forgotten.
-        begin_by = job.window_ends if job.live and job.spec.effect is api.Effect.KEYED else 0
-        server.out += 1
-        server.sent_before, server.sent_at = server.sent_at, now
-        job.live[job.made] = (server, now)
-        job.out.add(job.made)
-        job.made += 1
+            # An origin read gets the whole deadline, since its result fills the cache for later requests. So
+            # do classes that value late answers, since a retry would add load to an overloaded server.
+            timeout = left if read or job.spec.late_weight else min(left, job.objective_deadline - now)
+        # A connect may take long; the retry must not start when the server has forgotten the idempotency key.
+        start_by = job.retry_window_end if job.may_have_run and job.spec.effect is api.Effect.KEYED else 0
+        server.in_flight += 1
+        server.previous_sent_at, server.last_sent_at = server.last_sent_at, now
+        job.may_have_run[job.attempts_made] = (server, now)
+        job.in_flight.add(job.attempts_made)
+        job.attempts_made += 1
         job.tried.add(server.member.server)
-        if read or (job.likely_miss and not self.turn.settings.cache_aside):
-            self.reads[job.request.id, job.made - 1] = (now, now + int(job.spec.latency_objective * SLOW))
-        if key is not None and not self.turn.settings.cache_aside:
-            self.memory.put(key, now)
-        elif key is not None and read and not job.apart:
-            self.fetches.setdefault(key, [])
-        self.turn.actions.append(api.Send(job.request.id, server.member.server, max(timeout, 0), begin_by))
-
-    def _may_send(self, job: Job, server: Server) -> bool:
-        """Rules 1 and 2: whether this attempt is allowed, by what the earlier ones proved."""
-        if job.begun >= self.turn.settings.max_attempts or self.turn.now >= job.request.deadline:
+        if read or (job.likely_miss and not self.context.settings.cache_aside):
+            self.misses_in_flight[job.request.id, job.attempts_made - 1] = (
+                now,
+                now + int(job.spec.latency_objective * SLOW_FRACTION),
+            )
+        if key is not None and not self.context.settings.cache_aside:
+            self.hit_history.remember(key, now)
+        elif key is not None and read and not job.detached:
+            self.fetch_waiters.setdefault(key, [])
+        self.context.actions.append(api.Send(job.request.id, server.member.server, max(timeout, 0), start_by))
+
+    def _may_attempt(self, job: Job, server: Server) -> bool:
+        """Whether another attempt is allowed, given which earlier attempts may have been executed."""
+        if (
+            job.attempts_started >= self.context.settings.max_attempts
+            or self.context.now >= job.request.deadline
+        ):
             return False
-        if job.spec.effect is api.Effect.SAFE or not job.live:
+        if job.spec.effect is api.Effect.SAFE or not job.may_have_run:
             return True
-        if job.spec.effect is api.Effect.UNSAFE or self.turn.now >= job.window_ends:
+        if job.spec.effect is api.Effect.UNSAFE or self.context.now >= job.retry_window_end:
             return False
         group, to = job.spec.group, server.member
-        ran = [at.member for at, _ in job.live.values()]
+        ran = [at.member for at, _ in job.may_have_run.values()]
         same = [one.zone == to.zone if group == "zone" else one.cell == to.cell for one in ran]
         return group == "all" or all(same)
 
-    def _give_up(self, job: Job | None) -> None:
-        """The final answer of this router: a refusal where that is true, else a failure."""
-        if job is None or job.out or self.jobs.get(job.request.id) is not job:
+    def _reject_or_fail(self, job: Job | None) -> None:
+        """Ends a job: rejects it if the client may safely retry, else reports a failure."""
+        if job is None or job.in_flight or self.jobs.get(job.request.id) is not job:
             return
         effect, name = job.spec.effect, job.request.id
-        dropped = effect is api.Effect.KEYED and job.spec.group == "all"
-        if effect is api.Effect.SAFE or not job.live or (dropped and self.turn.now < job.window_ends):
-            self.turn.actions.append(api.Reject(name, self.come_back))
+        deduplicated = effect is api.Effect.KEYED and job.spec.group == "all"
+        if (
+            effect is api.Effect.SAFE
+            or not job.may_have_run
+            or (deduplicated and self.context.now < job.retry_window_end)
+        ):
+            self.context.actions.append(api.Reject(name, self.client_retry_after))
         else:
-            self.turn.actions.append(api.Fail(name))
-        self._end(job)
+            self.context.actions.append(api.Fail(name))
+        self._remove(job)
 
-    def _end(self, job: Job) -> None:
+    def _remove(self, job: Job) -> None:
         self.jobs.pop(job.request.id, None)
-        job.waiting = False
-        if job.paid and job.not_begun and not job.out:
-            self.monitor.give_back(self.turn.now)
+        job.waiting_to_start = False
+        if job.has_token and job.not_started and not job.in_flight:
+            self.monitor.return_token(self.context.now)
         if self.monitor.throttle is not None:
-            self.monitor.throttle.leave(job)
+            self.monitor.throttle.remove(job)
 
-    def _on_withdrawn(self, event: api.RequestCancelled) -> None:
+    def _on_cancelled(self, event: api.RequestCancelled) -> None:
         job = self.jobs.get(event.id)
         if job is not None:
-            reading = job.reads_origin and (job.out or job.waiting)
-            self._end(job)
+            reading = job.shares_origin_read and (job.in_flight or job.waiting_to_start)
+            self._remove(job)
             if reading:
-                self._fetched(job.request.key or "", False)  # what nobody waits for is not stored
+                self._finish_fetch(job.request.key or "", False)  # a cancelled read is not cached
 
-    def _on_opened(self, event: api.StreamOpened) -> None:
-        """The attempt is the client's from now on. Who waits for its key need not wait for its last byte."""
-        read = self.reads.pop((event.id, event.attempt), None)
+    def _on_stream_opened(self, event: api.StreamOpened) -> None:
+        """Releases the jobs that wait for the key, since the cache can serve it while the stream goes on."""
+        read = self.misses_in_flight.pop((event.id, event.attempt), None)
         if read is not None:
-            self.monitor.note(self.turn.now < read[1], read[0])
+            self.monitor.record(self.context.now < read[1], read[0])
         if (job := self.jobs.get(event.id)) is None:
             return
-        if job.reads_origin:
-            self.memory.put(job.request.key or "", self.turn.now)
-            self._fetched(job.request.key or "", True)
-        job.apart = True
+        if job.shares_origin_read:
+            self.hit_history.remember(job.request.key or "", self.context.now)
+            self._finish_fetch(job.request.key or "", True)
+        job.detached = True
 
     def _on_outcome(self, event: api.Outcome) -> None:
         job = self.jobs.get(event.id)
-        server = self.roster.servers.get(event.server)
-        status = self.roster.reachability.status(server, event)
+        server = self.server_table.servers.get(event.server)
+        status = self.server_table.reachability.status(server, event)
         if status in api.NOT_STARTED:
-            self.reads.pop((event.id, event.attempt), None)
+            self.misses_in_flight.pop((event.id, event.attempt), None)
             if server is not None:
-                self.roster.never_sent(server, event)
+                self.server_table.undo_send(server, event)
             if job is not None:
-                self.failed_starts.take(job, event)
+                self.failed_starts.add(job, event)
             return
         event = event if status is event.status else replace(event, status=status)
         if server is not None:
-            self.roster.observe(server, event)
-        read = self.reads.pop((event.id, event.attempt), None)
-        if read is not None and event.status not in (*BROKEN, api.Status.CANCELLED):  # they say nothing of it
-            self.monitor.note(event.status is api.Status.OK and self.turn.now < read[1], read[0])
+            self.server_table.observe(server, event)
+        read = self.misses_in_flight.pop((event.id, event.attempt), None)
+        # Broken connections and cancelled attempts are no evidence of the origin's health.
+        if read is not None and event.status not in (*CONNECTION_BROKEN, api.Status.CANCELLED):
+            self.monitor.record(event.status is api.Status.OK and self.context.now < read[1], read[0])
         if job is None:
             return
-        job.out.discard(event.attempt)
-        job.paid = False
-        (self._closed if event.closed else self._unanswered)(job, event)
-
-    def _start_again(self, job: Job) -> None:
-        """A further try of what this machine could not begin."""
-        self._proceed(job)
-        self._free_readers(job)
-
-    def _stop_waiting(self, job: Job) -> None:
-        """This machine could not begin an attempt in time."""
-        self._give_up(job)
-        self._free_readers(job)
-
-    def _free_readers(self, job: Job) -> None:
-        """Where a job has ended without a read, who waits for that takes its own turn."""
-        if job.reads_origin and self.jobs.get(job.request.id) is not job:
-            self._fetched(job.request.key or "", False)
-
-    def _closed(self, job: Job, event: api.Outcome) -> None:
-        self._end(job)
+        job.in_flight.discard(event.attempt)
+        job.has_token = False
+        (self._on_answered if event.closed else self._on_failed_attempt)(job, event)
+
+    def _retry_start(self, job: Job) -> None:
+        """Retries an attempt that this machine could not start."""
+        self._dispatch(job)
+        self._release_waiters(job)
+
+    def _stop_retrying(self, job: Job) -> None:
+        """Ends a job whose attempt this machine could not start in time."""
+        self._reject_or_fail(job)
+        self._release_waiters(job)
+
+    def _release_waiters(self, job: Job) -> None:
+        """Lets waiting jobs fetch the key themselves if the job ended without an origin read."""
+        if job.shares_origin_read and self.jobs.get(job.request.id) is not job:
+            self._finish_fetch(job.request.key or "", False)
+
+    def _on_answered(self, job: Job, event: api.Outcome) -> None:
+        self._remove(job)
         key, answered = job.request.key, event.status is api.Status.OK
-        if key is None or job.request.write or (job.apart and job.at_origin):
+        if key is None or job.request.write or (job.detached and job.at_origin):
             return
         if job.at_origin:
             if answered:
-                self.memory.put(key, self.turn.now)
-            self._fetched(key, answered)
+                self.hit_history.remember(key, self.context.now)
+            self._finish_fetch(key, answered)
         elif answered:
-            self.memory.learn(key, self.turn.now, True)
+            self.hit_history.observe(key, self.context.now, True)
 
-    def _unanswered(self, job: Job, event: api.Outcome) -> None:
+    def _on_failed_attempt(self, job: Job, event: api.Outcome) -> None:
         key, status = job.request.key, event.status
-        if status in NEVER_RAN:
-            job.live.pop(event.attempt, None)
-        if status in BROKEN:
-            job.tried.discard(event.server)  # the key is still there, and another connection leads to it
-        # Guards against a slow origin behind the caches: what one could not fetch, no other should try.
-        late = self.turn.now >= job.due and not job.spec.late_weight
-        unfetched = (
-            status is api.Status.ERROR and not self.turn.settings.cache_aside and not job.request.write
+        if status in NOT_EXECUTED:
+            job.may_have_run.pop(event.attempt, None)
+        if status in CONNECTION_BROKEN:
+            job.tried.discard(
+                event.server
+            )  # the server still has the key and may be tried over a new connection
+        # In cache-through mode an error of one cache server is probably the origin's; others are not tried.
+        late = self.context.now >= job.objective_deadline and not job.spec.late_weight
+        origin_error = (
+            status is api.Status.ERROR and not self.context.settings.cache_aside and not job.request.write
         )
-        if status is api.Status.MISS and self.turn.settings.cache_aside and not job.at_origin:
+        if status is api.Status.MISS and self.context.settings.cache_aside and not job.at_origin:
             job.at_origin = True
             if key is not None:
-                self.memory.learn(key, self.turn.now, False)
-            if not self._join(job):
-                self._spend(job)
+                self.hit_history.observe(key, self.context.now, False)
+            if not self._join_fetch(job):
+                self._acquire_token(job)
         elif job.at_origin:
             read = key is not None and not job.request.write
-            if read and status in BROKEN and self.turn.now < job.due:
-                self._spend(job)  # the network broke it: the origin has neither failed nor refused it
+            if read and status in CONNECTION_BROKEN and self.context.now < job.objective_deadline:
+                self._acquire_token(
+                    job
+                )  # the connection broke; the origin has neither failed nor rejected it
             else:
-                self._after_origin(job)
-            if key is not None and read and not job.out and not job.apart:
-                self._fetched(key, False)
-        elif unfetched or late or (status is api.Status.FULL and (job.marked or job.begun > 1)):
-            self._give_up(job)
+                self._on_origin_failure(job)
+            if key is not None and read and not job.in_flight and not job.detached:
+                self._finish_fetch(key, False)
+        elif (
+            origin_error
+            or late
+            or (status is api.Status.FULL and (job.over_quota or job.attempts_started > 1))
+        ):
+            self._reject_or_fail(job)
         else:
-            self._proceed(job)
-
-    def _after_origin(self, job: Job) -> None:
-        """A read the origin failed is refused, to shield it; a write tries again while its aim lasts."""
-        wait = int((job.spec.latency_objective << job.begun) * self.turn.random.uniform(0.5, 1)) // 32
-        timely = job.request.write and self.turn.now + wait < job.due
-        if timely and self.roster.origin and self._may_send(job, self.roster.origin):
-            self.turn.later(wait, self._proceed, job)
+            self._dispatch(job)
+
+    def _on_origin_failure(self, job: Job) -> None:
+        """Rejects a read that the origin failed, to protect it; retries a write within its objective."""
+        wait = (
+            int((job.spec.latency_objective << job.attempts_started) * self.context.random.uniform(0.5, 1))
+            // 32
+        )
+        timely = job.request.write and self.context.now + wait < job.objective_deadline
+        if timely and self.server_table.origin and self._may_attempt(job, self.server_table.origin):
+            self.context.call_later(wait, self._dispatch, job)
         else:
-            self._give_up(job)
+            self._reject_or_fail(job)
--- /dev/null
+++ b/applehub/policy/gossip.py
@@ -0,0 +1,66 @@
+"""Exchanges health and load statistics with other routers. A router's own observations take precedence."""
+
+from applehub import interface as api
+from applehub.policy.event_context import EventContext
+from applehub.policy.rates import SECOND
+from applehub.policy.server_table import ServerTable
+from applehub.policy.throttle import Monitor
+
+ADJUSTMENT = 1 / 4  # weight of a received range fraction in the moving average
+# Number of routers that must report a server as failing; a larger fleet needs more.
+MIN_QUORUM, MAX_QUORUM = 3, 6
+QUORUM_FRACTION = 1 / 8  # of all routers
+MIN_AGREEMENT = 3 / 4  # fraction of the routers that report on a server
+MIN_TIMEOUTS = 1  # consecutive timeouts from which on a server is published as failing
+OWN_EVIDENCE_LIFETIME = 2 * SECOND  # for which an answer to this router outweighs gossip
+MAX_EJECTED_FRACTION = 1 / 4  # of the listed servers that may be ejected by gossip
+
+
+class Gossip:
+    """Applies gossip from other routers and publishes this router's observations."""
+
+    def __init__(self, context: EventContext, server_table: ServerTable, monitor: Monitor) -> None:
+        self.context, self.server_table, self.monitor = context, server_table, monitor
+        self.has_received = False  # whether any range fractions were received since the start
+        self.reported_servers: list[str] = []
+
+    def on_summary(self, event: api.GossipSummary) -> None:
+        """Applies gossip.
+
+        Range fractions converge between routers, so that they agree on the server for a key; a router that
+        has just started takes over the received values.
+        """
+        for number, fraction in event.range_fractions.items():
+            kind = self.server_table.kinds[number]
+            kind.range_fraction += (fraction - kind.range_fraction) * (ADJUSTMENT if self.has_received else 1)
+        self.has_received = self.has_received or bool(event.range_fractions)
+        self.server_table.live_router_count = event.router_count
+        self.reported_servers = list(event.failure_reports)
+        quorum = min(MAX_QUORUM, max(MIN_QUORUM, event.router_count * QUORUM_FRACTION))
+        ejected = sum(
+            server.ejected_by_gossip and server.failures > 0 for server in self.server_table.servers.values()
+        )
+        for name, (failing, reporters) in event.failure_reports.items():
+            may_eject = ejected + 1 <= MAX_EJECTED_FRACTION * len(self.server_table.servers)
+            if may_eject and failing >= max(quorum, reporters * MIN_AGREEMENT):
+                ejected += self.server_table.eject(name, OWN_EVIDENCE_LIFETIME)
+
+    def publish(self) -> api.PublishGossip:
+        """Returns this router's own observations only: forwarded gossip would never expire."""
+        throttle, servers = self.monitor.throttle, self.server_table.servers
+        failing = {
+            name: server.failures or server.timeouts
+            for name, server in servers.items()
+            if not server.ejected_by_gossip and (server.failures or server.timeouts >= MIN_TIMEOUTS)
+        }
+        reported = ((name, servers[name]) for name in self.reported_servers if name in servers)
+        healthy = [
+            name
+            for name, one in reported
+            if not one.failures and one.answered_at > self.context.now - OWN_EVIDENCE_LIFETIME
+        ]
+        fractions = {number: kind.range_fraction for number, kind in self.server_table.kinds.items()}
+        rate = throttle.rate if throttle is not None else 0.0
+        return api.PublishGossip(
+            rate, self.monitor.recent_rate(self.context.now), fractions, failing, healthy
+        )
--- a/applehub/policy/job.py
+++ b/applehub/policy/job.py
@@ -1,4 +1,4 @@
-"""A request that a router holds."""
+"""State of the requests in progress."""
 
 from dataclasses import dataclass, field
 
@@ -6,47 +6,53 @@
 from applehub.policy.rates import SECOND
 from applehub.policy.servers import Server
 
-HELD_UP = 15 * SECOND // 100  # for which the process may stand still between a decision and its writing
+MAX_PAUSE = 15 * SECOND // 100  # of the process, between the decision to send and the write to the socket
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A request this router holds, with what its attempts have proved so far."""
+    """A request in progress and the state of its attempts."""
 
     request: api.Request
     spec: api.RequestClass
-    due: int  # until when it is worth its full: the end of its aim, or its deadline if that is sooner
-    marked: bool = False  # over its tenant's share
-    likely_miss: bool = False  # its key was not lately seen hit; in through mode, not lately sent
-    skip: int = 0  # owners of a hot key's ranges that this request passes by
-    at_origin: bool = False  # a write, or a read that missed
-    apart: bool = False  # what becomes of its origin read tells nothing of the caches
-    made: int = 0  # attempts so far
-    not_begun: int = 0  # attempts among them that failed on this machine
-    unreached: set[str] = field(default_factory=set)  # servers that are passed by for one of those
-    waiting: bool = False  # for this machine to be able to begin an attempt
-    paid: bool = False  # it holds a token that no attempt has used yet
-    live: dict[int, tuple[Server, int]] = field(default_factory=dict)  # may have run: where, when sent
-    out: set[int] = field(default_factory=set)
+    objective_deadline: int  # end of the latency objective, or the deadline if that is earlier
+    over_quota: bool = False  # exceeds its tenant's quota
+    # The key was not hit recently or, in cache-through mode, not requested recently.
+    likely_miss: bool = False
+    skip_owners: int = 0  # number of range owners to skip, to spread a hot key
+    at_origin: bool = False  # goes to the origin: a write, or a read that missed
+    detached: bool = False  # the result of its origin read does not affect the caches
+    attempts_made: int = 0
+    not_started: int = 0  # attempts that this machine could not start
+    unreachable: set[str] = field(default_factory=set)  # servers avoided because of such attempts
+    waiting_to_start: bool = False  # until this machine can start an attempt
+    has_token: bool = False  # has a token that no attempt has used yet
+    # Attempts that may have been executed: server and send time, by attempt number.
+    may_have_run: dict[int, tuple[Server, int]] = field(default_factory=dict)
+    in_flight: set[int] = field(default_factory=set)
     tried: set[str] = field(default_factory=set)
 
     @property
-    def begun(self) -> int:
-        """Attempts so far that count: those that this machine could begin."""
-        return self.made - self.not_begun
+    def attempts_started(self) -> int:
+        """Number of attempts without those that this machine could not start."""
+        return self.attempts_made - self.not_started
 
     @property
-    def window_ends(self) -> int:
-        """Until when a repeat of what may have run may be decided on, so that it begins in its window also if
-        the process stands still in between."""
-        return min(sent for _, sent in self.live.values()) + self.spec.idempotency_window - HELD_UP
+    def retry_window_end(self) -> int:
+        """Clock time until which a retry of a request that may have been executed is allowed.
 
-    def pass_by_none(self) -> None:
-        """Servers that this machine could not begin an attempt at may be tried again."""
-        self.tried -= self.unreached
-        self.unreached.clear()
+        Leaves time for a pause of the process, so that the retry starts within the idempotency window.
+        """
+        return min(sent for _, sent in self.may_have_run.values()) + self.spec.idempotency_window - MAX_PAUSE
+
+    def clear_unreachable(self) -> None:
+        """Makes the servers at which this machine could not start an attempt available again."""
+        self.tried -= self.unreachable
+        self.unreachable.clear()
 
     @property
-    def reads_origin(self) -> bool:
-        """Whether others may wait for what it reads from the origin."""
-        return self.at_origin and not self.apart and not self.request.write and self.request.key is not None
+    def shares_origin_read(self) -> bool:
+        """Whether other jobs may wait for its origin read."""
+        return (
+            self.at_origin and not self.detached and not self.request.write and self.request.key is not None
+        )
--- a/applehub/policy/placement.py
+++ b/applehub/policy/placement.py
@@ -1,76 +1,96 @@
-"""Where a request goes: the owner of its key's range, or the next in range order."""
+"""Choice of the cache server for a request: the owner of the key's range, or the next in range order."""
 
 from collections.abc import Iterable
 from itertools import chain, islice
 
+from applehub.policy.event_context import EventContext
 from applehub.policy.job import Job
 from applehub.policy.rates import SECOND
-from applehub.policy.roster import Roster
-from applehub.policy.servers import SLOW, Server
-from applehub.policy.turn import Turn
+from applehub.policy.server_table import ServerTable
+from applehub.policy.servers import SLOW_FRACTION, Server
 
-SLOW_IF_MARKED = 1 / 4  # as SLOW, for marked work, which is shed first: a mean there leaves e^-4 late
-CROWD, CROWD_IF_MARKED = 4, 2  # times its uncrowded answer time at which a server is swamped
-WARMING_TOKENS = 2  # most that a router saves up for a server that warms up: one would lose half of them
+SLOW_FRACTION_OVER_QUOTA = 1 / 4  # as SLOW_FRACTION, for requests over quota, which are shed first
+# A server is overloaded above this multiple of its base latency; the second value is for requests over quota.
+QUEUEING_FACTOR, QUEUEING_FACTOR_OVER_QUOTA = 4, 2
+MAX_WARMUP_TOKENS = 2  # of all processes of a router, for one warming server
 
 
 class Placement:
-    """Finds a cache server for a job among those that the roster knows."""
+    """Chooses cache servers for jobs."""
 
-    def __init__(self, turn: Turn, roster: Roster) -> None:
-        self.turn, self.roster = turn, roster
+    def __init__(self, context: EventContext, server_table: ServerTable) -> None:
+        self.context, self.server_table = context, server_table
 
-    def place(self, job: Job) -> Server | None:
-        """The owner of the key's range, or the next in range order where a departure acts."""
-        turn, roster, now = self.turn, self.roster, self.turn.now
-        slow, crowd = (SLOW_IF_MARKED, CROWD_IF_MARKED) if job.marked else (SLOW, CROWD)
-        limit = job.spec.latency_objective * slow
-        hops, ramp_time = 0, turn.settings.slow_start_time
-        depth, taken_up, owner, names = roster.ranges.locate(job.request.key or job.request.id, now)
-        near: Iterable[Server] = (roster.servers[name] for name in names if name in roster.servers)
-        skipped = list(islice(near, job.skip))  # they come last
-        near = chain(near, skipped)
-        if roster.crowded > 1 / 2:
-            # Guards against full connection tables: while most connects are refused, those there are do.
-            near = sorted(near, key=lambda server: not server.linked)
-        passed: list[Server] = []
-        for server in chain(near, passed):
+    def choose_server(self, job: Job) -> Server | None:
+        """Returns the owner of the key's range, or the next available server in range order, or None."""
+        context, server_table, now = self.context, self.server_table, self.context.now
+        slow_fraction, queueing_factor = (
+            (SLOW_FRACTION_OVER_QUOTA, QUEUEING_FACTOR_OVER_QUOTA)
+            if job.over_quota
+            else (SLOW_FRACTION, QUEUEING_FACTOR)
+        )
+        limit = job.spec.latency_objective * slow_fraction
+        overloaded, slow_start_time = 0, context.settings.slow_start_time
+        position, migrated_at, owner, names = server_table.ranges.locate(
+            job.request.key or job.request.id, now
+        )
+        candidates: Iterable[Server] = (
+            server_table.servers[name] for name in names if name in server_table.servers
+        )
+        skipped = list(islice(candidates, job.skip_owners))  # tried last
+        candidates = chain(candidates, skipped)
+        if server_table.connect_failure_rate > 1 / 2:
+            # Prefers established connections while most new connections are refused.
+            candidates = sorted(candidates, key=lambda server: not server.accepted_connect)
+        deferred: list[Server] = []
+        for server in chain(candidates, deferred):
             name = server.member.server
-            # Rule 4: a server that warms up bears of its own range what was taken up since it started.
-            warm = taken_up if name == owner else now - ramp_time
-            head = int(turn.settings.slow_start_capacity * ramp_time) if name == owner else 0
-            if name in job.tried or server.cold_since > max(0, warm + head):
+            # A warming server serves only the keys of its own range that migrated to it since its start.
+            warm_before = migrated_at if name == owner else now - slow_start_time
+            head_start = int(context.settings.slow_start_capacity * slow_start_time) if name == owner else 0
+            if name in job.tried or server.warming_since > max(0, warm_before + head_start):
                 continue
-            # Guards against an entry that became the origin's: keys that its range held still name it.
-            if name not in roster.weights or not server.open(now):
+            # A server that has become the origin may still be the owner of keys of its earlier range.
+            if name not in server_table.weights or not server.is_available(now):
                 continue
-            # Guards against a range that is more than its server bears: the far end passes to the next, which
-            # bears its part of that; what nobody bears goes back. What warms up takes up keys by its age.
-            warming = 0 < server.cold_since > now - ramp_time
-            bears = (
+            # A server with reduced capacity takes only the first part of its range; the rest goes to the next
+            # servers in the same way, and back to the first if none takes it. The range of a warming server
+            # grows by migration, so the fraction of its kind does not apply.
+            warming = 0 < server.warming_since > now - slow_start_time
+            fraction = (
                 server.range_fraction
-                * roster.size(server)
-                * (1 if warming else roster.kind(server).range_fraction)
+                * server_table.relative_weight(server)
+                * (1 if warming else server_table.kind(server).range_fraction)
             )
-            if depth >= bears and server not in passed:
-                depth = (depth - bears) / (1 - bears)
-                passed.append(server)
+            if position >= fraction and server not in deferred:
+                position = (position - fraction) / (1 - fraction)
+                deferred.append(server)
                 continue
-            if warming and not self._in_budget(server, len(roster.ranges.deals[-1][1])):
+            if warming and not self._take_warmup_token(server, len(server_table.ranges.assignments[-1][1])):
                 continue
-            # Guards against a storm of full answers: work spills once, to a calm server, or is refused.
-            if server.calm(now, limit, crowd, roster.pace(server)):
+            # Work overflows to one more server only and is then rejected, to limit the spread of overload.
+            if server.has_capacity(now, limit, queueing_factor, server_table.trial_interval(server)):
                 return server
-            # Guards against neighbours that fail together: who is slow with nothing of ours out is passed by.
-            hops += server.latency <= limit * server.mean_in_flight
-            if job.marked or hops == 2:
+            # A server that is slow without load from this router is not counted, so that neighbours which
+            # fail together are skipped.
+            overloaded += server.latency <= limit * server.mean_in_flight
+            if job.over_quota or overloaded == 2:
                 break
         return None
 
-    def _in_budget(self, server: Server, servers: int) -> bool:
-        """Guards against hot keys that a warming server takes up: it gets the mean flow of what it can do.
-        And against many routers that spend at once: none saves more than half the rule's window brings."""
-        turn, part = self.turn, self.roster.warmth(server) * self.roster.kind(server).range_fraction
-        rate = self.roster.flow.per_second(turn.now) / servers * part
-        most = min(WARMING_TOKENS / self.roster.copies, rate * turn.settings.overload_window / SECOND / 2)
-        return server.budget.take(turn.now, rate, most, turn.random.random())
+    def _take_warmup_token(self, server: Server, servers: int) -> bool:
+        """Limits the requests to a warming server to the mean request rate times its warm capacity.
+
+        Prevents hot keys from overloading it. The number of saved tokens is limited to half of those that
+        fall due in the overload window, since many routers may spend theirs at the same time.
+        """
+        context, fraction = (
+            self.context,
+            self.server_table.warm_capacity(server) * self.server_table.kind(server).range_fraction,
+        )
+        rate = self.server_table.request_rate.per_second(context.now) / servers * fraction
+        capacity = min(
+            MAX_WARMUP_TOKENS / self.server_table.process_count,
+            rate * context.settings.overload_window / SECOND / 2,
+        )
+        return server.warmup_budget.take(context.now, rate, capacity, context.random.random())
--- a/applehub/policy/replicas.py
+++ b/applehub/policy/replicas.py
@@ -1,47 +1,51 @@
-"""On how many servers a hot key is kept: on one, until that is near what it bears."""
+"""Number of servers that cache a hot key: one, until that server is near its capacity."""
 
+from applehub.policy.event_context import EventContext
 from applehub.policy.keys import Popularity
-from applehub.policy.roster import Roster
-from applehub.policy.turn import Turn
+from applehub.policy.server_table import ServerTable
 
-FIRST_COPIES = 2  # further ranges that a hot key takes at the first sign
-GROWTH = 2  # times as many at each further sign
+INITIAL_REPLICAS = 2  # further ranges that a key gets when its server is near capacity for the first time
+REPLICA_GROWTH = 2  # factor for each further time
 
 
 class Replicas:
-    """Takes further ranges for a hot key as its server comes near what it bears, up to as many as it fills.
+    """Adds ranges to a hot key when its server nears capacity, up to one for each fair share of its requests.
 
-    Each copy has to be fetched once, by one router, and serves all of them. With at least as many routers
-    as servers every copy is soon paid by what the others ask for, and each router sees too little to prove
-    that a key is hot before it has swamped its server: its share of this router's requests will do. With
-    fewer routers a copy has to be paid by few, and two things are needed. Evidence that the key is hot, by
-    counts (see Popularity). And a reason, by what the key's own server does: a key whose server has capacity
-    left is better kept in one place, however often it is asked for."""
+    Each replica costs one fetch from the origin and then serves all routers. With at least as many routers as
+    servers, the fetch pays off soon, and a single router sees too few requests to prove that a key is hot, so
+    the key's share of its requests decides. With fewer routers, two conditions apply: the counts must prove
+    that the key is hot (see Popularity), and its server must be near capacity.
+    """
 
-    def __init__(self, turn: Turn, roster: Roster) -> None:
-        self.turn, self.roster = turn, roster
+    def __init__(self, context: EventContext, server_table: ServerTable) -> None:
+        self.context, self.server_table = context, server_table
         self.popularity = Popularity()
-        # By key: its further ranges, and when the answer came that was the latest sign for more.
-        self.ranges: dict[str, tuple[int, int]] = {}
-
-    def choose(self, key: str) -> int:
-        """Counts a request for a key; gives how many owners of ranges it passes by."""
-        servers = len(self.roster.ranges.deals[-1][1])
-        few_routers = servers > self.turn.settings.router_count
-        fills = min(servers, self.popularity.fills(key, servers, proven=few_routers))
-        ranges = self._ranges(key, fills, servers) if few_routers else fills
-        return self.turn.random.randrange(1 + min(fills, ranges))
-
-    def _ranges(self, key: str, fills: int, servers: int) -> int:
-        if not fills:
-            self.ranges.pop(key, None)
+        # By key: the number of further ranges, and the time of the measurement that last raised it.
+        self.replica_counts: dict[str, tuple[int, int]] = {}
+
+    def choose_replica(self, key: str) -> int:
+        """Counts a request for a key and returns the number of range owners that it skips."""
+        servers = len(self.server_table.ranges.assignments[-1][1])
+        few_routers = servers > self.context.settings.router_count
+        fair_shares = min(servers, self.popularity.count_fair_shares(key, servers, proven=few_routers))
+        ranges = self._replica_count(key, fair_shares, servers) if few_routers else fair_shares
+        return self.context.random.randrange(1 + min(fair_shares, ranges))
+
+    def _replica_count(self, key: str, fair_shares: int, servers: int) -> int:
+        if not fair_shares:
+            self.replica_counts.pop(key, None)
             return 0
-        ranges, signed_at = self.ranges.get(key, (0, -1))
-        owner = self.roster.servers.get(self.roster.ranges.locate(key, self.turn.now)[2])
-        if ranges < fills and owner is not None and owner.learned_at > signed_at and owner.near_limit():
-            ranges = min(fills, max(FIRST_COPIES, GROWTH * ranges))
-            self.ranges.pop(key, None)
-            self.ranges[key] = ranges, owner.learned_at
-            if len(self.ranges) > servers:  # no more keys than servers have a fair share each
-                del self.ranges[next(iter(self.ranges))]
+        ranges, raised_at = self.replica_counts.get(key, (0, -1))
+        owner = self.server_table.servers.get(self.server_table.ranges.locate(key, self.context.now)[2])
+        if (
+            ranges < fair_shares
+            and owner is not None
+            and owner.measured_at > raised_at
+            and owner.is_near_limit()
+        ):
+            ranges = min(fair_shares, max(INITIAL_REPLICAS, REPLICA_GROWTH * ranges))
+            self.replica_counts.pop(key, None)
+            self.replica_counts[key] = ranges, owner.measured_at
+            if len(self.replica_counts) > servers:  # no more than `servers` keys can have a fair share each
+                del self.replica_counts[next(iter(self.replica_counts))]
         return ranges
--- a/applehub/policy/servers.py
+++ b/applehub/policy/servers.py
@@ -1,150 +1,174 @@
-"""What one router has seen of one server, and of all servers of a kind."""
+"""Statistics of one router on single servers and on all servers of a kind."""
 
 from dataclasses import dataclass, field
 from heapq import heappop, heappush
 
 from applehub import interface as api
-from applehub.policy.rates import SECOND, SMOOTHING, Bank, weight_of
+from applehub.policy.rates import SECOND, SMOOTHING, TokenBucket, sample_weight
 
-SLOW = 3 / 4  # part of a request's aim past which an answer is slow and its server swamped
-NEAR_LIMIT = 2  # times its uncrowded answer time from which on a server is near what it bears
-HEAP_LEAST = 64  # entries that a heap may hold before it is looked through
-KIND_STEP = 1 / 16  # part of a kind's share that a slow answer of one of its servers takes
+SLOW_FRACTION = 3 / 4  # of the latency objective, above which an answer is slow and its server overloaded
+NEAR_LIMIT_FACTOR = 2  # a server is near capacity from this multiple of its base latency
+MIN_HEAP_SIZE = 64
+KIND_REDUCTION = 1 / 16  # fraction by which a slow answer reduces the range fraction of a kind
 
 
 @dataclass(slots=True, eq=False)
 class Kind:
-    """What this router has seen of all servers of one kind: of each alone it may see too little."""
+    """Statistics of all servers of one kind; a router may have too few samples of a single server."""
 
-    uncrowded: float = 0.0  # the least answer time of one of them, ns
-    range_fraction: float = 1.0  # the part of an equal range that one of them bears
-    # Of all of them, with numbers as servers have no order; what no longer holds goes as it comes to the top.
+    lowest_base_latency: float = 0.0  # lowest base latency of a server of the kind, ns
+    range_fraction: float = 1.0  # fraction of an equal range that one server takes
+    # Base latencies of all servers, with a sequence number as servers have no order. Outdated entries are
+    # removed when they reach the top.
     heap: "list[tuple[float, int, Server, int]]" = field(default_factory=list)
-    pushed: int = 0
-    most: int = HEAP_LEAST  # entries; past it all that no longer holds goes
+    push_count: int = 0
+    max_heap_size: int = MIN_HEAP_SIZE  # above it, outdated entries are removed
 
-    def bear(self, slow: bool) -> None:
-        """As a server's own share, in smaller steps, since many answers of each jam come here."""
+    def adjust_range(self, slow: bool) -> None:
+        """Adjusts the fraction as Server.adjust_range does, in smaller steps, as there are more answers."""
         self.range_fraction = (
-            min(self.range_fraction + KIND_STEP / 4, 1.0)
+            min(self.range_fraction + KIND_REDUCTION / 4, 1.0)
             if not slow
-            else self.range_fraction * (1 - KIND_STEP)
+            else self.range_fraction * (1 - KIND_REDUCTION)
         )
         self.range_fraction = max(self.range_fraction, SMOOTHING)
 
-    def note(self, server: "Server") -> None:
-        """Takes note of a server's answer time when uncrowded, at each change of it. Guards a large fleet's
-        processor time: a heap gives the least, and servers are not looked through for it."""
-        self.pushed += 1
-        heappush(self.heap, (server.base_latency, self.pushed, server, server.member.kind))
-        if len(self.heap) > self.most:
-            latest = {id(entry[2]): entry for entry in self.heap if self._holds(entry)}
+    def record_base_latency(self, server: "Server") -> None:
+        """Records a changed base latency of a server.
+
+        A heap gives the lowest one without a search of all servers.
+        """
+        self.push_count += 1
+        heappush(self.heap, (server.base_latency, self.push_count, server, server.member.kind))
+        if len(self.heap) > self.max_heap_size:
+            latest = {id(entry[2]): entry for entry in self.heap if self._is_current(entry)}
             self.heap = sorted(latest.values())
-            self.most = 2 * len(self.heap) + HEAP_LEAST
+            self.max_heap_size = 2 * len(self.heap) + MIN_HEAP_SIZE
 
-    def learned(self, server: "Server") -> None:
-        """Takes up a server's new answer time when uncrowded."""
-        self.note(server)
-        while not self._holds(self.heap[0]):
+    def update_base_latency(self, server: "Server") -> None:
+        """Updates the lowest base latency after that of a server has changed."""
+        self.record_base_latency(server)
+        while not self._is_current(self.heap[0]):
             heappop(self.heap)
-        self.uncrowded = self.heap[0][0]
+        self.lowest_base_latency = self.heap[0][0]
 
     @staticmethod
-    def _holds(entry: "tuple[float, int, Server, int]") -> bool:
-        """Whether that is still so, of a server that is listed and of the kind."""
+    def _is_current(entry: "tuple[float, int, Server, int]") -> bool:
+        """Whether a heap entry is up to date: its server is listed, of this kind, and has this latency."""
         base, _, server, kind = entry
         return (
-            base == server.base_latency and server.member.kind == kind and server.listed is not api.State.GONE
+            base == server.base_latency
+            and server.member.kind == kind
+            and server.listed_state is not api.State.GONE
         )
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """What this router has seen of one server."""
-
-    member: api.Member  # as the list has it, but draining while it is out by hand
-    latency: float  # moving average of answer times, ns
-    base_latency: float = 0.0  # its answer time when uncrowded: the least average seen, slowly forgotten
-    learned_at: int = 0
-    mean_in_flight: float = 1.0  # moving average of the attempts this router had out meanwhile
-    out: int = 0
-    sent_at: int = 0
-    sent_before: int = 0  # when the attempt before that was sent
-    unreached: int = 0  # attempts in a row that found no way to it while others took new connections
-    unreached_at: int = 0
-    fails: int = 0  # in a row: connects failed, attempts broken past BREAKS, errors of a failing server
-    refusals: int = 0  # connects failed among them
-    errors: float = 0.0  # part of its latest answers that were errors
+    """Status and statistics of one server."""
+
+    member: api.Member  # as listed, but draining while an operator override excludes it
+    latency: float  # moving average of response times, ns
+    base_latency: float = 0.0  # response time without queueing: lowest average, slowly rising, ns
+    measured_at: int = 0
+    mean_in_flight: float = 1.0  # moving average of this router's attempts in flight
+    in_flight: int = 0
+    last_sent_at: int = 0
+    previous_sent_at: int = 0
+    unreachable_count: int = 0  # consecutive unreachable attempts while other servers accepted connections
+    unreachable_at: int = 0
+    # Consecutive failures: refused connections, repeatedly broken attempts, errors of a failing server.
+    failures: int = 0
+    refused_connects: int = 0
+    error_rate: float = 0.0  # fraction of recent answers that were errors
     answered_at: int = 0
-    breaks: int = 0  # attempts in a row that broke after they were sent
-    down_since: int = 0
-    down_until: int = 0
-    budget: Bank = field(default_factory=Bank)  # of what it may be sent while it warms up
-    range_fraction: float = 1.0  # the part of its range that it bears
-    cut_at: int = 0
-    linked: bool = False  # it took this router's last connect
-    cold_since: int = 0  # 0: warm since long ago
-    trial: bool = False  # what is out was sent to see whether it has recovered
+    broken_attempts: int = 0  # consecutive attempts whose connection broke after sending
+    ejected_since: int = 0
+    ejected_until: int = 0
+    warmup_budget: TokenBucket = field(default_factory=TokenBucket)  # for requests while it warms up
+    range_fraction: float = 1.0  # fraction of its key range that it takes
+    reduced_at: int = 0  # when range_fraction was last reduced
+    accepted_connect: bool = False  # whether it accepted this router's last connection
+    warming_since: int = 0  # 0: warm
+    is_trial: bool = False  # whether the attempt in flight tests for recovery from overload
     load: api.LoadReport | None = None
-    load_at: int = 0
-    silences: int = 0  # time-outs in a row
-    hearsay: bool = False  # it fails others, and was left alone for that
-    listed: api.State = api.State.READY
+    load_reported_at: int = 0
+    timeouts: int = 0  # consecutive
+    ejected_by_gossip: bool = False
+    listed_state: api.State = api.State.READY
 
-    def predict(self) -> float:
-        """The answer time to expect of one more request, if it grows with what this router has out."""
-        return self.latency * (self.out + 1) / self.mean_in_flight
+    def predicted_latency(self) -> float:
+        """Returns the expected response time of one more request, which grows with those in flight."""
+        return self.latency * (self.in_flight + 1) / self.mean_in_flight
 
-    def reported(self, now: int) -> float:
-        """The same by the server's last report, while that is fresh: it tells what other routers send."""
+    def reported_latency(self, now: int) -> float:
+        """Returns the same from the latest load report, which includes other routers' load; 0 if outdated."""
         load = self.load
-        if load is None or now - self.load_at > SECOND:
+        if load is None or now - self.load_reported_at > SECOND:
             return 0.0
-        busy = max(1.0, load.qps * load.latency_ms / 1000)  # cores at work, by Little's law
+        busy = max(1.0, load.qps * load.latency_ms / 1000)  # busy cores, by Little's law
         return load.latency_ms * 1e6 * (load.inflight + 1) / busy
 
-    def calm(self, now: int, limit: float, crowd: int, pace: float) -> bool:
-        """Whether one more request is answered within the limit, and crowd times its uncrowded answer time.
-        A swamped server gets one trial an answer time and no two within pace, so that it can recover."""
-        own, reported = self.predict(), self.reported(now)
-        if own <= min(limit, crowd * (self.base_latency or limit)) and reported <= limit * crowd / 2:
+    def has_capacity(self, now: int, limit: float, queueing_factor: int, trial_interval: float) -> bool:
+        """Whether one more request would be answered within limit and queueing_factor times the base latency.
+
+        An overloaded server gets one trial per response time, at least trial_interval apart, to recover.
+        """
+        own, reported = self.predicted_latency(), self.reported_latency(now)
+        if own <= min(limit, queueing_factor * (self.base_latency or limit)) and (
+            reported <= limit * queueing_factor / 2
+        ):
             return True
-        if self.out or now - self.sent_at < max(own, reported, pace):
+        if self.in_flight or now - self.last_sent_at < max(own, reported, trial_interval):
             return False
-        self.trial = True
+        self.is_trial = True
         return True
 
-    def learn(self, now: int, span: int, elapsed: int, out: int, full: bool = False) -> None:
-        # Guards a start: a first answer that is slower than the guess that stood there counts whole.
-        guessed = not self.base_latency and elapsed > self.latency and not full
-        weight = 1 if guessed else 1 / 2 if self.trial else weight_of(now - self.learned_at, span)
-        self.learned_at = now
+    def record_latency(
+        self, now: int, time_constant: int, elapsed: int, in_flight: int, full: bool = False
+    ) -> None:
+        """Adds a response time, in nanoseconds, to the moving averages."""
+        # A first answer that is slower than the initial value replaces it.
+        is_initial = not self.base_latency and elapsed > self.latency and not full
+        weight = (
+            1
+            if is_initial
+            else 1 / 2
+            if self.is_trial
+            else sample_weight(now - self.measured_at, time_constant)
+        )
+        self.measured_at = now
         self.latency += (elapsed - self.latency) * weight
-        self.mean_in_flight += (out - self.mean_in_flight) * SMOOTHING
+        self.mean_in_flight += (in_flight - self.mean_in_flight) * SMOOTHING
         self.base_latency = min(self.base_latency * (1 + SMOOTHING / 16) or self.latency, self.latency)
-        self.trial = False
+        self.is_trial = False
 
-    def bear(self, now: int, elapsed: int, slow: bool) -> None:
-        """A slow answer cuts the share of its range by a quarter, once a jam; a quick one adds a part."""
+    def adjust_range(self, now: int, elapsed: int, slow: bool) -> None:
+        """Reduces the range fraction by a quarter, once per overload, or raises it after a fast answer."""
         if not slow:
             self.range_fraction = min(self.range_fraction + SMOOTHING / 2, 1.0)
-        elif now - elapsed >= self.cut_at:
-            self.range_fraction, self.cut_at = max(self.range_fraction * 3 / 4, SMOOTHING), now
-
-    def near_limit(self) -> bool:
-        """Whether it is near what it bears: it was full or slow lately, or one more answer is expected after
-        twice the uncrowded time. Under processor sharing answers take 1 / (1 - u) times that, with a part u
-        of its capacity in use: at half, a key with a fair share of its own may fill the rest."""
-        return self.range_fraction < 1 or 0 < NEAR_LIMIT * self.base_latency <= self.predict()
-
-    def never_sent(self, sent: int) -> None:
-        """Takes back the last attempt, which this machine could not begin: it was no trial of the server."""
-        self.out = max(0, self.out - 1)
-        if self.sent_at == sent:
-            self.sent_at = self.sent_before
-        self.trial = self.trial and self.out > 0
-
-    def open(self, now: int) -> bool:
-        """Whether it may be tried: one at a time after a failure, until it answers."""
-        tried_again = now >= self.down_until and not self.out
-        return self.member.state is api.State.READY and (not self.fails or tried_again)
+        elif now - elapsed >= self.reduced_at:
+            self.range_fraction, self.reduced_at = max(self.range_fraction * 3 / 4, SMOOTHING), now
+
+    def is_near_limit(self) -> bool:
+        """Whether the server is near its capacity.
+
+        It is if it was full or slow recently, or if one more answer is expected to take twice the base
+        latency. Under processor sharing, this is the latency at half utilization, so one key with a fair
+        share of its own could use the rest.
+        """
+        return (
+            self.range_fraction < 1 or 0 < NEAR_LIMIT_FACTOR * self.base_latency <= self.predicted_latency()
+        )
+
+    def undo_send(self, sent: int) -> None:
+        """Reverts the last attempt, which this machine could not start."""
+        self.in_flight = max(0, self.in_flight - 1)
+        if self.last_sent_at == sent:
+            self.last_sent_at = self.previous_sent_at
+        self.is_trial = self.is_trial and self.in_flight > 0
+
+    def is_available(self, now: int) -> bool:
+        """Whether the server may be sent to; after a failure only one attempt at a time is allowed."""
+        may_retry = now >= self.ejected_until and not self.in_flight
+        return self.member.state is api.State.READY and (not self.failures or may_retry)
--- a/applehub/policy/tenants.py
+++ b/applehub/policy/tenants.py
@@ -1,32 +1,35 @@
-"""What each tenant may send, cut to one router's part of the traffic."""
+"""Limits of tenants, scaled to one router's part of the traffic."""
 
 from applehub import interface as api
-from applehub.policy.rates import Bank, Rate
-from applehub.policy.throttle import LEAST_TOTAL
-from applehub.policy.turn import Turn
+from applehub.policy.event_context import EventContext
+from applehub.policy.rates import Rate, TokenBucket
+from applehub.policy.throttle import MIN_CAPACITY
 
 
 class Tenants:
-    """Marks requests over their tenant's quota."""
+    """Marks requests that exceed their tenant's quota."""
 
-    def __init__(self, turn: Turn) -> None:
-        self.turn = turn
-        self.know()
+    def __init__(self, context: EventContext) -> None:
+        self.context = context
+        self.reset()
 
-    def know(self) -> None:
-        self.shares = [Rate(4 * self.turn.shortest_aim, self.turn.now) for _ in self.turn.settings.tenants]
-        self.banks = [Bank(at=self.turn.now) for _ in self.turn.settings.tenants]
+    def reset(self) -> None:
+        """Starts with empty statistics for the tenants of the current settings."""
+        self.request_rates = [
+            Rate(4 * self.context.shortest_objective, self.context.now) for _ in self.context.settings.tenants
+        ]
+        self.token_buckets = [TokenBucket(now=self.context.now) for _ in self.context.settings.tenants]
 
-    def over_share(self, event: api.Request) -> bool:
-        """Marks what exceeds the tenant's quota, cut to this router's part of the traffic."""
-        quotas = self.turn.settings.tenants
+    def is_over_quota(self, event: api.Request) -> bool:
+        """Whether a request exceeds its tenant's quota, scaled to this router's part of the traffic."""
+        quotas = self.context.settings.tenants
         if event.tenant >= len(quotas) or len(quotas) < 2 or not quotas[event.tenant].quota:
             return False
         if not event.repeat:
-            self.shares[event.tenant].add(self.turn.now)
-        both = zip(self.shares, quotas, strict=True)
-        used = sorted(rate.per_second(self.turn.now) / one.quota for rate, one in both if one.quota)
+            self.request_rates[event.tenant].add(self.context.now)
+        both = zip(self.request_rates, quotas, strict=True)
+        used = sorted(rate.per_second(self.context.now) / one.quota for rate, one in both if one.quota)
         rate = quotas[event.tenant].quota * max(
-            1 / self.turn.settings.router_count, used[(len(used) - 1) // 2]
+            1 / self.context.settings.router_count, used[(len(used) - 1) // 2]
         )
-        return not self.banks[event.tenant].take(self.turn.now, rate, max(LEAST_TOTAL, rate))
+        return not self.token_buckets[event.tenant].take(self.context.now, rate, max(MIN_CAPACITY, rate))
--- a/applehub/policy/throttle.py
+++ b/applehub/policy/throttle.py
@@ -1,39 +1,40 @@
-"""Berger's rate-control throttle, and the monitor that turns it on and off and sets r."""
+"""Berger's rate-control throttle, and the monitor that turns it on and off and sets its rate r."""
 
 import math
 
 from applehub.policy.job import Job
 from applehub.policy.rates import SECOND, Rate
 
-LEAST_TOTAL = 10  # Berger: from C_J + C_T = 10 on, output hardly feels arrival rates above r
-FEW_TOKENS = 2  # what a throttle turned on starts with, so that it acts at once
-RISE = 1 / 4  # part of its first r that r rises by in a healthy period
-CALM_PERIODS = 8  # healthy periods with a full bank before the throttle goes off
-ENOUGH = 4  # likely misses whose fate tells a healthy origin
-TAIL = 1 / 16  # part of its likely misses that even a healthy origin may answer slowly
+# Berger: from C_J + C_T = 10 on, the throughput is almost independent of arrival rates above r.
+MIN_CAPACITY = 10
+INITIAL_TOKENS = 2
+RATE_INCREASE = 1 / 4  # relative increase of r in a healthy period
+MIN_HEALTHY_PERIODS = 8  # with a full bank, before the throttle is turned off
+MIN_SAMPLES = 4  # likely misses that show whether the origin is healthy
+EXPECTED_SLOW_FRACTION = 1 / 16  # of likely misses, with a healthy origin
 
 
 class Throttle:
-    """Berger's bank and buffer as one signed level: tokens above 0, waiting jobs below."""
+    """Berger's token bank and job buffer as one signed level: tokens above 0, waiting jobs below."""
 
     def __init__(self, now: int, rate: float, total: int) -> None:
-        self.rate, self.last = rate, now
-        self.bank = self.level = FEW_TOKENS
-        self.buffer = max(total, LEAST_TOTAL) - FEW_TOKENS
+        self.rate, self.refilled_at = rate, now
+        self.bank = self.level = INITIAL_TOKENS
+        self.buffer = max(total, MIN_CAPACITY) - INITIAL_TOKENS
         self.queue: dict[str, Job] = {}
 
     def refill(self, now: int) -> list[Job]:
-        """Takes the tokens due by now; gives the waiting jobs they free, first come first."""
-        tokens = int((now - self.last) * self.rate / SECOND)
+        """Adds the tokens due by now and returns the waiting jobs that get them, in order of arrival."""
+        tokens = int((now - self.refilled_at) * self.rate / SECOND)
         if tokens < 1:
             return []
-        self.last += math.ceil(tokens * SECOND / self.rate)
+        self.refilled_at += math.ceil(tokens * SECOND / self.rate)
         freed = list(self.queue)[:tokens] if self.level < 0 else []
-        self.level = min(self.level + tokens, self.bank)  # a full bank loses the rest
+        self.level = min(self.level + tokens, self.bank)  # tokens beyond a full bank are lost
         return [self.queue.pop(name) for name in freed]
 
     def offer(self, job: Job) -> bool | None:
-        """True: the job spent a token. None: it waits. False: it is refused."""
+        """Returns True if the job got a token, None if it waits, False if it is rejected."""
         if self.level > 0:
             self.level -= 1
             return True
@@ -43,77 +44,85 @@
         self.queue[job.request.id] = job
         return None
 
-    def leave(self, job: Job) -> None:
-        """Takes a waiting job out of the buffer."""
+    def remove(self, job: Job) -> None:
+        """Removes a waiting job from the buffer."""
         self.level += self.queue.pop(job.request.id, None) is not None
 
-    def give_back(self) -> None:
-        """A token was spent and not used: it is there again, unless the bank is full or others wait."""
+    def return_token(self) -> None:
+        """Returns an unused token; it is lost if the bank is full or jobs wait."""
         self.level = min(self.level + 1, self.bank) if self.level >= 0 else self.level
 
-    def wait_for(self, place: int) -> int:
-        """How long until the job at this place in the buffer gets its token."""
+    def wait_time(self, place: int) -> int:
+        """Returns the time, in nanoseconds, until the job at this place in the buffer gets its token."""
         return max(0, math.ceil(place * SECOND / self.rate))
 
-    def shift(self, places: int) -> None:
-        """Buffer places become bank places; whoever waits keeps its place."""
+    def move_to_bank(self, places: int) -> None:
+        """Moves capacity from the buffer to the bank; waiting jobs keep their places."""
         self.bank, self.buffer = self.bank + min(places, self.buffer), max(0, self.buffer - places)
 
 
 class Monitor:
-    """Turns the throttle on and off and sets r by how likely misses fare."""
+    """Turns the throttle on and off and sets r by the results of likely misses."""
 
     def __init__(self, period: int) -> None:
         self.period = period
-        self.spent = Rate(8 * period)
+        self.token_usage = Rate(8 * period)
         self.throttle: Throttle | None = None
-        self.good = self.bad = self.calm = 0
-        self.cut_at, self.born = 0, -1
-
-    def recent(self, now: int) -> float:
-        """The recent likely-miss rate. Guards against a restart: a short past is no sign of a low rate."""
-        return self.spent.per_second(now) / -math.expm1((self.born - now) / self.spent.span)
-
-    def give_back(self, now: int) -> None:
-        """A likely miss that had its token was never sent."""
-        self.spent.add(now, -1)
+        self.healthy_count = self.unhealthy_count = self.healthy_periods = 0
+        self.reduced_at, self.started_at = 0, -1
+
+    def recent_rate(self, now: int) -> float:
+        """Returns the recent rate of likely misses, corrected for the short history after a start."""
+        return self.token_usage.per_second(now) / -math.expm1(
+            (self.started_at - now) / self.token_usage.time_constant
+        )
+
+    def return_token(self, now: int) -> None:
+        """Reverts the token usage of a likely miss that was not sent."""
+        self.token_usage.add(now, -1)
         if self.throttle is not None:
-            self.throttle.give_back()
+            self.throttle.return_token()
 
-    def note(self, healthy: bool, sent: int) -> None:
-        """Counts a likely miss's fate, unless sent before the last cut: one jam is not cut for twice."""
-        self.good += healthy and sent >= self.cut_at
-        self.bad += not healthy and sent >= self.cut_at
+    def record(self, healthy: bool, sent: int) -> None:
+        """Counts the result of a likely miss, unless it was sent before the last reduction of r."""
+        self.healthy_count += healthy and sent >= self.reduced_at
+        self.unhealthy_count += not healthy and sent >= self.reduced_at
 
     def step(self, now: int, pending: bool) -> str:
-        """Once a period: a bad share of half or more halves r, none raises it. Gives a line to log."""
-        seen, silent = self.good + self.bad, pending and not self.good
-        # Guards against false alarms: more are bad than the slow tail of a healthy origin gives by chance.
-        sick = self.bad > max(1.0, seen * TAIL + 2 * math.sqrt(seen * TAIL))
-        share = self.bad / max(1, seen)
-        # Guards against a router that sees few misses: evidence is kept until there is enough to judge by.
-        if sick or seen >= ENOUGH:
-            self.good = self.bad = 0
+        """Adjusts the throttle once per period and returns a log line, or an empty string.
+
+        While the origin is overloaded, r is reduced in proportion to the unhealthy fraction, by at most half;
+        otherwise it is raised.
+        """
+        samples, silent = self.healthy_count + self.unhealthy_count, pending and not self.healthy_count
+        # The origin is overloaded if more misses are unhealthy than its usual slow fraction explains.
+        overloaded = self.unhealthy_count > max(
+            1.0, samples * EXPECTED_SLOW_FRACTION + 2 * math.sqrt(samples * EXPECTED_SLOW_FRACTION)
+        )
+        fraction = self.unhealthy_count / max(1, samples)
+        # A router with few misses keeps its counts until there are enough samples.
+        if overloaded or samples >= MIN_SAMPLES:
+            self.healthy_count = self.unhealthy_count = 0
         throttle = self.throttle
-        if sick:
-            self.calm, self.cut_at = 0, now
+        if overloaded:
+            self.healthy_periods, self.reduced_at = 0, now
         elif throttle is None:
             return ""
         if throttle is None:
-            rate = max(self.recent(now), SECOND / self.spent.span)
+            rate = max(self.recent_rate(now), SECOND / self.token_usage.time_constant)
             self.throttle = Throttle(now, rate, int(rate * self.period / SECOND))
             return f"throttle on: {rate:.0f} likely misses/s"
-        if sick:
-            rate = min(throttle.rate, self.recent(now))  # an r nobody used is no start for a cut
-            throttle.rate = max(rate * (1 - share / 2), SECOND / self.spent.span / 2)
-            throttle.shift(max(1, (throttle.bank + throttle.buffer) // 4))
+        if overloaded:
+            rate = min(throttle.rate, self.recent_rate(now))  # an unused r must not delay the reduction
+            throttle.rate = max(rate * (1 - fraction / 2), SECOND / self.token_usage.time_constant / 2)
+            throttle.move_to_bank(max(1, (throttle.bank + throttle.buffer) // 4))
             return ""
-        # Guards against a jam that feeds itself: between two cuts r does not rise while reads hang,
-        # nor past twice what is spent: that leaves room for a burst, and more would be no limit at all.
-        if not silent and throttle.rate < 2 * self.recent(now):
-            throttle.rate += throttle.rate * RISE
-        self.calm = self.calm + 1 if throttle.level >= throttle.bank else 0
-        if self.calm < CALM_PERIODS:
+        # r is not raised while reads hang, since that would prolong an overload, nor beyond twice the usage,
+        # since an unused r would not limit a burst.
+        if not silent and throttle.rate < 2 * self.recent_rate(now):
+            throttle.rate += throttle.rate * RATE_INCREASE
+        self.healthy_periods = self.healthy_periods + 1 if throttle.level >= throttle.bank else 0
+        if self.healthy_periods < MIN_HEALTHY_PERIODS:
             return ""
         self.throttle = None
         return "throttle off"
--- a/tests/popularity_trials.py
+++ b/tests/popularity_trials.py
@@ -1,4 +1,4 @@
-"""Draws requests by Zipf's law, and counts what is taken for hot: of the hot keys, and of the others."""
+"""Draws requests by Zipf's law and measures how many are correctly or falsely detected as hot."""
 
 import random
 from bisect import bisect
@@ -7,43 +7,45 @@
 
 from applehub.policy.keys import Popularity
 
-KEYS, OFFSET = 20_000, 5  # the exponent is 1
-FIRST = 500  # requests with which a router begins
+KEYS, OFFSET = 20_000, 5  # of a Zipf-Mandelbrot distribution with exponent 1
+INITIAL_REQUESTS = 500  # first requests of a router, which are counted separately
 
 
 @dataclass(slots=True)
-class Found:
-    """What was seen of some requests. A key is hot whose part of all requests is a server's fair share or
-    more: its server, with its own range beside it, bears two."""
+class DetectionCounts:
+    """Counts of requests by hot and detected keys.
+
+    A key is hot if its fraction of all requests is at least a server's fair share.
+    """
 
     requests: int = 0
     hot: int = 0
-    found: int = 0  # of the hot
-    false: int = 0  # taken for hot, and not
+    detected: int = 0  # requests for hot keys that were detected
+    false: int = 0  # requests for other keys that were detected as hot
 
     @property
-    def found_part(self) -> float:
-        return self.found / self.hot if self.hot else float("nan")
+    def detected_fraction(self) -> float:
+        return self.detected / self.hot if self.hot else float("nan")
 
     @property
-    def false_part(self) -> float:
+    def false_fraction(self) -> float:
         return self.false / self.requests
 
 
-def trial(servers: int, later: int, seeds: range) -> tuple[Found, Found]:
-    """The first requests of routers with these seeds, and so many later ones of each."""
+def run_trial(servers: int, later_requests: int, seeds: range) -> tuple[DetectionCounts, DetectionCounts]:
+    """Returns the counts for the initial requests of routers with these seeds, and for the later ones."""
     weights = [1 / (rank + 1 + OFFSET) for rank in range(KEYS)]
     limits = list(accumulate(weights))
     hot = {rank for rank in range(KEYS) if weights[rank] * servers >= limits[-1]}
-    parts = Found(), Found()
+    counts = DetectionCounts(), DetectionCounts()
     for seed in seeds:
         draw, popularity = random.Random(seed), Popularity()
-        for number in range(FIRST + later):
+        for number in range(INITIAL_REQUESTS + later_requests):
             rank = bisect(limits, draw.random() * limits[-1])
-            taken = popularity.fills(f"k{rank}", servers) > 0
-            part = parts[number >= FIRST]
-            part.requests += 1
-            part.hot += rank in hot
-            part.found += taken and rank in hot
-            part.false += taken and rank not in hot
-    return parts
+            detected = popularity.count_fair_shares(f"k{rank}", servers) > 0
+            count = counts[number >= INITIAL_REQUESTS]
+            count.requests += 1
+            count.hot += rank in hot
+            count.detected += detected and rank in hot
+            count.false += detected and rank not in hot
+    return counts
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Small helpers of the tests: settings, events and a router driven step by step."""
+"""Test helpers: settings, server lists, and a router that is driven step by step."""
 
 from applehub import interface as api
 from applehub.policy import Balancer
@@ -37,51 +37,51 @@
 
 
 class Router:
-    """A balancer with its own clock; alarms come when they are due."""
+    """A balancer with a simulated clock and timers."""
 
     def __init__(
         self, options: api.Settings | None = None, members: list[api.Member] | None = None, seed: int = 7
     ) -> None:
         self.balancer = Balancer(options or settings(), seed)
         self.now = START
-        self.alarms: list[tuple[int, str]] = []
+        self.timers: list[tuple[int, str]] = []
         self.log: list[str] = []
-        self.count = 0
-        listed = fleet() if members is None else members
-        self.tell(api.Members(api.ListKind.CACHED, listed))
+        self.request_count = 0
+        initial = fleet() if members is None else members
+        self.deliver(api.Members(api.ListKind.CACHED, initial))
 
-    def tell(self, event: api.Event) -> list[api.Action]:
-        """Plays an event; gives the actions that concern requests or the list."""
+    def deliver(self, event: api.Event) -> list[api.Action]:
+        """Delivers an event and returns the actions other than timers and log lines."""
         actions: list[api.Action] = []
         for action in self.balancer.handle(self.now, event):
             if isinstance(action, api.SetTimer):
-                self.alarms.append((self.now + action.delay, action.token))
+                self.timers.append((self.now + action.delay, action.token))
             elif isinstance(action, api.Log):
                 self.log.append(action.text)
             else:
                 actions.append(action)
         return actions
 
-    def wait(self, delay: int) -> list[api.Action]:
-        """Lets time pass, with every alarm on the way."""
+    def advance(self, delay: int) -> list[api.Action]:
+        """Advances the clock and fires the timers that fall due."""
         end, actions = self.now + delay, []
-        while self.alarms and min(self.alarms)[0] <= end:
-            alarm = min(self.alarms)
-            self.alarms.remove(alarm)
-            self.now = max(self.now, alarm[0])
-            actions += self.tell(api.TimerFired(alarm[1]))
+        while self.timers and min(self.timers)[0] <= end:
+            timer = min(self.timers)
+            self.timers.remove(timer)
+            self.now = max(self.now, timer[0])
+            actions += self.deliver(api.TimerFired(timer[1]))
         self.now = end
         return actions
 
-    def ask(
+    def send_request(
         self, key: str | None = "k", cls: int = 0, write: bool = False, tenant: int = 0
     ) -> tuple[str, list[api.Action]]:
-        self.count += 1
-        name = f"r{self.count}"
+        self.request_count += 1
+        name = f"r{self.request_count}"
         deadline = self.now + self.balancer.settings.classes[cls].deadline
-        return name, self.tell(api.Request(name, cls, deadline, key, write, tenant))
+        return name, self.deliver(api.Request(name, cls, deadline, key, write, tenant))
 
-    def end(
+    def finish_attempt(
         self,
         send: api.Action,
         status: api.Status,
@@ -89,51 +89,56 @@
         elapsed: int = 10 * MILLI,
         load: api.LoadReport | None = None,
     ) -> list[api.Action]:
-        """Ends the attempt that this Send began."""
+        """Delivers the outcome of the attempt that a Send action started."""
         assert isinstance(send, api.Send)
         closed = status is api.Status.OK
-        return self.tell(api.Outcome(send.id, attempt, send.server, status, closed, elapsed, load=load))
+        return self.deliver(api.Outcome(send.id, attempt, send.server, status, closed, elapsed, load=load))
 
     def candidates(self, key: str) -> list[Server]:
         balancer = self.balancer
-        return [balancer.roster.servers[name] for name in balancer.roster.ranges.locate(key, self.now)[3]]
-
-    def serve(self, key: str) -> str:
-        """Lets a key be fetched and stored; gives the server that holds it."""
-        _, (first,) = self.ask(key)
-        (second,) = self.end(first, api.Status.MISS)
-        self.end(second, api.Status.OK, 1)
+        return [
+            balancer.server_table.servers[name]
+            for name in balancer.server_table.ranges.locate(key, self.now)[3]
+        ]
+
+    def cache_key(self, key: str) -> str:
+        """Fetches a key from the origin and returns the server that caches it."""
+        _, (first,) = self.send_request(key)
+        (second,) = self.finish_attempt(first, api.Status.MISS)
+        self.finish_attempt(second, api.Status.OK, 1)
         assert isinstance(first, api.Send)
         return first.server
 
-    def die(self, key: str) -> api.Action:
-        """Lets the owner of a key die with its attempt out; gives that Send."""
-        _, (first,) = self.ask(key)
+    def crash_owner(self, key: str) -> api.Action:
+        """Crashes the owner of a key with an attempt in flight and returns that Send action."""
+        _, (first,) = self.send_request(key)
         name = self.candidates(key)[0].member.server
-        (again,) = self.end(first, api.Status.RESET)
-        self.end(again, api.Status.CONNECT_FAILED, 1)
-        self.wait(SECOND)
-        _, (trial,) = self.ask(key)
+        (retry,) = self.finish_attempt(first, api.Status.RESET)
+        self.finish_attempt(retry, api.Status.CONNECT_FAILED, 1)
+        self.advance(SECOND)
+        _, (trial,) = self.send_request(key)
         assert isinstance(trial, api.Send) and trial.server == name
-        self.end(trial, api.Status.CONNECT_FAILED)
+        self.finish_attempt(trial, api.Status.CONNECT_FAILED)
         return first
 
-    def fails_most(self, key: str) -> str:
-        """Lets the owner of a key fail all it is sent until the router leaves it alone; gives its name."""
+    def make_owner_fail(self, key: str) -> str:
+        """Fails all requests to the owner of a key until it is ejected, and returns its name."""
         name = self.candidates(key)[0].member.server
         for _ in range(100):
-            if self.balancer.roster.servers[name].fails:
+            if self.balancer.server_table.servers[name].failures:
                 break
-            _, (send,) = self.ask(key)
+            _, (send,) = self.send_request(key)
             assert isinstance(send, api.Send)
-            self.end(send, api.Status.ERROR if send.server == name else api.Status.OK, elapsed=MILLI)
+            self.finish_attempt(
+                send, api.Status.ERROR if send.server == name else api.Status.OK, elapsed=MILLI
+            )
         return name
 
-    def throttle_on(self) -> None:
-        """Makes the origin fail until the monitor acts."""
+    def enable_throttle(self) -> None:
+        """Makes the origin fail until the monitor turns the throttle on."""
         for n in range(6):
-            _, (first,) = self.ask(f"on{n}")
-            (second,) = self.end(first, api.Status.MISS)
-            self.end(second, api.Status.FULL, 1)
-        self.wait(SECOND)
+            _, (first,) = self.send_request(f"on{n}")
+            (second,) = self.finish_attempt(first, api.Status.MISS)
+            self.finish_attempt(second, api.Status.FULL, 1)
+        self.advance(SECOND)
         assert self.balancer.monitor.throttle is not None
