--- a/applehub/wirehost.py
+++ b/applehub/wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter: hosts many routers on the bench's wire. It translates and decides nothing."""
+"""Runs many routers in one process and translates between the simulator's JSON protocol and their events."""
 
 import sys
 import traceback
@@ -31,31 +31,31 @@
 }
 
 
-class Decider(Protocol):
-    """What makes a router's decisions: the product's module, or a baseline of the lab."""
+class DecisionModule(Protocol):
+    """Makes the decisions of one router: the policy package, or a baseline of the lab."""
 
     def handle(self, now: int, event: io.Event) -> list[io.Action]:
-        """Plays one event at its time."""
+        """Handles an event at a clock time and returns the resulting actions."""
 
 
 class InputError(ValueError):
-    """A line that cannot be read as a batch."""
+    """A line is not a valid batch of messages."""
 
 
-def _members(m: Json) -> io.Members:
+def _members(message: Json) -> io.Members:
     entries = [
         io.Member(
-            e["server"],
-            STATE[e["stageState"]],
-            e.get("machine") or 0,
-            e.get("hall") or 0,
-            e.get("stripe") or 0,
-            e.get("since") or 0,
-            1.0 if e.get("units") is None else e["units"],
+            entry["server"],
+            STATE[entry["stageState"]],
+            entry.get("machine") or 0,
+            entry.get("hall") or 0,
+            entry.get("stripe") or 0,
+            entry.get("since") or 0,
+            1.0 if entry.get("units") is None else entry["units"],
         )
-        for e in m.get("elements") or ()
+        for entry in message.get("elements") or ()
     ]
-    return io.Members(LIST[m["kind"]], entries)
+    return io.Members(LIST[message["kind"]], entries)
 
 
 def _load(report: Json | None) -> io.LoadReport | None:
@@ -66,28 +66,28 @@
     )
 
 
-def _request(m: Json) -> io.Request:
+def _request(message: Json) -> io.Request:
     return io.Request(
-        m["msgId"],
-        m["cls"],
-        m["validUntil"],
-        m.get("targetKey"),
-        bool(m.get("mutates")),
-        m.get("owner") or 0,
-        bool(m.get("repeat")),
+        message["msgId"],
+        message["cls"],
+        message["validUntil"],
+        message.get("targetKey"),
+        bool(message.get("mutates")),
+        message.get("owner") or 0,
+        bool(message.get("repeat")),
     )
 
 
-def _outcome(m: Json) -> io.Outcome:
+def _outcome(message: Json) -> io.Outcome:
     return io.Outcome(
-        m["msgId"],
-        m["sendNo"],
-        m["server"],
-        STATUS[m["disposition"]],
-        bool(m.get("ended")),
-        m["costTime"],
-        m.get("remark") or 0,
-        _load(m.get("feedback")),
+        message["msgId"],
+        message["sendNo"],
+        message["server"],
+        STATUS[message["disposition"]],
+        bool(message.get("ended")),
+        message["costTime"],
+        message.get("remark") or 0,
+        _load(message.get("feedback")),
     )
 
 
@@ -114,51 +114,54 @@
 
 
 class Host:
-    """The routers of this process, by instance number; make gives what decides, from settings and a seed."""
+    """The routers of this process, by instance number.
 
-    def __init__(self, make: Callable[[io.Settings, int], Decider] = Balancer) -> None:
+    make: creates the decision module of a router from its settings and a seed.
+    """
+
+    def __init__(self, make: Callable[[io.Settings, int], DecisionModule] = Balancer) -> None:
         self.make = make
-        self.routers: dict[int, Decider] = {}
+        self.routers: dict[int, DecisionModule] = {}
 
     def reply(self, line: bytes) -> bytes:
-        """Plays one batch and gives the line that answers it."""
+        """Handles one batch and returns the line with the resulting actions. Raises InputError."""
         try:
             batch = orjson.loads(line)
             now, messages = batch["clock"], batch["msgs"]
         except orjson.JSONDecodeError as error:
-            raise InputError(f"not JSON: {error}") from None
+            raise InputError(f"invalid JSON: {error}") from None
         except (KeyError, TypeError) as error:
-            raise InputError(f"a batch needs the fields clock and msgs: {error}") from None
+            raise InputError(f"expected an object with the fields clock and msgs: {error}") from None
         if type(now) is not int or type(messages) is not list:
-            raise InputError("a batch needs an integer clock and a list msgs")
+            raise InputError("expected an integer clock and a list msgs")
         output: list[Json] = []
-        for place, message in enumerate(messages):
+        for index, message in enumerate(messages):
             try:
-                self._event(now, message, output)
+                self._handle_event(now, message, output)
             except (KeyError, TypeError, AttributeError) as error:
-                raise InputError(f"msgs[{place}] lacks a field or has a bad one: {error}") from None
+                raise InputError(f"msgs[{index}]: missing or invalid field: {error}") from None
         return orjson.dumps({"output": output})
 
-    def _event(self, now: int, message: Json, output: list[Json]) -> None:
+    def _handle_event(self, now: int, message: Json, output: list[Json]) -> None:
         name, i = message["t"], message["i"]
-        read = READERS.get(name)
-        if read is None:
-            self._control(name, i, message, output)
+        reader = READERS.get(name)
+        if reader is None:
+            self._handle_control(name, i, message, output)
             return
         router = self.routers.get(i)
         if router is None:
-            print(f"skipped: {name} for instance {i}, which is not up", file=sys.stderr)
+            print(f"skipped event: {name} for instance {i}, which is not running", file=sys.stderr)
             return
-        event = read(message)
+        event = reader(message)
         try:
             for action in router.handle(now, event):
                 output.append(WRITERS[type(action)](i, action))
-        except Exception as error:  # whatever the decisions raise ends the day, with its text
+        except Exception as error:  # a failed instance is reported on the wire and removed
             traceback.print_exc()
             del self.routers[i]
             output.append({"t": "DIE", "i": i, "msg": f"{type(error).__name__}: {error}"})
 
-    def _control(self, name: str, i: int, message: Json, output: list[Json]) -> None:
+    def _handle_control(self, name: str, i: int, message: Json, output: list[Json]) -> None:
         if name == "UP":
             seed, info = message["nonce64"], message["info"]
             try:
@@ -170,11 +173,11 @@
         elif name == "DESTROY":
             self.routers.pop(i, None)
         else:
-            print(f"skipped: unknown event {name!r} for instance {i}", file=sys.stderr)
+            print(f"skipped event: unknown type {name!r} for instance {i}", file=sys.stderr)
 
 
 def main(host: Host | None = None) -> int:
-    """Answers each line of standard input until it ends."""
+    """Answers each line of standard input until it ends; returns the exit code."""
     host, out = host or Host(), sys.stdout.buffer
     for number, line in enumerate(sys.stdin.buffer, 1):
         try:
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter as a process: replies, bad input, and one process against several."""
+"""Tests of the simulator adapter as a process: replies, invalid input, and several routers per process."""
 
 import json
 import random
@@ -22,7 +22,7 @@
 Json = dict[str, Any]
 
 
-def play(lines: list[str]) -> subprocess.CompletedProcess[str]:
+def run_adapter(lines: list[str]) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "applehub.wirehost"],
         input="".join(f"{line}\n" for line in lines),
@@ -35,11 +35,11 @@
     return json.dumps({"clock": clock, "msgs": messages})
 
 
-def up(instance: int, info: Any = INFO) -> Json:
+def start_instance(instance: int, info: Any = INFO) -> Json:
     return {"t": "UP", "i": instance, "nonce64": 5, "info": info}
 
 
-def listed(instance: int, count: int = 3) -> Json:
+def server_list(instance: int, count: int = 3) -> Json:
     elements: list[Json] = [{"stageState": "SERVING", "server": f"s{n}", "since": None} for n in range(count)]
     elements.append(
         {"stageState": "SERVING", "server": "o", "machine": 1, "hall": 0, "stripe": 0, "units": 1}
@@ -47,48 +47,48 @@
     return {"t": "DISCOVERY", "i": instance, "kind": "restored", "stamp": 1, "elements": elements}
 
 
-def item(instance: int, name: str, key: str = "k", clock: int = SECOND) -> Json:
+def request(instance: int, name: str, key: str = "k", clock: int = SECOND) -> Json:
     fields = {"msgId": name, "cls": 0, "validUntil": clock + 2 * SECOND, "targetKey": key, "mutates": None}
     return {"t": "WORK_ITEM", "i": instance, "owner": None, **fields}
 
 
-def done(instance: int, send: Json, number: int, how: str) -> Json:
-    fields = {"msgId": send["msgId"], "sendNo": number, "server": send["server"], "disposition": how}
+def outcome(instance: int, send: Json, attempt: int, disposition: str) -> Json:
+    fields = {"msgId": send["msgId"], "sendNo": attempt, "server": send["server"], "disposition": disposition}
     feedback = {"outstanding": 2, "recent_ms": 12.5, "throughput": 9, "x0": 0.4, "utilization": None}
     return {
         "t": "DONE",
         "i": instance,
         "costTime": 5,
-        "ended": how == "completed",
+        "ended": disposition == "completed",
         "feedback": feedback,
         **fields,
     }
 
 
-def replies(result: subprocess.CompletedProcess[str]) -> list[list[Json]]:
+def parse_replies(result: subprocess.CompletedProcess[str]) -> list[list[Json]]:
     return [json.loads(line)["output"] for line in result.stdout.splitlines()]
 
 
-def test_an_empty_batch_and_the_end_of_input() -> None:
-    result = play([batch(1)])
+def test_empty_batch_and_end_of_input() -> None:
+    result = run_adapter([batch(1)])
     assert (result.returncode, result.stdout, result.stderr) == (0, '{"output":[]}\n', "")
-    assert play([]).returncode == 0
+    assert run_adapter([]).returncode == 0
 
 
-def test_a_request_is_sent_on_the_wire() -> None:
-    result = play([batch(SECOND, up(0), listed(0), item(0, "a"))])
-    sends = [action for action in replies(result)[0] if action["t"] == "DISPATCH"]
+def test_request_is_dispatched() -> None:
+    result = run_adapter([batch(SECOND, start_instance(0), server_list(0), request(0, "a"))])
+    sends = [action for action in parse_replies(result)[0] if action["t"] == "DISPATCH"]
     assert len(sends) == 1 and sends[0]["msgId"] == "a" and sends[0]["server"] in {"s0", "s1", "s2"}
     assert result.stderr == ""
 
 
-def test_outcomes_reports_and_every_other_event_are_read() -> None:
-    first = replies(play([batch(SECOND, up(0), listed(0), item(0, "a"))]))[0]
+def test_all_event_types_are_accepted() -> None:
+    first = parse_replies(run_adapter([batch(SECOND, start_instance(0), server_list(0), request(0, "a"))]))[0]
     (send,) = [action for action in first if action["t"] == "DISPATCH"]
-    result = play(
+    result = run_adapter(
         [
-            batch(SECOND, up(0), listed(0), item(0, "a")),
-            batch(SECOND + 5, done(0, send, 0, "lookup_miss"), {"t": "FIRED", "i": 0, "nonce": "due"}),
+            batch(SECOND, start_instance(0), server_list(0), request(0, "a")),
+            batch(SECOND + 5, outcome(0, send, 0, "lookup_miss"), {"t": "FIRED", "i": 0, "nonce": "due"}),
             batch(
                 SECOND + 6,
                 {
@@ -107,43 +107,45 @@
         ]
     )
     assert result.returncode == 0 and result.stderr == ""
-    assert [action["server"] for action in replies(result)[1] if action["t"] == "DISPATCH"] == ["o"]
+    assert [action["server"] for action in parse_replies(result)[1] if action["t"] == "DISPATCH"] == ["o"]
 
 
 @pytest.mark.parametrize(
-    ("line", "names"),
+    ("line", "error"),
     [
-        ("{not json", "line 1: not JSON"),
-        ("[]", "line 1: a batch needs"),
-        ('{"msgs":[]}', "line 1: a batch needs the fields clock and msgs: 'clock'"),
-        ('{"clock":"1","msgs":[]}', "line 1: a batch needs an integer clock"),
-        ('{"clock":1,"msgs":[{"i":0}]}', "line 1: msgs[0] lacks a field or has a bad one: 't'"),
+        ("{not json", "line 1: invalid JSON"),
+        ("[]", "line 1: expected an object"),
+        ('{"msgs":[]}', "line 1: expected an object with the fields clock and msgs: 'clock'"),
+        ('{"clock":"1","msgs":[]}', "line 1: expected an integer clock"),
+        ('{"clock":1,"msgs":[{"i":0}]}', "line 1: msgs[0]: missing or invalid field: 't'"),
         ('{"clock":1,"msgs":[7]}', "line 1: msgs[0]"),
     ],
 )
-def test_a_line_that_is_no_batch_ends_the_process_plainly(line: str, names: str) -> None:
-    result = play([line])
+def test_invalid_line_ends_process_with_one_error_line(line: str, error: str) -> None:
+    result = run_adapter([line])
     assert result.returncode == 2 and result.stdout == ""
-    assert result.stderr.startswith(names) and result.stderr.count("\n") == 1
+    assert result.stderr.startswith(error) and result.stderr.count("\n") == 1
 
 
-def test_a_message_that_lacks_a_field_is_named() -> None:
-    lacking = item(0, "a")
-    del lacking["validUntil"]
-    result = play([batch(SECOND, up(0), listed(0)), batch(SECOND, lacking)])
+def test_missing_field_is_named_in_error() -> None:
+    incomplete = request(0, "a")
+    del incomplete["validUntil"]
+    result = run_adapter([batch(SECOND, start_instance(0), server_list(0)), batch(SECOND, incomplete)])
     assert result.returncode == 2
-    assert result.stderr == "line 2: msgs[0] lacks a field or has a bad one: 'validUntil'\n"
+    assert result.stderr == "line 2: msgs[0]: missing or invalid field: 'validUntil'\n"
 
 
-def test_unknown_events_and_instances_that_are_not_up_are_skipped() -> None:
-    result = play([batch(SECOND, up(0), listed(0), {"t": "NEWS", "i": 0}, item(4, "a"))])
+def test_unknown_events_and_events_for_stopped_instances_are_skipped() -> None:
+    result = run_adapter(
+        [batch(SECOND, start_instance(0), server_list(0), {"t": "NEWS", "i": 0}, request(4, "a"))]
+    )
     assert result.returncode == 0
-    assert "unknown event 'NEWS'" in result.stderr and "instance 4, which is not up" in result.stderr
-    assert not [action for action in replies(result)[0] if action["i"] == 4]
+    assert "unknown type 'NEWS'" in result.stderr and "instance 4, which is not running" in result.stderr
+    assert not [action for action in parse_replies(result)[0] if action["i"] == 4]
 
 
 @pytest.mark.parametrize(
-    ("change", "names"),
+    ("change", "error"),
     [
         ({"classes": None}, "classes is missing"),
         ({"classes": []}, "classes makes no sense"),
@@ -156,36 +158,48 @@
         ({"tenants": [3]}, "tenants makes no sense"),
     ],
 )
-def test_bad_settings_are_named_and_end_that_instance_only(change: Json, names: str) -> None:
-    result = play([batch(SECOND, up(0, {**INFO, **change}), up(1), listed(1), item(1, "a"))])
-    output = replies(result)[0]
+def test_invalid_setting_is_named_and_stops_only_its_instance(change: Json, error: str) -> None:
+    result = run_adapter(
+        [
+            batch(
+                SECOND,
+                start_instance(0, {**INFO, **change}),
+                start_instance(1),
+                server_list(1),
+                request(1, "a"),
+            )
+        ]
+    )
+    output = parse_replies(result)[0]
     assert result.returncode == 0 and output[0]["t"] == "DIE" and output[0]["i"] == 0
-    assert names in output[0]["msg"]
+    assert error in output[0]["msg"]
     assert [action["i"] for action in output if action["t"] == "DISPATCH"] == [1]
 
 
-def test_an_exception_in_the_decisions_is_told_with_its_text() -> None:
-    wrong = item(0, "a")
-    wrong["cls"] = 7
-    result = play([batch(SECOND, up(0), listed(0), wrong)])
-    (fault,) = [action for action in replies(result)[0] if action["t"] == "DIE"]
-    assert fault["msg"].startswith("IndexError") and "Traceback" in result.stderr
+def test_exception_in_decision_module_is_reported_with_its_text() -> None:
+    invalid = request(0, "a")
+    invalid["cls"] = 7
+    result = run_adapter([batch(SECOND, start_instance(0), server_list(0), invalid)])
+    (failure,) = [action for action in parse_replies(result)[0] if action["t"] == "DIE"]
+    assert failure["msg"].startswith("IndexError") and "Traceback" in result.stderr
     assert result.returncode == 0
 
 
-def test_one_process_and_several_give_the_same_actions() -> None:
-    dice = random.Random(3)
-    script: list[list[Json]] = [[up(i) for i in range(3)] + [listed(i) for i in range(3)]]
+def test_shared_process_returns_same_actions_as_separate_processes() -> None:
+    draw = random.Random(3)
+    script: list[list[Json]] = [[start_instance(i) for i in range(3)] + [server_list(i) for i in range(3)]]
     for n in range(60):
-        script.append([item(dice.randrange(3), f"r{n}", f"k{dice.randrange(9)}", (n + 2) * SECOND // 50)])
-    together: dict[int, list[Json]] = {i: [] for i in range(3)}
-    apart: dict[int, list[Json]] = {i: [] for i in range(3)}
-    whole = play([batch(SECOND + n * SECOND // 50, *messages) for n, messages in enumerate(script)])
-    for output in replies(whole):
+        script.append([request(draw.randrange(3), f"r{n}", f"k{draw.randrange(9)}", (n + 2) * SECOND // 50)])
+    combined: dict[int, list[Json]] = {i: [] for i in range(3)}
+    separate: dict[int, list[Json]] = {i: [] for i in range(3)}
+    shared = run_adapter([batch(SECOND + n * SECOND // 50, *messages) for n, messages in enumerate(script)])
+    for output in parse_replies(shared):
         for action in output:
-            together[action["i"]].append(action)
+            combined[action["i"]].append(action)
     for i in range(3):
         own = [[one for one in messages if one["i"] == i] for messages in script]
-        for output in replies(play([batch(SECOND + n * SECOND // 50, *ones) for n, ones in enumerate(own)])):
-            apart[i] += output
-    assert together == apart and all(together.values())
+        for output in parse_replies(
+            run_adapter([batch(SECOND + n * SECOND // 50, *ones) for n, ones in enumerate(own)])
+        ):
+            separate[i] += output
+    assert combined == separate and all(combined.values())
