--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Who imports whom: no circles, and nothing of `run` and `sim` imports what lies beside them."""
+"""Import rules of the package: no cycles, no imports of higher layers, no unneeded modules in the router."""
 
 import ast
 import subprocess
@@ -11,52 +11,62 @@
 LAYERS = ["applehub.interface", "applehub.policy", "applehub.settings", "applehub.node", "applehub.__main__"]
 
 
-def imports() -> dict[str, set[str]]:
-    """Each module of the package with those that it imports, for types alone too."""
-    names = {
+def imports_by_module() -> dict[str, set[str]]:
+    """Returns the modules of the package that each module imports, including imports for type checking."""
+    files = {
         ".".join(file.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"): file
         for file in (ROOT / "applehub").rglob("*.py")
     }
-    found: dict[str, set[str]] = {}
-    for name, file in names.items():
-        told = [one for one in ast.walk(ast.parse(file.read_text())) if isinstance(one, ast.ImportFrom)]
-        named = {f"{one.module}.{alias.name}" for one in told for alias in one.names}
-        named |= {one.module for one in told if one.module}
-        # A package that is named on the way to a module of its own is no import of it.
-        found[name] = {one for one in named & names.keys() if one != name and not name.startswith(one + ".")}
-    return found
+    imports_of: dict[str, set[str]] = {}
+    for name, file in files.items():
+        statements = [
+            node for node in ast.walk(ast.parse(file.read_text())) if isinstance(node, ast.ImportFrom)
+        ]
+        imported = {f"{node.module}.{alias.name}" for node in statements for alias in node.names}
+        imported |= {node.module for node in statements if node.module}
+        # A module that imports from its own parent package does not depend on the package's __init__.
+        imports_of[name] = {
+            module
+            for module in imported & files.keys()
+            if module != name and not name.startswith(module + ".")
+        }
+    return imports_of
 
 
-def test_no_modules_import_one_another_in_a_circle() -> None:
-    order = list(TopologicalSorter(imports()).static_order())  # raises CycleError, which names the circle
+def test_modules_have_no_import_cycle() -> None:
+    order = list(TopologicalSorter(imports_by_module()).static_order())  # raises CycleError for a cycle
     assert len(order) > 80
 
 
-def test_what_lies_above_is_not_imported_from_below() -> None:
-    found = imports()
-    for place, layer in enumerate(LAYERS):
+def test_lower_layers_do_not_import_higher_layers() -> None:
+    imports_of = imports_by_module()
+    for level, layer in enumerate(LAYERS):
         above = (
-            tuple(LAYERS[place + 1 :])
+            tuple(LAYERS[level + 1 :])
             if layer != "applehub.settings"
             else ("applehub.node", "applehub.__main__")
         )
-        for name in found:
+        for name in imports_of:
             if name == layer or name.startswith(layer + "."):
-                assert not [one for one in found[name] if one.startswith(above)], name
+                assert not [module for module in imports_of[name] if module.startswith(above)], name
 
 
-def test_what_routers_share_knows_neither_the_module_nor_the_network() -> None:
-    for name, imported in imports().items():
+def test_peers_and_durable_import_no_other_package() -> None:
+    for name, imported in imports_by_module().items():
         if name.startswith("applehub.peers"):
-            assert all(one.startswith(("applehub.peers", "applehub.interface")) for one in imported), name
+            assert all(module.startswith(("applehub.peers", "applehub.interface")) for module in imported), (
+                name
+            )
         if name.startswith("applehub.durable"):
-            assert all(one.startswith("applehub.durable") for one in imported), name
+            assert all(module.startswith("applehub.durable") for module in imported), name
 
 
-def test_run_and_sim_load_no_program_beside_them_and_no_library_of_theirs() -> None:
+def test_router_programs_load_no_other_program_or_its_libraries() -> None:
     code = "import sys, applehub.__main__, applehub.wirehost; print(*sys.modules)"
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    theirs = (
+    result = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    unwanted = (
         "applehub.lab",
         "applehub.peers",
         "applehub.durable",
@@ -68,10 +78,10 @@
         "structlog",
         "aiohttp",
     )
-    assert not [one for one in done.stdout.split() if one.startswith(theirs)]
+    assert not [module for module in result.stdout.split() if module.startswith(unwanted)]
 
 
-def test_the_deploy_file_names_every_file_of_the_decisions() -> None:
+def test_deploy_file_lists_every_policy_file() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    decisions = {str(path.relative_to(ROOT)) for path in (ROOT / "applehub" / "policy").rglob("*.py")}
-    assert set(deploy["policy"]) == decisions
+    policy_files = {str(path.relative_to(ROOT)) for path in (ROOT / "applehub" / "policy").rglob("*.py")}
+    assert set(deploy["policy"]) == policy_files
