--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,8 @@
-"""Rules 1 to 3 over random legal event sequences, judged by an oracle that shares no code with the module."""
+"""Invariants over random legal event sequences, checked by an oracle that shares no code with the policy.
+
+Rule 1: each request gets exactly one final answer, by its deadline. Rule 2: a request that may have been
+executed is retried only if its class allows it, and never has two attempts in flight. Rule 3: draining,
+removed or excluded servers get no new attempts after a grace period."""
 
 import random
 from dataclasses import dataclass, field, replace
@@ -11,31 +15,42 @@
 from applehub import interface as api
 from applehub.policy import Balancer
 
-GRACE = SECOND // 4
-MICRO = 1000
-NOT_BEGUN = {"local_failure", "unreachable"}  # on this machine: no byte was sent, so these don't count
-PROVEN = {"full", "connect_failed", "moot", "miss"} | NOT_BEGUN
-ENDS = ["ok", "error", "full", "timeout", "connect_failed", "reset", "miss", "local_failure", "unreachable"]
-MOST_NOT_BEGUN = 65  # of one request
+DRAIN_GRACE = SECOND // 4
+MICROSECOND = 1000
+NOT_STARTED = {"local_failure", "unreachable"}  # failed on the router's host before any byte was sent
+NOT_EXECUTED = {"full", "connect_failed", "moot", "miss"} | NOT_STARTED
+OUTCOMES = [
+    "ok",
+    "error",
+    "full",
+    "timeout",
+    "connect_failed",
+    "reset",
+    "miss",
+    "local_failure",
+    "unreachable",
+]
+MAX_NOT_STARTED = 65  # attempts of one request
 
 
 @dataclass
-class Held:
-    """A request as the oracle sees it."""
+class TrackedRequest:
+    """State of a request as the oracle tracks it."""
 
-    spec: api.RequestClass  # the one it came with, whatever is told later
+    spec: api.RequestClass  # as of arrival; a reload does not change it
     deadline: int
-    attempts: list[tuple[str, int, str]] = field(default_factory=list)  # server, sent, outcome or ""
+    # Server, time sent, and outcome, which is empty while the attempt is in flight.
+    attempts: list[tuple[str, int, str]] = field(default_factory=list)
     ended: bool = False
 
 
-class World:
-    """Plays clients, list and servers at random but legally, and checks every action."""
+class Simulation:
+    """Simulates clients, discovery and servers with random legal events, and checks every action."""
 
     def __init__(self, seed: int, mode: str) -> None:
-        self.dice = random.Random(seed)
-        self.ends = ENDS  # how attempts end that meet with trouble
-        self.coarse = self.dice.random() < 0.5
+        self.rng = random.Random(seed)
+        self.outcomes = OUTCOMES  # drawn for failing attempts
+        self.coarse_timers = self.rng.random() < 0.5
         self.options = router_settings(
             aside=mode != "through",
             must_ask=mode == "asked",
@@ -43,23 +58,23 @@
         )
         self.now = 100 * SECOND
         self.alarms: list[tuple[int, str]] = []
-        self.due: list[tuple[int, str, int]] = []  # when, request, attempt
+        self.pending_outcomes: list[tuple[int, str, int]] = []  # time, request ID, attempt index
         self.start()
 
     def start(self) -> None:
-        """A fresh instance with its restored list; whatever the old one held is the clients' business."""
-        self.router = Balancer(self.options, self.dice.getrandbits(64))
-        self.held: dict[str, Held] = {}
-        self.due.clear()
+        """Starts a new router from a cached endpoint list; requests of the previous process are dropped."""
+        self.router = Balancer(self.options, self.rng.getrandbits(64))
+        self.requests: dict[str, TrackedRequest] = {}
+        self.pending_outcomes.clear()
         self.alarms.clear()
-        self.left: dict[str, int] = {}  # servers told as draining or gone, and when
-        self.out: dict[str, int] = {}  # servers left out by hand, and when
-        self.known = {
-            one.server: one for one in fleet(self.dice.choice([0, 1, 4, 7]), self.dice.random() < 0.9)
+        self.removed_at: dict[str, int] = {}  # time at which each server was listed as draining or gone
+        self.excluded_at: dict[str, int] = {}  # time at which an operator excluded each server
+        self.members = {
+            member.server: member for member in fleet(self.rng.choice([0, 1, 4, 7]), self.rng.random() < 0.9)
         }
-        self.play(api.Members(api.ListKind.CACHED, list(self.known.values())))
+        self.deliver(api.Members(api.ListKind.CACHED, list(self.members.values())))
 
-    def play(self, event: api.Event) -> None:
+    def deliver(self, event: api.Event) -> None:
         for action in self.router.handle(self.now, event):
             if isinstance(action, api.Send):
                 self.check_send(action)
@@ -67,167 +82,186 @@
                 self.check_answer(action)
             elif isinstance(action, api.Wake):
                 assert action.delay >= 0
-                # Timers are coarser than the clock: an alarm may come a little early, never at once.
-                delay = action.delay // MICRO * MICRO if self.coarse else action.delay
+                # Timers are coarser than the clock: an alarm may fire slightly early, but never immediately.
+                delay = action.delay // MICROSECOND * MICROSECOND if self.coarse_timers else action.delay
                 self.alarms.append((self.now + max(1, delay), action.token))
 
     def check_send(self, action: api.Send) -> None:
-        one = self.held[action.id]
-        assert not one.ended, "rule 1: sent for an ended request"
-        assert action.server in self.known, "sent to a server no list named"
-        assert self.now <= self.left.get(action.server, self.now) + GRACE, "rule 3: sent to a draining server"
-        assert self.now <= self.out.get(action.server, self.now) + GRACE, "rule 3: sent to one out by hand"
-        not_begun = sum(outcome in NOT_BEGUN for _, _, outcome in one.attempts)
-        assert len(one.attempts) - not_begun < self.options.max_attempts
-        assert not_begun <= MOST_NOT_BEGUN
-        assert all(outcome for _, _, outcome in one.attempts), "rule 2: two attempts out at once"
-        ran = [(server, sent) for server, sent, outcome in one.attempts if outcome not in PROVEN]
-        spec = one.spec
-        if ran and spec.effect == "unsafe":
-            raise AssertionError("rule 2: an unsafe request that may have run was sent again")
-        if ran and spec.effect == "keyed":
-            assert self.now < ran[0][1] + spec.window, "rule 2: keyed, past its window"
-            for server, _ in ran:
-                for place in ("zone", "cell"):
-                    if spec.group == place:
-                        first, then = self.known[server], self.known[action.server]
-                        assert getattr(first, place) == getattr(then, place), (
-                            "rule 2: keyed, out of its group"
+        request = self.requests[action.id]
+        assert not request.ended, "rule 1: attempt sent for a request that has ended"
+        assert action.server in self.members, "attempt sent to a server that was never listed"
+        assert self.now <= self.removed_at.get(action.server, self.now) + DRAIN_GRACE, (
+            "rule 3: attempt sent to a draining server"
+        )
+        assert self.now <= self.excluded_at.get(action.server, self.now) + DRAIN_GRACE, (
+            "rule 3: attempt sent to a server that an operator excluded"
+        )
+        not_started = sum(outcome in NOT_STARTED for _, _, outcome in request.attempts)
+        assert len(request.attempts) - not_started < self.options.max_attempts
+        assert not_started <= MAX_NOT_STARTED
+        assert all(outcome for _, _, outcome in request.attempts), "rule 2: two attempts in flight at once"
+        maybe_executed = [
+            (server, sent) for server, sent, outcome in request.attempts if outcome not in NOT_EXECUTED
+        ]
+        spec = request.spec
+        if maybe_executed and spec.effect == "unsafe":
+            raise AssertionError("rule 2: retry of an unsafe request that may have been executed")
+        if maybe_executed and spec.effect == "keyed":
+            assert self.now < maybe_executed[0][1] + spec.window, (
+                "rule 2: retry with an idempotency key after its window"
+            )
+            for server, _ in maybe_executed:
+                for domain in ("zone", "cell"):
+                    if spec.group == domain:
+                        first, second = self.members[server], self.members[action.server]
+                        assert getattr(first, domain) == getattr(second, domain), (
+                            "rule 2: retry with an idempotency key outside its group"
                         )
-        one.attempts.append((action.server, self.now, ""))
-        limit = one.deadline if action.timeout == 0 else min(one.deadline, self.now + action.timeout)
-        spread = self.dice.choice([MILLI, 100 * MILLI, 3 * SECOND])
-        when = min(limit, self.now + self.dice.randrange(1, spread))
-        self.due.append((when, action.id, len(one.attempts) - 1))
+        request.attempts.append((action.server, self.now, ""))
+        limit = request.deadline if action.timeout == 0 else min(request.deadline, self.now + action.timeout)
+        max_duration = self.rng.choice([MILLI, 100 * MILLI, 3 * SECOND])
+        when = min(limit, self.now + self.rng.randrange(1, max_duration))
+        self.pending_outcomes.append((when, action.id, len(request.attempts) - 1))
 
     def check_answer(self, action: api.Refuse | api.Fail) -> None:
-        one = self.held[action.id]
-        assert not one.ended, "rule 1: a second final answer"
-        assert self.now <= one.deadline + 20 * MILLI, "rule 1: late"
-        spec = one.spec
-        ran = any(outcome not in PROVEN for _, _, outcome in one.attempts)
-        if isinstance(action, api.Refuse) and ran and spec.effect != "safe":
-            assert spec.effect == "keyed" and spec.group == "all", "rule 2: refused though it may have run"
-        one.ended = True
+        request = self.requests[action.id]
+        assert not request.ended, "rule 1: a second final answer"
+        assert self.now <= request.deadline + 20 * MILLI, "rule 1: final answer after the deadline"
+        spec = request.spec
+        maybe_executed = any(outcome not in NOT_EXECUTED for _, _, outcome in request.attempts)
+        if isinstance(action, api.Refuse) and maybe_executed and spec.effect != "safe":
+            assert spec.effect == "keyed" and spec.group == "all", (
+                "rule 2: rejection of a request that may have been executed"
+            )
+        request.ended = True
 
-    def arrive(self) -> None:
-        cls = self.dice.randrange(len(self.options.classes))
+    def send_request(self) -> None:
+        cls = self.rng.randrange(len(self.options.classes))
         spec = self.options.classes[cls]
-        name = f"r{len(self.held)}"
-        deadline = self.now + int(spec.deadline * self.dice.uniform(0.05, 1))
-        self.held[name] = Held(spec, deadline)
-        key = self.dice.choice([None, "hot", f"k{self.dice.randrange(60)}"])
+        name = f"r{len(self.requests)}"
+        deadline = self.now + int(spec.deadline * self.rng.uniform(0.05, 1))
+        self.requests[name] = TrackedRequest(spec, deadline)
+        key = self.rng.choice([None, "hot", f"k{self.rng.randrange(60)}"])
         write = spec.effect != "safe" and self.options.aside
-        self.play(
-            api.Request(name, cls, deadline, key, write, self.dice.randrange(2), self.dice.random() < 0.2)
+        self.deliver(
+            api.Request(name, cls, deadline, key, write, self.rng.randrange(2), self.rng.random() < 0.2)
         )
 
-    def relist(self) -> None:
-        if self.options.must_ask and self.dice.random() < 0.3:
-            self.play(api.Members(api.ListKind.FAILED, []))
+    def update_members(self) -> None:
+        if self.options.must_ask and self.rng.random() < 0.3:
+            self.deliver(api.Members(api.ListKind.FAILED, []))
             return
         entries = []
         for name in (
-            self.dice.sample(sorted(self.known), self.dice.randrange(1, 4)) if len(self.known) > 3 else []
+            self.rng.sample(sorted(self.members), self.rng.randrange(1, 4)) if len(self.members) > 3 else []
         ):
-            old = self.known[name]
-            state = self.dice.choice([api.State.READY, api.State.DRAINING, api.State.GONE])
-            since = self.dice.choice([old.since, self.now])
-            entries.append(api.Member(name, state, old.kind, old.zone, old.cell, since))
-        if self.dice.random() < 0.4:
-            name = f"n{self.dice.randrange(8)}"
+            current = self.members[name]
+            state = self.rng.choice([api.State.READY, api.State.DRAINING, api.State.GONE])
+            since = self.rng.choice([current.since, self.now])
+            entries.append(api.Member(name, state, current.kind, current.zone, current.cell, since))
+        if self.rng.random() < 0.4:
+            name = f"n{self.rng.randrange(8)}"
             entries.append(
-                api.Member(name, zone=self.dice.randrange(2), cell=self.dice.randrange(3), since=self.now)
+                api.Member(name, zone=self.rng.randrange(2), cell=self.rng.randrange(3), since=self.now)
             )
         for entry in entries:
-            self.known[entry.server] = entry
+            self.members[entry.server] = entry
             if entry.state is api.State.READY:
-                self.left.pop(entry.server, None)
+                self.removed_at.pop(entry.server, None)
             else:
-                self.left.setdefault(entry.server, self.now)
+                self.removed_at.setdefault(entry.server, self.now)
         kind = api.ListKind.DELTA
-        if self.dice.random() < 0.2:
+        if self.rng.random() < 0.2:
             kind = api.ListKind.FULL
-            entries = [one for one in self.known.values() if one.server not in self.left]
-            for name in self.known:
-                if name not in {one.server for one in entries}:
-                    self.left.setdefault(name, self.now)
-        self.play(api.Members(kind, entries))
+            entries = [member for member in self.members.values() if member.server not in self.removed_at]
+            for name in self.members:
+                if name not in {member.server for member in entries}:
+                    self.removed_at.setdefault(name, self.now)
+        self.deliver(api.Members(kind, entries))
 
-    def finish(self, when: int, name: str, attempt: int) -> None:
-        one = self.held[name]
-        server, sent, _ = one.attempts[attempt]
-        trouble = self.dice.random() < self.trouble
-        outcome = self.dice.choice(self.ends) if trouble else "ok"
-        if when >= one.deadline:
+    def finish_attempt(self, when: int, name: str, attempt: int) -> None:
+        request = self.requests[name]
+        server, sent, _ = request.attempts[attempt]
+        fails = self.rng.random() < self.failure_rate
+        outcome = self.rng.choice(self.outcomes) if fails else "ok"
+        if when >= request.deadline:
             outcome = "timeout"
-        if outcome == "ok" and server != "origin" and self.dice.random() < 0.4:
+        if outcome == "ok" and server != "origin" and self.rng.random() < 0.4:
             outcome = "miss"
-        one.attempts[attempt] = (server, sent, outcome)
-        closed = one.ended or outcome == "ok"
-        one.ended = closed
-        load = api.Load(inflight=self.dice.randrange(30), latency_ms=50, qps=20) if trouble else None
-        status, connected = api.Status(outcome), outcome not in NOT_BEGUN and self.dice.random() < 0.5
-        self.play(
+        request.attempts[attempt] = (server, sent, outcome)
+        closed = request.ended or outcome == "ok"
+        request.ended = closed
+        load = api.Load(inflight=self.rng.randrange(30), latency_ms=50, qps=20) if fails else None
+        status, connected = api.Status(outcome), outcome not in NOT_STARTED and self.rng.random() < 0.5
+        self.deliver(
             api.Outcome(
                 name, attempt, server, status, closed, self.now - sent, load=load, connected=connected
             )
         )
 
     def run(self, steps: int) -> None:
-        self.trouble = self.dice.choice([0.02, 0.3, 0.95])
+        self.failure_rate = self.rng.choice([0.02, 0.3, 0.95])
         for _ in range(steps):
-            self.advance(self.now + self.dice.choice([0, MILLI, 20 * MILLI, 300 * MILLI]))
-            turns = [self.arrive, self.relist, self.withdraw, self.by_hand, self.retune, self.restart]
-            self.dice.choices(turns, [40, 4, 2, 2, 0.5, 0.3])[0]()
+            self.advance(self.now + self.rng.choice([0, MILLI, 20 * MILLI, 300 * MILLI]))
+            steps_to_draw = [
+                self.send_request,
+                self.update_members,
+                self.cancel_request,
+                self.override_server,
+                self.reload_settings,
+                self.restart,
+            ]
+            self.rng.choices(steps_to_draw, [40, 4, 2, 2, 0.5, 0.3])[0]()
         self.advance(self.now + 10 * SECOND)
-        assert all(one.ended for one in self.held.values()), "rule 1: no answer"
+        assert all(request.ended for request in self.requests.values()), "rule 1: no final answer"
 
     def advance(self, end: int) -> None:
-        """Outcomes and alarms come in the order of their times; nobody may be left without an answer."""
+        """Delivers outcomes and alarms up to `end` in time order, and checks each request's deadline."""
         while True:
-            when, name, attempt = min(self.due, default=(end + 1, "", 0))
+            when, name, attempt = min(self.pending_outcomes, default=(end + 1, "", 0))
             alarm, token = min(self.alarms, default=(end + 1, ""))
             if min(when, alarm) > end:
                 break
             self.now = min(when, alarm)
             if alarm <= when:
                 self.alarms.remove((alarm, token))
-                self.play(api.Alarm(token))
+                self.deliver(api.Alarm(token))
             else:
-                self.due.remove((when, name, attempt))
-                self.finish(when, name, attempt)
-            for one in self.held.values():
-                assert one.ended or self.now <= one.deadline + 20 * MILLI, "rule 1: no answer in time"
+                self.pending_outcomes.remove((when, name, attempt))
+                self.finish_attempt(when, name, attempt)
+            for request in self.requests.values():
+                assert request.ended or self.now <= request.deadline + 20 * MILLI, (
+                    "rule 1: no final answer by the deadline"
+                )
         self.now = end
 
-    def withdraw(self) -> None:
-        open_ones = [name for name, one in self.held.items() if not one.ended]
-        if open_ones:
-            name = self.dice.choice(open_ones)
-            self.held[name].ended = True
-            self.play(api.Withdrawn(name))
+    def cancel_request(self) -> None:
+        open_requests = [name for name, request in self.requests.items() if not request.ended]
+        if open_requests:
+            name = self.rng.choice(open_requests)
+            self.requests[name].ended = True
+            self.deliver(api.Withdrawn(name))
 
-    def by_hand(self) -> None:
-        """Operators leave a server out, perhaps twice, or put one back."""
-        name = self.dice.choice([*sorted(self.known), "c0"])
+    def override_server(self) -> None:
+        """Excludes a server by operator override, possibly a second time, or restores one."""
+        name = self.rng.choice([*sorted(self.members), "c0"])
         if name == "origin":
             return
-        out = self.dice.random() < 0.5
-        if out:
-            self.out.setdefault(name, self.now)
+        exclude = self.rng.random() < 0.5
+        if exclude:
+            self.excluded_at.setdefault(name, self.now)
         else:
-            self.out.pop(name, None)
-        self.play(api.ByHand(name, out, self.now))
+            self.excluded_at.pop(name, None)
+        self.deliver(api.ByHand(name, exclude, self.now))
 
-    def retune(self) -> None:
-        """Classes move, some become stricter, and the number of attempts changes."""
-        classes = [replace(one) for one in self.options.classes]
-        self.dice.shuffle(classes)
-        classes[0].effect = self.dice.choice([classes[0].effect, api.Effect.UNSAFE])
-        most = self.dice.choice([1, 2, 4])
-        self.options = replace(self.options, classes=classes, max_attempts=most)
-        self.play(api.Retuned(self.options))
+    def reload_settings(self) -> None:
+        """Reloads settings with reordered classes, one possibly stricter, and another attempt limit."""
+        classes = [replace(spec) for spec in self.options.classes]
+        self.rng.shuffle(classes)
+        classes[0].effect = self.rng.choice([classes[0].effect, api.Effect.UNSAFE])
+        attempt_limit = self.rng.choice([1, 2, 4])
+        self.options = replace(self.options, classes=classes, max_attempts=attempt_limit)
+        self.deliver(api.Retuned(self.options))
 
     def restart(self) -> None:
         self.start()
@@ -236,30 +270,30 @@
 @settings(derandomize=True, max_examples=120, deadline=None)
 @given(seed=st.integers(0, 2**32), mode=st.sampled_from(["aside", "through", "asked", "tenants"]))
 def test_rules_hold_over_random_legal_sequences(seed: int, mode: str) -> None:
-    World(seed, mode).run(150)
+    Simulation(seed, mode).run(150)
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(seed=st.integers(0, 2**32), mode=st.sampled_from(["aside", "through", "asked", "tenants"]))
-def test_rules_hold_on_a_machine_that_begins_few_attempts(seed: int, mode: str) -> None:
-    world = World(seed, mode)
-    world.ends = sorted(NOT_BEGUN)
-    world.run(150)
+def test_rules_hold_when_most_attempts_cannot_start(seed: int, mode: str) -> None:
+    simulation = Simulation(seed, mode)
+    simulation.outcomes = sorted(NOT_STARTED)
+    simulation.run(150)
 
 
-def test_the_origin_dies_and_every_server_is_cut_off_at_once() -> None:
-    world = World(5, "aside")
-    world.trouble = 1.0
-    world.known = {one.server: one for one in fleet(6)}
-    world.play(api.Members(api.ListKind.FULL, list(world.known.values())))
+def test_every_request_is_answered_when_all_servers_are_removed_at_once() -> None:
+    simulation = Simulation(5, "aside")
+    simulation.failure_rate = 1.0
+    simulation.members = {member.server: member for member in fleet(6)}
+    simulation.deliver(api.Members(api.ListKind.FULL, list(simulation.members.values())))
     for _ in range(300):
-        world.advance(world.now + 5 * MILLI)
-        world.arrive()
-    world.play(api.Members(api.ListKind.FULL, []))
-    world.left.update(dict.fromkeys(world.known, world.now))
+        simulation.advance(simulation.now + 5 * MILLI)
+        simulation.send_request()
+    simulation.deliver(api.Members(api.ListKind.FULL, []))
+    simulation.removed_at.update(dict.fromkeys(simulation.members, simulation.now))
     for _ in range(50):
-        world.advance(world.now + 5 * MILLI)
-        world.arrive()
-    world.advance(world.now + 10 * SECOND)
-    assert all(one.ended for one in world.held.values())
-    assert world.router.jobs == {} and world.options.origin_kind == ORIGIN_KIND
+        simulation.advance(simulation.now + 5 * MILLI)
+        simulation.send_request()
+    simulation.advance(simulation.now + 10 * SECOND)
+    assert all(request.ended for request in simulation.requests.values())
+    assert simulation.router.jobs == {} and simulation.options.origin_kind == ORIGIN_KIND
