--- a/tests/test_side_by_side.py
+++ b/tests/test_parallel_run.py
@@ -1,4 +1,4 @@
-"""Tests that run side by side: which begin first, and which run alone."""
+"""Parallel test runs: the order of tests, and the tests that run exclusively."""
 
 import os
 import re
@@ -11,36 +11,36 @@
 import pytest
 
 FOLDER = Path(__file__).parent
-TIMES = """
+TIMED_TESTS = """
 import time
 from pathlib import Path
 
 import pytest
 
-def note(name):
-    begun = time.monotonic()
+def record_span(name):
+    started = time.monotonic()
     time.sleep(0.2)
     with Path("times").open("a") as file:
-        file.write(f"{name} {begun} {time.monotonic()}\\n")
+        file.write(f"{name} {started} {time.monotonic()}\\n")
 
 @pytest.mark.parametrize("number", range(2))
 def ALONE(number):
-    note("alone")
+    record_span("alone")
 
 @pytest.mark.parametrize("number", range(9))
-def test_of_any_kind(number):
-    note("any")
+def test_ordinary(number):
+    record_span("any")
 
 @pytest.mark.parametrize("number", range(2))
-def test_that_meets_another(number):
-    Path(f"here {number}").touch()
-    begun = time.monotonic()
-    while not Path(f"here {1 - number}").exists():
-        assert time.monotonic() < begun + 60, "nothing runs beside this"
+def test_overlaps_with_another(number):
+    Path(f"running {number}").touch()
+    started = time.monotonic()
+    while not Path(f"running {1 - number}").exists():
+        assert time.monotonic() < started + 60, "no other test ran in parallel"
         time.sleep(0.01)
 
 def LONG():
-    note("long")
+    record_span("long")
 """
 
 
@@ -54,28 +54,28 @@
     assert [defined.count(name) for name in names] == [1] * len(names)
 
 
-def test_who_has_to_be_alone_is_while_others_run_side_by_side(tmp_path: Path) -> None:
+def test_exclusive_tests_run_alone_while_others_run_in_parallel(tmp_path: Path) -> None:
     (tmp_path / "conftest.py").write_text((FOLDER / "conftest.py").read_text())
-    test = TIMES.replace("ALONE", conftest.ALONE[0]).replace("LONG", conftest.LONG[-1])
+    test = TIMED_TESTS.replace("ALONE", conftest.ALONE[0]).replace("LONG", conftest.LONG[-1])
     (tmp_path / "test_times.py").write_text(test)
-    words = ["-n", "3", "--dist", "loadgroup", "--no-loadscope-reorder", "-q", "-p", "no:cacheprovider"]
-    done = subprocess.run(
-        [sys.executable, "-m", "pytest", *words],
+    options = ["-n", "3", "--dist", "loadgroup", "--no-loadscope-reorder", "-q", "-p", "no:cacheprovider"]
+    result = subprocess.run(
+        [sys.executable, "-m", "pytest", *options],
         cwd=tmp_path,
         env={**os.environ, "PYTHONPATH": str(FOLDER.parent)},
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 0, done.stdout
-    spans = [(name, float(begun), float(ended)) for name, begun, ended in read(tmp_path / "times")]
+    assert result.returncode == 0, result.stdout
+    spans = [(name, float(started), float(ended)) for name, started, ended in read_lines(tmp_path / "times")]
     assert sorted(name for name, _, _ in spans) == ["alone"] * 2 + ["any"] * 9 + ["long"]
-    for alone in [span for span in spans if span[0] == "alone"]:
-        beside = [one for one in spans if one[1] < alone[2] and alone[1] < one[2]]
-        assert beside == [alone]
+    for exclusive in [span for span in spans if span[0] == "alone"]:
+        overlapping = [other for other in spans if other[1] < exclusive[2] and exclusive[1] < other[2]]
+        assert overlapping == [exclusive]
 
 
-class Item:
-    """What the order looks at of a collected test."""
+class FakeItem:
+    """The attributes of a collected test that the ordering reads."""
 
     def __init__(self, name: str) -> None:
         self.name = self.originalname = name
@@ -85,9 +85,9 @@
         self.marks.append(mark)
 
 
-def test_the_longest_come_first_and_those_that_run_alone_last() -> None:
+def test_longest_tests_are_ordered_first_and_exclusive_tests_last() -> None:
     names = ["test_a", *conftest.ALONE, "test_b", *reversed(conftest.LONG), "test_c"]
-    items = [Item(name) for name in names]
+    items = [FakeItem(name) for name in names]
     conftest.pytest_collection_modifyitems(cast(list[pytest.Item], items))
     ordinary = ["test_a", "test_b", "test_c"]
     assert [item.name for item in items] == [*conftest.LONG, *ordinary, *conftest.ALONE]
@@ -95,5 +95,5 @@
     assert grouped == list(conftest.ALONE)
 
 
-def read(file: Path) -> list[list[str]]:
+def read_lines(file: Path) -> list[list[str]]:
     return [line.split() for line in file.read_text().splitlines()]
