--- a/tests/test_found.py
+++ b/tests/test_regressions.py
@@ -1,4 +1,4 @@
-"""One small test for each failure found on the bench; each fails without its fix."""
+"""Regression tests of the policy, one for each failure found in simulation."""
 
 import pytest
 from support import MILLI, ORIGIN_KIND, SECOND, START, Router, fleet, settings
@@ -9,101 +9,99 @@
 from applehub.policy.throttle import Monitor
 
 
-def test_what_still_earns_something_late_is_waited_for() -> None:
-    """Kochi's retry storm: reads sent again half-way to their deadline doubled the work in a jam."""
+def test_read_that_is_useful_after_its_latency_objective_runs_until_its_deadline() -> None:
+    """A retry before the deadline would add to the load of an overloaded server."""
     router = Router()
     _, (send,) = router.ask("k")
     assert isinstance(send, api.Send)
     assert send.timeout == 2 * SECOND
 
 
-def test_a_hot_key_takes_as_many_ranges_as_it_fills() -> None:
-    """Malabar at full size: one key was 7% of all requests, five servers' fair shares, on one server."""
+def test_hot_key_gets_ranges_in_proportion_to_its_load() -> None:
     popularity = Popularity()
-    wide = [popularity.fills("hot" if n % 5 == 0 else f"k{n}", 20) for n in range(200)]
-    assert wide[1] == wide[2] == 0
-    assert all(6 <= fills <= 8 for n, fills in enumerate(wide[100:]) if n % 5 == 0)
-    assert max(fills for n, fills in enumerate(wide) if n % 5) == 0
+    ranges = [popularity.fills("hot" if n % 5 == 0 else f"k{n}", 20) for n in range(200)]
+    assert ranges[1] == ranges[2] == 0
+    assert all(6 <= fills <= 8 for n, fills in enumerate(ranges[100:]) if n % 5 == 0)
+    assert max(fills for n, fills in enumerate(ranges) if n % 5) == 0
 
 
-def test_popularity_is_bounded_and_forgets() -> None:
+def test_popularity_uses_bounded_memory_and_forgets() -> None:
     popularity = Popularity()
     for _ in range(100):
         popularity.fills("hot", 4)
     for n in range(2000):
         popularity.fills(f"k{n}", 4)
-        for one in popularity.counts:
-            assert len(one.seen) <= SAMPLES * 4 and one.total <= one.samples * 4 <= 2 * SAMPLES * 4
+        for counts in popularity.counts:
+            assert len(counts.seen) <= SAMPLES * 4 and counts.total <= counts.samples * 4 <= 2 * SAMPLES * 4
     assert popularity.fills("hot", 4) == 0
 
 
-def test_a_hot_key_is_sent_to_several_servers_and_others_keep_theirs() -> None:
+def test_hot_key_is_spread_over_servers_while_other_keys_stay() -> None:
     router = Router(members=fleet(8))
-    for one in router.balancer.roster.servers.values():
-        one.base = one.latency = 10.0 * MILLI
-    used: dict[str, set[str]] = {}
+    for server in router.balancer.roster.servers.values():
+        server.base = server.latency = 10.0 * MILLI
+    servers_by_key: dict[str, set[str]] = {}
     for n in range(120):
         key = f"k{n // 2}" if n % 2 else "hot"
         _, (send,) = router.ask(key)
         assert isinstance(send, api.Send)
-        used.setdefault(key, set()).add(send.server)
+        servers_by_key.setdefault(key, set()).add(send.server)
         router.end(send, api.Status.OK, elapsed=(30 if key == "hot" else 10) * MILLI)
         router.wait(SECOND // 20)
-    assert 5 <= len(used.pop("hot")) <= 8
-    assert all(len(servers) == 1 for servers in used.values())
+    assert 5 <= len(servers_by_key.pop("hot")) <= 8
+    assert all(len(servers) == 1 for servers in servers_by_key.values())
 
 
-def test_the_far_end_of_a_range_passes_to_the_next_while_its_server_answers_slowly() -> None:
-    """Full size: each of 400 routers gave a slow server one trial an answer time, which was everything."""
+def test_slow_server_hands_the_end_of_its_range_to_the_next_server() -> None:
+    """Trial requests of many routers together must not keep a slow server overloaded."""
     router = Router(members=fleet(4))
     keys = [f"k{n}" for n in range(400)]
     owned = [key for key in keys if router.candidates(key)[0].member.server == "c1"]
     slow = router.balancer.roster.servers["c1"]
     for n in range(2):
         slow.bear(router.now + n, 0, True)
-        slow.bear(router.now + n, SECOND, True)  # sent before the cut: the same jam
+        slow.bear(router.now + n, SECOND, True)  # sent before the reduction, so part of the same overload
     assert slow.share == 9 / 16
-    kept = 0
+    sent_to_owner = 0
     for key in owned:
         _, (send,) = router.ask(key)
         assert isinstance(send, api.Send)
-        kept += send.server == "c1"
+        sent_to_owner += send.server == "c1"
         assert send.server in ("c1", "c2")
         router.end(send, api.Status.OK)
         slow.share = 9 / 16
-    assert abs(kept / len(owned) - 9 / 16) < 0.1
+    assert abs(sent_to_owner / len(owned) - 9 / 16) < 0.1
     for _ in range(16):
         slow.bear(router.now, 0, False)
     assert slow.share == 1
 
 
-def test_a_server_that_warms_up_gets_no_work_of_others() -> None:
-    """Malabar's deploys: work that left other servers came on top of a cold server's own range."""
+def test_warming_server_gets_no_overflow_of_other_servers() -> None:
+    """A cold server must not get spilled requests in addition to its own range."""
     router = Router(members=[*fleet(3), api.Member("c3", since=START - SECOND)])
     router.wait(7 * SECOND)
-    owned = 0
+    sent_to_owner = 0
     for n in range(300):
         first = router.candidates(f"k{n}")[0]
         first.share = 1.0 if first.member.server == "c3" else 0.0
         _, actions = router.ask(f"k{n}")
         send = actions[0]
         if isinstance(send, api.Send) and send.server == "c3":
-            owned += 1
+            sent_to_owner += 1
             assert first.member.server == "c3"
         router.end(send, api.Status.OK)
         router.wait(SECOND // 200)
-    assert owned > 5
+    assert sent_to_owner > 5
 
 
-def test_hot_keys_that_a_warming_server_takes_up_do_not_push_it_over() -> None:
-    """Kaohsiung in a release: two hot keys moved to a cold server, 95 of its 124 requests in two seconds."""
+def test_hot_keys_do_not_overload_a_warming_server() -> None:
     router = Router(members=[*fleet(7), api.Member("c7", since=START - SECOND)])
     router.wait(8 * SECOND)
-    mine = [key for key in map(str, range(900)) if router.candidates(key)[0].member.server == "c7"]
-    mine = [key for key in mine if router.balancer.roster.ranges.locate(key, router.now)[1] > START][:4]
+    owned = [key for key in map(str, range(900)) if router.candidates(key)[0].member.server == "c7"]
+    owned = [key for key in owned if router.balancer.roster.ranges.locate(key, router.now)[1] > START][:4]
     sent = 0
     for n in range(400):
-        _, (send,) = router.ask(mine[n % 4] if n % 2 else f"other{n}")
+        _, (send,) = router.ask(owned[n % 4] if n % 2 else f"other{n}")
         assert isinstance(send, api.Send)
         sent += send.server == "c7"
         router.end(send, api.Status.OK)
@@ -111,18 +109,17 @@
     assert 0 < sent < 400 / 8
 
 
-def test_a_read_that_a_cache_could_not_fetch_is_not_sent_to_another() -> None:
-    """Kochi with a slow origin: each failed fetch was tried again at a second cache."""
+def test_failed_fetch_of_a_cache_server_is_not_retried_at_another() -> None:
+    """A retry would double the load of a slow origin."""
     router = Router(settings(aside=False), fleet(4, origin=False))
     name, (send,) = router.ask("k")
     assert router.end(send, api.Status.ERROR) == [api.Refuse(name)]
 
 
-def test_a_small_machine_bears_a_small_part_of_its_range() -> None:
-    """Kochi's slow boxes, listed at half a weight, had the same range as those of three times their speed."""
+def test_server_with_a_lower_weight_gets_a_smaller_part_of_its_range() -> None:
     members = [api.Member(f"c{n}", weight=0.5 if n == 1 else 1.5) for n in range(6)]
     router = Router(settings(aside=False), members)
-    counts = {one.server: 0 for one in members}
+    counts = {member.server: 0 for member in members}
     for n in range(1200):
         _, (send,) = router.ask(f"k{n}")
         assert isinstance(send, api.Send)
@@ -133,7 +130,7 @@
 
 
 @pytest.mark.parametrize("weight", [0.0, 1.0])
-def test_equal_weights_of_any_size_leave_the_ranges_equal(weight: float) -> None:
+def test_equal_weights_of_any_size_give_equal_ranges(weight: float) -> None:
     router = Router(settings(aside=False), [api.Member(f"c{n}", weight=weight) for n in range(4)])
     for n in range(200):
         _, (send,) = router.ask(f"k{n}")
@@ -142,51 +139,49 @@
         router.end(send, api.Status.OK)
 
 
-def test_while_most_connects_are_refused_a_router_keeps_to_the_connections_it_has() -> None:
-    """Vedi at full size: 417 routers, and each server takes 105 connections; 66% of attempts got none."""
+def test_router_uses_its_open_connections_while_most_connects_are_refused() -> None:
+    """A server with a connection limit below the number of routers refuses further connections."""
     router = Router(members=fleet(20))
-    taken = {f"c{n}" for n in range(0, 20, 4)}
-    refused: list[int] = []
+    reachable = {f"c{n}" for n in range(0, 20, 4)}
+    refusals: list[int] = []
     for n in range(120):
         _, actions = router.ask(f"k{n}")
-        refused.append(0)
+        refusals.append(0)
         for attempt in range(4):
             (send,) = actions
             if not isinstance(send, api.Send):
                 break
-            if send.server in taken:
+            if send.server in reachable:
                 router.end(send, api.Status.OK, attempt)
                 break
-            refused[-1] += 1
+            refusals[-1] += 1
             actions = router.end(send, api.Status.CONNECT_FAILED, attempt, MILLI)
         router.wait(SECOND // 2)
-    assert sum(refused[:40]) >= 6
-    assert sum(refused[40:]) == 0
+    assert sum(refusals[:40]) >= 6
+    assert sum(refusals[40:]) == 0
 
 
-def test_a_few_dead_servers_do_not_look_like_full_tables() -> None:
+def test_few_dead_servers_are_not_taken_for_exhausted_connection_limits() -> None:
     router = Router(members=fleet(20))
     for n in range(200):
         _, (send,) = router.ask(f"k{n}")
         assert isinstance(send, api.Send)
         dead = send.server in ("c3", "c7", "c11")
-        for again in router.end(send, api.Status.CONNECT_FAILED if dead else api.Status.OK, 0, MILLI):
-            router.end(again, api.Status.OK, 1)
+        for retry in router.end(send, api.Status.CONNECT_FAILED if dead else api.Status.OK, 0, MILLI):
+            router.end(retry, api.Status.OK, 1)
         assert router.balancer.roster.crowded <= 1 / 2
         router.wait(SECOND // 10)
 
 
-def test_a_clock_younger_than_the_warm_up_makes_no_server_cold() -> None:
-    """Found by the adapter's tests: at second 1 a server warm since long ago was refused as a cold one."""
+def test_clock_below_the_warm_up_time_marks_no_server_as_cold() -> None:
     balancer = Balancer(settings(), 7)
     balancer.handle(0, api.Members(api.ListKind.CACHED, fleet()))
     actions = balancer.handle(SECOND, api.Request("r", 0, 3 * SECOND, "k"))
     assert any(isinstance(action, api.Send) for action in actions)
 
 
-def test_a_cache_server_that_is_listed_as_the_origin_now_is_no_cache() -> None:
-    """Drawn lists: the last cache server became the origin while it was cold, and a request for one of its
-    keys divided by no servers. A warm one was asked as a cache for as long as keys take up a list."""
+def test_cache_server_relisted_as_origin_is_no_longer_a_cache() -> None:
+    """Covers a division by zero servers, and reads still sent to the former cache server."""
     for since in (START - SECOND, 0):
         router = Router(members=[api.Member("c0", since=since)])
         router.tell(api.Members(api.ListKind.DELTA, [api.Member("c0", kind=ORIGIN_KIND, since=since)]))
@@ -194,8 +189,8 @@
         assert actions == [api.Refuse(name)]
 
 
-def test_evidence_of_a_sick_origin_is_kept_until_there_is_enough() -> None:
-    """Full size: one of 400 routers sees a likely miss in two seconds, never two within one period."""
+def test_sparse_origin_failures_accumulate_until_the_throttle_starts() -> None:
+    """In a large fleet a router sees fewer than two likely misses per period."""
     monitor = Monitor(SECOND // 2)
     monitor.born = 0
     for n in range(1, 9):
@@ -207,7 +202,7 @@
     assert monitor.throttle.rate < 1
 
 
-def test_a_healthy_origin_clears_the_evidence() -> None:
+def test_successful_origin_reads_clear_the_failure_count() -> None:
     monitor = Monitor(SECOND // 2)
     monitor.born = 0
     for n in range(1, 60):
