--- a/applehub/node/operator_overrides.py
+++ b/applehub/node/operator_overrides.py
@@ -13,7 +13,7 @@
 from applehub.node.console import CallError
 from applehub.node.discovery import Directory
 from applehub.node.override_file import Override, OverrideFileError
-from applehub.node.shared import Shared
+from applehub.node.shared_state import Shared
 
 SYNCHRONISE_AGAIN = 1.0  # s between two tries to synchronise: each may hold up the event loop
 log = logging.getLogger("applehub")
--- a/applehub/node/router.py
+++ b/applehub/node/router.py
@@ -11,12 +11,12 @@
 from applehub.node.descriptors import Places, share_out
 from applehub.node.discovery import Directory, ListError
 from applehub.node.driver import Driver
-from applehub.node.figures import Figures
+from applehub.node.metrics import Figures
 from applehub.node.listener import Clients
 from applehub.node.memory_budget import bytes_for_values
 from applehub.node.operator_overrides import OperatorOverrides
 from applehub.node.pool import Pools
-from applehub.node.shared import Shared, shared_folder
+from applehub.node.shared_state import Shared, shared_folder
 from applehub.node.watch import Watch
 from applehub.policy import Balancer
 
--- a/tests/measure_sizes.py
+++ b/tests/measure_sizes.py
@@ -22,7 +22,7 @@
 from applehub import interface as api
 from applehub.node.discovery import Directory
 from applehub.node.driver import Driver
-from applehub.node.figures import Figures
+from applehub.node.metrics import Figures
 from applehub.node.pool import Pools
 from applehub.peers.agent import GossipAgent
 from applehub.peers.codec import Peer, PeerState
--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -14,7 +14,7 @@
 from applehub import interface as api
 from applehub.node.console import CallError
 from applehub.node.operator_overrides import OperatorOverrides
-from applehub.node.shared import Shared
+from applehub.node.shared_state import Shared
 
 
 def sent_to(router: Router, keys: int = 40) -> set[str]:
@@ -149,7 +149,7 @@
     shared = Shared(str(tmp_path))
     assert not shared.others()
     code = (
-        "import sys; from applehub.node.shared import Shared\n"
+        "import sys; from applehub.node.shared_state import Shared\n"
         f"s = Shared({str(tmp_path)!r}); print(s.others(), flush=True); sys.stdin.read()"
     )
     root = Path(__file__).parent.parent
--- a/tests/test_override_file.py
+++ b/tests/test_override_file.py
@@ -20,7 +20,7 @@
 from applehub.node.operator_overrides import OperatorOverrides
 from applehub.node.override_file import OverrideFile, OverrideFileError
 from applehub.node.pool import Pools
-from applehub.node.shared import Shared
+from applehub.node.shared_state import Shared
 from applehub.settings import read_names
 
 ROOT = Path(__file__).parent.parent
