--- a/applehub/__init__.py
+++ b/applehub/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of a router in front of cache servers that share one slow origin."""
+"""A request router for cache servers that share one slow origin."""
--- a/applehub/__main__.py
+++ b/applehub/__main__.py
@@ -1,4 +1,4 @@
-"""The real router, as `python -m applehub` runs it: sets up logging, reads the configuration, and serves."""
+"""Entry point of the router process: sets up logging, reads the configuration, and serves."""
 
 import asyncio
 import gc
@@ -16,10 +16,10 @@
 
 
 async def serve(configuration: Configuration, path: str | None = None) -> None:
-    """Runs the router until SIGTERM, then until every accepted request is answered.
+    """Runs the router until SIGTERM, then shuts it down gracefully.
 
-    path: the configuration's file, read again at each SIGHUP. Raises ConfigurationError if the router
-    cannot listen at a configured address or write to a configured folder.
+    path: the configuration file, read again on SIGHUP. Raises ConfigurationError if the router cannot listen
+    at a configured address or write to a configured folder.
     """
     router = Router(configuration, path)
     await router.start()
@@ -29,19 +29,19 @@
 
 
 def main() -> int:
-    """Runs the program; returns its exit code: 0 after SIGTERM, 2 if the configuration cannot be used."""
+    """Runs the program; returns its exit code: 0 after SIGTERM, 2 if the configuration is invalid."""
     level = os.environ.get("APPLEHUB_LOG", "INFO")
     logging.basicConfig(stream=sys.stderr, level=level, format="%(asctime)s %(levelname)s %(message)s")
     logging.getLogger("asyncio").setLevel(logging.INFO)
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the router runs, which handles it
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the router installs its own handler
     path = os.environ.get("BALANCER_CONFIG")
     try:
         configuration = read_configuration(path)
         gc.freeze()
         with asyncio.Runner(loop_factory=Loop) as runner:
             runner.run(serve(configuration, path))
-    except ConfigurationError as problem:
-        print(f"applehub: {problem}", file=sys.stderr)
+    except ConfigurationError as error:
+        print(f"applehub: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
     return 0
 
--- a/applehub/node/__init__.py
+++ b/applehub/node/__init__.py
@@ -1,1 +1,1 @@
-"""The real router: the decisions of applehub.policy on real sockets."""
+"""The router process: runs the policy of applehub.policy on real sockets."""
--- a/applehub/node/configuration.py
+++ b/applehub/node/configuration.py
@@ -1,4 +1,4 @@
-"""Reads the router's configuration file and checks all of it before anything is started."""
+"""Reads and validates the router's configuration file."""
 
 import logging
 import os
@@ -11,13 +11,13 @@
 from applehub.node.discovery import ListError, read_endpoint
 from applehub.node.pool import Endpoint
 from applehub.settings import (
-    Ceilings,
     Json,
     Names,
+    NetworkLimits,
     SettingError,
-    first_missing,
-    read_ceilings,
+    first_missing_key,
     read_names,
+    read_network_limits,
     read_settings,
 )
 
@@ -34,66 +34,67 @@
 
 
 class ConfigurationError(ValueError):
-    """The configuration is missing or cannot be used; the text names the file or the key, and the reason."""
+    """The configuration is missing or invalid; the message names the file or the key, and the reason."""
 
 
 @dataclass(slots=True)
 class Configuration:
-    """A configuration that was read and checked.
+    """A validated configuration.
 
     listen: the address for clients.
-    discovery: the address of the list service, then its further addresses.
+    discovery: the addresses of the list service, the main one first.
     console: the address for operators; None if there is no console.
-    inherited: descriptor of a listening socket that the platform holds; None if the router opens its own.
-    sockets, memory: limits on open descriptors and on memory in MB, for all processes of the router together.
-    known: the list of servers to start from, in the form of the list service's answers.
-    raw: the file as it was read; a reload must contain every key of it.
+    inherited_descriptor: descriptor of a listening socket that the platform passes on; None if the router
+        opens its own.
+    max_descriptors, memory_limit_mb: limits for all processes of the router together.
+    initial_list: the server list to start from, in the form of the list service's answers.
+    raw: the file's content; a reload must contain all of its keys.
     name: the name by which other routers know this one; may be empty if peers is None.
-    peers: how to reach other routers; None if this router exchanges nothing with them.
-    state_dir: absolute path of the folder for state that outlives the process; None if nothing is kept.
+    peers: the gossip settings; None if this router does not gossip.
+    state_dir: absolute path of the folder for persisted state; None if nothing is persisted.
     """
 
     listen: Endpoint
     discovery: list[Endpoint]
     console: Endpoint | None
-    inherited: int | None
+    inherited_descriptor: int | None
     seed: int
-    sockets: int
-    memory: int
-    known: Json
+    max_descriptors: int
+    memory_limit_mb: int
+    initial_list: Json
     settings: Settings
     names: Names
-    ceilings: Ceilings
+    network_limits: NetworkLimits
     raw: Json
     name: str
     peers: "PeersTold | None"
     state_dir: str | None
 
 
-def read_configuration(path: str | None, before: Json | None = None) -> Configuration:
-    """Reads and checks the file at `path`.
+def read_configuration(path: str | None, previous: Json | None = None) -> Configuration:
+    """Reads and validates the file at `path`.
 
-    before: the content that the router was started with, given at a reload; every key of it must be present
-    again, so that a default never replaces a value that was once configured.
+    previous: at a reload, the content that the router was started with. All of its keys must be present, so
+    that a default never replaces a configured value.
     Raises ConfigurationError.
     """
     if not path:
-        raise ConfigurationError("BALANCER_CONFIG names no file")
+        raise ConfigurationError("BALANCER_CONFIG is not set")
     try:
-        return _read_configuration(_read_object(path, before), path)
-    except (OSError, orjson.JSONDecodeError, SettingError, ListError, ValueError) as problem:
-        if isinstance(problem, ConfigurationError):
+        return _read_configuration(_read_object(path, previous), path)
+    except (OSError, orjson.JSONDecodeError, SettingError, ListError, ValueError) as error:
+        if isinstance(error, ConfigurationError):
             raise
-        raise ConfigurationError(f"{path}: {problem}") from None
+        raise ConfigurationError(f"{path}: {error}") from None
 
 
-def _read_object(path: str, before: Json | None) -> Json:
-    """The file's JSON object, complete with regard to `before`."""
+def _read_object(path: str, previous: Json | None) -> Json:
+    """Returns the file's JSON object, which must have all keys of `previous`."""
     with open(path, "rb") as file:
         source = orjson.loads(file.read())
     if not isinstance(source, dict):
-        raise ConfigurationError(f"{path}: not an object")
-    missing = first_missing(source, before)
+        raise ConfigurationError(f"{path}: expected a JSON object")
+    missing = first_missing_key(source, previous)
     if missing is not None:
         raise ConfigurationError(f"{path}: {missing} is missing")
     return source
@@ -104,69 +105,70 @@
     if not isinstance(info, dict):
         raise ConfigurationError(f"{path}: settings is missing or not an object")
     descriptors, memory_mb = _read_limits(source, path)
-    # The environment takes precedence: both processes of an upgrade may read one file, but each has its own
-    # environment.
+    # The environment takes precedence, because both processes of an upgrade may share the file.
     console = os.environ.get(CONSOLE_VARIABLE) or source.get("console")
-    inherited = _read_inherited_descriptor()
+    inherited_descriptor = _read_inherited_descriptor()
     return Configuration(
         listen=read_endpoint(source.get("listen")),
         discovery=_read_discovery(source),
         console=read_endpoint(console) if console else None,
-        inherited=inherited,
+        inherited_descriptor=inherited_descriptor,
         seed=int(str(source.get("seed") or "0"), 16),
-        sockets=descriptors,
-        memory=memory_mb,
-        known=source.get("known") or {"rev": 0, "targets": []},
+        max_descriptors=descriptors,
+        memory_limit_mb=memory_mb,
+        initial_list=source.get("known") or {"rev": 0, "targets": []},
         settings=read_settings(info),
         names=read_names(info),
-        ceilings=read_ceilings(info),
+        network_limits=read_network_limits(info),
         raw=source,
         name=str(source.get("name") or ""),
-        peers=read_peers_of(source, info),
+        peers=read_peers_setting(source, info),
         state_dir=_read_state_dir(source),
     )
 
 
 def _read_limits(source: Json, path: str) -> tuple[int, int]:
-    """The limits on open descriptors and on memory (MB)."""
+    """Returns the limits on open descriptors and on memory (MB)."""
     limits = source.get("limits")
     if not isinstance(limits, dict):
         return DEFAULT_DESCRIPTORS, DEFAULT_MEMORY_MB
-    descriptors = limits.get("sockets", DEFAULT_DESCRIPTORS)
-    if type(descriptors) is not int or descriptors < MIN_DESCRIPTORS:
-        raise ConfigurationError(f"{path}: limits.sockets makes no sense: {descriptors!r}")
+    max_descriptors = limits.get("sockets", DEFAULT_DESCRIPTORS)
+    if type(max_descriptors) is not int or max_descriptors < MIN_DESCRIPTORS:
+        raise ConfigurationError(
+            f"{path}: limits.sockets is not an integer or too small: {max_descriptors!r}"
+        )
     memory_mb = limits.get("memory_mb", DEFAULT_MEMORY_MB)
     if type(memory_mb) not in (int, float) or memory_mb < MIN_MEMORY_MB:
-        raise ConfigurationError(f"{path}: limits.memory_mb makes no sense: {memory_mb!r}")
-    return descriptors, int(memory_mb)
+        raise ConfigurationError(f"{path}: limits.memory_mb is not a number or too small: {memory_mb!r}")
+    return max_descriptors, int(memory_mb)
 
 
 def _read_inherited_descriptor() -> int | None:
-    """The number of the listening socket that the platform passes on; None if it passes none."""
-    number = os.environ.get(INHERITED_VARIABLE) or None
-    if number is None:
+    """Returns the descriptor of the listening socket that the platform passes on; None if there is none."""
+    descriptor = os.environ.get(INHERITED_VARIABLE) or None
+    if descriptor is None:
         return None
-    if not (number.isascii() and number.isdigit()):
-        raise ConfigurationError(f"{INHERITED_VARIABLE}: expected a descriptor's number, got {number!r}")
-    return int(number)
+    if not (descriptor.isascii() and descriptor.isdigit()):
+        raise ConfigurationError(f"{INHERITED_VARIABLE}: expected a descriptor number, got {descriptor!r}")
+    return int(descriptor)
 
 
-def read_peers_of(source: Json, info: Json) -> "PeersTold | None":
-    """Reads `peers`: how to reach other routers.
+def read_peers_setting(source: Json, info: Json) -> "PeersTold | None":
+    """Reads `peers`, the gossip settings.
 
-    info: the settings, whose `ceilings.mayTell` may forbid routers to exchange anything.
-    Returns None if there is no such key or if the settings forbid it. Raises ValueError, and
-    ConfigurationError if the router itself has no name.
+    info: the settings, whose `ceilings.mayTell` may forbid gossip.
+    Returns None if there is no such key or if the settings forbid gossip. Raises ValueError, and
+    ConfigurationError if the router has no name.
     """
     if source.get("peers") is None:
         return None
-    from applehub.node.peering import read_peers  # loaded only where the key is present: it slows the start
+    from applehub.node.peering import read_peers  # imported here because it slows the start
 
     peers, ceilings = read_peers(source["peers"], read_endpoint), info.get("ceilings")
     if not source.get("name"):
-        raise ConfigurationError("name: expected one, by which other routers know this one")
+        raise ConfigurationError("name: expected a name, since peers is configured")
     if isinstance(ceilings, dict) and ceilings.get("mayTell") is False:
-        log.warning("peers is left unused: ceilings.mayTell forbids it")
+        log.warning("peers ignored: ceilings.mayTell forbids gossip")
         return None
     return peers
 
@@ -175,13 +177,13 @@
     """Reads `state_dir`: the absolute path of a folder that belongs to this router alone."""
     folder = source.get("state_dir")
     if folder is not None and (not isinstance(folder, str) or not os.path.isabs(folder)):
-        raise ConfigurationError(f"state_dir: expected the whole path of a folder, got {folder!r}")
+        raise ConfigurationError(f"state_dir: expected the absolute path of a folder, got {folder!r}")
     return folder
 
 
 def _read_discovery(source: Json) -> list[Endpoint]:
-    """Reads `discovery`, then `discoveries`, further addresses of the list service; each address once."""
-    further = source.get("discoveries") or []
-    if not isinstance(further, list):
-        raise ListError(f"discoveries: expected a list of addresses, got {further!r}")
-    return list(dict.fromkeys(map(read_endpoint, [source.get("discovery"), *further])))
+    """Returns the addresses in `discovery` and `discoveries`, without duplicates."""
+    more = source.get("discoveries") or []
+    if not isinstance(more, list):
+        raise ListError(f"discoveries: expected a list of addresses, got {more!r}")
+    return list(dict.fromkeys(map(read_endpoint, [source.get("discovery"), *more])))
--- a/applehub/node/console.py
+++ b/applehub/node/console.py
@@ -8,115 +8,117 @@
 
 from applehub.node.accepting import Acceptor
 
-MOST_CALLERS = 16  # connections without a complete line at once; past that the oldest is closed
+MAX_CONNECTIONS = 16  # connections that have not sent a complete line; beyond that the oldest is closed
 BACKLOG = 100  # connections that wait to be accepted
-# Connections accepted in one turn of the event loop. Each takes three turns where its line has come with it:
-# those of a burst never make MOST_CALLERS together.
-MOST_ACCEPTED = 4
-MOST_LINE = 512  # bytes of a command line
-PROMPT = 2.5  # s in which a connection must send its line
+# A connection whose line has arrived needs three ticks of the event loop to finish, so a burst of such
+# connections never reaches MAX_CONNECTIONS.
+MAX_ACCEPTS_PER_TICK = 4
+MAX_LINE_BYTES = 512
+LINE_TIMEOUT = 2.5  # seconds in which a connection must send its line
 Handler = Callable[[str], str]
-ALONE = frozenset({"HEALTH", "DUMP", "PEERS"})  # commands without an argument; others take a server's id
+COMMANDS_WITHOUT_ARGUMENT = frozenset({"HEALTH", "DUMP", "PEERS"})  # the others take a server's id
 log = logging.getLogger("applehub")
 
 
-class CallError(ValueError):
-    """A command that is refused; the text is the reason, sent to the operator after "-ERR"."""
+class CommandError(ValueError):
+    """A command that is rejected; the text is the reason, sent to the operator after "-ERR"."""
 
 
-class Caller(asyncio.Protocol):
-    """One connection of an operator: it sends a line, gets the answer, and is closed."""
+class ConsoleConnection(asyncio.Protocol):
+    """One connection of an operator: it sends a line, receives the answer, and is closed."""
 
     def __init__(self, console: "Console") -> None:
         self.console = console
-        self.line = b""
+        self.received = b""
         self.transport: asyncio.Transport | None = None
-        self.late: asyncio.TimerHandle | None = None
+        self.timeout_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.console.enter(self)
-        self.late = asyncio.get_running_loop().call_later(PROMPT, self.end, "-ERR no whole call in time")
+        self.console.add(self)
+        self.timeout_timer = asyncio.get_running_loop().call_later(
+            LINE_TIMEOUT, self.finish, "-ERR no whole call in time"
+        )
 
     def data_received(self, data: bytes) -> None:
-        self.line += data
-        line, ended, _ = self.line.partition(b"\n")
-        if ended and len(line) <= MOST_LINE:
-            self.end(self.console.answer(line))
-        elif len(self.line) > MOST_LINE:
-            self.end("-ERR the line is too long")
+        self.received += data
+        line, newline, _ = self.received.partition(b"\n")
+        if newline and len(line) <= MAX_LINE_BYTES:
+            self.finish(self.console.execute(line))
+        elif len(self.received) > MAX_LINE_BYTES:
+            self.finish("-ERR the line is too long")
 
     def eof_received(self) -> bool:
-        self.end("-ERR no whole call")
-        return True  # closed once the answer is out
+        self.finish("-ERR no whole call")
+        return True  # keeps the transport open until the answer is written
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self.console.leave(self)
-        if self.late is not None:
-            self.late.cancel()
+        self.console.remove(self)
+        if self.timeout_timer is not None:
+            self.timeout_timer.cancel()
 
-    def end(self, answer: str) -> None:
-        """Sends the answer and closes the connection; input after that is ignored."""
+    def finish(self, answer: str) -> None:
+        """Sends the answer and closes the connection; later input is ignored."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(answer.encode() + b"\n")
             self.transport.close()
-        self.console.leave(self)
+        self.console.remove(self)
 
 
 class Console:
-    """The listener and its commands.
+    """The console's listener and its commands.
 
-    calls: functions by the command's name in upper case; each takes the command's argument and returns the
-    answer, or raises CallError.
+    commands: handlers by the command's name in upper case; each takes the command's argument and returns the
+    answer, or raises CommandError.
     """
 
-    def __init__(self, calls: dict[str, Handler]) -> None:
-        self.calls = calls
-        self.callers: dict[Caller, None] = {}  # connections without a complete line, oldest first
+    def __init__(self, commands: dict[str, Handler]) -> None:
+        self.commands = commands
+        self.connections: dict[ConsoleConnection, None] = {}  # without a complete line, oldest first
         self._acceptor: Acceptor | None = None
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
         """Listens; returns the address, with the port that was chosen for port 0. Raises OSError."""
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         listener = socket.create_server((host, port), family=family, backlog=BACKLOG)
-        self._acceptor = Acceptor(listener, lambda _: Caller(self), MOST_ACCEPTED)
+        self._acceptor = Acceptor(listener, lambda _: ConsoleConnection(self), MAX_ACCEPTS_PER_TICK)
         return self._acceptor.address
 
-    def enter(self, caller: Caller) -> None:
-        """Admits a connection; if MOST_CALLERS have sent no complete line, the oldest of them is closed.
+    def add(self, connection: ConsoleConnection) -> None:
+        """Registers a connection; closes the oldest one if MAX_CONNECTIONS have sent no complete line.
 
-        So connections that send nothing never keep an operator out.
+        Idle connections therefore cannot lock an operator out.
         """
-        if len(self.callers) >= MOST_CALLERS:
-            next(iter(self.callers)).end("-ERR too many callers")
-        self.callers[caller] = None
-
-    def leave(self, caller: Caller) -> None:
-        """Counts a connection no more: its line is answered, or it is closed."""
-        self.callers.pop(caller, None)
-
-    def answer(self, line: bytes) -> str:
-        """Runs the command of a line; returns the answer, an -ERR line if it fails."""
-        word, _, rest = line.decode("latin-1").strip().partition(" ")
-        call = self.calls.get(word.upper())
-        if call is None:
+        if len(self.connections) >= MAX_CONNECTIONS:
+            next(iter(self.connections)).finish("-ERR too many callers")
+        self.connections[connection] = None
+
+    def remove(self, connection: ConsoleConnection) -> None:
+        """Unregisters a connection that was answered or closed."""
+        self.connections.pop(connection, None)
+
+    def execute(self, line: bytes) -> str:
+        """Runs the command of a line; returns the answer, an -ERR line if the command fails."""
+        name, _, argument = line.decode("latin-1").strip().partition(" ")
+        handler = self.commands.get(name.upper())
+        if handler is None:
             return "-ERR unknown call"
-        rest = rest.strip()
-        if bool(rest) is (word.upper() in ALONE):
-            needs = "takes no argument" if rest else "needs the id of a cache server"
-            return f"-ERR {word.upper()} {needs}"
+        argument = argument.strip()
+        if bool(argument) is (name.upper() in COMMANDS_WITHOUT_ARGUMENT):
+            usage = "takes no argument" if argument else "needs the id of a cache server"
+            return f"-ERR {name.upper()} {usage}"
         try:
-            return call(rest)
-        except CallError as problem:
-            return f"-ERR {problem}"
+            return handler(argument)
+        except CommandError as error:
+            return f"-ERR {error}"
         except Exception:
-            log.exception("a call could not be carried out: %s", word)
+            log.exception("console command failed: %s", name)
             return "-ERR the call failed"
 
     def close(self) -> None:
-        """Stops listening, and answers all open connections that the router ends."""
+        """Stops listening, and tells every open connection that the router is shutting down."""
         if self._acceptor is not None:
             self._acceptor.close()
-        for caller in list(self.callers):
-            caller.end("-ERR the router ends")
+        for connection in list(self.connections):
+            connection.finish("-ERR the router ends")
--- a/applehub/node/metrics.py
+++ b/applehub/node/metrics.py
@@ -1,4 +1,4 @@
-"""The router's metrics: counters kept where the events happen, and gauges read when they are asked for."""
+"""The router's metrics: counters, and gauges whose values are read on request."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -6,41 +6,41 @@
 PREFIX = "edge_balancer"
 
 
-class Answered(StrEnum):
-    """How a request ended, as the counters name it."""
+class ResponseResult(StrEnum):
+    """The result of a request, as the response counters name it."""
 
     OK = "ok"
     SHED = "shed"
     ERRORS = "errors"
 
 
-class Figures:
+class Metrics:
     """Counters since the start of the process, and gauges.
 
     Counters of a class that a reload removes are kept, so that sums over classes never decrease.
     """
 
     def __init__(self) -> None:
-        self.responses: dict[str, dict[Answered, int]] = {}
+        self.responses: dict[str, dict[ResponseResult, int]] = {}
         self.config_applied = self.config_rejected = 0
         self.gauges: dict[str, Callable[[], int]] = {}
 
-    def know(self, kinds: list[str]) -> None:
-        """Adds classes of requests, by name, with counters of 0; those known already keep their counts."""
-        for kind in kinds:
-            self.responses.setdefault(kind, dict.fromkeys(Answered, 0))
+    def add_classes(self, class_names: list[str]) -> None:
+        """Adds zeroed counters for request classes; existing classes keep their counts."""
+        for class_name in class_names:
+            self.responses.setdefault(class_name, dict.fromkeys(ResponseResult, 0))
 
-    def answered(self, kind: str, how: Answered) -> None:
+    def count_response(self, class_name: str, result: ResponseResult) -> None:
         """Counts one answered request of a class."""
-        self.know([kind])
-        self.responses[kind][how] += 1
+        self.add_classes([class_name])
+        self.responses[class_name][result] += 1
 
     def lines(self) -> list[str]:
-        """All metrics, each as `edge_balancer.NAME=VALUE`."""
+        """Returns all metrics, each as `edge_balancer.NAME=VALUE`."""
         values = [
-            (f"responses.{kind}.{how}", count)
-            for kind, counts in self.responses.items()
-            for how, count in counts.items()
+            (f"responses.{class_name}.{result}", count)
+            for class_name, counts in self.responses.items()
+            for result, count in counts.items()
         ]
         values += [(name, read()) for name, read in self.gauges.items()]
         values += [("config_applied", self.config_applied), ("config_rejected", self.config_rejected)]
--- a/applehub/node/operator_overrides.py
+++ b/applehub/node/operator_overrides.py
@@ -1,8 +1,8 @@
-"""Operator overrides: cache servers that operators take out of service, whatever the list of servers says.
+"""Operator overrides: cache servers that operators take out of service, whatever the server list says.
 
-What an answer to a call means: `+OK` that it is in effect and outlives the process and a loss of power;
-`-ERR` that nothing took effect, or, where the answer says so, that it is in effect and only a loss of power
-may undo it. That is then tried again until the disk takes it.
+A command answered with `+OK` is in effect and survives a restart of the process and a power loss. One
+answered with `-ERR` had no effect, unless the answer says that it is in effect but a power loss may undo it;
+the sync to disk is then retried until it succeeds.
 """
 
 import logging
@@ -10,107 +10,113 @@
 from collections.abc import Callable
 
 from applehub import interface as api
-from applehub.node.console import CallError
+from applehub.node.console import CommandError
 from applehub.node.discovery import Directory
 from applehub.node.override_file import Override, OverrideFileError
-from applehub.node.shared_state import Shared
+from applehub.node.shared_state import SharedState
 
-SYNCHRONISE_AGAIN = 1.0  # s between two tries to synchronise: each may hold up the event loop
+SYNC_RETRY_INTERVAL = 1.0  # seconds; a sync blocks the event loop, so it is not retried at every poll
 log = logging.getLogger("applehub")
 
 
 class OperatorOverrides:
-    """Applies overrides to the directory and the decisions; shares them with the router's other process."""
+    """Applies overrides to the directory and the policy; shares them with the router's other process."""
 
-    def __init__(self, directory: Directory, tell: Callable[[api.ByHand], None], shared: Shared) -> None:
-        """tell: passes an event to the decisions. shared: the file that all processes of the router read."""
-        self.directory, self.tell, self.file = directory, tell, shared.override_file
+    def __init__(
+        self, directory: Directory, send_event: Callable[[api.ByHand], None], shared_state: SharedState
+    ) -> None:
+        """send_event: passes an event to the policy. shared_state: holds the override file."""
+        self.directory, self.send_event, self.file = directory, send_event, shared_state.override_file
         self.overrides: dict[str, Override] = {}
-        self._unreadable = False  # the file could not be read at the last look, which was logged
-        self._synchronise_at: float | None = None  # when to try again (monotonic, s); None: nothing is owed
+        self._read_failed = False  # whether the last poll failed to read the file
+        self._sync_retry_at: float | None = None  # monotonic time in seconds; None if no sync is pending
 
-    def offline(self, name: str) -> str:
+    def offline(self, server: str) -> str:
         """Takes a cache server out of service; returns the console's answer.
 
-        Raises CallError if no cache server has this id, or if the override cannot be written to the file.
+        Raises CommandError if no cache server has this id, or if the override cannot be stored.
         """
-        return self._set(name, True)
+        return self._set(server, True)
 
-    def online(self, name: str) -> str:
-        """Puts a cache server back into service; returns and raises as `offline`."""
-        return self._set(name, False)
+    def online(self, server: str) -> str:
+        """Returns a cache server to service; returns and raises as `offline` does."""
+        return self._set(server, False)
 
-    def look(self) -> None:
-        """Applies overrides that another process has written since the last call; raises nothing.
+    def poll(self) -> None:
+        """Applies overrides that another process has written since the last call, and retries a failed sync.
 
-        Synchronises as well what a disk refused to.
+        Logs errors and raises none.
         """
         try:
             self._refresh()
-        except (OSError, OverrideFileError) as problem:
-            if not self._unreadable:  # one line until it can be read again
-                log.error("what operators said can't be read: %s", problem)
-            self._unreadable = True
+        except (OSError, OverrideFileError) as error:
+            if not self._read_failed:  # logs the first of consecutive failures only
+                log.error("reading operator overrides failed: %s", error)
+            self._read_failed = True
         else:
-            self._unreadable = False
-        if self._synchronise_at is not None and time.monotonic() >= self._synchronise_at:
+            self._read_failed = False
+        if self._sync_retry_at is not None and time.monotonic() >= self._sync_retry_at:
             try:
-                self._synchronise()
+                self._sync()
             except OSError:
-                return  # tried again: `_synchronise` has planned it
-            log.info("what operators said outlives a loss of power again")
+                return  # `_sync` has scheduled the next retry
+            log.info("operator overrides synced to disk again")
 
     def _refresh(self) -> None:
         """Applies what is new in the file. Raises OSError, OverrideFileError."""
-        overrides = self.file.changed()
+        overrides = self.file.read_if_changed()
         if overrides is not None:
             self._apply(overrides)
 
-    def _set(self, name: str, out: bool) -> str:
-        damaged = False
+    def _set(self, server: str, offline: bool) -> str:
+        is_damaged = False
         try:
-            self._refresh()  # the other process may have written an override for this server a moment ago
+            self._refresh()  # the other process may have just written an override for this server
         except OverrideFileError:
-            damaged = True
-        except OSError as problem:
-            raise CallError(f"earlier calls can't be read, and this one had no effect: {problem}") from None
-        known = self.overrides.get(name)
-        is_out = known is not None and known.out
-        if not is_out and not self.directory.is_cache(name):
-            raise CallError("no such cache server")
-        if out != is_out or damaged:
+            is_damaged = True
+        except OSError as error:
+            raise CommandError(f"earlier calls can't be read, and this one had no effect: {error}") from None
+        current = self.overrides.get(server)
+        is_offline = current is not None and current.offline
+        if not is_offline and not self.directory.is_cache(server):
+            raise CommandError("no such cache server")
+        if offline != is_offline or is_damaged:
             try:
-                overrides = self.file.write(name, out)
-            except (OSError, OverrideFileError) as problem:
-                raise CallError(f"the call can't be kept, and had no effect: {problem}") from None
+                overrides = self.file.write(server, offline)
+            except (OSError, OverrideFileError) as error:
+                raise CommandError(f"the call can't be kept, and had no effect: {error}") from None
             self._apply(overrides)
         try:
-            self._synchronise()
-        except OSError as problem:
-            raise CallError(f"the call is in effect, but a loss of power may undo it: {problem}") from None
+            self._sync()
+        except OSError as error:
+            raise CommandError(f"the call is in effect, but a loss of power may undo it: {error}") from None
         return "+OK"
 
-    def _synchronise(self) -> None:
-        """Raises OSError: then `look` tries again."""
-        first, self._synchronise_at = self._synchronise_at is None, None
+    def _sync(self) -> None:
+        """Syncs the override file to disk. Raises OSError, after which `poll` retries."""
+        is_first_failure, self._sync_retry_at = self._sync_retry_at is None, None
         try:
-            self.file.synchronise()
-        except OSError as problem:
-            if first:  # one line until it succeeds
-                log.error("what operators said may not outlive a loss of power: %s", problem)
-            self._synchronise_at = time.monotonic() + SYNCHRONISE_AGAIN
+            self.file.sync()
+        except OSError as error:
+            if is_first_failure:  # logs the first of consecutive failures only
+                log.error("syncing operator overrides failed, a power loss may undo them: %s", error)
+            self._sync_retry_at = time.monotonic() + SYNC_RETRY_INTERVAL
             raise
 
     def _apply(self, overrides: dict[str, Override]) -> None:
-        for name, override in overrides.items():
-            if self.overrides.get(name) == override:
+        for server, override in overrides.items():
+            if self.overrides.get(server) == override:
                 continue
-            self.overrides[name] = override
-            log.info("server %s is %s by hand", name, "left out" if override.out else "put back")
-            # The decisions may choose a server only while its connection pool is open. Closing the pool
-            # returns attempts to them, so they must know by then that the server is out.
-            if not override.out:
-                self.directory.leave_out(name, False)
-            self.tell(api.ByHand(name, override.out, max(1, override.made)))
-            if override.out:
-                self.directory.leave_out(name, True)
+            self.overrides[server] = override
+            log.info(
+                "server %s %s by an operator",
+                server,
+                "taken out of service" if override.offline else "returned to service",
+            )
+            # The policy may choose a server only while its connection pool is open. Closing the pool fails
+            # its attempts back to the policy, which must already know that the server is out of service.
+            if not override.offline:
+                self.directory.leave_out(server, False)
+            self.send_event(api.ByHand(server, override.offline, max(1, override.accepted_ns)))
+            if override.offline:
+                self.directory.leave_out(server, True)
--- a/applehub/node/override_file.py
+++ b/applehub/node/override_file.py
@@ -1,17 +1,17 @@
-"""The file in which operators' calls last, shared by the processes of one router on one machine.
+"""The file that stores operator overrides, shared by the processes of one router on one machine.
 
-Two files of JSON lie side by side:
+Two JSON files lie side by side:
 
-- `applehub-by-hand.json`, `{server: [out, at]}`: the calls, synchronised before they are acknowledged. Older
-  versions read and write this one alone.
-- `applehub-by-hand.times.json`, `{"boot_id": ID, "made": {server: [at, made]}}`: when the calls were made on
-  the machine's monotonic clock (ns), since wall clocks may be stepped. It only dates calls and is not
-  synchronised: past a restart of the machine its times mean nothing.
+- `applehub-by-hand.json`, `{server: [out, at]}`: the overrides, synced before they are acknowledged. Older
+  versions read and write this file alone.
+- `applehub-by-hand.times.json`, `{"boot_id": ID, "made": {server: [at, made]}}`: when the overrides were
+  accepted on the machine's monotonic clock (ns), since wall clocks may be stepped. It is not synced, and its
+  times are invalid after a restart of the machine.
 
-A call without such a time (an older version made it, or the machine has restarted) counts as made when this
-process first reads it, which is the careful side: its server is taken as cold from then on.
+An override without a valid monotonic time counts as accepted when this process first reads it. This is the
+safe choice, because the server's slow start then begins at that time.
 
-A file that cannot be read is never replaced by one without the calls in it.
+A file that cannot be read is never replaced by one that lacks its overrides.
 """
 
 import contextlib
@@ -27,33 +27,34 @@
 
 from applehub.node.machine_time import boot_id
 
-ONLINE_KEPT_NS = 600 * 1_000_000_000  # a call back into service is remembered: by then the server is warm
+ONLINE_RETENTION_NS = 600 * 1_000_000_000  # an ONLINE override is kept until the server has warmed up
 NS_PER_MS = 1_000_000
-LOCK_WAIT = 0.05  # s for which a call waits for another process's; nothing else is served meanwhile
-LOCK_PAUSE = 0.001  # s between two tries
-Identity = tuple[int, int, int]  # of a file's content: inode, size, modification time
+LOCK_TIMEOUT = 0.05  # seconds to wait for another process's lock; the event loop is blocked meanwhile
+LOCK_RETRY_INTERVAL = 0.001  # seconds
+FileIdentity = tuple[int, int, int]  # inode, size, modification time (ns)
 log = logging.getLogger("applehub")
 
 
 class OverrideFileError(Exception):
-    """The file's content makes no sense, and this process does not know what stood there."""
+    """The file's content is invalid, and this process has not read its overrides before."""
 
 
 @dataclass(frozen=True, slots=True)
 class Override:
-    """The latest call of an operator for a cache server.
+    """The latest override of a cache server.
 
-    out: whether the server was taken out of service. at: when the call was accepted (Unix time, ms); it tells
-    calls apart, and no span is taken from it. made: the same moment (ns on the monotonic clock).
+    offline: whether the server is out of service. accepted_ms: when the override was accepted (Unix time,
+    ms); distinguishes overrides and is not used to compute durations. accepted_ns: the same moment on the
+    monotonic clock (ns).
     """
 
-    out: bool
-    at: int
-    made: int = field(compare=False)
+    offline: bool
+    accepted_ms: int
+    accepted_ns: int = field(compare=False)
 
 
 class OverrideFile:
-    """Operators' calls on disk. Each change replaces the file in one step, so that a kill leaves it whole."""
+    """Operator overrides on disk; the file is replaced atomically, so a killed process leaves it intact."""
 
     def __init__(self, folder: str) -> None:
         """folder: where the files lie; nothing is read or written yet."""
@@ -61,115 +62,131 @@
         self.times_path = os.path.join(folder, "applehub-by-hand.times.json")
         self.lock_path = os.path.join(folder, "applehub-by-hand.lock")
         self._boot_id = boot_id()
-        self._known: dict[str, Override] | None = None  # what the file held when last read or written
-        self._returned: Identity | None = None  # of what `changed` returned last
-        self._synchronised: Identity | None = None
+        self._last_known: dict[str, Override] | None = None  # the content as last read or written
+        self._returned_identity: FileIdentity | None = (
+            None  # of the content last returned by `read_if_changed`
+        )
+        self._synced_identity: FileIdentity | None = None
 
-    def changed(self) -> dict[str, Override] | None:
-        """All overrides if the file was replaced since the last call; otherwise, or without a file, None.
+    def read_if_changed(self) -> dict[str, Override] | None:
+        """Returns all overrides by server if the file was replaced since the last call, otherwise None.
 
-        Raises OSError, and OverrideFileError if the content makes no sense; the next call reads it again.
+        Returns None too if there is no file. Raises OSError, and OverrideFileError if the content is invalid;
+        the next call reads it again.
         """
         try:
-            if _identity(os.stat(self.path)) == self._returned:
+            if _identity(os.stat(self.path)) == self._returned_identity:
                 return None
-            overrides, self._returned = self._load()
+            overrides, self._returned_identity = self._load()
         except FileNotFoundError:
             return None
         return overrides
 
-    def write(self, server: str, out: bool) -> dict[str, Override]:
-        """Puts an override in the file; returns all overrides, by server.
+    def write(self, server: str, offline: bool) -> dict[str, Override]:
+        """Adds an override to the file; returns all overrides by server.
 
-        From then on it outlives this process, and once `synchronise` returns a loss of power. Raises OSError,
-        and OverrideFileError if the file was damaged before this process had read it: nothing took effect.
+        The override then survives this process, and after `sync` a power loss. Raises OSError, and
+        OverrideFileError if the file was damaged before this process had read it; the file is then unchanged.
         """
         now = time.monotonic_ns()
-        with self._exclusive():
+        with self._lock():
             overrides = {
-                name: one
-                for name, one in self._present().items()
-                if one.out or one.made > now - ONLINE_KEPT_NS
+                name: override
+                for name, override in self._current().items()
+                if override.offline or override.accepted_ns > now - ONLINE_RETENTION_NS
             }
-            overrides[server] = Override(out, time.time_ns() // NS_PER_MS, now)
-            self._write_times(overrides)  # first: whoever sees a call sees its time
-            content = orjson.dumps({name: [one.out, one.at] for name, one in overrides.items()})
-            _replace(self.path, content, synchronised=True)
-        self._known = overrides
+            overrides[server] = Override(offline, time.time_ns() // NS_PER_MS, now)
+            self._write_times(overrides)  # first, so that a process that reads an override finds its time
+            content = orjson.dumps(
+                {name: [override.offline, override.accepted_ms] for name, override in overrides.items()}
+            )
+            _replace(self.path, content, sync=True)
+        self._last_known = overrides
         return overrides
 
-    def synchronise(self) -> None:
-        """Has the file outlive a loss of power under its name, unless that is known. Raises OSError."""
+    def sync(self) -> None:
+        """Syncs the folder, unless this was done for the current file. Raises OSError."""
         try:
             identity = _identity(os.stat(self.path))
         except FileNotFoundError:
             return
-        if identity == self._synchronised:
+        if identity == self._synced_identity:
             return
         folder = os.open(os.path.dirname(self.path), os.O_RDONLY)
         try:
             os.fsync(folder)
         finally:
             os.close(folder)
-        self._synchronised = identity
+        self._synced_identity = identity
 
     @contextlib.contextmanager
-    def _exclusive(self) -> Iterator[None]:
-        """Excludes writers in other processes. Raises OSError, also if one holds the lock past LOCK_WAIT."""
-        with open(self.lock_path, "wb") as held:
-            until = time.monotonic() + LOCK_WAIT
+    def _lock(self) -> Iterator[None]:
+        """Excludes writers in other processes. Raises OSError, also after LOCK_TIMEOUT."""
+        with open(self.lock_path, "wb") as lock_file:
+            deadline = time.monotonic() + LOCK_TIMEOUT
             while True:
                 try:
-                    fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
+                    fcntl.flock(lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
                     break
                 except BlockingIOError:
-                    if time.monotonic() >= until:
+                    if time.monotonic() >= deadline:
                         raise
-                time.sleep(LOCK_PAUSE)
+                time.sleep(LOCK_RETRY_INTERVAL)
             yield
 
-    def _present(self) -> dict[str, Override]:
-        """The overrides to which a call is added. Raises OSError, OverrideFileError.
+    def _current(self) -> dict[str, Override]:
+        """Returns the overrides in effect. Raises OSError, OverrideFileError.
 
-        Where the file is damaged or gone, those that this process knows: they were acknowledged.
+        If the file is damaged or missing, these are the overrides that this process last read or wrote, which
+        were acknowledged.
         """
         try:
             return self._load()[0]
         except FileNotFoundError:
-            return self._known or {}
-        except OverrideFileError as problem:
-            if self._known is None:
+            return self._last_known or {}
+        except OverrideFileError as error:
+            if self._last_known is None:
                 raise
-            log.warning("%s is damaged and is written anew: %s", self.path, problem)
-            return self._known
+            log.warning("override file %s is damaged, rewriting it from memory: %s", self.path, error)
+            return self._last_known
 
-    def _load(self) -> tuple[dict[str, Override], Identity]:
-        """What the file holds. Raises OSError, OverrideFileError."""
+    def _load(self) -> tuple[dict[str, Override], FileIdentity]:
+        """Reads the file; returns its overrides and identity. Raises OSError, OverrideFileError."""
         with open(self.path, "rb") as file:
             identity, content = _identity(os.fstat(file.fileno())), file.read()
         try:
-            calls = {name: (bool(out), int(at)) for name, (out, at) in orjson.loads(content).items()}
-        except (ValueError, TypeError, AttributeError) as problem:
-            raise OverrideFileError(f"{self.path}: {problem}") from problem
+            entries = {
+                name: (bool(offline), int(accepted_ms))
+                for name, (offline, accepted_ms) in orjson.loads(content).items()
+            }
+        except (ValueError, TypeError, AttributeError) as error:
+            raise OverrideFileError(f"{self.path}: {error}") from error
         times, now = self._read_times(), time.monotonic_ns()
-        self._known = {
-            name: Override(out, at, self._made(name, out, at, times.get(name), now))
-            for name, (out, at) in calls.items()
+        self._last_known = {
+            name: Override(
+                offline,
+                accepted_ms,
+                self._accepted_ns(name, offline, accepted_ms, times.get(name), now),
+            )
+            for name, (offline, accepted_ms) in entries.items()
         }
-        return self._known, identity
+        return self._last_known, identity
+
+    def _accepted_ns(self, name: str, offline: bool, accepted_ms: int, stored: Any, now: int) -> int:
+        """Returns the monotonic time of an override: as this process knows it, as stored, or `now`.
 
-    def _made(self, name: str, out: bool, at: int, stored: Any, now: int) -> int:
-        """When a call was made: as known here, as stored with it, or now at the latest."""
-        known = (self._known or {}).get(name)
-        if known is not None and (known.out, known.at) == (out, at):
-            return known.made
+        A stored time is never later than `now`.
+        """
+        known = (self._last_known or {}).get(name)
+        if known is not None and (known.offline, known.accepted_ms) == (offline, accepted_ms):
+            return known.accepted_ns
         match stored:
-            case [int() as of_call, int() as made] if of_call == at:
-                return min(made, now)
+            case [int() as stored_ms, int() as stored_ns] if stored_ms == accepted_ms:
+                return min(stored_ns, now)
         return now
 
     def _read_times(self) -> dict[str, Any]:
-        """The stored times by server; none if they cannot be read or come from before a restart."""
+        """Returns the stored times by server; none if they are unreadable or precede a machine restart."""
         try:
             with open(self.times_path, "rb") as file:
                 content = orjson.loads(file.read())
@@ -179,27 +196,27 @@
         return times if isinstance(times, dict) else {}
 
     def _write_times(self, overrides: dict[str, Override]) -> None:
-        """Stores when calls were made. Without it they count as made later, so a failure is only logged."""
-        made = {name: [one.at, one.made] for name, one in overrides.items()}
+        """Stores the monotonic times of overrides; only logs a failure, since the times are optional."""
+        times = {name: [override.accepted_ms, override.accepted_ns] for name, override in overrides.items()}
         try:
-            content = orjson.dumps({"boot_id": self._boot_id, "made": made})
-            _replace(self.times_path, content, synchronised=False)
-        except OSError as problem:
-            log.warning("when operators made their calls can't be kept: %s", problem)
+            content = orjson.dumps({"boot_id": self._boot_id, "made": times})
+            _replace(self.times_path, content, sync=False)
+        except OSError as error:
+            log.warning("storing the times of operator overrides failed: %s", error)
 
 
-def _identity(status: os.stat_result) -> Identity:
+def _identity(status: os.stat_result) -> FileIdentity:
     return status.st_ino, status.st_size, status.st_mtime_ns
 
 
-def _replace(path: str, content: bytes, synchronised: bool) -> None:
-    """Replaces a file in one step. Raises OSError: then the file before is there as it was."""
+def _replace(path: str, content: bytes, sync: bool) -> None:
+    """Replaces a file atomically. Raises OSError; the previous file is then unchanged."""
     replacement = path + ".new"
     try:
         with open(replacement, "wb") as file:
             file.write(content)
             file.flush()
-            if synchronised:
+            if sync:
                 os.fsync(file.fileno())
         os.replace(replacement, path)
     except OSError:
--- a/applehub/node/persisted_list.py
+++ b/applehub/node/persisted_list.py
@@ -1,4 +1,4 @@
-"""Persists the list of servers, so that a restarted process knows the servers that its predecessor knew.
+"""Persists the server list, so that a restarted process knows the servers that its predecessor knew.
 
 The value is JSON in the form of the list service's answers: `rev`, the version of the list, and `targets`,
 with every key as it was received.
@@ -13,88 +13,91 @@
 from applehub.settings import Json
 
 FORMAT_VERSION = 1
-SAVE_INTERVAL = 1.0  # s between two saves: a fleet that rolls changes its list many times a second
+SAVE_INTERVAL = 1.0  # seconds; a rolling release changes the list many times a second
 log = logging.getLogger("applehub")
 
 
 class PersistedList:
-    """The list of servers as last received, saved outside the event loop's thread."""
+    """The server list as last received, saved outside the event loop's thread."""
 
     def __init__(self, folder: str) -> None:
         """Raises OSError if the folder cannot be created."""
-        self.saver = Saver(folder, "list", FORMAT_VERSION, "the list")
+        self.saver = Saver(folder, "list", FORMAT_VERSION, "server list")
         self.rev = 0
         self.targets: dict[str, Json] = {}
-        self.changes = 0  # merged so far
-        self.saved_changes = 0  # and those of them that are on disk
-        self.saving: asyncio.Task[None] | None = None
+        self.changes = 0  # number of changes merged
+        self.saved_changes = 0  # number of these changes that are on disk
+        self.save_task: asyncio.Task[None] | None = None
 
-    def load(self, known: Json) -> Json:
-        """The list to start from: the persisted one if its version is newer than that of `known`.
+    def load(self, configured: Json) -> Json:
+        """Returns the list to start from: the persisted one if its version is newer than the configured one.
 
-        known: the list from the configuration. The result carries the version of `known` in any case, so that
-        the list service sends again whatever changed after it. A list in a wrong form is returned as it is,
-        for the directory to reject.
+        configured: the list from the configuration. The result always has its version, so that the list
+        service sends every later change again. A malformed list is returned unchanged, for the directory to
+        reject.
         """
-        if not isinstance(known, dict) or not isinstance(known.get("targets"), list):
-            return known
-        start = {**known, "targets": self._newer(known.get("rev", 0)) or known.get("targets", [])}
-        self._merge({**start, "rev": known.get("rev", 0)}, True)
+        if not isinstance(configured, dict) or not isinstance(configured.get("targets"), list):
+            return configured
+        initial = {
+            **configured,
+            "targets": self._load_if_newer(configured.get("rev", 0)) or configured.get("targets", []),
+        }
+        self._merge({**initial, "rev": configured.get("rev", 0)}, True)
         self.saved_changes = self.changes
-        return start
+        return initial
 
-    def _newer(self, rev: int) -> list[Json] | None:
-        """The persisted targets if their version is past `rev` and they can be read; otherwise None."""
+    def _load_if_newer(self, rev: int) -> list[Json] | None:
+        """Returns the persisted targets if they are readable and newer than `rev`, otherwise None."""
         value = self.saver.load()
         if value is None:
             return None
         try:
-            kept: Json = orjson.loads(value)
-            if kept["rev"] <= rev:
+            stored: Json = orjson.loads(value)
+            if stored["rev"] <= rev:
                 return None
-            targets: list[Json] = list(kept["targets"])
-        except (ValueError, KeyError, TypeError) as problem:
-            log.warning("the list is passed over: %s: %s", type(problem).__name__, problem)
+            targets: list[Json] = list(stored["targets"])
+        except (ValueError, KeyError, TypeError) as error:
+            log.warning("stored server list ignored: %s: %s", type(error).__name__, error)
             return None
-        log.info("starting from the list that was kept, version %d", kept["rev"])
+        log.info("starting from the stored server list: version %d", stored["rev"])
         return targets
 
-    def _merge(self, answer: Json, whole: bool) -> None:
-        if whole:
+    def _merge(self, answer: Json, is_full: bool) -> None:
+        if is_full:
             self.targets.clear()
         for target in answer["targets"]:
-            name = target.get("uid") if isinstance(target, dict) else None
-            if isinstance(name, str):
+            uid = target.get("uid") if isinstance(target, dict) else None
+            if isinstance(uid, str):
                 if target.get("state") == "Gone":
-                    self.targets.pop(name, None)
+                    self.targets.pop(uid, None)
                 else:
-                    self.targets[name] = target
+                    self.targets[uid] = target
         self.rev = answer["rev"]
         self.changes += 1
 
-    def update(self, answer: Json, whole: bool) -> None:
+    def update(self, answer: Json, is_full: bool) -> None:
         """Merges an answer of the list service, and saves at once or SAVE_INTERVAL after the last save.
 
-        A save that fails is tried again, at growing intervals (`Saver.pause`), until the disk takes it.
+        A failed save is retried with a backoff (`Saver.backoff`) until it succeeds.
 
-        whole: the answer replaces the list; otherwise it holds the changed targets alone.
+        is_full: the answer replaces the list; otherwise it holds the changed targets only.
         """
-        self._merge(answer, whole)
-        if self.saving is None or self.saving.done():
-            self.saving = asyncio.get_running_loop().create_task(self._save_soon())
+        self._merge(answer, is_full)
+        if self.save_task is None or self.save_task.done():
+            self.save_task = asyncio.get_running_loop().create_task(self._save_changes())
 
-    async def _save_soon(self) -> None:
+    async def _save_changes(self) -> None:
         while self.saved_changes < self.changes:
             changes = self.changes
             if await self.saver.save_in_thread(self._value()):
                 self.saved_changes = changes
-            await asyncio.sleep(self.saver.pause(SAVE_INTERVAL))
+            await asyncio.sleep(self.saver.backoff(SAVE_INTERVAL))
 
     def _value(self) -> bytes:
         return orjson.dumps({"rev": self.rev, "targets": list(self.targets.values())})
 
     def close(self) -> None:
         """Saves what has changed since the last save, and releases the store."""
-        if self.saving is not None:
-            self.saving.cancel()
+        if self.save_task is not None:
+            self.save_task.cancel()
         self.saver.close(self._value() if self.saved_changes < self.changes else None)
--- a/applehub/node/persisted_statistics.py
+++ b/applehub/node/persisted_statistics.py
@@ -1,12 +1,12 @@
-"""Persists what the decisions have measured of each server, for the process that follows this one.
+"""Persists the statistics that the policy has collected of each server, for the next process of this router.
 
 The value is JSON: when it was saved, as `boot_id` and `monotonic_ms` (the machine's monotonic clock) and, for
 older versions, as `wall_ms` (Unix time, ms); and `servers`, by id a list of four: the moving average of
-answer times (ns), the least of that average (ns), the attempts in flight meanwhile, and the part of its key
-range that the server bears.
+response times (ns), the minimum of that average (ns), the attempts in flight, and the fraction of its key
+range that the server can serve.
 
-Past a restart of the machine nothing tells how old the statistics are, since wall clocks may be stepped: they
-are passed over.
+After a restart of the machine the age of the statistics is unknown, since wall clocks may be stepped; they
+are then ignored.
 """
 
 import asyncio
@@ -23,60 +23,63 @@
 
 FORMAT_VERSION = 1
 NS_PER_MS = 1_000_000
-SAVE_INTERVAL = 5.0  # s between two saves, and so the most measurements that a crash may cost
+SAVE_INTERVAL = 5.0  # seconds; a crash loses at most the statistics of this time
 log = logging.getLogger("applehub")
 
 
 class PersistedStatistics:
     """The statistics of servers: loaded once at the start, then saved every few seconds."""
 
-    def __init__(self, folder: str, learnt: Callable[[], api.Learnt]) -> None:
-        """learnt: returns the present statistics. Raises OSError if the folder cannot be created."""
-        self.saver, self.learnt = Saver(folder, "learnt", FORMAT_VERSION, "what was learnt"), learnt
+    def __init__(self, folder: str, get_statistics: Callable[[], api.Learnt]) -> None:
+        """get_statistics: returns the current statistics. Raises OSError if the folder cannot be created."""
+        self.saver, self.get_statistics = (
+            Saver(folder, "learnt", FORMAT_VERSION, "server statistics"),
+            get_statistics,
+        )
         self.boot_id = boot_id()
-        self.saving: asyncio.Task[None] | None = None
+        self.save_task: asyncio.Task[None] | None = None
 
     def load(self) -> api.Learnt | None:
-        """The statistics of the process before, with their age.
+        """Returns the statistics of the previous process, with their age.
 
-        None if there are none, if they cannot be read, or if their age is unknown.
+        Returns None if there are none, if they cannot be read, or if their age is unknown.
         """
         value = self.saver.load()
         if value is None:
             return None
         try:
-            kept = orjson.loads(value)
-            age = self._age(kept)
-            servers = {name: api.Seen(*map(float, seen)) for name, seen in kept["servers"].items()}
-        except (ValueError, KeyError, TypeError, AttributeError) as problem:
-            log.warning("what was learnt is passed over: %s: %s", type(problem).__name__, problem)
+            stored = orjson.loads(value)
+            age = self._age(stored)
+            servers = {name: api.Seen(*map(float, fields)) for name, fields in stored["servers"].items()}
+        except (ValueError, KeyError, TypeError, AttributeError) as error:
+            log.warning("stored server statistics ignored: %s: %s", type(error).__name__, error)
             return None
         if age is None or age < 0:
-            log.info("what was learnt is passed over: how old it is can't be told")
+            log.info("stored server statistics ignored: their age is unknown")
             return None
         return api.Learnt(age, servers)
 
-    def _age(self, kept: Json) -> int | None:
-        """How long ago statistics were saved (ns); None, or less than 0, if unknown. Raises KeyError."""
-        if "boot_id" not in kept:  # saved by an older version, which told the wall clock's time alone
-            return time.time_ns() - int(kept["wall_ms"]) * NS_PER_MS
-        if kept["boot_id"] != self.boot_id or not self.boot_id:
+    def _age(self, stored: Json) -> int | None:
+        """Returns the age of statistics (ns); None or a negative value if unknown. Raises KeyError."""
+        if "boot_id" not in stored:  # saved by an older version, which stored the wall clock's time alone
+            return time.time_ns() - int(stored["wall_ms"]) * NS_PER_MS
+        if stored["boot_id"] != self.boot_id or not self.boot_id:
             return None
-        return time.monotonic_ns() - int(kept["monotonic_ms"]) * NS_PER_MS
+        return time.monotonic_ns() - int(stored["monotonic_ms"]) * NS_PER_MS
 
     def start(self) -> None:
-        """Begins to save at intervals; needs a running event loop."""
-        self.saving = asyncio.get_running_loop().create_task(self._save_at_intervals())
+        """Starts saving periodically; needs a running event loop."""
+        self.save_task = asyncio.get_running_loop().create_task(self._save_periodically())
 
-    async def _save_at_intervals(self) -> None:
+    async def _save_periodically(self) -> None:
         while True:
-            await asyncio.sleep(self.saver.pause(SAVE_INTERVAL))
+            await asyncio.sleep(self.saver.backoff(SAVE_INTERVAL))
             await self.saver.save_in_thread(self._value())
 
     def _value(self) -> bytes:
         servers = {
-            name: (round(one.latency), round(one.base), round(one.held, 3), round(one.share, 4))
-            for name, one in self.learnt().servers.items()
+            name: (round(seen.latency), round(seen.base), round(seen.held, 3), round(seen.share, 4))
+            for name, seen in self.get_statistics().servers.items()
         }
         times = {
             "wall_ms": time.time_ns() // NS_PER_MS,
@@ -86,7 +89,7 @@
         return orjson.dumps({**times, "servers": servers})
 
     def close(self) -> None:
-        """Saves a last time, and releases the store."""
-        if self.saving is not None:
-            self.saving.cancel()
+        """Saves the current statistics, and releases the store."""
+        if self.save_task is not None:
+            self.save_task.cancel()
         self.saver.close(self._value())
--- a/applehub/node/saver.py
+++ b/applehub/node/saver.py
@@ -1,4 +1,4 @@
-"""Saves a value to disk while the router serves, without blocking its event loop."""
+"""Saves a value to disk without blocking the event loop."""
 
 import asyncio
 import logging
@@ -7,46 +7,46 @@
 from applehub.durable.folder import Folder
 from applehub.durable.store import Store, StoreError
 
-MAX_PAUSE = 8.0  # s between two saves that fail, at most: a crash after the disk's return costs no more
+MAX_BACKOFF = 8.0  # seconds; a crash after the disk has recovered loses at most the changes of this time
 log = logging.getLogger("applehub")
 
 
 class Saver:
-    """A store for one value. During an upgrade the old process holds it, and saves fail until that ends."""
+    """A store for one value. During an upgrade saves fail until the old process releases the store."""
 
-    def __init__(self, folder: str, name: str, format_version: int, what: str) -> None:
-        """name, format_version: of the store. what: the value, for the log.
+    def __init__(self, folder: str, name: str, format_version: int, label: str) -> None:
+        """name, format_version: of the store. label: names the value in log lines.
 
         Raises OSError if the folder cannot be created.
         """
-        self.store, self.what = Store(Folder(folder), name, format_version), what
-        self.failures = 0  # saves in a row
+        self.store, self.label = Store(Folder(folder), name, format_version), label
+        self.failures = 0  # number of consecutive failed saves
         self.closed = False
-        # Held while the store is used: `close` may come during a save in a thread.
-        self.alone = threading.Lock()
+        # Serialises access to the store, since `close` may be called during a save in a thread.
+        self.lock = threading.Lock()
 
     @property
-    def complained(self) -> bool:
-        """Whether the last save failed, which was logged."""
+    def last_save_failed(self) -> bool:
+        """Whether the last save failed."""
         return self.failures > 0
 
     def load(self) -> bytes | None:
-        """The value saved last, None if there is none; each file that cannot be used is logged."""
+        """Returns the value saved last, None if there is none; logs each file that is unusable."""
         try:
             loaded = self.store.load()
-        except OSError as problem:
-            log.warning("%s is passed over: %s", self.what, problem)
+        except OSError as error:
+            log.warning("stored %s ignored: %s", self.label, error)
             return None
-        for why in loaded.passed_over:
-            log.warning("%s is passed over: %s", self.what, why)
+        for reason in loaded.passed_over:
+            log.warning("stored %s ignored: %s", self.label, reason)
         return loaded.value
 
     def save(self, value: bytes) -> bool:
-        """Saves a value; returns once it is on disk. False if that fails, or after `close`.
+        """Saves a value; returns True once it is on disk, False if that fails or after `close`.
 
-        The value before remains then, or this one where only the folder's sync was refused.
+        After a failure the store holds the previous value, or this one if only the sync of the folder failed.
         """
-        with self.alone:
+        with self.lock:
             return not self.closed and self._save(value)
 
     def _save(self, value: bytes) -> bool:
@@ -54,41 +54,41 @@
             if not self.store.is_open:
                 self.store.open()
             self.store.save(value)
-        except (OSError, StoreError) as problem:
-            self._failed(problem)
+        except (OSError, StoreError) as error:
+            self._record_failure(error)
             return False
         if self.failures:
-            log.info("%s is kept again", self.what)
+            log.info("saving %s succeeded again", self.label)
         self.failures = 0
         return True
 
-    def _failed(self, problem: Exception) -> None:
-        # Logged once until a save succeeds: during an upgrade each save fails until the old process ends.
+    def _record_failure(self, error: Exception) -> None:
+        # Logs only the first of consecutive failures: in an upgrade, saves fail until the old process ends.
         if not self.failures:
-            log.warning("%s can't be kept: %s", self.what, problem)
+            log.warning("saving %s failed: %s", self.label, error)
         self.failures += 1
 
     async def save_in_thread(self, value: bytes) -> bool:
-        """As `save`, in a thread: a sync to disk may take longer than a request may wait."""
+        """Like `save`, but in a thread, since a sync to disk may take longer than a request's deadline."""
         try:
             return await asyncio.get_running_loop().run_in_executor(None, self.save, value)
-        except RuntimeError as problem:  # the system gives no further thread
-            self._failed(problem)
+        except RuntimeError as error:  # the system cannot start another thread
+            self._record_failure(error)
             return False
 
-    def pause(self, interval: float) -> float:
-        """Seconds until the next save: the interval, doubled for each failure in a row, up to MAX_PAUSE."""
-        doubled = interval * (1 << min(self.failures, 16))
-        return min(doubled, max(interval, MAX_PAUSE))
+    def backoff(self, interval: float) -> float:
+        """Returns the seconds until the next save: `interval`, doubled per failure up to MAX_BACKOFF."""
+        delay = interval * (1 << min(self.failures, 16))
+        return min(delay, max(interval, MAX_BACKOFF))
 
     def close(self, value: bytes | None = None) -> None:
-        """Saves a last value, if one is given, and releases the store.
+        """Saves a final value, if one is given, and releases the store.
 
-        Waits for a save that is under way; one that has not begun saves nothing any more, so that the last
-        value stays the last.
+        Waits for a save in progress. A save that has not begun writes nothing, so that it cannot overwrite
+        the final value.
         """
         self.closed = True
-        with self.alone:
+        with self.lock:
             if value is not None:
                 self._save(value)
             self.store.close()
--- a/applehub/node/shared_state.py
+++ b/applehub/node/shared_state.py
@@ -7,46 +7,48 @@
 
 from applehub.node.override_file import OverrideFile
 
-FLOCK = "hhqqi0q"  # struct flock: type, whence, start, length, process
+FLOCK_FORMAT = "hhqqi0q"  # struct flock: type, whence, start, length, process
 log = logging.getLogger("applehub")
 
 
-def shared_folder() -> str:
-    """$TMPDIR, which the processes of one router share; without it a new folder that nothing else uses."""
+def shared_state_folder() -> str:
+    """Returns $TMPDIR, which the router's processes share; if it is not set, a new private folder."""
     folder = os.environ.get("TMPDIR")
     if folder:
         return folder
-    import tempfile  # loaded only here: it costs 8 ms, and deployments set $TMPDIR
+    import tempfile  # imported here because it slows the start, and deployments set $TMPDIR
 
     return tempfile.mkdtemp(prefix="applehub-")
 
 
-class Shared:
-    """A file of operator overrides, and a file of which each running process locks one byte."""
+class SharedState:
+    """The file of operator overrides, and a file in which each running process locks one byte."""
 
     def __init__(self, folder: str) -> None:
-        """Marks this process as running. Raises OSError if the folder cannot be written to."""
+        """Marks this process as running. Raises OSError if the folder is not writable."""
         self.override_file = OverrideFile(folder)
-        self.runs = open(os.path.join(folder, "applehub.runs"), "wb")  # noqa: SIM115 (open until `leave`)
-        # Each process locks the byte at its own id. The kernel releases the lock whichever way the process
-        # ends, so a crashed process never counts as running.
-        fcntl.lockf(self.runs, fcntl.LOCK_EX | fcntl.LOCK_NB, 1, os.getpid())
-        self._others = False
-        self._unknown = False  # the system did not tell at the last call of `others`, which was logged
-
-    def others(self) -> bool:
-        """Whether another process of this router runs; as last known, if the system does not tell."""
-        whole = struct.pack(FLOCK, fcntl.F_WRLCK, os.SEEK_SET, 0, 0, 0)
+        self.lock_file = open(os.path.join(folder, "applehub.runs"), "wb")  # noqa: SIM115 (open until `close`)
+        # Each process locks the byte at the offset of its own process id. The kernel releases the lock when
+        # the process ends in any way, so a crashed process never counts as running.
+        fcntl.lockf(self.lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB, 1, os.getpid())
+        self._has_other_process = False
+        self._query_failed = False  # whether the last call of `has_other_process` failed
+
+    def has_other_process(self) -> bool:
+        """Returns whether another process of this router runs; the last result if the lock query fails."""
+        whole_file = struct.pack(FLOCK_FORMAT, fcntl.F_WRLCK, os.SEEK_SET, 0, 0, 0)
         try:
-            found: int = struct.unpack(FLOCK, fcntl.fcntl(self.runs, fcntl.F_GETLK, whole))[0]
-        except OSError as problem:
-            if not self._unknown:
-                log.warning("whether another process serves can't be told: %s", problem)
-            self._unknown = True
+            lock_type: int = struct.unpack(
+                FLOCK_FORMAT, fcntl.fcntl(self.lock_file, fcntl.F_GETLK, whole_file)
+            )[0]
+        except OSError as error:
+            if not self._query_failed:  # logs the first of consecutive failures only
+                log.warning("checking for another router process failed: %s", error)
+            self._query_failed = True
         else:
-            self._others, self._unknown = found != fcntl.F_UNLCK, False
-        return self._others
+            self._has_other_process, self._query_failed = lock_type != fcntl.F_UNLCK, False
+        return self._has_other_process
 
-    def leave(self) -> None:
-        """Marks this process as running no more."""
-        self.runs.close()
+    def close(self) -> None:
+        """Marks this process as no longer running."""
+        self.lock_file.close()
