--- a/tests/measure_sizes.py
+++ b/tests/measure_sizes.py
@@ -1,8 +1,7 @@
-"""Measures what large fleets cost one router: `PYTHONPATH=. python tests/measure_sizes.py [RUNS]`.
+"""Measures the cost of large fleets for one router: `PYTHONPATH=. python tests/measure_sizes.py [RUNS]`.
 
-Each run is a process of its own. Prints tables as docs/findings/sizes.md has them: the median of the runs,
-and the least and the most. Times are processor time of the process, so that other work on the machine counts
-little."""
+Each run is a separate process. Prints Markdown tables with the median, the minimum and the maximum of the
+runs. Times are processor time of the process, so that other work on the machine has little influence."""
 
 import asyncio
 import gc
@@ -22,7 +21,7 @@
 from applehub import interface as api
 from applehub.node.discovery import Directory
 from applehub.node.driver import Driver
-from applehub.node.metrics import Figures
+from applehub.node.metrics import Metrics
 from applehub.node.pool import Pools
 from applehub.peers.agent import GossipAgent
 from applehub.peers.codec import Peer, PeerState
@@ -33,42 +32,42 @@
 
 RUNS = 5
 SERVERS = (16, 200, 1024, 3200)
-SERVERS_OF_KEYS = (16, 300, 1024, 3200)
+HOT_KEY_SERVERS = (16, 300, 1024, 3200)
 MEMBERS = (65, 260, 520, 1024)
-DECISIONS = 5000
-DELTAS = 20
-LATER = 60_000  # requests after a router's first
+REQUESTS = 5000
+LIST_UPDATES = 20
+LATER_REQUESTS = 60_000  # requests after a router's first requests
 TICKS = 100
 MEGABYTE, KILOBYTE = 1 << 20, 1 << 10
-Measured = dict[str, float]
+Measurements = dict[str, float]
 
 
-def cost_of(work: Callable[[], object]) -> float:
-    """s of processor time."""
+def cpu_seconds(work: Callable[[], object]) -> float:
+    """Returns the seconds of processor time that a call takes."""
     begin = time.process_time()
     work()
     return time.process_time() - begin
 
 
-def resident() -> float:
-    """MB that the process holds."""
+def resident_mb() -> float:
+    """Returns the resident memory of the process in MB."""
     gc.collect()
     return float(psutil.Process().memory_info().rss / MEGABYTE)
 
 
-async def measure_list(servers: int) -> Measured:
-    """Directory, pools and decisions of one router that hold a list."""
+async def measure_list(servers: int) -> Measurements:
+    """Measures the cost of a list in the directory, the pools and the policy of one router."""
     settings = read_settings({**info(), "balancers": servers})
-    driver = Driver(Balancer(settings, 1), Pools(64, 0.25, 60.0), 100, Figures())
+    driver = Driver(Balancer(settings, 1), Pools(64, 0.25, 60.0), 100, Metrics())
     directory = Directory(read_names(info()), 1, driver.pools, driver.tell)
     listed = [entry(f"c{number}", f"10.0.{number // 200}.{number % 200}:6379") for number in range(servers)]
     body = json.dumps({"rev": 1, "all": True, "targets": listed}).encode()
-    empty = resident()
-    whole = cost_of(lambda: directory.take(json.loads(body)))
-    held = resident()
+    empty = resident_mb()
+    whole = cpu_seconds(lambda: directory.take(json.loads(body)))
+    held = resident_mb()
 
     def change() -> None:
-        for number in range(DELTAS):
+        for number in range(LIST_UPDATES):
             state = ("Terminating", "Ready")[number % 2]
             directory.take({"rev": 2 + number, "all": False, "targets": [{**listed[0], "state": state}]})
 
@@ -77,19 +76,19 @@
         "RSS without, MB": empty,
         "RSS with the list, MB": held,
         "whole list, ms": whole * 1e3,
-        "one delta, ms": cost_of(change) / DELTAS * 1e3,
+        "one delta, ms": cpu_seconds(change) / LIST_UPDATES * 1e3,
     }
 
 
-async def measure_memory(servers: int) -> Measured:
-    """What a list takes in directory, pools and decisions; then with as many lists as are remembered."""
+async def measure_memory(servers: int) -> Measurements:
+    """Measures the memory for one list, and for as many lists as the policy keeps."""
     settings = read_settings({**info(), "balancers": servers})
     listed = [entry(f"c{number}", f"10.0.{number // 200}.{number % 200}:6379") for number in range(servers)]
     body = json.dumps({"rev": 1, "all": True, "targets": listed})
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     balancer = Balancer(settings, 1)
-    driver = Driver(balancer, Pools(64, 0.25, 60.0), 100, Figures())
+    driver = Driver(balancer, Pools(64, 0.25, 60.0), 100, Metrics())
     directory = Directory(read_names(info()), 1, driver.pools, driver.tell)
     directory.take(json.loads(body))
     gc.collect()
@@ -103,27 +102,27 @@
     return {"held, kB": held / KILOBYTE, f"with {DEALS_KEPT} lists remembered, kB": remembered / KILOBYTE}
 
 
-def measure_decisions(servers: int) -> Measured:
-    """Requests that each go to one cache server and are answered there."""
+def measure_decisions(servers: int) -> Measurements:
+    """Measures the processor time of requests that one attempt each serves."""
     settings = read_settings({**info(), "balancers": servers})
     balancer = Balancer(settings, 1)
     balancer.handle(SECOND, api.Members(api.ListKind.FULL, [api.Member(f"c{n}") for n in range(servers)]))
 
     def play() -> None:
         now = 100 * SECOND
-        for number in range(DECISIONS):
+        for number in range(REQUESTS):
             now += MILLI
             request = api.Request(f"r{number}", 0, now + 10 * SECOND, f"k{number % 977}")
             (send,) = [one for one in balancer.handle(now, request) if isinstance(one, api.Send)]
             ended = api.Outcome(send.id, 0, send.server, api.Status.OK, True, MILLI)
             balancer.handle(now + MILLI // 2, ended)
 
-    return {"a request and its answer, us": cost_of(play) / DECISIONS * 1e6}
+    return {"a request and its answer, us": cpu_seconds(play) / REQUESTS * 1e6}
 
 
-def measure_hot_keys(servers: int) -> Measured:
-    """Requests for hot keys that are found, and requests wrongly taken for such, of five routers."""
-    first, later = trial(servers, LATER, range(1, 6))
+def measure_hot_keys(servers: int) -> Measurements:
+    """Measures how many requests for hot keys are detected, and how many are falsely detected."""
+    first, later = trial(servers, LATER_REQUESTS, range(1, 6))
     return {
         "for hot keys, %": later.hot / later.requests * 100,
         "found of the first 500, %": first.found_part * 100,
@@ -133,8 +132,8 @@
     }
 
 
-def measure_peers(members: int) -> Measured:
-    """What a process holds of its peers, and its ticks; once more with verdicts of as many servers."""
+def measure_peers(members: int) -> Measurements:
+    """Measures memory and ticks of a gossip agent, then with a verdict on as many servers."""
     me = Peer(members, 0, PeerState.ALIVE, bytes(4), 1, "n0")
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -156,47 +155,47 @@
         for _ in range(TICKS):
             one.tick(SECOND)
 
-    urgent = cost_of(tick) / TICKS * 1e3
-    view = cost_of(lambda: one.view(SECOND)) * 1e3
+    urgent = cpu_seconds(tick) / TICKS * 1e3
+    view = cpu_seconds(lambda: one.view(SECOND)) * 1e3
     one.store.expire(100 * SECOND)
     one.pending.clear()
     return {
         "members and their records, kB": there / KILOBYTE,
         "with all servers accused, kB": accused / KILOBYTE,
-        "one tick, ms": cost_of(tick) / TICKS * 1e3,
+        "one tick, ms": cpu_seconds(tick) / TICKS * 1e3,
         "one tick with all accused, ms": urgent,
         "one look with all accused, ms": view,
     }
 
 
-MEASURES: dict[str, tuple[tuple[int, ...], Callable[[int], Measured]]] = {
+MEASURES: dict[str, tuple[tuple[int, ...], Callable[[int], Measurements]]] = {
     "servers on the list": (SERVERS, lambda size: asyncio.run(measure_list(size))),
     "servers held": (SERVERS, lambda size: asyncio.run(measure_memory(size))),
     "servers decided among": (SERVERS, measure_decisions),
-    "servers that keys are hot for": (SERVERS_OF_KEYS, measure_hot_keys),
+    "servers that keys are hot for": (HOT_KEY_SERVERS, measure_hot_keys),
     "routers": (MEMBERS, measure_peers),
 }
 
 
-def run_apart(name: str, size: int) -> Measured:
-    """One run in a process of its own."""
+def run_in_subprocess(name: str, size: int) -> Measurements:
+    """Runs one measurement in a separate process."""
     command = [sys.executable, __file__, name, str(size)]
-    told: Measured = json.loads(subprocess.run(command, capture_output=True, check=True).stdout)
-    return told
+    measured: Measurements = json.loads(subprocess.run(command, capture_output=True, check=True).stdout)
+    return measured
 
 
-def shown(values: list[float]) -> str:
+def format_values(values: list[float]) -> str:
     return f"{median(values):.3g} ({min(values):.3g} to {max(values):.3g})"
 
 
 def main(runs: int) -> None:
     for name, (sizes, _) in MEASURES.items():
-        rows = {size: [run_apart(name, size) for _ in range(runs)] for size in sizes}
+        rows = {size: [run_in_subprocess(name, size) for _ in range(runs)] for size in sizes}
         columns = list(rows[sizes[0]][0])
         print(f"| {name} | {' | '.join(columns)} |")
         print("|---" * (len(columns) + 1) + "|")
         for size, found in rows.items():
-            cells = [shown([one[column] for one in found]) for column in columns]
+            cells = [format_values([one[column] for one in found]) for column in columns]
             print(f"| {size} | {' | '.join(cells)} |")
         print()
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The operators' second address over loopback: calls, callers that say nothing, and the figures."""
+"""The operators' console over loopback: commands, idle connections and metrics."""
 
 import asyncio
 import os
@@ -11,15 +11,15 @@
 
 from applehub.node import console
 from applehub.node.configuration import ConfigurationError, read_configuration
-from applehub.node.console import CallError, Console
+from applehub.node.console import CommandError, Console
 from applehub.node.listener import inherited_listener
 
 
-def refuse(_: str) -> str:
-    raise CallError("not ready")
+def report_not_ready(_: str) -> str:
+    raise CommandError("not ready")
 
 
-async def call(port: int, sent: bytes) -> str:
+async def send_command(port: int, sent: bytes) -> str:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(sent)
     async with asyncio.timeout(PATIENCE):
@@ -28,19 +28,19 @@
     return answer.decode()
 
 
-async def opened(**calls: console.Handler) -> tuple[Console, int]:
-    served = Console({name.upper(): handler for name, handler in calls.items()})
-    return served, (await served.listen("127.0.0.1", 0))[1]
+async def start_console(**handlers: console.Handler) -> tuple[Console, int]:
+    server = Console({name.upper(): handler for name, handler in handlers.items()})
+    return server, (await server.listen("127.0.0.1", 0))[1]
 
 
 @pytest.mark.parametrize("end", [b"\n", b"\r\n"])
-async def test_a_call_gets_one_answer_and_a_close(end: bytes) -> None:
-    served, port = await opened(health=refuse, offline=lambda name: f"+OK {name}")
-    assert await call(port, b"OFFLINE s-1" + end) == "+OK s-1\n"
-    assert await call(port, b"HEALTH" + end) == "-ERR not ready\n"
-    assert await call(port, b"NONSENSE" + end) == "-ERR unknown call\n"
-    assert await call(port, end) == "-ERR unknown call\n"
-    served.close()
+async def test_command_is_answered_once_and_connection_closes(end: bytes) -> None:
+    server, port = await start_console(health=report_not_ready, offline=lambda name: f"+OK {name}")
+    assert await send_command(port, b"OFFLINE s-1" + end) == "+OK s-1\n"
+    assert await send_command(port, b"HEALTH" + end) == "-ERR not ready\n"
+    assert await send_command(port, b"NONSENSE" + end) == "-ERR unknown call\n"
+    assert await send_command(port, end) == "-ERR unknown call\n"
+    server.close()
 
 
 @pytest.mark.parametrize(
@@ -52,25 +52,25 @@
         (b"ONLINE  \n", "-ERR ONLINE needs the id of a cache server\n"),
     ],
 )
-async def test_a_call_with_too_much_or_too_little_is_a_no(sent: bytes, answer: str) -> None:
+async def test_wrong_number_of_arguments_is_rejected(sent: bytes, answer: str) -> None:
     handlers = dict.fromkeys(("health", "dump", "offline", "online"), lambda _: "+OK")
-    served, port = await opened(**handlers)
-    assert await call(port, sent) == answer
-    served.close()
+    server, port = await start_console(**handlers)
+    assert await send_command(port, sent) == answer
+    server.close()
 
 
-def test_an_inherited_descriptor_that_listens_nowhere_is_told_apart(tmp_path: os.PathLike[str]) -> None:
+def test_inherited_descriptor_that_does_not_listen_is_rejected(tmp_path: os.PathLike[str]) -> None:
     with socket.socket() as idle, socket.create_server(("127.0.0.1", 0)) as listener:
         with pytest.raises(OSError, match=f"descriptor {idle.fileno()} is a socket that listens nowhere"):
             inherited_listener(idle.fileno())
-        assert idle.getsockname()  # it is left open
+        assert idle.getsockname()  # the descriptor stays open
         with open(os.path.join(tmp_path, "file"), "wb") as file, pytest.raises(OSError, match="is no socket"):
             inherited_listener(file.fileno())
         assert inherited_listener(listener.fileno()).detach() == listener.fileno()
 
 
-async def test_a_call_may_come_in_pieces() -> None:
-    served, port = await opened(health=lambda _: "+OK")
+async def test_command_may_arrive_in_pieces() -> None:
+    server, port = await start_console(health=lambda _: "+OK")
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     for piece in (b"HEA", b"LT", b"H\n"):
         writer.write(piece)
@@ -78,77 +78,79 @@
         await asyncio.sleep(0)
     assert await reader.read() == b"+OK\n"
     writer.close()
-    served.close()
+    server.close()
 
 
-async def test_a_fault_in_a_call_is_a_no_and_the_next_is_answered() -> None:
-    served, port = await opened(dump=lambda _: str(1 // 0), health=lambda _: "+OK")
-    assert await call(port, b"DUMP\n") == "-ERR the call failed\n"
-    assert await call(port, b"HEALTH\n") == "+OK\n"
-    served.close()
+async def test_exception_in_a_command_is_an_error_and_the_next_is_answered() -> None:
+    server, port = await start_console(dump=lambda _: str(1 // 0), health=lambda _: "+OK")
+    assert await send_command(port, b"DUMP\n") == "-ERR the call failed\n"
+    assert await send_command(port, b"HEALTH\n") == "+OK\n"
+    server.close()
 
 
-async def test_a_line_too_long_is_a_no() -> None:
-    served, port = await opened()
-    assert (await call(port, b"x" * (console.MOST_LINE + 1))).startswith("-ERR")
-    served.close()
+async def test_too_long_line_is_rejected() -> None:
+    server, port = await start_console()
+    assert (await send_command(port, b"x" * (console.MAX_LINE_BYTES + 1))).startswith("-ERR")
+    server.close()
 
 
-async def test_callers_that_say_nothing_do_not_keep_others_out() -> None:
-    served, port = await opened(health=lambda _: "+OK")
-    silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(console.MOST_CALLERS + 4)]
-    assert await call(port, b"HEALTH\n") == "+OK\n"
-    assert len(served.callers) < console.MOST_CALLERS + 1
-    assert await silent[0][0].read() == b"-ERR too many callers\n"
-    for _, writer in silent:
+async def test_idle_connections_do_not_block_others() -> None:
+    server, port = await start_console(health=lambda _: "+OK")
+    idle_connections = [
+        await asyncio.open_connection("127.0.0.1", port) for _ in range(console.MAX_CONNECTIONS + 4)
+    ]
+    assert await send_command(port, b"HEALTH\n") == "+OK\n"
+    assert len(server.connections) < console.MAX_CONNECTIONS + 1
+    assert await idle_connections[0][0].read() == b"-ERR too many callers\n"
+    for _, writer in idle_connections:
         writer.close()
-    served.close()
+    server.close()
 
 
-async def test_a_caller_with_no_whole_call_is_told_so_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(console, "PROMPT", 0.05)
-    served, port = await opened(health=lambda _: "+OK")
-    assert await call(port, b"HEAL") == "-ERR no whole call in time\n"
-    await soon(lambda: not served.callers)
-    served.close()
+async def test_incomplete_line_is_answered_after_the_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(console, "LINE_TIMEOUT", 0.05)
+    server, port = await start_console(health=lambda _: "+OK")
+    assert await send_command(port, b"HEAL") == "-ERR no whole call in time\n"
+    await soon(lambda: not server.connections)
+    server.close()
 
 
-async def test_figures_add_up() -> None:
-    async with router(lambda asked, line: MISS if asked[1] == b"far" else None) as bench:
+async def test_metrics_count_each_result() -> None:
+    async with router(lambda command, connection: MISS if command[1] == b"far" else None) as bench:
         bench.driver.room.most = 1024
-        caller = await bench.caller()
-        caller.get(b"far", b"i1")
-        assert await caller.answer() == b"from origin"
-        caller.send(b"C.SET", b"k", b"w1", b"c=put,t=acme,d=9000,k=77", bytes(2048))
-        assert str(await caller.answer()) == "BUSY"
-        caller.get(b"near", b"i2", b"c=once,t=acme,d=9000")
+        client = await bench.caller()
+        client.get(b"far", b"i1")
+        assert await client.answer() == b"from origin"
+        client.send(b"C.SET", b"k", b"w1", b"c=put,t=acme,d=9000,k=77", bytes(2048))
+        assert str(await client.answer()) == "BUSY"
+        client.get(b"near", b"i2", b"c=once,t=acme,d=9000")
         await soon(lambda: len(bench.cache.got) == 2)
         bench.driver._overdue(bench.driver.held["i2"])
-        assert str(await caller.answer()) == "ERR failed"
-        caller.get(b"near", b"i3")
+        assert str(await client.answer()) == "ERR failed"
+        client.get(b"near", b"i3")
         await soon(lambda: len(bench.cache.got) == 3)
-        told = dict(line.split("=") for line in bench.driver.figures.lines())
-        counts = {name: int(told[f"edge_balancer.responses.{name}"]) for name in ("read.ok", "put.shed")}
+        metrics = dict(line.split("=") for line in bench.driver.figures.lines())
+        counts = {name: int(metrics[f"edge_balancer.responses.{name}"]) for name in ("read.ok", "put.shed")}
         assert counts == {"read.ok": 1, "put.shed": 1}
-        assert told["edge_balancer.responses.once.errors"] == "1"
+        assert metrics["edge_balancer.responses.once.errors"] == "1"
         assert (bench.driver.active, bench.pools.written, bench.directory.size) == (1, 4, 1)
 
 
-async def test_run_serves_on_an_inherited_listener_and_answers_operators(tmp_path: os.PathLike[str]) -> None:
-    """A second process took the address itself and ended: the platform's socket held it."""
+async def test_process_serves_an_inherited_listener_and_the_console(tmp_path: os.PathLike[str]) -> None:
+    """Prevents a second process from binding the address, which the platform's socket holds."""
     listener = socket.create_server(("127.0.0.1", 0))
     path = os.path.join(tmp_path, "config.json")
-    entry = {"uid": "c0", "endpoint": "127.0.0.1:9", "az": "a", "model": "std", "state": "Ready"}
-    told = {
+    target = {"uid": "c0", "endpoint": "127.0.0.1:9", "az": "a", "model": "std", "state": "Ready"}
+    configuration = {
         "listen": f"127.0.0.1:{listener.getsockname()[1]}",
         "discovery": "127.0.0.1:9",
         "console": "127.0.0.1:0",
         "seed": "1",
-        "known": {"rev": 1, "all": True, "targets": [entry]},
+        "known": {"rev": 1, "all": True, "targets": [target]},
         "settings": info(),
     }
     with open(path, "wb") as file:
-        file.write(orjson.dumps(told))
+        file.write(orjson.dumps(configuration))
     environment = {**os.environ, "BALANCER_CONFIG": path, "BALANCER_INHERITED_FD": str(listener.fileno())}
     environment.pop("BALANCER_CONSOLE", None)
     process = await asyncio.create_subprocess_exec(
@@ -169,14 +171,14 @@
             while b"operators call at" not in (line := await process.stderr.readline()):
                 assert line
         port = int(line.rpartition(b":")[2])
-        assert await call(port, b"HEALTH\n") == "+OK\n"
-        dump = await call(port, b"DUMP\n")
+        assert await send_command(port, b"HEALTH\n") == "+OK\n"
+        dump = await send_command(port, b"DUMP\n")
         assert dump.startswith("+OK\n") and dump.endswith("\n.\n")
         assert "\nedge_balancer.pool_size=1\n" in dump and "\nedge_balancer.responses.read.ok=0\n" in dump
         process.terminate()
         async with asyncio.timeout(PATIENCE):
             assert await process.wait() == 0
-        # Its own descriptor is closed, and the socket still lets clients in for the other process.
+        # The process has closed its descriptor; the socket still accepts clients for the next process.
         with socket.create_connection(listener.getsockname()):
             pass
         writer.close()
@@ -186,13 +188,13 @@
         listener.close()
 
 
-@pytest.mark.parametrize("told", ["listener", "-1", "7.0"])
-def test_a_descriptor_that_is_no_number_is_named(
-    told: str, tmp_path: os.PathLike[str], monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("value", ["listener", "-1", "7.0"])
+def test_descriptor_that_is_not_a_number_is_rejected(
+    value: str, tmp_path: os.PathLike[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = os.path.join(tmp_path, "config.json")
     with open(path, "wb") as file:
         file.write(orjson.dumps({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": info()}))
-    monkeypatch.setenv("BALANCER_INHERITED_FD", told)
-    with pytest.raises(ConfigurationError, match=f"BALANCER_INHERITED_FD: expected .*, got '{told}'"):
+    monkeypatch.setenv("BALANCER_INHERITED_FD", value)
+    with pytest.raises(ConfigurationError, match=f"BALANCER_INHERITED_FD: expected .*, got '{value}'"):
         read_configuration(path)
--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -1,4 +1,4 @@
-"""Cache servers out by hand: the module's part, the file two processes share, and the calls."""
+"""Operator overrides: in the policy, in the file that two processes share, and as console commands."""
 
 import errno
 import fcntl
@@ -12,13 +12,13 @@
 from support import MILLI, SECOND, Router, settings
 
 from applehub import interface as api
-from applehub.node.console import CallError
+from applehub.node.console import CommandError
 from applehub.node.operator_overrides import OperatorOverrides
-from applehub.node.shared_state import Shared
+from applehub.node.shared_state import SharedState
 
 
-def sent_to(router: Router, keys: int = 40) -> set[str]:
-    """The cache servers that a round of requests goes to."""
+def servers_sent_to(router: Router, keys: int = 40) -> set[str]:
+    """Returns the cache servers to which requests for `keys` keys are sent."""
     servers = set()
     for n in range(keys):
         _, sends = router.ask(f"key{n}")
@@ -30,9 +30,9 @@
     return servers
 
 
-def test_a_server_out_by_hand_drains_whatever_the_list_says_until_it_is_put_back() -> None:
+def test_offline_server_drains_despite_list_updates_until_it_is_online() -> None:
     router = Router()
-    assert "c1" in sent_to(router)
+    assert "c1" in servers_sent_to(router)
     router.tell(api.ByHand("c1", True, router.now))
     assert router.balancer.roster.avoided == 1
     for kind, listed in (
@@ -42,19 +42,19 @@
         (api.ListKind.FULL, [api.Member(f"c{n}") for n in range(4)]),
     ):
         router.tell(api.Members(kind, listed))
-        assert "c1" not in sent_to(router)
+        assert "c1" not in servers_sent_to(router)
     router.tell(api.ByHand("c1", False, router.now))
     assert router.balancer.roster.avoided == 0
     for _ in range(10):
         router.wait(SECOND // 2)
-        if "c1" in sent_to(router):
+        if "c1" in servers_sent_to(router):
             break
     else:
-        raise AssertionError("nothing went to it in 5 s")
+        raise AssertionError("no request was sent to c1 in 5 s")
 
 
 @pytest.mark.parametrize("relisted", [False, True])
-def test_a_server_put_back_is_cold_since_then_whatever_its_boot_time_says(relisted: bool) -> None:
+def test_slow_start_begins_when_a_server_is_put_online_despite_its_boot_time(relisted: bool) -> None:
     router = Router()
     router.tell(api.ByHand("c1", True, router.now))
     router.wait(20 * SECOND)
@@ -66,91 +66,93 @@
     assert router.balancer.roster.servers["c1"].cold_since == back
 
 
-def test_a_server_that_drains_by_the_list_stays_draining_when_it_is_put_back() -> None:
+def test_listed_as_draining_server_stays_draining_when_put_online() -> None:
     router = Router()
     router.tell(api.ByHand("c1", True, router.now))
     router.tell(api.Members(api.ListKind.DELTA, [api.Member("c1", api.State.DRAINING)]))
     router.tell(api.ByHand("c1", False, router.now))
-    assert "c1" not in sent_to(router)
+    assert "c1" not in servers_sent_to(router)
 
 
 def test_two_processes_share_the_tokens_of_a_warming_server() -> None:
-    def taken(copies: int) -> int:
-        # A long window, so that the number of tokens binds; what falls due in a window follows the traffic.
+    def tokens_taken(copies: int) -> int:
+        # The window is long, so that the number of tokens limits the requests rather than the traffic.
         router = Router(settings(ramp_time=60 * SECOND, fall_time=60 * SECOND))
-        sent_to(router, 200)
+        servers_sent_to(router, 200)
         router.tell(api.Copies(copies))
         server = router.balancer.roster.servers["c1"]
         server.budget.tokens, server.budget.at = 9.0, router.now
         server.cold_since = router.now
         return sum(router.balancer.placement._in_budget(server, 4) for _ in range(9))
 
-    assert (taken(1), taken(2)) == (2, 1)
+    assert (tokens_taken(1), tokens_taken(2)) == (2, 1)
 
 
-def by_hand(bench: Bench, folder: Path) -> OperatorOverrides:
-    return OperatorOverrides(bench.directory, bench.driver.tell, Shared(str(folder)))
+def open_overrides(bench: Bench, folder: Path) -> OperatorOverrides:
+    return OperatorOverrides(bench.directory, bench.driver.tell, SharedState(str(folder)))
 
 
-def two(cache: object, origin: object) -> list[dict[str, object]]:
+def two_caches(cache: object, origin: object) -> list[dict[str, object]]:
     addresses = [peer.address for peer in (cache, cache, origin)]  # type: ignore[attr-defined]
     listed = [entry("c0", addresses[0]), entry("c1", addresses[1])]
     return [*listed, entry("o", addresses[2], model="origin")]
 
 
-async def test_the_calls_act_on_connections_and_decisions(tmp_path: Path) -> None:
-    async with router(lambda asked, line: hit() if asked[2] != b"i0" else None, entries=two) as bench:
-        hands, balancer = by_hand(bench, tmp_path), bench.driver.balancer
+async def test_commands_apply_to_connections_and_policy(tmp_path: Path) -> None:
+    async with router(
+        lambda command, writer: hit() if command[2] != b"i0" else None, entries=two_caches
+    ) as bench:
+        overrides, balancer = open_overrides(bench, tmp_path), bench.driver.balancer
         for name in ("c9", "o", ""):
-            with pytest.raises(CallError):
-                hands.offline(name)
-            with pytest.raises(CallError):
-                hands.online(name)
-        assert [hands.offline("c1"), hands.offline("c1")] == ["+OK", "+OK"]
+            with pytest.raises(CommandError):
+                overrides.offline(name)
+            with pytest.raises(CommandError):
+                overrides.online(name)
+        assert [overrides.offline("c1"), overrides.offline("c1")] == ["+OK", "+OK"]
         assert (
             bench.pools.pools["c1"].retired
             and balancer.roster.servers["c1"].member.state is api.State.DRAINING
         )
-        bench.directory.take({"rev": 6, "all": True, "targets": two(bench.cache, bench.origin)})
+        bench.directory.take({"rev": 6, "all": True, "targets": two_caches(bench.cache, bench.origin)})
         assert bench.pools.pools["c1"].retired and bench.directory.can_serve
-        hands.offline("c0")
+        overrides.offline("c0")
         assert not bench.directory.can_serve and bench.directory.size == 2
-        assert [hands.online("c1"), hands.online("c1")] == ["+OK", "+OK"]
+        assert [overrides.online("c1"), overrides.online("c1")] == ["+OK", "+OK"]
         assert not bench.pools.pools["c1"].retired and bench.directory.can_serve
         assert balancer.roster.servers["c1"].cold_since > 0
 
 
-async def test_an_upgrade_reads_what_was_said_and_both_processes_agree(tmp_path: Path) -> None:
-    async with router(entries=two) as old, router(entries=two) as new:
-        before = by_hand(old, tmp_path)
-        before.offline("c1")
-        after = by_hand(new, tmp_path)
-        after.look()
+async def test_both_processes_of_an_upgrade_apply_the_same_overrides(tmp_path: Path) -> None:
+    async with router(entries=two_caches) as old, router(entries=two_caches) as new:
+        old_overrides = open_overrides(old, tmp_path)
+        old_overrides.offline("c1")
+        new_overrides = open_overrides(new, tmp_path)
+        new_overrides.poll()
         assert new.pools.pools["c1"].retired
-        after.online("c1")
-        before.look()
+        new_overrides.online("c1")
+        old_overrides.poll()
         assert not old.pools.pools["c1"].retired
         cold = [one.driver.balancer.roster.servers["c1"].cold_since for one in (old, new)]
         assert abs(cold[0] - cold[1]) < SECOND and min(cold) > 0
-        before.offline("c0")
-        assert after.offline("c0") == "+OK" and new.pools.pools["c0"].retired
+        old_overrides.offline("c0")
+        assert new_overrides.offline("c0") == "+OK" and new.pools.pools["c0"].retired
 
 
-async def test_a_call_that_can_not_be_kept_is_a_no(tmp_path: Path) -> None:
-    async with router(entries=two) as bench:
-        hands = by_hand(bench, tmp_path)
-        hands.file.lock_path = str(tmp_path / "missing" / "lock")
-        with pytest.raises(CallError, match="can't be kept"):
-            hands.offline("c1")
+async def test_command_that_cannot_be_stored_is_rejected(tmp_path: Path) -> None:
+    async with router(entries=two_caches) as bench:
+        overrides = open_overrides(bench, tmp_path)
+        overrides.file.lock_path = str(tmp_path / "missing" / "lock")
+        with pytest.raises(CommandError, match="can't be kept"):
+            overrides.offline("c1")
         assert not bench.pools.pools["c1"].retired
 
 
-def test_another_process_is_seen_for_as_long_as_it_runs(tmp_path: Path) -> None:
-    shared = Shared(str(tmp_path))
-    assert not shared.others()
+def test_other_process_is_detected_while_it_runs(tmp_path: Path) -> None:
+    shared_state = SharedState(str(tmp_path))
+    assert not shared_state.has_other_process()
     code = (
-        "import sys; from applehub.node.shared_state import Shared\n"
-        f"s = Shared({str(tmp_path)!r}); print(s.others(), flush=True); sys.stdin.read()"
+        "import sys; from applehub.node.shared_state import SharedState\n"
+        f"s = SharedState({str(tmp_path)!r}); print(s.has_other_process(), flush=True); sys.stdin.read()"
     )
     root = Path(__file__).parent.parent
     with subprocess.Popen(
@@ -161,18 +163,17 @@
     ) as other:
         assert other.stdout is not None
         assert other.stdout.readline() == b"True\n"
-        assert shared.others()
+        assert shared_state.has_other_process()
         other.kill()
         other.wait()
-    assert not shared.others()
+    assert not shared_state.has_other_process()
 
 
-def test_the_last_answer_holds_while_the_system_does_not_tell_of_other_processes(
+def test_failed_lock_query_returns_the_last_result_and_is_logged_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Set up: the question after the other process's lock fails three times (ENOLCK), twice over. Expected:
-    the answer before, nothing raised, and one line for each time."""
-    shared = Shared(str(tmp_path))
+    """Two series of three failed queries (ENOLCK) raise nothing and are logged once each."""
+    shared_state = SharedState(str(tmp_path))
     for _ in range(2):
         with monkeypatch.context() as patch:
 
@@ -180,18 +181,18 @@
                 raise OSError(errno.ENOLCK, "refused")
 
             patch.setattr(fcntl, "fcntl", refuse)
-            assert [shared.others() for _ in range(3)] == [False] * 3
-        assert not shared.others()
-    assert caplog.text.count("whether another process serves can't be told") == 2
+            assert [shared_state.has_other_process() for _ in range(3)] == [False] * 3
+        assert not shared_state.has_other_process()
+    assert caplog.text.count("checking for another router process failed") == 2
 
 
-async def test_requests_under_way_at_a_server_taken_out_get_its_answer(tmp_path: Path) -> None:
-    async with router(lambda asked, line: None if asked[2] == b"i1" else MISS) as bench:
-        hands = by_hand(bench, tmp_path)
+async def test_requests_in_flight_at_an_offline_server_are_answered(tmp_path: Path) -> None:
+    async with router(lambda command, writer: None if command[2] == b"i1" else MISS) as bench:
+        overrides = open_overrides(bench, tmp_path)
         caller = await bench.caller()
         caller.get(name=b"i1")
         await soon(lambda: bench.cache.got)
-        hands.offline("c0")
+        overrides.offline("c0")
         bench.cache.lines[0].write(hit())
         assert await caller.answer() == b"v"
         await soon(lambda: not bench.pools.pools["c0"].all)
--- a/tests/test_override_file.py
+++ b/tests/test_override_file.py
@@ -1,5 +1,5 @@
-"""Operators' calls on a disk that refuses, over kills, and while wall clocks are stepped: what was
-acknowledged is owed, and an error answer means that nothing took effect or says what is not known."""
+"""Operator overrides across disk errors, kills and clock steps: acknowledged overrides are never lost, and an
+error answer means that the override had no effect unless it says otherwise."""
 
 import fcntl
 import json
@@ -15,12 +15,12 @@
 from applehub import interface as api
 from applehub.lab.fleet.system_call_faults import SystemCall, SystemCallFault, SystemCallFaults
 from applehub.node import operator_overrides, override_file
-from applehub.node.console import CallError
+from applehub.node.console import CommandError
 from applehub.node.discovery import Directory
 from applehub.node.operator_overrides import OperatorOverrides
 from applehub.node.override_file import OverrideFile, OverrideFileError
 from applehub.node.pool import Pools
-from applehub.node.shared_state import Shared
+from applehub.node.shared_state import SharedState
 from applehub.settings import read_names
 
 ROOT = Path(__file__).parent.parent
@@ -30,117 +30,118 @@
 
 
 class Process:
-    """A process of the router: its overrides, and what it told the decisions."""
+    """A router process: its overrides, and the events that it passed to the policy."""
 
     def __init__(self, folder: Path) -> None:
-        self.told: list[api.ByHand] = []
+        self.events: list[api.ByHand] = []
         directory = Directory(read_names(info()), 1, Pools(64, 0.25, 60.0), lambda event: None)
         listed = [entry(f"c{number}", "127.0.0.1:1") for number in range(4)]
         directory.take({"rev": 1, "all": True, "targets": listed})
-        self.hands = OperatorOverrides(directory, self.told.append, Shared(str(folder)))
-        self.hands.look()
+        self.operator_overrides = OperatorOverrides(directory, self.events.append, SharedState(str(folder)))
+        self.operator_overrides.poll()
 
-    def out(self) -> set[str]:
-        """The servers that are out by hand in this process."""
-        return {name for name, one in self.hands.overrides.items() if one.out}
+    def offline_servers(self) -> set[str]:
+        """Returns the servers that are offline in this process."""
+        return {name for name, override in self.operator_overrides.overrides.items() if override.offline}
 
 
 def stored(folder: Path) -> dict[str, list[object]]:
-    """What the file holds, as every version reads it."""
-    calls: dict[str, list[object]] = json.loads((folder / "applehub-by-hand.json").read_bytes())
-    return calls
+    """Returns the content of the file, in the format common to all versions."""
+    entries: dict[str, list[object]] = json.loads((folder / "applehub-by-hand.json").read_bytes())
+    return entries
 
 
-def stored_out(folder: Path) -> set[str]:
-    return {name for name, (out, _) in stored(folder).items() if out}
+def stored_offline(folder: Path) -> set[str]:
+    return {name for name, (offline, _) in stored(folder).items() if offline}
 
 
-# Reads that fail
+# Failing reads
 
 
 @pytest.mark.parametrize("fresh", [False, True], ids=["same process", "new process"])
 @pytest.mark.parametrize(
     ("call", "error"), [("read", "EIO"), ("open", "EMFILE"), ("open", "ENOMEM"), ("open", "EIO")]
 )
-def test_a_read_that_fails_costs_no_acknowledged_call(
+def test_failing_read_loses_no_acknowledged_override(
     tmp_path: Path, call: SystemCall, error: str, fresh: bool
 ) -> None:
-    """Set up: calls for c0 and c1; then reads of the file fail, and c2 is called for. Expected: the call is
-    refused and has no effect; all three are there once it is repeated."""
-    one = Process(tmp_path)
-    assert (one.hands.offline("c0"), one.hands.offline("c1")) == ("+OK", "+OK")
+    """A command during failing reads is rejected without effect, and succeeds once it is repeated."""
+    process = Process(tmp_path)
+    assert (process.operator_overrides.offline("c0"), process.operator_overrides.offline("c1")) == (
+        "+OK",
+        "+OK",
+    )
     path = str(tmp_path / "applehub-by-hand.json")
     with SystemCallFaults(SystemCallFault(call, error, path=path)) as faults:
-        two = Process(tmp_path) if fresh else one
-        with pytest.raises(CallError, match=NO_EFFECT):
-            two.hands.offline("c2")
+        other = Process(tmp_path) if fresh else process
+        with pytest.raises(CommandError, match=NO_EFFECT):
+            other.operator_overrides.offline("c2")
         assert faults.count(call) > 0
-        assert "c2" not in two.out() and stored_out(tmp_path) == {"c0", "c1"}
-    assert two.hands.offline("c2") == "+OK"
-    assert two.out() == stored_out(tmp_path) == {"c0", "c1", "c2"}
+        assert "c2" not in other.offline_servers() and stored_offline(tmp_path) == {"c0", "c1"}
+    assert other.operator_overrides.offline("c2") == "+OK"
+    assert other.offline_servers() == stored_offline(tmp_path) == {"c0", "c1", "c2"}
 
 
-def test_a_change_whose_read_fails_is_read_at_the_next_look_and_logged_once(
+def test_change_whose_read_fails_is_applied_at_the_next_poll_and_logged_once(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    one, two = Process(tmp_path), Process(tmp_path)
-    one.hands.offline("c0")
+    process, other = Process(tmp_path), Process(tmp_path)
+    process.operator_overrides.offline("c0")
     with SystemCallFaults(SystemCallFault("read", "EIO", path=str(tmp_path), times=3)):
         for _ in range(3):
-            two.hands.look()
-    assert two.out() == set() and caplog.text.count("can't be read") == 1
-    two.hands.look()
-    assert two.out() == {"c0"}
-
-
-def test_a_call_that_reads_nothing_does_not_hide_what_the_other_process_wrote(tmp_path: Path) -> None:
-    """Set up: one process writes; another's call reads that, but can't be kept itself. Expected: the first
-    process's call is applied in the second all the same."""
-    one, two = Process(tmp_path), Process(tmp_path)
-    one.hands.offline("c0")
-    with SystemCallFaults(SystemCallFault("fsync", "EIO")), pytest.raises(CallError, match=NO_EFFECT):
-        two.hands.offline("c1")
-    two.hands.look()
-    assert two.out() == stored_out(tmp_path) == {"c0"}
-
-
-def test_a_call_that_seems_made_is_not_acknowledged_while_the_file_cant_be_read(tmp_path: Path) -> None:
-    """The other process may have called the server back meanwhile."""
-    one, two = Process(tmp_path), Process(tmp_path)
-    one.hands.offline("c0")
-    two.hands.look()
-    two.hands.online("c0")
+            other.operator_overrides.poll()
+    assert other.offline_servers() == set() and caplog.text.count("reading operator overrides failed") == 1
+    other.operator_overrides.poll()
+    assert other.offline_servers() == {"c0"}
+
+
+def test_failed_command_does_not_hide_an_override_of_the_other_process(tmp_path: Path) -> None:
+    """The override that a failing command has read is still applied."""
+    process, other = Process(tmp_path), Process(tmp_path)
+    process.operator_overrides.offline("c0")
+    with SystemCallFaults(SystemCallFault("fsync", "EIO")), pytest.raises(CommandError, match=NO_EFFECT):
+        other.operator_overrides.offline("c1")
+    other.operator_overrides.poll()
+    assert other.offline_servers() == stored_offline(tmp_path) == {"c0"}
+
+
+def test_repeated_command_is_not_acknowledged_while_reads_fail(tmp_path: Path) -> None:
+    """The other process may have put the server online meanwhile."""
+    process, other = Process(tmp_path), Process(tmp_path)
+    process.operator_overrides.offline("c0")
+    other.operator_overrides.poll()
+    other.operator_overrides.online("c0")
     with (
         SystemCallFaults(SystemCallFault("read", "EIO", path=str(tmp_path))),
-        pytest.raises(CallError, match=NO_EFFECT),
+        pytest.raises(CommandError, match=NO_EFFECT),
     ):
-        one.hands.offline("c0")
-    assert one.hands.offline("c0") == "+OK" and stored_out(tmp_path) == {"c0"}
+        process.operator_overrides.offline("c0")
+    assert process.operator_overrides.offline("c0") == "+OK" and stored_offline(tmp_path) == {"c0"}
 
 
 @pytest.mark.parametrize("content", [b'{"c1":', b"", b'{"c1": 1}', b"[]", b'{"c1": [true, "x"]}'])
-def test_a_damaged_file_is_written_anew_by_a_process_that_knows_the_calls_alone(
+def test_damaged_file_is_rewritten_only_by_a_process_that_knows_its_overrides(
     tmp_path: Path, content: bytes
 ) -> None:
-    """A process that never read the file whole would lose the calls in it: it refuses, and logs it once."""
-    one = Process(tmp_path)
-    one.hands.offline("c0")
+    """A process that has not read the file before would lose its overrides, so it rejects commands."""
+    process = Process(tmp_path)
+    process.operator_overrides.offline("c0")
     path = tmp_path / "applehub-by-hand.json"
     path.write_bytes(content)
     other = Process(tmp_path)
-    assert other.out() == set()
-    with pytest.raises(CallError, match=f"{path}.*") as refused:
-        other.hands.offline("c1")
+    assert other.offline_servers() == set()
+    with pytest.raises(CommandError, match=f"{path}.*") as refused:
+        other.operator_overrides.offline("c1")
     assert NO_EFFECT in str(refused.value) and path.read_bytes() == content
     with pytest.raises(OverrideFileError):
-        OverrideFile(str(tmp_path)).changed()
-    assert one.hands.offline("c0") == "+OK"  # a repeated call is on the disk when it is acknowledged
-    assert stored_out(tmp_path) == {"c0"}
-    assert other.hands.offline("c1") == "+OK"
-    assert other.out() == stored_out(tmp_path) == {"c0", "c1"}
+        OverrideFile(str(tmp_path)).read_if_changed()
+    assert process.operator_overrides.offline("c0") == "+OK"  # a repeated command rewrites the file
+    assert stored_offline(tmp_path) == {"c0"}
+    assert other.operator_overrides.offline("c1") == "+OK"
+    assert other.offline_servers() == stored_offline(tmp_path) == {"c0", "c1"}
 
 
-# Writes that fail
+# Failing writes
 
 ERRORS: dict[SystemCall, list[str]] = {
     "open": ["ENOSPC", "EIO", "EMFILE", "ENFILE", "ENOMEM"],
@@ -149,35 +150,42 @@
     "rename": ["ENOSPC", "EIO"],
     "fsync_folder": ["ENOSPC", "EIO"],
 }
-STEPS = [(call, error, nth) for call, errors in ERRORS.items() for error in errors for nth in range(1, 13)]
+FAILING_STEPS = [
+    (call, error, nth) for call, errors in ERRORS.items() for error in errors for nth in range(1, 13)
+]
 
 
-@pytest.mark.parametrize(("call", "error", "nth"), STEPS)
-def test_whichever_step_fails_the_answer_says_what_took_effect(
+@pytest.mark.parametrize(("call", "error", "nth"), FAILING_STEPS)
+def test_answer_after_a_failing_step_says_what_took_effect(
     tmp_path: Path, call: SystemCall, error: str, nth: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Set up: c0 is out; the n-th call of one kind fails while c1 is called for. Expected: c0 stays out; c1
-    is out in this process, in the file and in the next process alike, as the answer says."""
-    monkeypatch.setattr(operator_overrides, "SYNCHRONISE_AGAIN", 0.0)
-    one = Process(tmp_path)
-    one.hands.offline("c0")
+    """The n-th system call of a kind fails during a command for c1: process, file and next process agree with
+    the answer, and c0 stays offline."""
+    monkeypatch.setattr(operator_overrides, "SYNC_RETRY_INTERVAL", 0.0)
+    process = Process(tmp_path)
+    process.operator_overrides.offline("c0")
     fault = SystemCallFault(call, error, path=str(tmp_path), from_call=nth, times=1)
     with SystemCallFaults(fault) as faults:
         try:
-            answer = one.hands.offline("c1")
-        except CallError as refused:
+            answer = process.operator_overrides.offline("c1")
+        except CommandError as refused:
             answer = str(refused)
-        struck = faults.count()
-    assert (answer == "+OK") or struck
+        fault_count = faults.count()
+    assert (answer == "+OK") or fault_count
     assert answer == "+OK" or NO_EFFECT in answer or IN_EFFECT in answer
     expected = {"c0"} if NO_EFFECT in answer else {"c0", "c1"}
-    assert one.out() == stored_out(tmp_path) == Process(tmp_path).out() == expected
+    assert (
+        process.offline_servers()
+        == stored_offline(tmp_path)
+        == Process(tmp_path).offline_servers()
+        == expected
+    )
     assert not list(tmp_path.glob("*.new"))
     with SystemCallFaults(SystemCallFault("fsync_folder", "EIO", from_call=100)) as counted:
-        one.hands.look()  # what is owed is tried again, and nothing else
+        process.operator_overrides.poll()  # retries a pending sync and nothing else
         assert counted._faults[0][1].calls == (IN_EFFECT in answer)
-    assert one.hands.offline("c1") == "+OK"
-    assert one.out() == stored_out(tmp_path) == {"c0", "c1"}
+    assert process.operator_overrides.offline("c1") == "+OK"
+    assert process.offline_servers() == stored_offline(tmp_path) == {"c0", "c1"}
 
 
 @pytest.mark.parametrize(
@@ -194,33 +202,31 @@
         ("rename", "applehub-by-hand.times.json", ""),
     ],
 )
-def test_each_step_that_fails_for_a_while_has_its_answer(
+def test_answer_for_each_step_that_keeps_failing(
     tmp_path: Path, call: SystemCall, path: str, answer: str
 ) -> None:
-    """Set up: one step fails with ENOSPC during three calls. Expected: the answer of that step three times,
-    then +OK; that the times can't be kept refuses no call."""
-    one = Process(tmp_path)
+    """Commands during ENOSPC get the answer of the failing step; a failure to store times rejects none."""
+    process = Process(tmp_path)
     with SystemCallFaults(SystemCallFault(call, "ENOSPC", path=str(tmp_path / path))) as faults:
         for _ in range(3):
             if answer:
-                with pytest.raises(CallError, match=answer):
-                    one.hands.offline("c0")
+                with pytest.raises(CommandError, match=answer):
+                    process.operator_overrides.offline("c0")
             else:
-                assert one.hands.offline("c0") == "+OK"
-                assert one.hands.online("c0") == "+OK"
+                assert process.operator_overrides.offline("c0") == "+OK"
+                assert process.operator_overrides.online("c0") == "+OK"
         assert faults.count() >= 3
         faults.replace()
-        assert one.hands.offline("c0") == "+OK"
-    assert one.out() == stored_out(tmp_path) == {"c0"}
+        assert process.operator_overrides.offline("c0") == "+OK"
+    assert process.offline_servers() == stored_offline(tmp_path) == {"c0"}
 
 
 @pytest.mark.parametrize("released", [False, True])
-def test_a_call_waits_for_another_processs_lock_and_not_for_long(
+def test_command_waits_for_the_lock_only_until_the_timeout(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, released: bool
 ) -> None:
-    """Set up: the lock is held, as by a process that hangs in a sync, and released at the third try or never.
-    Expected: the call is taken then, or refused with no effect; the event loop is not held up for good."""
-    one, clock, pauses = Process(tmp_path), 0.0, 0
+    """Another process holds the lock; a command succeeds if it is released in time, and is else rejected."""
+    process, clock, pauses = Process(tmp_path), 0.0, 0
     with open(tmp_path / "applehub-by-hand.lock", "wb") as held:
         fcntl.flock(held, fcntl.LOCK_EX)
 
@@ -233,56 +239,59 @@
         monkeypatch.setattr(time, "monotonic", lambda: clock)
         monkeypatch.setattr(time, "sleep", pause)
         if released:
-            assert one.hands.offline("c0") == "+OK"
+            assert process.operator_overrides.offline("c0") == "+OK"
         else:
-            with pytest.raises(CallError, match=NO_EFFECT):
-                one.hands.offline("c0")
+            with pytest.raises(CommandError, match=NO_EFFECT):
+                process.operator_overrides.offline("c0")
         assert clock <= 0.06
-    assert one.out() == ({"c0"} if released else set())
+    assert process.offline_servers() == ({"c0"} if released else set())
 
 
-def test_writes_may_be_short(tmp_path: Path) -> None:
-    one = Process(tmp_path)
+def test_short_reads_and_writes_are_continued(tmp_path: Path) -> None:
+    process = Process(tmp_path)
     with SystemCallFaults(
         SystemCallFault("write", short=3, path=str(tmp_path)), SystemCallFault("read", short=2)
     ) as faults:
-        assert (one.hands.offline("c0"), one.hands.offline("c1")) == ("+OK", "+OK")
+        assert (process.operator_overrides.offline("c0"), process.operator_overrides.offline("c1")) == (
+            "+OK",
+            "+OK",
+        )
         assert faults.count("write") > 10
-        assert Process(tmp_path).out() == {"c0", "c1"}
-    assert stored_out(tmp_path) == {"c0", "c1"}
+        assert Process(tmp_path).offline_servers() == {"c0", "c1"}
+    assert stored_offline(tmp_path) == {"c0", "c1"}
 
 
-def test_the_folder_is_synchronised_again_at_intervals_with_one_line_an_outage(
+def test_failed_folder_sync_is_retried_at_intervals_and_logged_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level("INFO")
     now = 1_000.0
     monkeypatch.setattr(time, "monotonic", lambda: now)
-    one = Process(tmp_path)
+    process = Process(tmp_path)
     with SystemCallFaults() as faults:
         faults.replace(SystemCallFault("fsync_folder", "EIO"))
-        with pytest.raises(CallError, match=IN_EFFECT):
-            one.hands.offline("c0")
-        for _ in range(50):  # 5 s of looks
+        with pytest.raises(CommandError, match=IN_EFFECT):
+            process.operator_overrides.offline("c0")
+        for _ in range(50):  # polls for 5 s
             now += 0.1
-            one.hands.look()
+            process.operator_overrides.poll()
         assert 5 <= faults.count() <= 6
         faults.replace()
         now += 1.0
-        one.hands.look()
-    assert caplog.text.count("may not outlive") == 1
-    assert caplog.text.count("outlives a loss of power again") == 1
+        process.operator_overrides.poll()
+    assert caplog.text.count("a power loss may undo them") == 1
+    assert caplog.text.count("operator overrides synced to disk again") == 1
 
 
 # Kills
 
-KILLED = """
+KILLED_SCRIPT = """
 import builtins, os, signal, sys
 from applehub.node.override_file import OverrideFile
 
 file, step, nth = OverrideFile(sys.argv[1]), sys.argv[2], int(sys.argv[3])
 file.write("c0", True)
-file.synchronise()
+file.sync()
 print("acknowledged", flush=True)
 calls = 0
 
@@ -304,7 +313,7 @@
     return call
 
 
-class Half:
+class HalfWriter:
     def __init__(self, file):
         self.file = file
 
@@ -329,15 +338,15 @@
 
 real_open = builtins.open
 if step == "half a write":
-    def half_open(path, mode="r", *more, **named):
+    def open_half_writer(path, mode="r", *more, **named):
         file = real_open(path, mode, *more, **named)
-        return Half(file) if str(path).endswith(".new") else file
-    builtins.open = half_open
+        return HalfWriter(file) if str(path).endswith(".new") else file
+    builtins.open = open_half_writer
 else:
     name, _, when = step.partition(" ")
     setattr(os, name, counted(getattr(os, name), when == "after"))
 file.write("c1", True)
-file.synchronise()
+file.sync()
 kill()
 """
 
@@ -357,29 +366,33 @@
         ("fsync after", 2),
     ],
 )
-def test_a_kill_at_any_step_leaves_the_file_whole(tmp_path: Path, step: str, nth: int) -> None:
-    """Set up: c0's call is acknowledged; the process is killed with SIGKILL at a step of c1's. Expected: the
-    next process knows c0, and c1 from the rename on; it takes further calls."""
-    done = subprocess.run(
-        [sys.executable, "-c", KILLED, str(tmp_path), step, str(nth)],
+def test_kill_at_any_step_leaves_the_file_intact(tmp_path: Path, step: str, nth: int) -> None:
+    """A process is killed while it stores c1; the next one knows c0, and c1 if the rename was done."""
+    killed = subprocess.run(
+        [sys.executable, "-c", KILLED_SCRIPT, str(tmp_path), step, str(nth)],
         cwd=ROOT,
         capture_output=True,
         text=True,
         env={**os.environ, "PYTHONPATH": str(ROOT)},
     )
-    assert (done.returncode, done.stdout) == (-9, "acknowledged\n"), done.stderr
+    assert (killed.returncode, killed.stdout) == (-9, "acknowledged\n"), killed.stderr
     renamed = (step, nth) in [("replace after", 2), ("fsync before", 2), ("fsync after", 2)]
-    after = Process(tmp_path)
-    assert after.out() == stored_out(tmp_path) == ({"c0", "c1"} if renamed else {"c0"})
-    assert after.hands.offline("c2") == "+OK"
-    assert Process(tmp_path).out() == after.out() == {*stored_out(tmp_path)} >= {"c0", "c2"}
+    restarted = Process(tmp_path)
+    assert restarted.offline_servers() == stored_offline(tmp_path) == ({"c0", "c1"} if renamed else {"c0"})
+    assert restarted.operator_overrides.offline("c2") == "+OK"
+    assert (
+        Process(tmp_path).offline_servers()
+        == restarted.offline_servers()
+        == {*stored_offline(tmp_path)}
+        >= {"c0", "c2"}
+    )
 
 
 # Times
 
 
 class Clocks:
-    """Both clocks of the machine, moved by hand."""
+    """Fakes the machine's monotonic and wall clocks."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.monotonic, self.wall = 1_000 * SECOND, 1_790_000_000 * SECOND
@@ -392,86 +405,86 @@
 
 
 @pytest.mark.parametrize("seconds", [3, -3, 3_600, -3_600])
-def test_a_call_back_keeps_its_time_in_every_process_whatever_the_wall_clock_does(
+def test_online_time_is_the_same_in_every_process_despite_wall_clock_steps(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seconds: int
 ) -> None:
-    """Set up: c0 is taken out and called back, the wall clock stepped before, between and after. Expected: in
-    this process, in the other, and in one that starts 5 s later, it is cold since the call back."""
+    """The slow start of c0 begins at the same monotonic time in both processes and in one started later."""
     clocks = Clocks(monkeypatch)
-    one, other = Process(tmp_path), Process(tmp_path)
-    one.hands.offline("c0")
+    process, other = Process(tmp_path), Process(tmp_path)
+    process.operator_overrides.offline("c0")
     clocks.wall += seconds * SECOND
     clocks.wait(20)
-    called = clocks.monotonic
-    one.hands.online("c0")
+    returned_at = clocks.monotonic
+    process.operator_overrides.online("c0")
     clocks.wall += seconds * SECOND
     clocks.wait(0.1)
-    other.hands.look()
+    other.operator_overrides.poll()
     clocks.wait(5)
-    late = Process(tmp_path)
-    assert [process.told[-1] for process in (one, other, late)] == [api.ByHand("c0", False, called)] * 3
+    restarted = Process(tmp_path)
+    assert [each.events[-1] for each in (process, other, restarted)] == [
+        api.ByHand("c0", False, returned_at)
+    ] * 3
 
 
 @pytest.mark.parametrize("seconds", [3, -3, 3_600, -3_600])
-def test_a_call_back_is_remembered_for_ten_minutes_of_real_time(
+def test_online_override_is_kept_for_ten_minutes_of_monotonic_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seconds: int
 ) -> None:
     clocks = Clocks(monkeypatch)
-    one = Process(tmp_path)
-    one.hands.offline("c0")
-    one.hands.online("c0")
+    process = Process(tmp_path)
+    process.operator_overrides.offline("c0")
+    process.operator_overrides.online("c0")
     clocks.wall += seconds * SECOND
     clocks.wait(599)
-    one.hands.offline("c1")
+    process.operator_overrides.offline("c1")
     assert set(stored(tmp_path)) == {"c0", "c1"}
     clocks.wait(2)
-    one.hands.offline("c2")
-    assert set(stored(tmp_path)) == {"c1", "c2"}  # what is out is never forgotten
+    process.operator_overrides.offline("c2")
+    assert set(stored(tmp_path)) == {"c1", "c2"}  # offline overrides are kept
 
 
-@pytest.mark.parametrize("at_ms", [1_790_000_000_000 - 300_000, 1_790_000_000_000 + 3_600_000, 1])
+@pytest.mark.parametrize("accepted_ms", [1_790_000_000_000 - 300_000, 1_790_000_000_000 + 3_600_000, 1])
 @pytest.mark.parametrize(
-    "reason", ["an older version's", "before a restart", "no boot id", "of another call"]
+    "reason", ["an older version's", "before a restart", "no boot id", "of another override"]
 )
-def test_a_call_back_with_no_time_of_this_machines_clock_counts_as_made_when_it_is_first_read(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, at_ms: int, reason: str
+def test_online_override_without_valid_monotonic_time_counts_from_its_first_read(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, accepted_ms: int, reason: str
 ) -> None:
-    """Whatever its Unix time says: the careful side is that the server is cold. It keeps this time, and is
-    forgotten ten minutes later."""
+    """The Unix time is ignored; the override is forgotten ten minutes after the first read."""
     clocks = Clocks(monkeypatch)
-    (tmp_path / "applehub-by-hand.json").write_text(json.dumps({"c0": [False, at_ms], "c1": [True, 5]}))
+    (tmp_path / "applehub-by-hand.json").write_text(json.dumps({"c0": [False, accepted_ms], "c1": [True, 5]}))
     if reason != "an older version's":
         identifier = "" if reason == "no boot id" else "another" if reason == "before a restart" else "this"
         monkeypatch.setattr(override_file, "boot_id", lambda: "" if reason == "no boot id" else "this")
-        at = at_ms - 1 if reason == "of another call" else at_ms
-        times = {"boot_id": identifier, "made": {"c0": [at, 5 * SECOND], "c1": [5, 5 * SECOND]}}
+        stored_ms = accepted_ms - 1 if reason == "of another override" else accepted_ms
+        times = {"boot_id": identifier, "made": {"c0": [stored_ms, 5 * SECOND], "c1": [5, 5 * SECOND]}}
         (tmp_path / "applehub-by-hand.times.json").write_text(json.dumps(times))
-    one = Process(tmp_path)
-    assert api.ByHand("c0", False, clocks.monotonic) in one.told and one.out() == {"c1"}
+    process = Process(tmp_path)
+    assert api.ByHand("c0", False, clocks.monotonic) in process.events and process.offline_servers() == {"c1"}
     clocks.wait(590)
-    one.hands.offline("c2")
+    process.operator_overrides.offline("c2")
     assert set(stored(tmp_path)) == {"c0", "c1", "c2"}
     clocks.wait(20)
-    one.hands.offline("c3")
+    process.operator_overrides.offline("c3")
     assert set(stored(tmp_path)) == {"c1", "c2", "c3"}
 
 
-def test_an_older_version_reads_the_file_as_before(tmp_path: Path) -> None:
-    one = Process(tmp_path)
+def test_file_format_stays_readable_by_older_versions(tmp_path: Path) -> None:
+    process = Process(tmp_path)
     before = time.time_ns() // 1_000_000
-    one.hands.offline("c0")
-    one.hands.online("c0")
-    one.hands.offline("c1")
-    after = time.time_ns() // 1_000_000
-    calls = stored(tmp_path)
-    assert {name: out for name, (out, _) in calls.items()} == {"c0": False, "c1": True}
-    for _, at in calls.values():
-        assert type(at) is int and before <= at <= after
+    process.operator_overrides.offline("c0")
+    process.operator_overrides.online("c0")
+    process.operator_overrides.offline("c1")
+    restarted = time.time_ns() // 1_000_000
+    entries = stored(tmp_path)
+    assert {name: offline for name, (offline, _) in entries.items()} == {"c0": False, "c1": True}
+    for _, accepted_ms in entries.values():
+        assert type(accepted_ms) is int and before <= accepted_ms <= restarted
 
 
 @pytest.mark.parametrize("content", [b"{", b"[]", b'{"boot_id": 1}', b'{"boot_id": "x", "made": []}'])
-def test_damaged_times_cost_no_call(tmp_path: Path, content: bytes) -> None:
-    one = Process(tmp_path)
-    one.hands.offline("c0")
+def test_damaged_times_lose_no_override(tmp_path: Path, content: bytes) -> None:
+    process = Process(tmp_path)
+    process.operator_overrides.offline("c0")
     (tmp_path / "applehub-by-hand.times.json").write_bytes(content)
-    assert Process(tmp_path).out() == {"c0"}
+    assert Process(tmp_path).offline_servers() == {"c0"}
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""The router over loopback sockets, with scripted peers: requests, attempts and answers."""
+"""The router over loopback sockets with scripted peers: requests, attempts and answers."""
 
 import asyncio
 import gc
@@ -20,36 +20,36 @@
 
 
 @pytest.fixture(autouse=True)
-def no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    """These tests count connections; that they rest between two answers is tested in test_closes.py."""
+def no_rest_between_answers(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Lets connections be reused at once, since these tests count connections."""
     monkeypatch.setattr(pool, "REST", 0.0)
 
 
-def once(wait: int = 9000) -> bytes:
-    return b"c=once,t=acme,d=%d" % wait
+def once_info(deadline_ms: int = 9000) -> bytes:
+    return b"c=once,t=acme,d=%d" % deadline_ms
 
 
-def watched(bench: Bench) -> list[api.Status]:
-    """How attempts end from now on, as the decisions are told."""
+def record_statuses(bench: Bench) -> list[api.Status]:
+    """Returns a list that collects the status of each attempt that ends from now on."""
     statuses: list[api.Status] = []
     handle = bench.driver.balancer.handle
 
-    def watching(now: int, event: api.Event) -> list[api.Action]:
+    def record(now: int, event: api.Event) -> list[api.Action]:
         if isinstance(event, api.Outcome):
             statuses.append(event.status)
         return handle(now, event)
 
-    bench.driver.balancer.handle = watching  # type: ignore[method-assign]
+    bench.driver.balancer.handle = record  # type: ignore[method-assign]
     return statuses
 
 
-async def never(connection: Any) -> None:
-    """A dial that does not come up."""
+async def dial_forever(connection: Any) -> None:
+    """Simulates a connection attempt that never completes."""
     await asyncio.Event().wait()
 
 
-async def test_a_hit_goes_on_as_it_came_and_the_command_but_for_the_time() -> None:
-    async with router(lambda asked, line: hit(b"a\r\n\0b")) as bench:
+async def test_hit_is_returned_and_the_command_forwarded_with_the_remaining_time() -> None:
+    async with router(lambda command, writer: hit(b"a\r\n\0b")) as bench:
         caller = await bench.caller()
         caller.send(b"PING")
         caller.get(b"key\xff", b"i1", b"c=read,t=acme,d=9000,size=7")
@@ -62,8 +62,8 @@
         assert fields == {b"c": b"read", b"t": b"acme", b"size": b"7"}
 
 
-async def test_a_miss_is_fetched_from_the_origin() -> None:
-    async with router(lambda asked, line: MISS) as bench:
+async def test_miss_is_fetched_from_the_origin() -> None:
+    async with router(lambda command, writer: MISS) as bench:
         caller = await bench.caller()
         caller.get(b"a/b")
         assert await caller.answer() == b"from origin"
@@ -71,11 +71,11 @@
         assert (method, target, body) == (b"GET", b"/a%2Fb", b"")
         assert headers[b"x-call-id"] == b"i1"
         fields = dict(one.split(b"=") for one in headers[b"x-call-info"].split(b","))
-        assert 8000 < int(fields.pop(b"d")) <= 9000  # what is left of the client's time, as at a cache server
+        assert 8000 < int(fields.pop(b"d")) <= 9000  # the client's remaining time in ms
         assert fields == {b"c": b"read", b"t": b"acme"}
 
 
-async def test_a_write_goes_to_the_origin_alone() -> None:
+async def test_write_is_sent_to_the_origin_only() -> None:
     async with router() as bench:
         caller = await bench.caller()
         caller.send(b"C.SET", b"k", b"w1", b"c=put,t=acme,d=9000,k=77", b"value")
@@ -85,13 +85,13 @@
 
 
 async def test_answers_keep_the_order_of_their_commands() -> None:
-    slow: list[asyncio.StreamWriter] = []
+    delayed_writers: list[asyncio.StreamWriter] = []
 
-    def answer(asked: list[bytes], line: asyncio.StreamWriter) -> bytes | None:
-        if asked[2] == b"i1":
-            slow.append(line)
+    def answer(command: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
+        if command[2] == b"i1":
+            delayed_writers.append(writer)
             return None
-        return hit(asked[2])
+        return hit(command[2])
 
     async with router(answer) as bench:
         caller = await bench.caller()
@@ -99,11 +99,11 @@
         caller.get(name=b"i2")
         caller.send(b"PING")
         await soon(lambda: len(bench.cache.got) == 2 and not bench.driver.held.keys() - {"i1"})
-        slow[0].write(hit(b"i1"))
+        delayed_writers[0].write(hit(b"i1"))
         assert [await caller.answer() for _ in range(3)] == [b"i1", b"i2", b"PONG"]
 
 
-async def test_one_connection_serves_one_attempt_after_another() -> None:
+async def test_connection_is_reused_for_successive_attempts() -> None:
     async with router() as bench:
         caller = await bench.caller()
         for n in range(20):
@@ -112,42 +112,42 @@
         assert len(bench.cache.lines) == 1
 
 
-async def test_an_attempt_given_up_is_closed_and_fails_before_the_client_leaves() -> None:
-    async with router(lambda asked, line: None) as bench:
+async def test_timed_out_attempt_is_closed_and_fails_within_the_client_deadline() -> None:
+    async with router(lambda command, writer: None) as bench:
         caller = await bench.caller()
-        begun = time.monotonic()
+        started_at = time.monotonic()
         caller.get(info=b"c=once,t=acme,d=300")
         answer = await caller.answer()
         assert isinstance(answer, hiredis.ReplyError) and str(answer) == "ERR failed"
-        assert time.monotonic() - begun >= 0.2
+        assert time.monotonic() - started_at >= 0.2
         await soon(lambda: bench.cache.ended == 1)
         assert len(bench.cache.got) == 1 and not bench.driver.held
 
 
-@pytest.mark.parametrize("info", [once(), INFO])
-async def test_a_refused_connection_proves_that_nothing_ran(info: bytes) -> None:
-    def nowhere(cache: Cache, origin: Web) -> list[dict[str, Any]]:
+@pytest.mark.parametrize("info", [once_info(), INFO])
+async def test_refused_connection_proves_that_the_request_did_not_run(info: bytes) -> None:
+    def unreachable_entries(cache: Cache, origin: Web) -> list[dict[str, Any]]:
         return [entry("c0", "127.0.0.1:1"), entry("o", origin.address, model="origin")]
 
-    async with router(entries=nowhere) as bench:
+    async with router(entries=unreachable_entries) as bench:
         caller = await bench.caller()
         caller.get(info=info)
         assert str(await caller.answer()).startswith("BUSY")
 
 
-@pytest.mark.parametrize("info", [once(), INFO])
-async def test_a_dial_into_a_silent_zone_proves_that_nothing_ran(
+@pytest.mark.parametrize("info", [once_info(), INFO])
+async def test_connect_timeout_proves_that_the_request_did_not_run(
     info: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A machine that is cut off says nothing: the connection never comes up."""
+    """An unreachable machine does not answer, so that the connection is never established."""
 
-    async def silence(*args: Any) -> None:
+    async def connect_forever(*args: Any) -> None:
         await asyncio.Event().wait()
 
     async with router(dialTimeout=50_000_000) as bench:
         caller = await bench.caller()
-        statuses = watched(bench)
-        monkeypatch.setattr(asyncio.get_running_loop(), "create_connection", silence)
+        statuses = record_statuses(bench)
+        monkeypatch.setattr(asyncio.get_running_loop(), "create_connection", connect_forever)
         caller.get(info=info)
         assert str(await caller.answer()).startswith("BUSY")
         assert set(statuses) == {api.Status.CONNECT_FAILED}
@@ -155,29 +155,29 @@
 
 
 @pytest.mark.parametrize("reply", [b"-BUSY\r\n", b"-BUSY backlog=9.3,errors_per_s=0\r\n"])
-async def test_a_full_connection_table_that_says_so_proves_that_nothing_ran(reply: bytes) -> None:
-    async with router(lambda asked, line: reply) as bench:
+async def test_busy_answer_proves_that_the_request_did_not_run(reply: bytes) -> None:
+    async with router(lambda command, writer: reply) as bench:
         caller = await bench.caller()
-        caller.get(info=once())
+        caller.get(info=once_info())
         assert str(await caller.answer()).startswith("BUSY")
         await soon(lambda: len(bench.pools.pools["c0"].idle) == 1)
 
 
-async def test_a_break_after_the_last_byte_may_have_run() -> None:
-    def cut(asked: Any, line: asyncio.StreamWriter) -> None:
-        line.transport.abort()
+async def test_connection_lost_after_the_last_byte_is_a_failure() -> None:
+    def abort(command: Any, writer: asyncio.StreamWriter) -> None:
+        writer.transport.abort()
 
-    async with router(cut) as bench:
+    async with router(abort) as bench:
         caller = await bench.caller()
-        caller.get(info=once())
+        caller.get(info=once_info())
         assert str(await caller.answer()) == "ERR failed"
         assert len(bench.cache.got) == 1
 
 
-async def test_a_break_before_the_last_byte_proves_that_nothing_ran() -> None:
-    """The value is more than the sockets hold, and the origin reads none of it before it breaks."""
+async def test_connection_lost_before_the_last_byte_proves_that_the_request_did_not_run() -> None:
+    """The value exceeds the socket buffers, and the origin resets the connection without reading."""
 
-    async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def read_nothing(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         await asyncio.sleep(0.1)
         writer.transport.abort()
@@ -185,29 +185,31 @@
     statuses: list[api.Status] = []
     async with router() as bench:
         pool = bench.pools.pools["o"]
-        server = await asyncio.start_server(deaf, "127.0.0.1", 0, limit=1024)
+        server = await asyncio.start_server(read_nothing, "127.0.0.1", 0, limit=1024)
         pool.endpoint = server.sockets[0].getsockname()[:2]
         call = Call(b"C.SET", b"k", b"i", b"c=put", bytes(32 << 20), 1, "put", 0, 9000, False)
         until = time.monotonic_ns() + 9_000_000_000
         pool.start(Exchange(call, until, lambda ending: statuses.append(ending.status)))
         await soon(lambda: statuses)
-        assert statuses == [api.Status.MOOT]  # never ran, and the server took the connection
+        assert statuses == [
+            api.Status.MOOT
+        ]  # the request did not run, although the connection was established
         server.close()
 
 
 @pytest.mark.parametrize(
     "reply", [b"nonsense\r\n", b"$99999999999\r\n", b"*1048577\r\n", b"+OK\r\n", b"*1\r\n$1\r\nab\r\n"]
 )
-async def test_an_answer_that_cannot_be_read_is_a_reset_and_ends_the_connection(reply: bytes) -> None:
-    async with router(lambda asked, line: reply) as bench:
+async def test_malformed_answer_fails_the_attempt_and_closes_the_connection(reply: bytes) -> None:
+    async with router(lambda command, writer: reply) as bench:
         caller = await bench.caller()
-        caller.get(info=once())
+        caller.get(info=once_info())
         assert str(await caller.answer()) == "ERR failed"
         await soon(lambda: bench.cache.ended == 1)
 
 
-async def test_what_comes_behind_an_answer_ends_the_connection() -> None:
-    async with router(lambda asked, line: hit() + hit(b"again")) as bench:
+async def test_extra_data_after_an_answer_closes_the_connection() -> None:
+    async with router(lambda command, writer: hit() + hit(b"again")) as bench:
         caller = await bench.caller()
         for n in range(2):
             caller.get(name=b"i%d" % n)
@@ -224,16 +226,16 @@
         (b"garbage\r\n\r\n", "ERR failed"),
     ],
 )
-async def test_only_the_origin_itself_can_say_that_a_call_never_ran(reply: bytes, answer: str) -> None:
-    async with router(origin=lambda asked, line: reply) as bench:
+async def test_rejection_by_the_origin_counts_only_with_its_header(reply: bytes, answer: str) -> None:
+    async with router(origin=lambda command, writer: reply) as bench:
         caller = await bench.caller()
-        caller.send(b"C.SET", b"k", b"w1", once(900), b"value")
+        caller.send(b"C.SET", b"k", b"w1", once_info(900), b"value")
         assert str(await caller.answer()) == answer
         await soon(lambda: not bench.driver.held)
 
 
-async def test_a_client_that_leaves_is_withdrawn_and_its_attempt_runs_on() -> None:
-    async with router(lambda asked, line: None if asked[2] == b"i1" else hit()) as bench:
+async def test_disconnected_client_is_withdrawn_and_its_attempt_completes() -> None:
+    async with router(lambda command, writer: None if command[2] == b"i1" else hit()) as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
         await soon(lambda: bench.cache.got)
@@ -260,7 +262,7 @@
         (b"FLUSHALL",),
     ],
 )
-async def test_a_command_that_makes_no_sense_gets_an_error_and_the_next_is_served(parts: Any) -> None:
+async def test_invalid_command_gets_an_error_and_the_next_is_served(parts: Any) -> None:
     async with router() as bench:
         caller = await bench.caller()
         caller.send(*parts)
@@ -283,7 +285,7 @@
         b"*2\r\n$1\r\na\r\n" * 100_000,
     ],
 )
-async def test_where_framing_is_lost_an_error_and_a_close_follow(sent: bytes) -> None:
+async def test_protocol_error_is_answered_and_closes_the_connection(sent: bytes) -> None:
     async with router() as bench:
         caller = await bench.caller()
         caller.get()
@@ -293,8 +295,8 @@
         assert await caller.answer() is None
 
 
-async def test_an_id_in_use_is_not_taken_twice() -> None:
-    async with router(lambda asked, line: None if len(bench.cache.got) < 2 else hit()) as bench:
+async def test_duplicate_request_id_is_rejected() -> None:
+    async with router(lambda command, writer: None if len(bench.cache.got) < 2 else hit()) as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
         await soon(lambda: bench.cache.got)
@@ -305,8 +307,8 @@
         assert await caller.answer() == b"v"
 
 
-async def test_more_than_may_be_held_is_refused() -> None:
-    async with router(lambda asked, line: None, mostHeld=2) as bench:
+async def test_request_beyond_the_in_flight_limit_is_rejected() -> None:
+    async with router(lambda command, writer: None, mostHeld=2) as bench:
         caller = await bench.caller()
         for n in range(2):
             caller.get(name=b"i%d" % n)
@@ -316,7 +318,7 @@
         assert str(await other.answer()) == "BUSY"
 
 
-async def test_values_past_the_bound_are_refused() -> None:
+async def test_value_beyond_the_memory_budget_is_rejected() -> None:
     async with router() as bench:
         bench.driver.room.most = 1024
         caller = await bench.caller()
@@ -326,9 +328,9 @@
         assert await caller.answer() == b"from origin"
 
 
-async def test_a_reader_that_takes_nothing_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_client_that_reads_nothing_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(clients, "STUCK", 0.2)
-    async with router(lambda asked, line: hit(bytes(resp.MOST_VALUE))) as bench:
+    async with router(lambda command, writer: hit(bytes(resp.MOST_VALUE))) as bench:
         caller = await bench.caller()
         caller.writer.transport.pause_reading()  # type: ignore[attr-defined]
         for n in range(400):
@@ -339,18 +341,18 @@
         assert bench.driver.room.used == 0
 
 
-async def test_a_fault_in_a_decision_fails_that_request_and_no_other(
+async def test_exception_in_the_policy_fails_only_that_request(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async with router() as bench:
         handle = bench.driver.balancer.handle
 
-        def faulty(now: int, event: api.Event) -> list[api.Action]:
+        def raise_for_bad_request(now: int, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.Request) and event.id == "bad":
                 raise ZeroDivisionError("a fault")
             return handle(now, event)
 
-        bench.driver.balancer.handle = faulty  # type: ignore[method-assign]
+        bench.driver.balancer.handle = raise_for_bad_request  # type: ignore[method-assign]
         caller = await bench.caller()
         caller.get(name=b"bad")
         caller.get(name=b"good")
@@ -359,13 +361,13 @@
         assert "ZeroDivisionError" in caplog.text and not bench.driver.held
 
 
-async def test_a_request_that_the_decisions_lose_fails_in_time() -> None:
+async def test_request_without_a_policy_action_fails_by_its_deadline() -> None:
     async with router() as bench:
         bench.driver.balancer.handle = lambda now, event: []  # type: ignore[method-assign]
         caller = await bench.caller()
         caller.get(info=b"c=read,t=acme,d=9000")
         (held,) = await soon(lambda: list(bench.driver.held.values()))
-        # The guard comes after the decisions' deadline and before the client's.
+        # The guard timer fires after the policy's deadline and before the client's.
         assert held.guard.when() * 1e9 - held.deadline < WAY_BACK
         caller.get(name=b"i2", info=b"c=read,t=acme,d=200")
         bench.driver._overdue(held)
@@ -373,18 +375,18 @@
         assert not bench.driver.held
 
 
-async def test_a_close_by_the_server_is_noticed_at_once() -> None:
+async def test_connection_closed_by_the_server_is_removed_at_once() -> None:
     async with router() as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
         assert await caller.answer() == b"v"
         bench.cache.lines[0].close()
         await soon(lambda: not bench.pools.pools["c0"].all)
-        caller.get(name=b"i2", info=once())
+        caller.get(name=b"i2", info=once_info())
         assert await caller.answer() == b"v"
 
 
-async def test_an_idle_connection_is_closed_well_before_the_server_does(
+async def test_idle_connection_is_closed_before_the_server_closes_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     from applehub.node import pool
@@ -398,8 +400,8 @@
         assert bench.pools.idle_most < 0.2
 
 
-async def test_the_longest_idle_connection_makes_room_for_another() -> None:
-    async with router(lambda asked, line: MISS, sockets=1) as bench:
+async def test_longest_idle_connection_is_closed_for_a_new_one() -> None:
+    async with router(lambda command, writer: MISS, sockets=1) as bench:
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == b"from origin"
@@ -407,8 +409,7 @@
         assert sum(len(pool.all) for pool in bench.pools.pools.values()) == 1
 
 
-async def test_two_attempts_of_a_request_are_never_out_at_once() -> None:
-    """The second one's bytes come only after the end of the first one's connection."""
+async def test_retry_is_sent_after_the_previous_connection_has_ended() -> None:
     order: list[str] = []
 
     class Ordered(Cache):
@@ -416,24 +417,24 @@
             await super()._serve(reader, writer)
             order.append("ended")
 
-    def answer(asked: list[bytes], line: asyncio.StreamWriter) -> bytes | None:
+    def answer(command: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
         order.append("asked")
         return hit() if len(order) > 2 else None
 
     cache = Ordered(answer)
     await cache.start()
-    two = [entry("c0", cache.address), entry("c1", cache.address)]
-    async with router(entries=lambda _, origin: two) as bench:
+    two_entries = [entry("c0", cache.address), entry("c1", cache.address)]
+    async with router(entries=lambda _, origin: two_entries) as bench:
         handle = bench.driver.balancer.handle
 
-        def impatient(now: int, event: api.Event) -> list[api.Action]:
+        def shorten_first_timeout(now: int, event: api.Event) -> list[api.Action]:
             actions = handle(now, event)
             for action in actions:
                 if isinstance(action, api.Send) and len(order) == 0:
                     action.timeout = 200_000_000
             return actions
 
-        bench.driver.balancer.handle = impatient  # type: ignore[method-assign]
+        bench.driver.balancer.handle = shorten_first_timeout  # type: ignore[method-assign]
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == b"v"
@@ -441,8 +442,8 @@
     await cache.stop()
 
 
-async def test_thousands_of_commands_at_once_are_all_answered() -> None:
-    """Writing answers made room for commands that had come already, each time one call deeper."""
+async def test_thousands_of_pipelined_commands_are_answered() -> None:
+    """Prevents a recursion that grows with the number of buffered commands."""
     async with router() as bench:
         caller = await bench.caller()
         caller.writer.write(resp.command(b"PING") * 40_000)
@@ -451,28 +452,28 @@
 
 
 @pytest.mark.parametrize("sent", [b"*1\r\n-\xff\xfe\r\n", b"-\xff\r\n"])
-async def test_an_error_line_that_is_no_text_is_a_lost_framing(sent: bytes) -> None:
-    """To a client the framing is lost; to a cache server it is an error like others."""
-    async with router(lambda asked, line: sent) as bench:
+async def test_error_line_with_invalid_text_is_a_protocol_error(sent: bytes) -> None:
+    """From a client it is a protocol error; from a cache server it fails the attempt."""
+    async with router(lambda command, writer: sent) as bench:
         caller = await bench.caller()
-        caller.get(info=once())
+        caller.get(info=once_info())
         assert str(await caller.answer()) == "ERR failed"
         caller.writer.write(sent)
         assert str(await caller.answer()).startswith("ERR Protocol error")
         assert await caller.answer() is None
 
 
-async def test_the_time_told_to_a_server_is_what_is_left_when_it_is_written() -> None:
-    """A dial takes time too; the server was told to work for an answer that nobody waited for."""
+async def test_forwarded_time_is_what_remains_when_the_command_is_written() -> None:
+    """Prevents a server from working on past the client's deadline, since connecting takes time too."""
     async with router() as bench:
         pool = bench.pools.pools["c0"]
         dial = pool._dial
 
-        async def slow(connection: Any) -> None:
+        async def dial_slowly(connection: Any) -> None:
             await asyncio.sleep(0.2)
             await dial(connection)
 
-        pool._dial = slow  # type: ignore[method-assign]
+        pool._dial = dial_slowly  # type: ignore[method-assign]
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == b"v"
@@ -480,35 +481,34 @@
         assert int(fields[b"d"]) <= 8800
 
 
-async def test_a_connection_that_has_just_ended_is_not_used() -> None:
-    """The end of an idle connection is known before it is cleared away: a send in between had to fail."""
+async def test_closing_connection_is_not_reused() -> None:
+    """An attempt sent on an idle connection that is closing but still pooled would fail."""
     async with router() as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
         assert await caller.answer() == b"v"
         (idle,) = bench.pools.pools["c0"].idle
         assert idle.transport is not None
-        idle.transport.close()  # as the end of the stream does; the rest comes in the next round
-        endings: list[Any] = []
+        idle.transport.close()  # as at the end of the stream; `connection_lost` is called in the next tick
+        outcomes: list[Any] = []
         call = Call(b"C.GET", b"k", b"i2", INFO, None, 0, "read", 0, 9000, False)
         pool = bench.pools.pools["c0"]
-        pool.start(Exchange(call, time.monotonic_ns() + 9_000_000_000, endings.append))
-        await soon(lambda: endings)
-        assert endings[0].status is api.Status.OK
+        pool.start(Exchange(call, time.monotonic_ns() + 9_000_000_000, outcomes.append))
+        await soon(lambda: outcomes)
+        assert outcomes[0].status is api.Status.OK
 
 
-async def test_an_attempt_of_which_nothing_was_written_is_the_decisions_to_send_again() -> None:
-    """ticket609: connections that broke on being opened took running servers out as unreachable. The network
-    code sent such attempts again unasked, though their server may drain by then, or their window be over."""
+async def test_attempt_of_which_nothing_was_written_is_returned_to_the_policy() -> None:
+    """Prevents retries that the policy did not decide, and the ejection of a server that is reachable."""
     async with router() as bench:
         pool = bench.pools.pools["c0"]
-        statuses = watched(bench)
-        pool._dial = never  # type: ignore[method-assign]
+        statuses = record_statuses(bench)
+        pool._dial = dial_forever  # type: ignore[method-assign]
         caller = await bench.caller()
         caller.get()
         (first,) = await soon(lambda: list(pool.all))
         del pool._dial
-        first.taken = True  # and broken before the command could be written
+        first.taken = True  # the connection is lost before the command is written
         first.lost()
         assert await caller.answer() == b"v"
         assert statuses == [api.Status.MOOT, api.Status.OK]
@@ -516,23 +516,23 @@
         assert not server.fails and not server.breaks and len(bench.cache.got) == 1
 
 
-async def test_answered_requests_leave_no_cycles() -> None:
-    """Values of up to 64 KiB were kept until the collector came by."""
+async def test_answered_requests_leave_no_reference_cycles() -> None:
+    """Prevents values from staying in memory until the next garbage collection."""
 
-    def kept() -> list[Held]:
+    def live_requests() -> list[Held]:
         return [one for one in gc.get_objects() if isinstance(one, Held)]
 
-    async with router(lambda asked, line: None) as bench:
+    async with router(lambda command, writer: None) as bench:
         caller = await bench.caller()
         gc.collect()
         gc.disable()
         try:
             caller.get()
             await soon(lambda: bench.cache.got)
-            assert len(kept()) == 1
+            assert len(live_requests()) == 1
             bench.cache.lines[0].write(hit())
             assert await caller.answer() == b"v"
-            assert not kept()
+            assert not live_requests()
         finally:
             gc.enable()
 
@@ -540,10 +540,9 @@
 @pytest.mark.parametrize(
     "sent", [b"", b"*4\r\n$5\r\nC.GET\r\n$1\r\n", b"*0\r\n", b"*1\r\n$4\r\nPING\r\n*1\r\n$4\r\nPI"]
 )
-async def test_a_peer_that_sends_no_whole_command_in_time_is_told_so_and_closed(
+async def test_client_without_a_complete_command_in_time_gets_an_error_and_is_closed(
     monkeypatch: pytest.MonkeyPatch, sent: bytes
 ) -> None:
-    """The terms owe such a peer an error or a close within 3 s; it got neither and kept its place."""
     monkeypatch.setattr(clients, "PROMPT", 0.05)
     async with router() as bench:
         caller = await bench.caller()
@@ -555,9 +554,11 @@
         await soon(lambda: not bench.clients.open)
 
 
-async def test_a_peer_whose_request_is_in_work_or_done_is_left_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_client_with_a_request_in_flight_or_answered_is_not_timed_out(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(clients, "PROMPT", 0.05)
-    async with router(lambda asked, line: None) as bench:
+    async with router(lambda command, writer: None) as bench:
         caller = await bench.caller()
         caller.get()
         await soon(lambda: bench.cache.got)
@@ -568,10 +569,10 @@
         assert client.late is None and client in bench.clients.open
 
 
-async def test_an_idle_client_makes_room_for_another(monkeypatch: pytest.MonkeyPatch) -> None:
-    """ticket7341: connections that nobody used any more filled the places of new clients."""
+async def test_idle_client_is_closed_for_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Prevents unused connections from exhausting the connection limit."""
     monkeypatch.setattr(listener, "IDLE_LEAST", 0.0)
-    async with router(lambda asked, line: None, sockets=2) as bench:
+    async with router(lambda command, writer: None, sockets=2) as bench:
         idle, busy = await bench.caller(), await bench.caller()
         idle.send(b"PING")
         assert await idle.answer() == b"PONG"
@@ -585,7 +586,7 @@
         assert await busy.answer() == b"v"
 
 
-async def test_a_client_too_many_is_told_so_and_its_place_is_free_again_later(
+async def test_client_beyond_the_limit_is_rejected_until_another_leaves(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(listener, "IDLE_LEAST", 2 * PATIENCE)
@@ -604,12 +605,12 @@
         assert await fourth.answer() == b"PONG"
 
 
-async def test_no_room_for_a_connection_means_that_nothing_ran() -> None:
-    async with router(lambda asked, line: None, sockets=1) as bench:
+async def test_request_without_a_free_server_connection_is_rejected() -> None:
+    async with router(lambda command, writer: None, sockets=1) as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
         await soon(lambda: bench.cache.got)
-        caller.get(name=b"i2", info=once())
+        caller.get(name=b"i2", info=once_info())
         await soon(lambda: len(bench.driver.held) == 1)
         bench.cache.lines[0].write(hit())
         assert await caller.answer() == b"v"
@@ -617,8 +618,8 @@
         assert len(bench.cache.got) == 1
 
 
-def test_an_array_in_an_array_is_refused_before_the_rest_is_measured() -> None:
-    """300 KB of them held the loop up for long enough that dials timed out meanwhile."""
+def test_nested_array_is_rejected_before_the_rest_is_parsed() -> None:
+    """Prevents a large nested input from blocking the event loop."""
     frames = resp.Frames()
     frames.feed(b"*2\r\n$1\r\na\r\n" * 2)
     with pytest.raises(resp.FramingError, match="an array in an array"):
@@ -626,21 +627,21 @@
     assert frames.at < 20
 
 
-async def test_a_rush_of_clients_is_let_in_a_few_at_a_time() -> None:
-    """On scrape+rate+leave as many as queued were let in at once, and descriptors ran out."""
+async def test_burst_of_clients_is_accepted_a_few_at_a_time() -> None:
+    """Prevents the process from running out of descriptors when many clients are queued."""
     async with router(sockets=4) as bench:
-        rush = [socket.create_connection(("127.0.0.1", bench.port)) for _ in range(200)]
-        before, most = len(os.listdir("/proc/self/fd")), 0
-        while not most or len(os.listdir("/proc/self/fd")) > before + 4:
+        burst = [socket.create_connection(("127.0.0.1", bench.port)) for _ in range(200)]
+        descriptors_before, max_seen = len(os.listdir("/proc/self/fd")), 0
+        while not max_seen or len(os.listdir("/proc/self/fd")) > descriptors_before + 4:
             await asyncio.sleep(0)
-            most = max(most, len(os.listdir("/proc/self/fd")) - before)
-        assert most <= 4 + 4 * LET_IN
-        for one in rush:
+            max_seen = max(max_seen, len(os.listdir("/proc/self/fd")) - descriptors_before)
+        assert max_seen <= 4 + 4 * LET_IN
+        for one in burst:
             one.close()
 
 
-async def test_a_handed_over_connection_ends_right_after_an_answer_and_never_before_one() -> None:
-    """upgrade: a close in mid-silence crosses requests that are on their way."""
+async def test_handed_over_connection_closes_after_an_answer_and_never_before_one() -> None:
+    """Prevents a close of an idle connection from losing requests that the client has just sent."""
     async with router() as bench:
         idle, busy = await bench.caller(), await bench.caller()
         for caller in (idle, busy):
@@ -658,7 +659,7 @@
         assert not bench.clients.open
 
 
-async def test_a_connection_with_more_on_its_way_does_not_end() -> None:
+async def test_connection_with_unread_input_is_not_closed() -> None:
     async with router() as bench:
         caller = await bench.caller()
         caller.send(b"PING")
@@ -673,8 +674,8 @@
         assert [await caller.answer() for _ in range(2)] == [b"v", None]
 
 
-async def test_the_last_answer_and_the_end_come_as_one() -> None:
-    """upgrade+hand: 37 requests were sent on connections whose end was not known yet."""
+async def test_last_answer_and_end_of_stream_arrive_together() -> None:
+    """Prevents a client from sending another request before it sees the end of the stream."""
     async with router() as bench:
         with socket.create_connection(("127.0.0.1", bench.port)) as raw:
             raw.settimeout(PATIENCE)
@@ -688,8 +689,8 @@
             assert raw.recv(100) == b"$1\r\nv\r\n" and raw.recv(100) == b""
 
 
-async def test_each_command_has_its_own_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client whose reads always ended within a command was closed, however many it had sent whole."""
+async def test_each_command_has_its_own_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Prevents the close of a client whose reads always end in the middle of a command."""
     monkeypatch.setattr(clients, "PROMPT", PATIENCE)
     async with router() as bench:
         caller = await bench.caller()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,8 +1,8 @@
-"""What a router of commit 0447801 left on disk is read by this version, and built upon.
+"""Files that a router of commit 0447801 left on disk are read and updated by this version.
 
-The files in `stored/router_0447801` were written by that commit's code: a list of versions 41 and 42 (two
-saves), statistics of two servers, calls of operators for c0 (out) and c1 (out, then back), and a store of
-format 3 with three saves."""
+The files in `stored/router_0447801` hold a server list of versions 41 and 42 (two saves), statistics of two
+servers, operator overrides for c0 (offline) and c1 (offline, then online), and a store of format 3 with three
+saves."""
 
 import shutil
 import time
@@ -18,16 +18,16 @@
 from applehub.node.persisted_statistics import PersistedStatistics
 
 STORED = Path(__file__).parent / "stored" / "router_0447801"
-STATISTICS_WALL_MS = 1796208787391  # when they were saved, as the file tells
+STATISTICS_WALL_MS = 1796208787391  # the time of the save, as stored in the file
 
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """A copy, since a store locks and replaces files."""
+    """Returns a copy of the stored files, since a store locks and replaces files."""
     return Path(shutil.copytree(STORED, tmp_path / "stored"))
 
 
-def test_a_store_gives_its_latest_value_and_takes_further_ones(folder: Path) -> None:
+def test_store_returns_its_latest_value_and_accepts_new_ones(folder: Path) -> None:
     store = Store(Folder(str(folder)), "value", 3)
     loaded = store.open()
     assert (loaded.value, loaded.generation, loaded.passed_over) == (bytes(range(256)), 3, [])
@@ -36,7 +36,7 @@
     assert Store(Folder(str(folder)), "value", 3).load().value == b"fourth"
 
 
-def test_a_store_of_a_newer_format_is_left_as_it_is(folder: Path) -> None:
+def test_store_of_a_newer_format_is_not_changed(folder: Path) -> None:
     before = (folder / "value.0").read_bytes()
     store = Store(Folder(str(folder)), "value", 2)
     assert store.open().value is None
@@ -48,7 +48,7 @@
     store.close()
 
 
-def test_the_list_is_started_from_and_the_older_save_where_the_newer_is_damaged(folder: Path) -> None:
+def test_list_is_restored_and_from_the_older_save_if_the_newer_is_damaged(folder: Path) -> None:
     known = PersistedList(str(folder)).load({"rev": 1, "targets": []})
     assert {target["uid"]: target["state"] for target in known["targets"]} == {
         "c0": "Ready",
@@ -62,7 +62,7 @@
     assert {target["uid"] for target in known["targets"]} == {"c0", "c1"}
 
 
-def test_statistics_are_dated_by_the_wall_clock_that_alone_stands_with_them(
+def test_age_of_statistics_without_monotonic_time_follows_the_wall_clock(
     folder: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     statistics = PersistedStatistics(str(folder), lambda: api.Learnt(0, {}))
@@ -74,10 +74,10 @@
     assert statistics.load() is None
 
 
-def test_calls_of_operators_hold_and_are_added_to(folder: Path) -> None:
+def test_operator_overrides_are_read_and_extended(folder: Path) -> None:
     file = OverrideFile(str(folder))
-    calls = {"c0": Override(True, 1796208787392, 0), "c1": Override(False, 1796208787396, 0)}
-    assert file.changed() == calls
+    overrides = {"c0": Override(True, 1796208787392, 0), "c1": Override(False, 1796208787396, 0)}
+    assert file.read_if_changed() == overrides
     assert set(file.write("c2", True)) == {"c0", "c1", "c2"}
-    changed = OverrideFile(str(folder)).changed()
-    assert changed is not None and {name: changed[name] for name in calls} == calls
+    changed = OverrideFile(str(folder)).read_if_changed()
+    assert changed is not None and {name: changed[name] for name in overrides} == overrides
