--- a/tests/measure_sizes.py
+++ b/tests/measure_sizes.py
@@ -62,21 +62,21 @@
     directory = Directory(read_names(info()), 1, driver.pools, driver.tell)
     listed = [entry(f"c{number}", f"10.0.{number // 200}.{number % 200}:6379") for number in range(servers)]
     body = json.dumps({"rev": 1, "all": True, "targets": listed}).encode()
-    empty = resident_mb()
-    whole = cpu_seconds(lambda: directory.take(json.loads(body)))
-    held = resident_mb()
+    rss_without_list = resident_mb()
+    full_update = cpu_seconds(lambda: directory.take(json.loads(body)))
+    rss_with_list = resident_mb()
 
-    def change() -> None:
+    def apply_updates() -> None:
         for number in range(LIST_UPDATES):
             state = ("Terminating", "Ready")[number % 2]
             directory.take({"rev": 2 + number, "all": False, "targets": [{**listed[0], "state": state}]})
 
     return {
         "list, kB": len(body) / KILOBYTE,
-        "RSS without, MB": empty,
-        "RSS with the list, MB": held,
-        "whole list, ms": whole * 1e3,
-        "one delta, ms": cpu_seconds(change) / LIST_UPDATES * 1e3,
+        "RSS without, MB": rss_without_list,
+        "RSS with the list, MB": rss_with_list,
+        "whole list, ms": full_update * 1e3,
+        "one delta, ms": cpu_seconds(apply_updates) / LIST_UPDATES * 1e3,
     }
 
 
@@ -92,14 +92,14 @@
     directory = Directory(read_names(info()), 1, driver.pools, driver.tell)
     directory.take(json.loads(body))
     gc.collect()
-    held = tracemalloc.get_traced_memory()[0] - before
+    one_list = tracemalloc.get_traced_memory()[0] - before
     for number in range(4 * DEALS_KEPT):
         state = ("Terminating", "Ready")[number % 2]
         directory.take({"rev": 2 + number, "all": False, "targets": [{**listed[0], "state": state}]})
     gc.collect()
-    remembered = tracemalloc.get_traced_memory()[0] - before
+    many_lists = tracemalloc.get_traced_memory()[0] - before
     assert len(balancer.roster.ranges.deals) == DEALS_KEPT
-    return {"held, kB": held / KILOBYTE, f"with {DEALS_KEPT} lists remembered, kB": remembered / KILOBYTE}
+    return {"held, kB": one_list / KILOBYTE, f"with {DEALS_KEPT} lists remembered, kB": many_lists / KILOBYTE}
 
 
 def measure_decisions(servers: int) -> Measurements:
@@ -108,16 +108,16 @@
     balancer = Balancer(settings, 1)
     balancer.handle(SECOND, api.Members(api.ListKind.FULL, [api.Member(f"c{n}") for n in range(servers)]))
 
-    def play() -> None:
+    def serve_requests() -> None:
         now = 100 * SECOND
         for number in range(REQUESTS):
             now += MILLI
             request = api.Request(f"r{number}", 0, now + 10 * SECOND, f"k{number % 977}")
-            (send,) = [one for one in balancer.handle(now, request) if isinstance(one, api.Send)]
-            ended = api.Outcome(send.id, 0, send.server, api.Status.OK, True, MILLI)
-            balancer.handle(now + MILLI // 2, ended)
+            (send,) = [action for action in balancer.handle(now, request) if isinstance(action, api.Send)]
+            outcome = api.Outcome(send.id, 0, send.server, api.Status.OK, True, MILLI)
+            balancer.handle(now + MILLI // 2, outcome)
 
-    return {"a request and its answer, us": cpu_seconds(play) / REQUESTS * 1e6}
+    return {"a request and its answer, us": cpu_seconds(serve_requests) / REQUESTS * 1e6}
 
 
 def measure_hot_keys(servers: int) -> Measurements:
@@ -137,34 +137,34 @@
     me = Peer(members, 0, PeerState.ALIVE, bytes(4), 1, "n0")
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    one = GossipAgent(me, "fleet", [], 1, 50 * MILLI)
+    agent = GossipAgent(me, "fleet", [], 1, 50 * MILLI)
     for number in range(1, members):
         peer = Peer(number, 0, PeerState.ALIVE, number.to_bytes(4), 1, f"n{number}")
-        one.membership.merge(SECOND, peer)
+        agent.membership.merge(SECOND, peer)
     for writer in range(1, members):
-        one.store.merge(Record(writer, 0, 1, SECOND, Limit(10.0, 5.0)))
-        one.store.merge(Record(writer, 0, 1, SECOND, Shares(((1, 0.5), (2, 0.5)))))
-    there = tracemalloc.get_traced_memory()[0] - before
+        agent.store.merge(Record(writer, 0, 1, SECOND, Limit(10.0, 5.0)))
+        agent.store.merge(Record(writer, 0, 1, SECOND, Shares(((1, 0.5), (2, 0.5)))))
+    with_records = tracemalloc.get_traced_memory()[0] - before
     for number in range(members):
         for writer in range(1, RETENTION[Verdict].max_writers + 1):
-            one._merge(Record(writer, digest(f"c{number}"), 1, SECOND, Verdict(True, 1)))
-    accused = tracemalloc.get_traced_memory()[0] - before
+            agent._merge(Record(writer, digest(f"c{number}"), 1, SECOND, Verdict(True, 1)))
+    with_verdicts = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
 
-    def tick() -> None:
+    def run_ticks() -> None:
         for _ in range(TICKS):
-            one.tick(SECOND)
+            agent.tick(SECOND)
 
-    urgent = cpu_seconds(tick) / TICKS * 1e3
-    view = cpu_seconds(lambda: one.view(SECOND)) * 1e3
-    one.store.expire(100 * SECOND)
-    one.pending.clear()
+    tick_with_verdicts = cpu_seconds(run_ticks) / TICKS * 1e3
+    view_with_verdicts = cpu_seconds(lambda: agent.view(SECOND)) * 1e3
+    agent.store.expire(100 * SECOND)
+    agent.pending.clear()
     return {
-        "members and their records, kB": there / KILOBYTE,
-        "with all servers accused, kB": accused / KILOBYTE,
-        "one tick, ms": cpu_seconds(tick) / TICKS * 1e3,
-        "one tick with all accused, ms": urgent,
-        "one look with all accused, ms": view,
+        "members and their records, kB": with_records / KILOBYTE,
+        "with all servers accused, kB": with_verdicts / KILOBYTE,
+        "one tick, ms": cpu_seconds(run_ticks) / TICKS * 1e3,
+        "one tick with all accused, ms": tick_with_verdicts,
+        "one look with all accused, ms": view_with_verdicts,
     }
 
 
@@ -194,8 +194,8 @@
         columns = list(rows[sizes[0]][0])
         print(f"| {name} | {' | '.join(columns)} |")
         print("|---" * (len(columns) + 1) + "|")
-        for size, found in rows.items():
-            cells = [format_values([one[column] for one in found]) for column in columns]
+        for size, results in rows.items():
+            cells = [format_values([result[column] for result in results]) for column in columns]
             print(f"| {size} | {' | '.join(cells)} |")
         print()
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -116,7 +116,7 @@
 
 
 async def test_metrics_count_each_result() -> None:
-    async with router(lambda command, connection: MISS if command[1] == b"far" else None) as bench:
+    async with router(lambda command, writer: MISS if command[1] == b"far" else None) as bench:
         bench.driver.room.most = 1024
         client = await bench.caller()
         client.get(b"far", b"i1")
@@ -137,7 +137,7 @@
 
 
 async def test_process_serves_an_inherited_listener_and_the_console(tmp_path: os.PathLike[str]) -> None:
-    """Prevents a second process from binding the address, which the platform's socket holds."""
+    """Prevents the process from binding the address itself, which fails as the platform's socket holds it."""
     listener = socket.create_server(("127.0.0.1", 0))
     path = os.path.join(tmp_path, "config.json")
     target = {"uid": "c0", "endpoint": "127.0.0.1:9", "az": "a", "model": "std", "state": "Ready"}
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -464,7 +464,7 @@
 
 
 async def test_forwarded_time_is_what_remains_when_the_command_is_written() -> None:
-    """Prevents a server from working on past the client's deadline, since connecting takes time too."""
+    """Prevents a server from working past the client's deadline, since connecting takes time too."""
     async with router() as bench:
         pool = bench.pools.pools["c0"]
         dial = pool._dial
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -77,32 +77,34 @@
     return sorted(f"c{number}" for number in range(servers))
 
 
-def serve_request(one: Router, key: str, elapsed: int = 10 * MILLI) -> str:
+def serve_request(router_under_test: Router, key: str, elapsed: int = 10 * MILLI) -> str:
     """Sends and answers one request for a key; returns the server that served it."""
-    _, (send,) = one.ask(key)
+    _, (send,) = router_under_test.ask(key)
     assert isinstance(send, api.Send)
-    one.end(send, api.Status.OK, elapsed=elapsed)
+    router_under_test.end(send, api.Status.OK, elapsed=elapsed)
     return send.server
 
 
 def test_each_of_many_servers_owns_and_serves_an_equal_range() -> None:
-    one, names = router_of_large_fleet(), cache_names()
+    router_under_test, names = router_of_large_fleet(), cache_names()
     keys = [f"k{number}" for number in range(20 * FLEET_SIZE)]
     owned = Counter(range_owner(names, key) for key in keys)
     assert len(owned) == FLEET_SIZE and max(owned.values()) < 3 * 20
     by_owner = {range_owner(names, key): key for key in keys}
-    assert {name: serve_request(one, key) for name, key in by_owner.items()} == {name: name for name in names}
+    assert {name: serve_request(router_under_test, key) for name, key in by_owner.items()} == {
+        name: name for name in names
+    }
 
 
 def test_removed_server_moves_its_own_keys_at_once_and_other_keys_gradually() -> None:
-    one, names = router_of_large_fleet(), cache_names()
+    router_under_test, names = router_of_large_fleet(), cache_names()
     keys = [f"k{number}" for number in range(3 * FLEET_SIZE)]
-    one.tell(api.Members(api.ListKind.DELTA, [api.Member("c500", api.State.GONE)]))
-    moved = [key for key in keys if serve_request(one, key) != range_owner(names, key)]
+    router_under_test.tell(api.Members(api.ListKind.DELTA, [api.Member("c500", api.State.GONE)]))
+    moved = [key for key in keys if serve_request(router_under_test, key) != range_owner(names, key)]
     assert moved == [key for key in keys if range_owner(names, key) == "c500"] and moved
-    one.wait(10 * SECOND)
+    router_under_test.wait(10 * SECOND)
     names.remove("c500")
-    assert all(one.candidates(key)[0].member.server == range_owner(names, key) for key in keys)
+    assert all(router_under_test.candidates(key)[0].member.server == range_owner(names, key) for key in keys)
 
 
 def test_keys_keep_their_migration_times_while_a_large_list_keeps_changing() -> None:
@@ -159,34 +161,33 @@
 def test_request_reads_few_servers_and_a_list_update_scans_them_at_most_twice() -> None:
     lookups_by_size = {}
     for size in (16, FLEET_SIZE):
-        one = router_of_large_fleet(size)
-        roster = one.balancer.roster
+        router_under_test = router_of_large_fleet(size)
+        roster = router_under_test.balancer.roster
         roster.servers = counting_servers = CountingServers(roster.servers)
         for number in range(100):
-            serve_request(one, f"k{number}")
+            serve_request(router_under_test, f"k{number}")
         lookups = counting_servers.lookups
         counting_servers.lookups = counting_servers.scans = 0
-        one.tell(api.Members(api.ListKind.DELTA, [api.Member("c3", api.State.DRAINING)]))
+        router_under_test.tell(api.Members(api.ListKind.DELTA, [api.Member("c3", api.State.DRAINING)]))
         lookups_by_size[size] = lookups, counting_servers.lookups, counting_servers.scans
     assert lookups_by_size[FLEET_SIZE] == lookups_by_size[16]
     assert lookups_by_size[FLEET_SIZE][0] <= 4 * 100 and lookups_by_size[FLEET_SIZE][2] <= 2
 
 
 def test_hot_keys_spread_without_reading_the_complete_list() -> None:
-    one = router_of_large_fleet()
-    roster = one.balancer.roster
+    router_under_test = router_of_large_fleet()
+    roster = router_under_test.balancer.roster
     for server in roster.servers.values():
         server.base = server.latency = 10.0 * MILLI
     roster.servers = counting_servers = CountingServers(roster.servers)
     for number in range(100):
-        serve_request(one, f"k{number}")
+        serve_request(router_under_test, f"k{number}")
     counting_servers.lookups = 0
     reached = set()
     for number in range(200):
-        one.now += MILLI
-        reached.add(
-            serve_request(one, f"k{number % 10}", 30 * MILLI)
-        )  # three times the response time without overload
+        router_under_test.now += MILLI
+        # The response time is three times that without overload.
+        reached.add(serve_request(router_under_test, f"k{number % 10}", 30 * MILLI))
     assert len(reached) > 10 * 3  # several servers for each key
     assert counting_servers.lookups < 200 * FLEET_SIZE / 4
 
@@ -201,11 +202,11 @@
 def agent(number: int, known: int = 0, name: str = "") -> GossipAgent:
     """Returns an agent that knows `known` others and has no changes left to gossip."""
     me = member(number, name)
-    one = GossipAgent(me, "fleet", [], number + 1, TICK)
+    created = GossipAgent(me, "fleet", [], number + 1, TICK)
     for other in range(known):
-        one.membership.merge(0, member(other, name))
-    one.membership.table.updates.clear()
-    return one
+        created.membership.merge(0, member(other, name))
+    created.membership.table.updates.clear()
+    return created
 
 
 def long_name() -> str:
@@ -214,7 +215,7 @@
 
 def run_tick(now: int, agents: dict[int, GossipAgent]) -> None:
     """Runs one tick of all agents and delivers every datagram."""
-    datagrams = [out for one in agents.values() for out in one.tick(now)]
+    datagrams = [datagram for sender in agents.values() for datagram in sender.tick(now)]
     while datagrams:
         to, data = datagrams.pop(0)
         assert len(data) <= MAX_DATAGRAM_BYTES
@@ -223,101 +224,107 @@
 
 
 def agent_pair(name: str = "") -> tuple[GossipAgent, GossipAgent]:
-    one, other = agent(0, name=name), agent(1, name=name)
-    one.membership.merge(0, other.membership.me)
-    other.membership.merge(0, one.membership.me)
-    return one, other
+    first, second = agent(0, name=name), agent(1, name=name)
+    first.membership.merge(0, second.membership.me)
+    second.membership.merge(0, first.membership.me)
+    return first, second
 
 
 def test_all_of_many_routers_are_announced_in_turn_even_with_long_names() -> None:
     """One datagram holds at most 15 members; none may be omitted in every round."""
-    one = agent(FLEET_SIZE, FLEET_SIZE, long_name())
+    sender = agent(FLEET_SIZE, FLEET_SIZE, long_name())
     announced: set[int] = set()
     for _ in range(2 * FLEET_SIZE // 15):
-        for _, data in one.tick(0)[-1:]:
-            announced |= {peer.member_id for peer in decode(data, one.fleet).peers}
+        for _, data in sender.tick(0)[-1:]:
+            announced |= {peer.member_id for peer in decode(data, sender.fleet).peers}
     assert announced >= {number + 1 for number in range(FLEET_SIZE)}
 
 
 def test_many_joining_routers_are_all_announced_before_one_is_repeated() -> None:
-    one = agent(FLEET_SIZE, name=long_name())
+    sender = agent(FLEET_SIZE, name=long_name())
     for number in range(FLEET_SIZE):
-        one.membership.merge(0, member(number, long_name()))
+        sender.membership.merge(0, member(number, long_name()))
     announced: Counter[int] = Counter()
     while sum(announced.values()) < FLEET_SIZE:
-        for _, data in one.tick(0)[-1:]:
+        for _, data in sender.tick(0)[-1:]:
             member_ids = [
-                peer.member_id for peer in decode(data, one.fleet).peers if peer.member_id != one.member_id
+                peer.member_id
+                for peer in decode(data, sender.fleet).peers
+                if peer.member_id != sender.member_id
             ]
             announced.update(member_ids[: FLEET_SIZE - sum(announced.values())])
     assert len(announced) > FLEET_SIZE * 9 // 10  # a probed member may be repeated
 
 
 def test_each_of_many_routers_is_probed_once_a_round_and_declared_dead_without_answers() -> None:
-    one = Membership(member(FLEET_SIZE), [], 1, TICK)
+    membership = Membership(member(FLEET_SIZE), [], 1, TICK)
     for number in range(FLEET_SIZE):
-        one.merge(0, member(number))
-    assert one.alive == FLEET_SIZE + 1
+        membership.merge(0, member(number))
+    assert membership.alive == FLEET_SIZE + 1
     probed = set()
     for tick in range(FLEET_SIZE):
-        for call in one.tick(tick * TICK):
+        for call in membership.tick(tick * TICK):
             if call.kind is MessageKind.PING:
                 probed.add(call.target)
-                one.handle(tick * TICK, MessageKind.ACK, call.target, call.sequence, one.me.member_id)
-    assert len(probed) == FLEET_SIZE and one.alive == FLEET_SIZE + 1
+                membership.handle(
+                    tick * TICK, MessageKind.ACK, call.target, call.sequence, membership.me.member_id
+                )
+    assert len(probed) == FLEET_SIZE and membership.alive == FLEET_SIZE + 1
     for tick in range(FLEET_SIZE, FLEET_SIZE + 400):  # no probe is answered
-        one.tick(tick * TICK)
-    gone = sum(peer.state is PeerState.DEAD for peer in one.table.peers.values())
-    assert 200 < gone < 400 and one.alive == FLEET_SIZE + 1 - gone
+        membership.tick(tick * TICK)
+    gone = sum(peer.state is PeerState.DEAD for peer in membership.table.peers.values())
+    assert 200 < gone < 400 and membership.alive == FLEET_SIZE + 1 - gone
 
 
 def test_router_probes_on_behalf_of_many_others_at_once() -> None:
-    one = Membership(member(FLEET_SIZE), [], 1, TICK)
+    membership = Membership(member(FLEET_SIZE), [], 1, TICK)
     for number in range(FLEET_SIZE):
-        one.merge(0, member(number))
-    command = [
-        one.handle(0, MessageKind.PING_REQUEST, number + 1, 7, (number + 1) % FLEET_SIZE + 1)
+        membership.merge(0, member(number))
+    probes = [
+        membership.handle(0, MessageKind.PING_REQUEST, number + 1, 7, (number + 1) % FLEET_SIZE + 1)
         for number in range(FLEET_SIZE)
     ]
-    assert all(call.kind is MessageKind.PING for calls in command for call in calls)
-    assert sum(map(len, command)) == FLEET_SIZE
-    (answer,) = one.handle(0, MessageKind.ACK, 2, command[0][0].sequence, one.me.member_id)
+    assert all(message.kind is MessageKind.PING for messages in probes for message in messages)
+    assert sum(map(len, probes)) == FLEET_SIZE
+    (answer,) = membership.handle(0, MessageKind.ACK, 2, probes[0][0].sequence, membership.me.member_id)
     assert answer.kind is MessageKind.ACK and answer.target == 1 and answer.sequence == 7
 
 
 @pytest.mark.parametrize("name", ["n1", "r" * MAX_NAME_BYTES])
 def test_verdicts_on_many_servers_are_sent_in_turn_until_all_are_received(name: str) -> None:
-    one, other = agent_pair(name)
+    sender, receiver = agent_pair(name)
     for number in range(FLEET_SIZE):
-        one.publish(0, Verdict(True, 1), digest(f"c{number}"))
-    for tick in range(25):  # 1.25 s; a record may be 2 s old
-        run_tick(tick * TICK, {one.member_id: one, other.member_id: other})
-    accused = other.view(25 * TICK).accused
+        sender.publish(0, Verdict(True, 1), digest(f"c{number}"))
+    for tick in range(25):  # 1.25 s, less than the maximum age of a record
+        run_tick(tick * TICK, {sender.member_id: sender, receiver.member_id: receiver})
+    accused = receiver.view(25 * TICK).accused
     assert accused.keys() == {digest(f"c{number}") for number in range(FLEET_SIZE)}
 
 
 def test_shares_are_sent_despite_many_membership_updates_with_long_names() -> None:
-    one, other = agent_pair(long_name())
+    sender, receiver = agent_pair(long_name())
     for number in range(2, FLEET_SIZE):
-        one.membership.merge(0, member(number, long_name()))  # queues a membership update
+        sender.membership.merge(0, member(number, long_name()))  # queues a membership update
     shares, now = dict.fromkeys(range(MAX_KINDS_PER_RECORD), 0.5), 10 * SECOND
-    one.publish(now, Shares(tuple(shares.items())))
+    sender.publish(now, Shares(tuple(shares.items())))
     for seq in range(1, 4):
-        probe = DatagramBuilder(one.fleet, MessageKind.PING, other.member_id, seq, one.member_id).build()
-        for _, answer in one.receive(now, probe):
-            other.receive(now, answer)
-    assert other.view(now).shares == shares
+        probe = DatagramBuilder(
+            sender.fleet, MessageKind.PING, receiver.member_id, seq, sender.member_id
+        ).build()
+        for _, answer in sender.receive(now, probe):
+            receiver.receive(now, answer)
+    assert receiver.view(now).shares == shares
 
 
 def test_kinds_beyond_one_record_are_sent_in_turn() -> None:
-    one, other = agent_pair()
-    adapter, receiver = PolicyAdapter(one), PolicyAdapter(other)
+    sender, receiving_agent = agent_pair()
+    adapter, receiver = PolicyAdapter(sender), PolicyAdapter(receiving_agent)
     kinds = {f"kind-{number}": number for number in range(3 * MAX_KINDS_PER_RECORD)}
     received_kinds: set[int] = set()
     for tick in range(240):  # shares are published every 2 s
         now = tick * TICK
         adapter.publish(now, api.Tell(0.0, 0.0, dict.fromkeys(kinds.values(), 0.5), {}, []), kinds)
-        run_tick(now, {one.member_id: one, other.member_id: other})
+        run_tick(now, {sender.member_id: sender, receiving_agent.member_id: receiving_agent})
         received_kinds |= receiver.fleet_event(now, [], kinds).shares.keys()
     assert received_kinds == set(kinds.values())
 
@@ -337,17 +344,17 @@
 
 
 def test_old_published_records_are_dropped_and_current_ones_kept() -> None:
-    one = agent(0)
+    sender = agent(0)
     for number in range(2 * FLEET_SIZE):
-        one.publish(0, Verdict(True, 1), digest(f"old-{number}"))
+        sender.publish(0, Verdict(True, 1), digest(f"old-{number}"))
     now = 2 * FORGET_AFTER
     for number in range(FLEET_SIZE):
-        one.publish(now, Verdict(True, 1), digest(f"c{number}"))
-    assert one.published.keys() == {(Verdict, digest(f"c{number}")) for number in range(FLEET_SIZE)}
-    versions = [own.version for own in one.published.values()]
+        sender.publish(now, Verdict(True, 1), digest(f"c{number}"))
+    assert sender.published.keys() == {(Verdict, digest(f"c{number}")) for number in range(FLEET_SIZE)}
+    versions = [own.version for own in sender.published.values()]
     for number in range(FLEET_SIZE):
-        one.publish(now + SECOND, Verdict(True, 1), digest(f"c{number}"))
-    assert [own.version for own in one.published.values()] == [version + 1 for version in versions]
+        sender.publish(now + SECOND, Verdict(True, 1), digest(f"c{number}"))
+    assert [own.version for own in sender.published.values()] == [version + 1 for version in versions]
 
 
 # The list service
@@ -368,33 +375,33 @@
     entries, answers = build_endpoint_list(FLEET_SIZE), AnswerCache()
     before = entries.version - 1
     first = [answers.get(entries, before, f"v{number}")[0] for number in range(FLEET_SIZE)]
-    again = [answers.get(entries, before, f"v{number}")[0] for number in range(FLEET_SIZE)]
-    assert all(one is other for one, other in zip(first, again, strict=True))
+    second = [answers.get(entries, before, f"v{number}")[0] for number in range(FLEET_SIZE)]
+    assert all(first_body is second_body for first_body, second_body in zip(first, second, strict=True))
     assert answers.size == sum(map(len, first))
-    whole = answers.get(entries, None, "v0")[0]
-    assert len(json.loads(whole)["targets"]) == FLEET_SIZE
-    monkeypatch.setattr(answers_module, "MAX_CACHED", 5 * len(whole))
+    complete_list = answers.get(entries, None, "v0")[0]
+    assert len(json.loads(complete_list)["targets"]) == FLEET_SIZE
+    monkeypatch.setattr(answers_module, "MAX_CACHED", 5 * len(complete_list))
     for number in range(20):
         answers.get(entries, None, f"v{number}")
     assert (
         answers.size == sum(len(body) for body, _, _ in answers.cached.values()) <= answers_module.MAX_CACHED
     )
-    assert answers.get(entries, None, "v3")[0] == whole  # encoded again
+    assert answers.get(entries, None, "v3")[0] == complete_list  # encoded again
 
 
 async def test_one_change_wakes_all_watchers() -> None:
     watchers = Watchers()
-    waiting = [asyncio.create_task(watchers.wait(PATIENCE)) for _ in range(2 * FLEET_SIZE)]
+    wait_tasks = [asyncio.create_task(watchers.wait(PATIENCE)) for _ in range(2 * FLEET_SIZE)]
     await asyncio.sleep(0)
     watchers.wake()
     async with asyncio.timeout(PATIENCE / 2):
-        await asyncio.gather(*waiting)
+        await asyncio.gather(*wait_tasks)
     assert not watchers.waiting
 
 
 @contextlib.asynccontextmanager
 async def start_list_service(tmp_path: Path, limits: str) -> AsyncIterator[tuple[str, int]]:
-    """A replica that is started with few descriptors (`ulimit` with these words); gives its address."""
+    """Starts a list service under `ulimit` with the arguments `limits`; yields its address."""
     file = tmp_path / "replica.toml"
     file.write_text(f'name = "a"\nstate_dir = "{tmp_path / "a"}"\n')
     command = f'ulimit {limits} && exec "{sys.executable}" -m applehub.registry "{file}"'
@@ -437,11 +444,11 @@
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    given: list[tuple[int, int]] = []
+    applied_limits: list[tuple[int, int]] = []
     monkeypatch.setattr(resource, "getrlimit", lambda of: (soft, hard))
-    monkeypatch.setattr(resource, "setrlimit", lambda of, limits: given.append(limits))
+    monkeypatch.setattr(resource, "setrlimit", lambda of, limits: applied_limits.append(limits))
     allow_callers(1500)
-    assert given == ([(granted, hard)] if granted else [])
+    assert applied_limits == ([(granted, hard)] if granted else [])
     assert ("limits.callers" in caplog.text) is warned
 
 
@@ -508,7 +515,7 @@
     listed = [entry(f"c{number}", f"127.0.0.1:{number + 1}") for number in range(FLEET_SIZE)]
     change = whole_list(2, entry("c7", "127.0.0.1:8", state="Gone"), whole=False)
     script = [http(200, json.dumps(listing(1, *listed), indent=8).encode()), change]
-    web = Web(lambda command, line: script.pop(0) if script else None)
+    web = Web(lambda command, writer: script.pop(0) if script else None)
     await web.start()
     directory, events = create_directory()
     watch = Watch([read_endpoint(web.address)], directory, 1, False)
@@ -522,7 +529,7 @@
 
 async def test_process_with_many_servers_stays_within_its_descriptor_limit(tmp_path: Path) -> None:
     sockets, requests = 128, 400
-    cache = Cache(lambda requests, line: hit())
+    cache = Cache(lambda command, writer: hit())
     await cache.start()
     known = listing(3, *(entry(f"c{number}", cache.address) for number in range(FLEET_SIZE)))
     changes = {
@@ -530,8 +537,8 @@
         "limits": {"sockets": sockets},
         "settings": {**info(), "balancers": FLEET_SIZE},
     }
-    async with program(tmp_path, sockets, **changes) as (running, at, lines):
-        caller = await caller_at(at["listening on"])
+    async with program(tmp_path, sockets, **changes) as (running, addresses, lines):
+        caller = await caller_at(addresses["listening on"])
         process, max_seen = psutil.Process(running.pid), 0
         for begin in range(0, requests, CONCURRENT_REQUESTS):
             await request_keys(
