--- a/applehub/node/accepting.py
+++ b/applehub/node/accepting.py
@@ -1,5 +1,5 @@
-"""Accepts connections from a listening socket: a bounded number in each turn of the event loop, over failures
-of accept."""
+"""Accepts connections from a listening socket: a bounded number per event loop tick, with retries when accept
+fails."""
 
 import asyncio
 import errno
@@ -7,14 +7,14 @@
 import socket
 from collections.abc import Callable
 
-from applehub.node.arrivals import Queue, looks_of_running_loop
+from applehub.node.arrivals import AcceptQueueTimes, running_selector
 
-RETRY = 0.02  # s between two tries while accept fails; it has to succeed within 0.05 s of the failure's end
-OUTAGE_APART = 1.0  # s without a failure after which the next one is logged again
-# What accept(2) passes on of a connection that broke before it was accepted: it is gone, and others may wait
-# behind it. Whatever else fails leaves the queue as it is: a lack of descriptors or memory, of which the
-# system would tell again at once.
-BROKEN = frozenset(
+RETRY_DELAY = 0.02  # seconds between two attempts while accept fails
+FAILURE_LOG_INTERVAL = 1.0  # seconds without a failure after which the next one is logged again
+# Errors of a connection that broke before it was accepted: accept(2) has removed it from the queue, and
+# others may follow it. Any other error, such as a lack of descriptors or memory, leaves the queue unchanged,
+# and an immediate retry would fail again.
+BROKEN_CONNECTION_ERRORS = frozenset(
     (
         errno.ECONNABORTED, errno.ECONNRESET, errno.EHOSTDOWN, errno.EHOSTUNREACH, errno.EINTR,
         errno.ENETDOWN, errno.ENETUNREACH, errno.ENONET, errno.ENOPROTOOPT, errno.EOPNOTSUPP, errno.EPERM,
@@ -25,92 +25,95 @@
 
 
 class Acceptor:
-    """A listening socket and the connections that are on their way from it to their protocols."""
+    """A listening socket and the accepted connections that are not attached to their protocols yet."""
 
     def __init__(
         self,
         listener: socket.socket,
-        make: Callable[[int], asyncio.BaseProtocol],
-        most: int,
+        protocol_factory: Callable[[int], asyncio.BaseProtocol],
+        max_per_tick: int,
         inherited: bool = False,
     ) -> None:
-        """Begins to accept.
+        """Starts to accept connections.
 
-        make: creates the protocol of a connection, given the time before which it can't have sent anything.
-        most: how many are accepted in one turn. inherited: connections may have waited before this process
-        began; other processes may share the listener, so it is closed here and never shut down.
+        protocol_factory: creates the protocol of a connection; its argument is the monotonic time in ns
+        before which the client can't have sent data. max_per_tick: maximum number of connections accepted in
+        one event loop tick. inherited: connections may have waited since before this process started; other
+        processes may share the listener, so it is closed here and never shut down.
         """
-        self._listener, self._make, self._most = listener, make, most
+        self._listener, self._protocol_factory, self._max_per_tick = listener, protocol_factory, max_per_tick
         self._loop = asyncio.get_running_loop()
-        self._queue = Queue(looks_of_running_loop(), inherited)
-        self._coming: set[asyncio.Task[None]] = set()
+        self._queue = AcceptQueueTimes(running_selector(), inherited)
+        self._connecting: set[asyncio.Task[None]] = set()
         self._retry: asyncio.TimerHandle | None = None
         self._failed_at = float("-inf")
         self.open = True
         listener.setblocking(False)
-        self._loop.add_reader(listener, self._take_turn)
+        self._loop.add_reader(listener, self._on_readable)
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """Host and port of the listening socket."""
         address: tuple[str, int] = self._listener.getsockname()[:2]
         return address
 
     @property
-    def coming(self) -> bool:
-        """Whether a connection was accepted and has not reached its protocol."""
-        return bool(self._coming)
+    def connecting(self) -> bool:
+        """Whether an accepted connection is not attached to its protocol yet."""
+        return bool(self._connecting)
 
-    def _take_turn(self) -> None:
-        """Accepts those who wait, as many as one turn may."""
+    def _on_readable(self) -> None:
+        """Accepts waiting connections, up to the maximum of one tick."""
         try:
-            if self._accept_some():
-                self._queue.leave_some()
+            if self._accept_batch():
+                self._queue.mark_remaining()
         except OSError as problem:
-            self._try_later(problem)
+            self._retry_later(problem)
 
-    def _accept_some(self) -> bool:
-        """Accepts those who wait, as many as one turn may; whether there may be more. Raises OSError where
-        none can be accepted for now, or all that were tried had broken."""
-        accepted, broke = 0, OSError()
-        for _ in range(self._most):
+    def _accept_batch(self) -> bool:
+        """Accepts waiting connections, up to the maximum of one tick; returns whether more may be waiting.
+
+        Raises OSError if accept fails, or if every connection in the batch was broken.
+        """
+        accepted, broken = 0, OSError()
+        for _ in range(self._max_per_tick):
             try:
-                line, _ = self._listener.accept()
+                sock, _ = self._listener.accept()
             except BlockingIOError:
                 return False
             except OSError as problem:
-                if problem.errno not in BROKEN:
+                if problem.errno not in BROKEN_CONNECTION_ERRORS:
                     raise
-                broke = problem
+                broken = problem
                 continue
             accepted += 1
-            task = self._loop.create_task(self._bring(line, self._queue.since))
-            self._coming.add(task)
-            task.add_done_callback(self._coming.discard)
+            task = self._loop.create_task(self._connect(sock, self._queue.earliest_arrival))
+            self._connecting.add(task)
+            task.add_done_callback(self._connecting.discard)
         if not accepted:
-            raise broke
+            raise broken
         return True
 
-    async def _bring(self, line: socket.socket, since: int) -> None:
+    async def _connect(self, sock: socket.socket, earliest_arrival: int) -> None:
         try:
-            await self._loop.connect_accepted_socket(lambda: self._make(since), line)
-        except OSError:  # it broke on the way
-            line.close()
+            await self._loop.connect_accepted_socket(lambda: self._protocol_factory(earliest_arrival), sock)
+        except OSError:  # the connection broke in the meantime
+            sock.close()
 
-    def _note(self, problem: OSError) -> None:
-        """Logs a failure, once for an outage. Guards the log, and the processor, against a line a try."""
+    def _log_failure(self, problem: OSError) -> None:
+        """Logs the first of a series of failures, to bound the size of the log."""
         now = self._loop.time()
-        if now - self._failed_at > OUTAGE_APART:
-            log.error("accept fails, and is tried again every %.0f ms: %s", RETRY * 1000, problem)
+        if now - self._failed_at > FAILURE_LOG_INTERVAL:
+            log.error("accept fails; retrying every %.0f ms: %s", RETRY_DELAY * 1000, problem)
         self._failed_at = now
 
-    def _try_later(self, problem: OSError) -> None:
-        self._note(problem)
+    def _retry_later(self, problem: OSError) -> None:
+        self._log_failure(problem)
         self._pause()
-        self._retry = self._loop.call_later(RETRY, self._resume)
+        self._retry = self._loop.call_later(RETRY_DELAY, self._resume)
 
     def _pause(self) -> None:
-        """Stops watching the listener. Guards the processor: the system reports it again and again."""
+        """Stops watching the listener, which would otherwise be reported as readable in every tick."""
         self._loop.remove_reader(self._listener)
         self._queue.pause()
         if self._retry is not None:
@@ -121,35 +124,36 @@
         self._retry = None
         self._queue.resume()
         try:
-            self._loop.add_reader(self._listener, self._take_turn)
-        except OSError as problem:  # the selector may lack memory as accept does
-            self._try_later(problem)
+            self._loop.add_reader(self._listener, self._on_readable)
+        except OSError as problem:  # registering with the selector can fail for lack of memory too
+            self._retry_later(problem)
 
-    async def take_all(self, patience: float) -> None:
-        """Accepts all who wait, and nobody after that; where accept fails, it is tried for so many seconds.
+    async def accept_all(self, timeout: float) -> None:
+        """Accepts all waiting connections and none after that.
 
-        Returns in the turn in which nobody waited any more."""
+        timeout: seconds for which a failing accept is retried. Returns in the tick that finds the queue empty.
+        """
         self._pause()
-        end = self._loop.time() + patience
+        end = self._loop.time() + timeout
         while True:
-            pause = 0.0
+            delay = 0.0
             try:
-                if not self._accept_some():
+                if not self._accept_batch():
                     return
             except OSError as problem:
-                self._note(problem)
-                pause = RETRY
-            if self._loop.time() + pause > end:
+                self._log_failure(problem)
+                delay = RETRY_DELAY
+            if self._loop.time() + delay > end:
                 return
-            await asyncio.sleep(pause)
+            await asyncio.sleep(delay)
 
-    async def brought(self) -> None:
-        """Waits until each that was accepted has reached its protocol."""
-        if self._coming:
-            await asyncio.wait(self._coming)
+    async def wait_connected(self) -> None:
+        """Waits until each accepted connection is attached to its protocol."""
+        if self._connecting:
+            await asyncio.wait(self._connecting)
 
     def close(self) -> None:
-        """Stops accepting; nothing is tried after that."""
+        """Stops accepting connections and cancels a pending retry."""
         if self.open:
             self.open = False
             self._pause()
--- a/applehub/node/clients.py
+++ b/applehub/node/clients.py
@@ -1,4 +1,4 @@
-"""A client's connection: takes up RESP commands and answers them in their order."""
+"""Client connections: reads RESP commands and writes the answers in the order of the commands."""
 
 import asyncio
 import contextlib
@@ -9,323 +9,347 @@
 from typing import Protocol, cast
 
 from applehub.node import resp
-from applehub.node.arrivals import Arrivals, Looks
+from applehub.node.arrivals import ArrivalTimes, TimedSelector
 from applehub.node.call import CallError, read_call
 from applehub.node.driver import Driver, Held
-from applehub.node.memory_budget import LONG_PART
-from applehub.node.stream import Reader, Stream
-from applehub.node.unread import END, Unread
+from applehub.node.memory_budget import LONG_VALUE_FRACTION
+from applehub.node.stream import SharedBufferProtocol, Stream
+from applehub.node.unread import PEER_CLOSED, UnreadInput
 from applehub.settings import Names
 
-MOST_PIPELINED = 32  # commands of one connection in work; those behind wait unread
-STUCK = 10.0  # s for which a client may leave answers unread
-PROMPT = 2.5  # s in which a peer must send a whole command, once it has connected or begun one
-LINGER = 1.0  # s for which a client that has its last answer may go on sending
+MAX_PIPELINED_COMMANDS = 32  # commands of one connection in progress; further commands are not processed
+WRITE_STALL_TIMEOUT = 10.0  # seconds for which a client may leave answers unread
+COMMAND_TIMEOUT = 2.5  # seconds for a complete command, from the connection or from the command's first byte
+LINGER_TIMEOUT = 1.0  # seconds for which input is still read after the last answer
 log = logging.getLogger("applehub")
 
 
 class Phase(Enum):
-    """The life of a client's connection, which goes forward alone: by `_end_sending` and `_depart`."""
+    """Life cycle of a client connection; only moves forward."""
 
-    OPEN = 1  # commands are taken up and answered
-    LAST = 2  # nothing more is taken up; the sending ends behind the answers that are owed
-    ENDED = 3  # all is written, then the end: what still comes is read off and dropped for a bounded time
-    GONE = 4  # the client has left: nothing is owed
+    OPEN = 1  # commands are processed and answered
+    FLUSHING = 2  # no further command is processed; sending ends after the pending answers
+    LINGERING = 3  # sending has ended; input is read and discarded for a limited time
+    DISCONNECTED = 4  # the client has left; pending answers are dropped
 
 
 class Slot:
-    """The place of one answer on its connection."""
+    """The position of one answer in the order of answers of a connection."""
 
     __slots__ = ("answer", "client", "held", "stream", "waits")
 
-    def __init__(self, client: "Client") -> None:
-        self.client, self.waits = client, client.waits
+    def __init__(self, client: "ClientConnection") -> None:
+        self.client, self.waits = client, client.is_connected
         self.answer: bytes | None = None
         self.held: Held | None = None
         self.stream: Stream | None = None
 
     def fill(self, answer: bytes) -> None:
+        """Sets the complete answer, unless there is one already."""
         if self.answer is None:
             self.answer = answer
-            self.held = None  # each holds the other: guards memory against waiting for the collector
+            self.held = None  # breaks the reference cycle, so that memory is freed without the collector
             self.client.advance()
 
     def begin(self, stream: Stream) -> None:
-        """The answer is a long value: it is written as it comes, once its turn has come."""
+        """Sets a long value as the answer; it is written as it arrives, after the earlier answers."""
         self.stream = stream
-        stream.wake = self.client.advance
+        stream.on_data = self.client.advance
 
     def break_off(self) -> None:
-        """The value can't be finished: the client is to see that it is not whole."""
+        """Closes the connection if a part of the value was written; otherwise answers with an error."""
         stream, self.held, self.stream = self.stream, None, None
-        if stream is not None and stream.begun:
+        if stream is not None and stream.started:
             self.client.break_off()
         else:
             self.fill(resp.FAILED)
 
 
-class Server(Protocol):
-    """What a connection needs of the server that let it in."""
+class ConnectionOwner(Protocol):
+    """The listener to which a connection belongs, as the connection uses it."""
 
     driver: Driver
     names: Names
-    looks: Looks
-    parting: bool  # each connection ends after an answer
-    closing: bool  # each connection ends once it rests
-    open: "set[Client]"
+    selector: TimedSelector
+    close_after_answer: bool  # each connection is closed after its next answer
+    closing: bool  # each connection is closed as soon as it is idle
+    connections: "set[ClientConnection]"
 
     def can_serve(self) -> bool:
-        """Whether there are servers to send requests to."""
+        """Returns whether there are servers to send requests to."""
 
-    def room(self) -> bool:
-        """Whether one more connection may stay."""
+    def has_capacity(self) -> bool:
+        """Returns whether one more connection is within the limit."""
 
-    def unread(self, client: "Client", unread: bool) -> None:
-        """Notes whether a connection is read."""
+    def set_reading_paused(self, client: "ClientConnection", paused: bool) -> None:
+        """Records whether reading from a connection is paused."""
 
-    def ended(self, client: "Client") -> None:
-        """Notes that nothing more is taken from a client."""
+    def sending_ended(self, client: "ClientConnection") -> None:
+        """Records that no further command of a connection is processed."""
 
-    def gone(self, client: "Client") -> None:
-        """Notes that a connection is closed."""
+    def connection_closed(self, client: "ClientConnection") -> None:
+        """Records that a connection is closed."""
 
 
-class Client(Reader):
-    """One connection of a client."""
+class ClientConnection(SharedBufferProtocol):
+    """Protocol of one client connection."""
 
-    def __init__(self, server: Server, since: int) -> None:
-        """`since` is the time before which it can't have sent anything."""
-        self.server = server
-        self.arrivals = Arrivals(server.looks, since)
-        self.frames = resp.Frames(self._admit)
+    def __init__(self, owner: ConnectionOwner, earliest_arrival: int) -> None:
+        """earliest_arrival: monotonic time in ns before which the client can't have sent data."""
+        self.owner = owner
+        self.arrivals = ArrivalTimes(owner.selector, earliest_arrival)
+        self.frames = resp.FrameParser(self._reserve_value)
         self.slots: deque[Slot] = deque()
         self.transport: asyncio.Transport | None = None
         self.phase = Phase.OPEN
-        self.advancing = self.blocked = False
-        self.buffered = 0  # bytes counted in the room
-        self.reserved = 0  # of the room, for a long value that comes
-        self.stuck: asyncio.TimerHandle | None = None
-        self.late: asyncio.TimerHandle | None = None
-        self.proven = False  # it has sent a whole command
+        self.advancing = self.write_paused = False
+        self.buffered_bytes = 0  # as counted in the memory budget
+        self.reserved_bytes = 0  # of the memory budget, for a long value that is being received
+        self.stall_timer: asyncio.TimerHandle | None = None
+        self.command_timer: asyncio.TimerHandle | None = None
+        self.sent_command = False  # a complete command was received
         self.idle_since = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.arrivals.resume()
-        # asyncio sets it for dialled connections alone; one whose peer is gone already takes no option.
+        # asyncio does not set TCP_NODELAY on accepted sockets. It fails if the peer has already gone.
         with contextlib.suppress(OSError):
-            line = self.transport.get_extra_info("socket")
-            line.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        if not self.server.room():
-            log.warning("a client is turned away: %d are connected", len(self.server.open))
+            sock = self.transport.get_extra_info("socket")
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        if not self.owner.has_capacity():
+            log.warning(
+                "client rejected: connection limit reached, connected=%d", len(self.owner.connections)
+            )
             self._end_sending(resp.error("max number of clients reached"))
             return
-        self.server.open.add(self)
-        self._await_command()
+        self.owner.connections.add(self)
+        self._update_command_timer()
 
     def data_received(self, data: bytes) -> None:
         if self.phase is not Phase.OPEN or self.transport is None:
             return
-        self.arrivals.note(len(data), self.transport.get_extra_info("socket"))
+        self.arrivals.record_read(len(data), self.transport.get_extra_info("socket"))
         if self.frames.in_value:
-            self._forgive()  # a value may take its time, as long as it comes
+            self._cancel_command_timer()  # the timeout restarts with each part of a value
         self.frames.feed(data)
         self.advance()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self._depart()
-        self.server.gone(self)
-        for timer in (self.stuck, self.late):
+        self._disconnect()
+        self.owner.connection_closed(self)
+        for timer in (self.stall_timer, self.command_timer):
             if timer is not None:
                 timer.cancel()
 
     def eof_received(self) -> None:
-        self._depart()  # before what is written has gone out, which may take a while; then it is closed
+        self._disconnect()  # now, since the transport closes only once its write buffer is empty
         if self.transport is not None and self.transport.get_write_buffer_size():
-            self._await_reader()
+            self._watch_writes()
 
-    def left(self) -> None:
-        """The client has left while it was not being read. Reading on comes to the end that it sent."""
-        self._depart()
+    def peer_closed(self) -> None:
+        """Handles a disconnect while reading is paused; resumes reading up to the end of the stream."""
+        self._disconnect()
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
-    def waits(self) -> bool:
-        """Whether the client is there, also by what the system has of it and nobody has read yet."""
-        transport = self.transport if self.phase is not Phase.GONE else None
-        return transport is not None and not Unread(transport.get_extra_info("socket"), END).waits()
-
-    def _depart(self) -> None:
-        """Withdraws all that is in work or waits here. Guards the servers against work for nobody."""
-        if self.phase is Phase.GONE:
+    def is_connected(self) -> bool:
+        """Returns whether the client is still connected; also detects an end of stream not yet read."""
+        transport = self.transport if self.phase is not Phase.DISCONNECTED else None
+        return (
+            transport is not None
+            and not UnreadInput(transport.get_extra_info("socket"), PEER_CLOSED).pending()
+        )
+
+    def _disconnect(self) -> None:
+        """Cancels all pending requests, so that no server works for a client that has left."""
+        if self.phase is Phase.DISCONNECTED:
             return
-        self.phase = Phase.GONE
-        self._take_no_more()
+        self.phase = Phase.DISCONNECTED
+        self._discard_input()
         slots, self.slots = self.slots, deque()
         for slot in slots:
             if slot.held is not None:
-                self.server.driver.withdraw(slot.held)
-
-    def _take_no_more(self) -> None:
-        """Drops what was read and not taken up, and the room that it took."""
-        self.frames = resp.Frames()
-        self.server.driver.room.free(self.reserved)
-        self.reserved = 0
-        self._count()
-        self.server.ended(self)
-
-    def _count(self) -> None:
-        """Counts in the room what this connection holds."""
+                self.owner.driver.withdraw(slot.held)
+
+    def _discard_input(self) -> None:
+        """Discards unprocessed input and releases its memory."""
+        self.frames = resp.FrameParser()
+        self.owner.driver.room.release(self.reserved_bytes)
+        self.reserved_bytes = 0
+        self._count_buffers()
+        self.owner.sending_ended(self)
+
+    def _count_buffers(self) -> None:
+        """Updates the memory budget with the bytes that this connection buffers."""
         unsent = self.transport.get_write_buffer_size() if self.transport is not None else 0
-        held = len(self.frames.buffer) + unsent
-        self.server.driver.room.note(held - self.buffered)
-        self.buffered = held
+        buffered = len(self.frames.buffer) + unsent
+        self.owner.driver.room.add(buffered - self.buffered_bytes)
+        self.buffered_bytes = buffered
 
     def pause_writing(self) -> None:
-        self.blocked = True
-        self._await_reader()
-        self._steer()
+        self.write_paused = True
+        self._watch_writes()
+        self._update_reading()
+
+    def _watch_writes(self, before: int = -1) -> None:
+        """Aborts the connection if the client has read nothing since the last call of this timer.
 
-    def _await_reader(self, before: int = -1) -> None:
-        """Ends a connection whose client has read nothing for some time; a slow one is waited for. Where all
-        is read, which only one that is on its way out waits for, it ends a little later."""
+        before: size of the write buffer at that call. With an empty buffer, which only a closing connection
+        waits on, the connection is aborted after LINGER_TIMEOUT.
+        """
         if self.transport is None:
             return
-        unread = self.transport.get_write_buffer_size()
-        if unread == before:
-            self.cut()
+        unsent = self.transport.get_write_buffer_size()
+        if unsent == before:
+            self.abort_connection()
             return
-        if self.stuck is not None:
-            self.stuck.cancel()
-        patience = STUCK if unread else LINGER
-        self.stuck = asyncio.get_running_loop().call_later(patience, self._await_reader, unread)
+        if self.stall_timer is not None:
+            self.stall_timer.cancel()
+        timeout = WRITE_STALL_TIMEOUT if unsent else LINGER_TIMEOUT
+        self.stall_timer = asyncio.get_running_loop().call_later(timeout, self._watch_writes, unsent)
 
     def resume_writing(self) -> None:
-        self.blocked = False
-        if self.phase in (Phase.ENDED, Phase.GONE):
-            return  # its close is on the way, and watches over itself
-        if self.stuck is not None:
-            self.stuck.cancel()
+        self.write_paused = False
+        if self.phase in (Phase.LINGERING, Phase.DISCONNECTED):
+            return  # the stall timer of the closing connection has to keep running
+        if self.stall_timer is not None:
+            self.stall_timer.cancel()
         self.advance()
 
-    def _admit(self, size: int) -> bool:
-        """Whether there is room for a long value that is announced; where not, it is read off and dropped."""
-        if not self.server.driver.room.reserve(size, LONG_PART):
+    def _reserve_value(self, size: int) -> bool:
+        """Reserves memory for an announced long value; without it, the value is read and discarded."""
+        if not self.owner.driver.room.reserve(size, LONG_VALUE_FRACTION):
             return False
-        self.reserved += size
+        self.reserved_bytes += size
         return True
 
-    def _await_command(self) -> None:
-        """Limits the time for a command. Guards the places of clients against peers that send nothing, or
-        a part: a connection with nothing in work and no whole command is worth none. The time of a command
-        that is begun behind others counts from its own first byte, not from their last answer."""
-        silent = not self.proven and not self.slots
-        # Where no more is taken up for now, what is buffered may be whole.
-        takes_up = not self.blocked and len(self.slots) < MOST_PIPELINED
-        begun = bool(self.frames.buffer) and takes_up
-        waits = self.phase is Phase.OPEN and (silent or begun)
-        if waits and self.late is None:
-            self.late = asyncio.get_running_loop().call_later(PROMPT, self._too_late)
-        elif not waits:
-            self._forgive()
-
-    def _forgive(self) -> None:
-        if self.late is not None:
-            self.late.cancel()
-            self.late = None
-
-    def _too_late(self) -> None:
-        log.info("a peer is closed that sent no whole command in time")
-        self._put(resp.error("Protocol error: no whole command in time"))
-        self.phase = Phase.LAST
+    def _update_command_timer(self) -> None:
+        """Starts or stops the timeout for a complete command.
+
+        Prevents clients that send nothing, or an incomplete command, from using up the connection limit. The
+        time of a partial command counts from its first byte, not from the last answer to earlier commands.
+        """
+        silent = not self.sent_command and not self.slots
+        # While no further command is processed, the buffered input may be complete.
+        processing = not self.write_paused and len(self.slots) < MAX_PIPELINED_COMMANDS
+        partial = bool(self.frames.buffer) and processing
+        waiting = self.phase is Phase.OPEN and (silent or partial)
+        if waiting and self.command_timer is None:
+            self.command_timer = asyncio.get_running_loop().call_later(
+                COMMAND_TIMEOUT, self._command_timed_out
+            )
+        elif not waiting:
+            self._cancel_command_timer()
+
+    def _cancel_command_timer(self) -> None:
+        if self.command_timer is not None:
+            self.command_timer.cancel()
+            self.command_timer = None
+
+    def _command_timed_out(self) -> None:
+        log.info("closing a client connection: no complete command before the timeout")
+        self._append_answer(resp.error("Protocol error: no whole command in time"))
+        self.phase = Phase.FLUSHING
         self.advance()
 
     def break_off(self) -> None:
-        """Nothing is written behind half a value; the client sees by its length that it is not whole."""
-        self._depart()
+        """Ends the connection inside a value; the client sees from the length that it is incomplete."""
+        self._disconnect()
         self._end_sending()
 
-    def cut(self) -> None:
+    def abort_connection(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
     def advance(self) -> None:
-        """Takes up commands and writes answers, in turn, as far as both go. Guards against recursion: an
-        answer that is ready at once, or comes while this runs, is written by this loop."""
-        if self.advancing or self.phase in (Phase.ENDED, Phase.GONE) or self.transport is None:
+        """Processes commands and writes answers, in order, as far as possible.
+
+        Not reentrant: an answer that arrives while this runs is written by the running loop, which prevents
+        recursion.
+        """
+        if self.advancing or self.phase in (Phase.LINGERING, Phase.DISCONNECTED) or self.transport is None:
             return
         self.advancing = True
         try:
-            self._take_up()
-            while self._write() and self.frames.buffer:
-                self._take_up()
+            self._process_commands()
+            while self._write_answers() and self.frames.buffer:
+                self._process_commands()
         finally:
             self.advancing = False
-        if self.phase in (Phase.ENDED, Phase.GONE):
+        if self.phase in (Phase.LINGERING, Phase.DISCONNECTED):
             return
-        if not self.slots and (self.phase is Phase.LAST or (self.server.closing and not self._more_comes())):
-            # Guards a command that has come in part: its client reads a no, and not an end without an answer.
-            in_part = self.phase is Phase.OPEN and self.frames.buffer
-            self._end_sending(resp.refused(0) if self.server.closing and in_part else b"")
+        if not self.slots and (
+            self.phase is Phase.FLUSHING or (self.owner.closing and not self._has_unread_input())
+        ):
+            # A partial command is answered with a rejection, since the client expects an answer to it.
+            partial = self.phase is Phase.OPEN and self.frames.buffer
+            self._end_sending(resp.busy(0) if self.owner.closing and partial else b"")
         else:
             self.idle_since = asyncio.get_running_loop().time()
-            self._steer()
-            self._await_command()
+            self._update_reading()
+            self._update_command_timer()
 
-    def _more_comes(self) -> bool:
-        """Whether the system holds something of this client, which is read before the sending ends."""
+    def _has_unread_input(self) -> bool:
+        """Returns whether the socket holds input, which is read before sending ends."""
         assert self.transport is not None
-        return Unread(self.transport.get_extra_info("socket")).waits()
+        return UnreadInput(self.transport.get_extra_info("socket")).pending()
 
-    def make_room(self) -> None:
-        """Ends this idle connection in favour of another."""
+    def close_idle(self) -> None:
+        """Closes this idle connection in favour of a new one."""
         self._end_sending()
 
     def _end_sending(self, answers: bytes = b"") -> None:
-        """Writes the last answers and the end of the stream as one, and reads on for a while. Guards the last
-        answer: a close over unread bytes is a reset, which can reach the client before the answer does. What
-        is read after the end is dropped: its client asks again, as after any close between requests."""
-        if self.transport is None or self.phase is Phase.ENDED or self.transport.is_closing():
+        """Writes the last answers and the end of the stream, then reads and discards input for a while.
+
+        Closing a socket with unread input sends a reset, which can reach the client before the last answer.
+        A command that is discarded has no effect; its client retries it on a new connection.
+        """
+        if self.transport is None or self.phase is Phase.LINGERING or self.transport.is_closing():
             return
-        if self.phase is not Phase.GONE:
-            self.phase = Phase.ENDED
-        self._take_no_more()
-        self._forgive()
-        line = self.transport.get_extra_info("socket")
-        with contextlib.suppress(OSError):  # without it the end comes a moment later
-            line.setsockopt(socket.IPPROTO_TCP, socket.TCP_CORK, 1)
+        if self.phase is not Phase.DISCONNECTED:
+            self.phase = Phase.LINGERING
+        self._discard_input()
+        self._cancel_command_timer()
+        sock = self.transport.get_extra_info("socket")
+        with contextlib.suppress(OSError):  # without it the end of the stream is only a separate segment
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_CORK, 1)
         if answers:
             self.transport.write(answers)
         if not self.transport.is_closing():
             try:
                 self.transport.write_eof()
-            except OSError:  # it is broken, which nobody has read yet
+            except OSError:  # the connection is broken, and no read has reported it yet
                 self.transport.abort()
             self.transport.resume_reading()
-            self._await_reader()
+            self._watch_writes()
 
-    def _take_up(self) -> None:
-        """Takes up the commands that have come, as many as may be in work at once."""
+    def _process_commands(self) -> None:
+        """Processes received commands, up to the limit of commands in progress."""
         try:
-            while self.phase is Phase.OPEN and not self.blocked and len(self.slots) < MOST_PIPELINED:
+            while (
+                self.phase is Phase.OPEN
+                and not self.write_paused
+                and len(self.slots) < MAX_PIPELINED_COMMANDS
+            ):
                 parts = self.frames.next()
-                if parts is resp.WAITING:
-                    self.arrivals.forget()
+                if parts is resp.INCOMPLETE:
+                    self.arrivals.clear()
                     break
-                self._command(parts)
+                self._handle_command(parts)
         except resp.FramingError as problem:
-            # Where the next command begins is lost: what came before is answered, then this one, last.
-            self._put(resp.error(f"Protocol error: {problem}"))
-            self.phase = Phase.LAST
+            # The start of the next command is unknown, so this error is the last answer.
+            self._append_answer(resp.error(f"Protocol error: {problem}"))
+            self.phase = Phase.FLUSHING
 
-    def _write(self) -> bool:
-        """Writes the answers whose turn has come; whether there were any."""
-        ready, ended = [], 0
+    def _write_answers(self) -> bool:
+        """Writes the answers that are ready, in order; returns whether any is finished."""
+        ready, finished = [], 0
         while self.slots:
             slot = self.slots[0]
             if slot.stream is not None:
-                if self.blocked:
+                if self.write_paused:
                     break
                 ready.append(slot.stream.take())
                 if not slot.stream.done:
@@ -336,74 +360,76 @@
             else:
                 ready.append(slot.answer)
             self.slots.popleft()
-            ended += 1
+            finished += 1
         if ready and self.transport is not None:
-            whole = not self.slots and not self.frames.buffer and self.phase is Phase.OPEN
-            if self.server.parting and whole and not self._more_comes():
+            idle = not self.slots and not self.frames.buffer and self.phase is Phase.OPEN
+            if self.owner.close_after_answer and idle and not self._has_unread_input():
                 self._end_sending(b"".join(ready))
             else:
                 self.transport.write(b"".join(ready))
-                if self.transport.is_closing():  # the connection is broken
-                    self._depart()
-        return ended > 0
+                if self.transport.is_closing():  # the write failed
+                    self._disconnect()
+        return finished > 0
 
-    def _command(self, parts: object) -> None:
+    def _handle_command(self, parts: object) -> None:
         if not isinstance(parts, list) or not all(isinstance(part, bytes | bytearray) for part in parts):
             raise resp.FramingError("expected an array of bulk strings")
         if not parts:
             return
         name = parts[0].upper()
         if name in (b"C.GET", b"C.SET"):
-            self._call(parts)
+            self._handle_call(parts)
         elif name == b"PING":
-            self._put(b"+PONG\r\n" if self.server.can_serve() else b"-LOADING no server list yet\r\n")
+            self._append_answer(
+                b"+PONG\r\n" if self.owner.can_serve() else b"-LOADING no server list yet\r\n"
+            )
         elif name == b"QUIT":
-            self._put(b"+OK\r\n")
-            self.phase = Phase.LAST
+            self._append_answer(b"+OK\r\n")
+            self.phase = Phase.FLUSHING
         else:
-            self._put(resp.error("unknown command"))
+            self._append_answer(resp.error("unknown command"))
 
-    def _call(self, parts: list[bytes]) -> None:
-        # From here on the driver counts the value, if it takes it.
-        self.server.driver.room.free(self.reserved)
-        self.reserved = 0
+    def _handle_call(self, parts: list[bytes]) -> None:
+        # If the driver accepts the call, it reserves the memory of the value itself.
+        self.owner.driver.room.release(self.reserved_bytes)
+        self.reserved_bytes = 0
         try:
-            call = read_call(parts, self.server.names)
+            call = read_call(parts, self.owner.names)
         except CallError as problem:
-            self._put(resp.error(str(problem)))
+            self._append_answer(resp.error(str(problem)))
             return
-        slot = self._slot()
+        slot = self._new_slot()
         try:
-            arrived = self.arrivals.of_last_before(len(self.frames.buffer))
-            held = self.server.driver.take(call, slot, arrived)
+            arrived = self.arrivals.of_last_byte_before(len(self.frames.buffer))
+            held = self.owner.driver.take(call, slot, arrived)
             slot.held = held if slot.answer is None else None
         except Exception:
-            log.exception("a call could not be taken")
+            log.exception("failed to start a request")
             slot.fill(resp.FAILED)
 
-    def _put(self, answer: bytes) -> None:
-        self._slot().answer = answer
+    def _append_answer(self, answer: bytes) -> None:
+        self._new_slot().answer = answer
 
-    def _slot(self) -> Slot:
+    def _new_slot(self) -> Slot:
         slot = Slot(self)
         self.slots.append(slot)
-        self.proven = True
-        self._forgive()  # what is begun behind this command has its own time
+        self.sent_command = True
+        self._cancel_command_timer()  # the next command has a timeout of its own
         return slot
 
-    def _steer(self) -> None:
-        """Reads on or stops reading. Guards memory against clients that send much or read nothing."""
+    def _update_reading(self) -> None:
+        """Pauses or resumes reading, to bound the memory used by clients that send much or read nothing."""
         if self.transport is None or self.transport.is_closing():
             return
-        # What comes behind a last command is read and dropped: that costs no memory, and shows who leaves.
-        full = self.phase is Phase.OPEN and (self.blocked or len(self.slots) >= MOST_PIPELINED)
+        # Input after the last command is read and discarded, which uses no memory and detects a disconnect.
+        full = self.phase is Phase.OPEN and (self.write_paused or len(self.slots) >= MAX_PIPELINED_COMMANDS)
         if full:
             self.transport.pause_reading()
             self.arrivals.pause()
         else:
             self.transport.resume_reading()
             self.arrivals.resume()
-        self.server.unread(self, full)
-        self._count()
-        if self.server.driver.room.over and self.buffered > resp.MOST_VALUE:
+        self.owner.set_reading_paused(self, full)
+        self._count_buffers()
+        if self.owner.driver.room.over and self.buffered_bytes > resp.MAX_BUFFERED_VALUE:
             self.transport.abort()
--- a/applehub/node/descriptors.py
+++ b/applehub/node/descriptors.py
@@ -1,33 +1,43 @@
-"""Who gets how many of the router's descriptors: its own first, then connections to servers and clients."""
+"""Divides the router's limit on file descriptors between itself, its servers and its clients."""
 
 from dataclasses import dataclass
 
-OWN = 19  # streams, loop, signals, listener, five lines to discovery while it moves, kept files, peers
-CONSOLE = 19  # its listener, the callers that it keeps, and some that are on their way out
-CLOSING = (
-    4  # turns of the loop that a client which is turned away stays for, and so how many each let in counts
+# Standard streams, event loop, signals, listener, five connections to discovery while its address changes,
+# persisted files, gossip with peers.
+OWN_DESCRIPTORS = 19
+CONSOLE_DESCRIPTORS = 19  # listener, open connections, and connections that are closing
+REJECTION_TICKS = (
+    4  # event loop ticks for which a rejected client uses a descriptor; each accepted client reserves as many
 )
-MOST_LET_IN = 16  # clients let in during one turn of the loop
-POOLS = 3 / 7  # part of the rest for connections to servers
-ENDING = 1 / 9  # part of the clients' for those whose sending has ended
+MAX_ACCEPTED_PER_TICK = 16  # clients accepted in one event loop tick
+SERVER_FRACTION = 3 / 7  # of the remaining descriptors, for connections to servers
+LINGERING_FRACTION = 1 / 9  # of the descriptors for clients, for connections whose sending has ended
 
 
 @dataclass(frozen=True, slots=True)
-class Places:
-    """How many of each there may be at once."""
+class ConnectionLimits:
+    """Maximum numbers of connections.
+
+    clients: open client connections. lingering: client connections whose sending has ended.
+    accepted_per_tick: clients accepted in one event loop tick. server_connections: connections to servers.
+    """
 
     clients: int
-    ending: int
-    let_in: int
-    pools: int
-
-
-def share_out(sockets: int, console: bool) -> Places:
-    """Shares out a limit on descriptors, of 64 at the least. Clients that fill all of theirs leave discovery,
-    servers and operators untouched."""
-    rest = sockets - OWN - (CONSOLE if console else 0)
-    let_in = min(max(rest // 64, 1), MOST_LET_IN)
-    rest = max(rest - CLOSING * let_in, 8)
-    pools = int(rest * POOLS)
-    ending = max(int((rest - pools) * ENDING), 2)
-    return Places(rest - pools - ending, ending, let_in, pools)
+    lingering: int
+    accepted_per_tick: int
+    server_connections: int
+
+
+def allocate_descriptors(sockets: int, console: bool) -> ConnectionLimits:
+    """Divides a limit of at least 64 descriptors.
+
+    The descriptors for discovery, servers and operators stay available even if clients use all of theirs.
+    """
+    remaining = sockets - OWN_DESCRIPTORS - (CONSOLE_DESCRIPTORS if console else 0)
+    accepted_per_tick = min(max(remaining // 64, 1), MAX_ACCEPTED_PER_TICK)
+    remaining = max(remaining - REJECTION_TICKS * accepted_per_tick, 8)
+    server_connections = int(remaining * SERVER_FRACTION)
+    lingering = max(int((remaining - server_connections) * LINGERING_FRACTION), 2)
+    return ConnectionLimits(
+        remaining - server_connections - lingering, lingering, accepted_per_tick, server_connections
+    )
--- a/applehub/node/listener.py
+++ b/applehub/node/listener.py
@@ -1,4 +1,4 @@
-"""The listener: lets clients in and keeps their connections, as many as there is room for."""
+"""Accepts client connections up to the connection limit, and closes them on shutdown."""
 
 import asyncio
 import contextlib
@@ -7,41 +7,41 @@
 from collections.abc import Callable
 
 from applehub.node.accepting import Acceptor
-from applehub.node.arrivals import looks_of_running_loop
-from applehub.node.clients import Client
-from applehub.node.descriptors import Places
+from applehub.node.arrivals import running_selector
+from applehub.node.clients import ClientConnection
+from applehub.node.descriptors import ConnectionLimits
 from applehub.node.driver import Driver
 from applehub.settings import Names
 
-BACKLOG = 1024  # clients that wait to be let in
-IDLE_LEAST = 2.0  # s without a request after which a connection may be closed to make room for another
-LOOK = 0.05  # s between looks at whether a client that is not being read has left
+BACKLOG = 1024  # connections in the accept queue
+MIN_IDLE_TIME = 2.0  # seconds without a request after which a connection may be closed in favour of a new one
+DISCONNECT_CHECK_INTERVAL = 0.05  # seconds between checks for disconnects of clients whose reading is paused
 
 
 def inherited_listener(descriptor: int) -> socket.socket:
-    """The listening socket behind a descriptor; raises an OSError that says what is there instead."""
+    """Returns the listening socket of a descriptor; raises OSError if it is none."""
     try:
         listener = socket.socket(fileno=descriptor)
     except OSError as problem:
         raise OSError(f"the inherited descriptor {descriptor} is no socket: {problem.strerror}") from None
     if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        listener.detach()  # it is the platform's
+        listener.detach()  # the descriptor belongs to the parent process
         raise OSError(f"the inherited descriptor {descriptor} is a socket that listens nowhere")
     return listener
 
 
-class Clients:
-    """The listener and its connections."""
+class ClientListener:
+    """The listening socket for clients and its connections."""
 
-    def __init__(self, driver: Driver, names: Names, places: Places) -> None:
-        self.driver, self.names, self.places = driver, names, places
-        self.looks = looks_of_running_loop()
-        self.open: set[Client] = set()
-        self.ending: dict[Client, None] = {}  # their sending has ended, or they have left; oldest first
-        self._unread: set[Client] = set()  # not read for now: whether they have left has to be looked for
-        self._looking = False
+    def __init__(self, driver: Driver, names: Names, connection_limits: ConnectionLimits) -> None:
+        self.driver, self.names, self.connection_limits = driver, names, connection_limits
+        self.selector = running_selector()
+        self.connections: set[ClientConnection] = set()
+        self.lingering: dict[ClientConnection, None] = {}  # closing or disconnected; oldest first
+        self._reading_paused: set[ClientConnection] = set()
+        self._check_scheduled = False
         self.can_serve: Callable[[], bool] = lambda: False
-        self.parting = self.closing = False
+        self.close_after_answer = self.closing = False
         self._empty = asyncio.Event()
         self._acceptor: Acceptor | None = None
         self._inherited = False
@@ -51,8 +51,10 @@
         return self._acceptor is not None and self._acceptor.open
 
     async def listen(self, host: str, port: int, inherited: int | None = None) -> tuple[str, int]:
-        """Listens on an address, or on a listening socket that the platform holds and other processes share:
-        that is only ever closed here, never shut down."""
+        """Listens on an address, or on an inherited listening socket, and returns the address.
+
+        An inherited socket is shared with other processes, so it is only closed here, never shut down.
+        """
         if inherited is None:
             family = socket.AF_INET6 if ":" in host else socket.AF_INET
             listener = socket.create_server((host, port), family=family)
@@ -60,100 +62,111 @@
             listener = inherited_listener(inherited)
         listener.listen(BACKLOG)
         self._inherited = inherited is not None
-        # Guards the descriptors: a turn accepts a few before the first of them can be turned away.
-        self._acceptor = Acceptor(listener, self._let_in, self.places.let_in, self._inherited)
+        # A tick accepts several connections before the first of them can be rejected.
+        self._acceptor = Acceptor(
+            listener, self._new_connection, self.connection_limits.accepted_per_tick, self._inherited
+        )
         return self._acceptor.address
 
-    def _let_in(self, since: int) -> Client:
-        return Client(self, since)
+    def _new_connection(self, earliest_arrival: int) -> ClientConnection:
+        return ClientConnection(self, earliest_arrival)
 
-    def room(self) -> bool:
-        """Whether one more connection may stay; the longest idle one makes room for it."""
-        if len(self.open) < self.places.clients:
+    def has_capacity(self) -> bool:
+        """Returns whether one more connection is allowed; closes the longest idle one if necessary."""
+        if len(self.connections) < self.connection_limits.clients:
             return True
-        before = asyncio.get_running_loop().time() - IDLE_LEAST
-        idle = [one for one in self.open if one.idle_since < before and not one.slots and one.proven]
+        before = asyncio.get_running_loop().time() - MIN_IDLE_TIME
+        idle = [
+            one for one in self.connections if one.idle_since < before and not one.slots and one.sent_command
+        ]
         oldest = min(idle, key=lambda one: one.idle_since, default=None)
         if oldest is None:
             return False
-        oldest.make_room()
+        oldest.close_idle()
         return True
 
-    def ended(self, client: Client) -> None:
-        """Nothing more is taken from a client; its descriptor goes in a moment. Guards the descriptors: where
-        too many are on their way out, the oldest of them goes now."""
-        self.open.discard(client)
-        self._unread.discard(client)
-        self.ending[client] = None
-        if len(self.ending) > self.places.ending:
-            oldest = next(iter(self.ending))
-            del self.ending[oldest]
-            oldest.cut()
-
-    def gone(self, client: Client) -> None:
-        self.ending.pop(client, None)
-        self.driver.room.free(client.buffered + client.reserved)
-        client.buffered = client.reserved = 0
-        self._look_whether_empty()
-
-    def _look_whether_empty(self) -> None:
-        """Notes that nobody is left and nobody comes any more."""
-        coming = self._acceptor is not None and self._acceptor.coming
-        if self.parting and not self.open and not self.ending and not coming:
+    def sending_ended(self, client: ClientConnection) -> None:
+        """Records that no further command of a connection is processed and its descriptor is freed soon.
+
+        If too many connections are closing, the oldest of them is aborted, to bound the descriptors in use.
+        """
+        self.connections.discard(client)
+        self._reading_paused.discard(client)
+        self.lingering[client] = None
+        if len(self.lingering) > self.connection_limits.lingering:
+            oldest = next(iter(self.lingering))
+            del self.lingering[oldest]
+            oldest.abort_connection()
+
+    def connection_closed(self, client: ClientConnection) -> None:
+        self.lingering.pop(client, None)
+        self.driver.room.release(client.buffered_bytes + client.reserved_bytes)
+        client.buffered_bytes = client.reserved_bytes = 0
+        self._check_empty()
+
+    def _check_empty(self) -> None:
+        """Sets the event that `wait_empty` waits for, once no connection is left or expected."""
+        connecting = self._acceptor is not None and self._acceptor.connecting
+        if self.close_after_answer and not self.connections and not self.lingering and not connecting:
             self._empty.set()
 
-    def unread(self, client: Client, unread: bool) -> None:
-        """Notes whether a client is read. One that is not shows no end of its stream by itself."""
-        (self._unread.add if unread else self._unread.discard)(client)
-        if self._unread and not self._looking:
-            self._looking = True
-            asyncio.get_running_loop().call_later(LOOK, self._look)
-
-    def _look(self) -> None:
-        """Looks who of those has left. Guards servers against work for clients that have gone: what they sent
-        stands unread before the end of their streams."""
-        self._looking = bool(self._unread)
-        if self._looking:
-            asyncio.get_running_loop().call_later(LOOK, self._look)
-        looks, clients = select.poll(), {}
-        for client in self._unread:
+    def set_reading_paused(self, client: ClientConnection, paused: bool) -> None:
+        """Records whether reading from a client is paused; while it is, disconnects have to be polled for."""
+        (self._reading_paused.add if paused else self._reading_paused.discard)(client)
+        if self._reading_paused and not self._check_scheduled:
+            self._check_scheduled = True
+            asyncio.get_running_loop().call_later(DISCONNECT_CHECK_INTERVAL, self._check_disconnects)
+
+    def _check_disconnects(self) -> None:
+        """Detects disconnects of clients whose reading is paused, so that no server works for them.
+
+        Their end of stream is behind unread input and would not be seen otherwise.
+        """
+        self._check_scheduled = bool(self._reading_paused)
+        if self._check_scheduled:
+            asyncio.get_running_loop().call_later(DISCONNECT_CHECK_INTERVAL, self._check_disconnects)
+        poll, clients = select.poll(), {}
+        for client in self._reading_paused:
             if client.transport is not None:
                 descriptor = client.transport.get_extra_info("socket").fileno()
                 clients[descriptor] = client
-                looks.register(descriptor, select.POLLRDHUP)  # a break is told unasked
+                poll.register(descriptor, select.POLLRDHUP)  # errors are always reported
         found: list[tuple[int, int]] = []
-        with contextlib.suppress(OSError):  # the system lacks memory: the next look tells
-            found = looks.poll(0)
+        with contextlib.suppress(OSError):  # out of memory; the next check repeats it
+            found = poll.poll(0)
         for descriptor, _ in found:
-            clients[descriptor].left()
+            clients[descriptor].peer_closed()
 
     def hand_over(self) -> None:
-        """Stops listening, since another process lets clients in; each connection ends after an answer."""
-        self.parting = True
+        """Stops listening, since another process accepts connections; closes each after its next answer."""
+        self.close_after_answer = True
         if self._acceptor is not None:
             self._acceptor.close()
 
-    async def shut(self, patience: float = 0.0) -> None:
-        """Closes, with those let in who stand in the listener's queue; where accept fails, it is tried for so
-        many seconds. Guards requests that the system has taken: a listener that closes resets them."""
+    async def shut_down(self, timeout: float = 0.0) -> None:
+        """Accepts the connections in the accept queue, then closes the listener and all connections.
+
+        timeout: seconds for which a failing accept is retried. Closing the listener first would reset the
+        connections in its queue.
+        """
         acceptor = self._acceptor
-        # What another process shares goes on being let in there.
+        # Connections to a shared listener are accepted by the other processes.
         if acceptor is not None and acceptor.open and not self._inherited:
-            await acceptor.take_all(patience)
+            await acceptor.accept_all(timeout)
         self.hand_over()
         if acceptor is not None:
-            await acceptor.brought()
+            await acceptor.wait_connected()
         self.close()
 
     def close(self) -> None:
-        """Stops listening; each connection ends after its last answer, idle ones at once."""
+        """Stops listening; closes each connection after its last pending answer, idle ones at once."""
         self.hand_over()
         self.closing = True
-        for client in list(self.open):
+        for client in list(self.connections):
             client.advance()
-        self._look_whether_empty()
+        self._check_empty()
 
-    async def emptied(self, patience: float) -> None:
-        """Waits until every connection has ended, or for so many seconds."""
+    async def wait_empty(self, timeout: float) -> None:
+        """Waits until every connection is closed, for at most `timeout` seconds."""
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self._empty.wait(), patience)
+            await asyncio.wait_for(self._empty.wait(), timeout)
--- a/applehub/node/machine_time.py
+++ b/applehub/node/machine_time.py
@@ -1,17 +1,18 @@
-"""Whether one process can use another's monotonic times: all read one clock until the machine restarts."""
+"""Identifies the boot of the machine, within which all processes share one monotonic clock."""
 
 import os
 
-BOOT_ID = "/proc/sys/kernel/random/boot_id"
+BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
 
 
 def boot_id() -> str:
-    """Names the time since the machine's last restart, in which all its processes share a monotonic clock.
+    """Returns the kernel's identifier of the current boot.
 
-    Empty if the system does not tell it: then times of another process are of no use.
+    Monotonic times are comparable between processes with the same identifier. Returns an empty string if the
+    kernel does not provide one; then times of other processes can't be used.
     """
     try:
-        descriptor = os.open(BOOT_ID, os.O_RDONLY)
+        descriptor = os.open(BOOT_ID_PATH, os.O_RDONLY)
         try:
             return os.read(descriptor, 64).decode("ascii", "replace").strip()
         finally:
--- a/applehub/node/memory_budget.py
+++ b/applehub/node/memory_budget.py
@@ -1,46 +1,46 @@
-"""Bounds the bytes buffered for clients: writes, requests that wait, input not complete, output not read."""
+"""Limits the bytes buffered for clients: writes, waiting requests, incomplete input and unsent output."""
 
-DEFAULT_LIMIT = 80 << 20  # bytes, where no limit is configured
-LONG_PART = 3 / 4  # part of the budget open to long writes, so that reads always find some of it
-PROGRAM_MEMORY_MB = 26  # what the program needs for itself after some minutes
-LEAST_MEMORY_MB = 4  # for buffers, however small the limit
+DEFAULT_LIMIT = 80 << 20  # bytes; used if no limit is configured
+LONG_VALUE_FRACTION = 3 / 4  # of the budget, available to long values; the rest is left to reads
+PROGRAM_MEMORY_MB = 26  # of one process, without its buffers
+MIN_BUFFER_MEMORY_MB = 4  # for the buffers of all processes, whatever the configured limit
 
 
 class MemoryBudget:
-    """One count of bytes for all buffers of a process.
+    """Counts the bytes of all buffers of a process.
 
-    most: the limit in bytes. used: the bytes counted at present; `note` may take it past the limit.
+    limit: maximum in bytes. used: bytes counted at present; `add` may exceed the limit.
     """
 
-    def __init__(self, most: int = DEFAULT_LIMIT) -> None:
-        self.most, self.used = most, 0
+    def __init__(self, limit: int = DEFAULT_LIMIT) -> None:
+        self.limit, self.used = limit, 0
 
-    def reserve(self, size: int, part: float = 1.0) -> bool:
-        """Counts `size` bytes if the sum stays within `part` (0 to 1) of the limit; returns whether so."""
-        if self.used + size > self.most * part:
+    def reserve(self, size: int, fraction: float = 1.0) -> bool:
+        """Counts `size` bytes if the sum is within `fraction` (0 to 1) of the limit; returns whether so."""
+        if self.used + size > self.limit * fraction:
             return False
         self.used += size
         return True
 
-    def free(self, size: int) -> None:
-        """Gives back `size` bytes that were reserved or noted."""
+    def release(self, size: int) -> None:
+        """Subtracts `size` bytes that were reserved or added."""
         self.used -= size
 
-    def note(self, change: int) -> None:
-        """Adds a change in bytes that are buffered already, whether they fit or not."""
+    def add(self, change: int) -> None:
+        """Adds a change in buffered bytes, even if it exceeds the limit."""
         self.used += change
 
     @property
     def over(self) -> bool:
-        """Whether more bytes are counted than the limit allows."""
-        return self.used > self.most
+        """Whether more bytes are counted than the limit."""
+        return self.used > self.limit
 
 
-def bytes_for_values(memory_mb: int, processes: int = 1) -> int:
-    """The limit in bytes on the buffers of one process of a router.
+def buffer_limit_bytes(memory_mb: int, processes: int = 1) -> int:
+    """Returns the limit in bytes on the buffers of one process of a router.
 
-    memory_mb: the limit on memory for all of the router's processes. What their programs leave of it is
-    halved, since a value stands in two buffers for a moment, and shared equally.
+    memory_mb: memory limit of all processes of the router together. The part that is not used by the programs
+    is halved, since a value can be in two buffers at a time, and divided equally.
     """
-    left_mb = max(memory_mb - PROGRAM_MEMORY_MB * processes, LEAST_MEMORY_MB)
-    return (left_mb << 20) // 2 // processes
+    available_mb = max(memory_mb - PROGRAM_MEMORY_MB * processes, MIN_BUFFER_MEMORY_MB)
+    return (available_mb << 20) // 2 // processes
--- a/applehub/node/resp.py
+++ b/applehub/node/resp.py
@@ -1,4 +1,4 @@
-"""RESP2 as the router reads and writes it."""
+"""Parsing and encoding of RESP2, the Redis serialization protocol."""
 
 import re
 from collections.abc import Callable
@@ -6,20 +6,20 @@
 
 import hiredis
 
-MOST_VALUE = 64 * 1024  # bytes of a key, an id, a list or a value that is held whole
-MOST_LONG = 8 << 20  # bytes of a value that is passed on piece by piece
-MOST_LINE = 1024
-MOST_ITEMS = 8
-WRITE_ITEMS = 5  # parts of a write, its value last
-WRITE = re.compile(rb"\*5\r\n\$5\r\nC\.SET\r\n", re.IGNORECASE)
-MOST_FRAME = 5 * MOST_VALUE  # a write has four large parts at the most
-DROPPED = bytearray()  # a long value that there was no room for
-WAITING = object()  # no whole value has come yet
+MAX_BUFFERED_VALUE = 64 * 1024  # bytes of a key, an id, a list or a value that is parsed as a unit
+MAX_LONG_VALUE = 8 << 20  # bytes of a value that is forwarded in chunks
+MAX_LINE = 1024
+MAX_ITEMS = 8
+WRITE_ITEMS = 5  # items of a C.SET command, the value last
+WRITE_COMMAND = re.compile(rb"\*5\r\n\$5\r\nC\.SET\r\n", re.IGNORECASE)
+MAX_FRAME = 5 * MAX_BUFFERED_VALUE  # bytes; a C.SET command has at most four large items
+DISCARDED = bytearray()  # stands for a long value that was not admitted
+INCOMPLETE = object()  # returned while no complete value is buffered
 FAILED = b"-ERR failed\r\n"
 
 
 class FramingError(ValueError):
-    """What came is no RESP2, or larger than the router takes: the stream is of no further use."""
+    """The input is not valid RESP2 or exceeds a limit; the rest of the stream can't be parsed."""
 
 
 def bulk(value: bytes | bytearray) -> bytes:
@@ -34,67 +34,68 @@
     return f"-ERR {text}\r\n".encode()
 
 
-def refused(milliseconds: int) -> bytes:
+def busy(milliseconds: int) -> bytes:
     return b"-BUSY %d\r\n" % milliseconds if milliseconds > 0 else b"-BUSY\r\n"
 
 
-def _length(line: bytes, most: int) -> int:
+def _length(line: bytes, limit: int) -> int:
     if line == b"-1":
         return -1
-    if not line.isdigit() or len(line) > 10 or int(line) > most:
+    if not line.isdigit() or len(line) > 10 or int(line) > limit:
         raise FramingError("invalid or oversized length")
     return int(line)
 
 
-class Frames:
-    """Cuts a byte stream into complete RESP values.
+class FrameParser:
+    """Splits a byte stream into complete RESP values.
 
     Each value is measured before hiredis parses it. hiredis allocates whatever size a header announces and
     does not check the end of a string, so an invalid length must be rejected before.
 
-    Where long values are admitted, the last part of a write may be one: it is collected separately, or
-    dropped if it is not admitted, and an empty string takes its place until the command is complete.
+    With `admit`, the last item of a C.SET command may be a long value: it is collected separately, or
+    discarded if it is not admitted, and an empty string replaces it until the command is complete.
     """
 
-    __slots__ = ("admit", "at", "buffer", "items", "left", "long", "missing", "reader")
+    __slots__ = ("admit", "buffer", "items", "long", "long_remaining", "missing", "position", "reader")
 
     def __init__(self, admit: Callable[[int], bool] | None = None) -> None:
-        self.admit = admit  # asked with the length of a long value whether there is room for it
+        self.admit = admit  # called with the length of a long value; returns whether to store it
         self.buffer = bytearray()
-        self.at, self.missing = 0, 1  # how far it is measured, and how many values that lacks
-        self.items = 0  # of the array that is measured
-        self.left = 0  # bytes of a long value still to come
-        self.long: bytearray | None = None  # and those that came
+        self.position, self.missing = 0, 1  # end of the scanned part, and the number of values that it lacks
+        self.items = 0  # of the array that is being scanned
+        self.long_remaining = 0  # bytes of a long value not received yet
+        self.long: bytearray | None = None  # its bytes received so far
         self.reader = hiredis.Reader()
 
     def feed(self, data: bytes) -> None:
-        if self.left:
-            piece, data = data[: self.left], data[self.left :]
-            self.left -= len(piece)
-            if self.long is not None and self.long is not DROPPED:
-                self.long += piece
+        """Appends received bytes; those of a long value are stored separately."""
+        if self.long_remaining:
+            chunk, data = data[: self.long_remaining], data[self.long_remaining :]
+            self.long_remaining -= len(chunk)
+            if self.long is not None and self.long is not DISCARDED:
+                self.long += chunk
         self.buffer += data
 
     @property
     def in_value(self) -> bool:
-        """Whether all of a write is here but the end of its value."""
+        """Whether only the value of a C.SET command is still incomplete."""
         return self.items == WRITE_ITEMS and self.missing == 1
 
     def replace(self, data: bytes) -> None:
-        """Begins anew with these bytes."""
+        """Replaces the buffered input and restarts the scan."""
         self.buffer[:] = data
-        self.at, self.missing = 0, 1
+        self.position, self.missing = 0, 1
 
     def next(self) -> Any:
-        """The next whole value, or WAITING."""
+        """Returns the next complete value, or INCOMPLETE; raises FramingError."""
         while self.missing:
-            if not self._measure():
-                return WAITING
-            if self.at > MOST_FRAME or self.missing > MOST_ITEMS:
+            if not self._scan_value():
+                return INCOMPLETE
+            if self.position > MAX_FRAME or self.missing > MAX_ITEMS:
                 raise FramingError("too large")
-        self.reader.feed(bytes(self.buffer[: self.at]))
-        del self.buffer[: self.at]
-        self.at, self.missing, self.items = 0, 1, 0
+        self.reader.feed(bytes(self.buffer[: self.position]))
+        del self.buffer[: self.position]
+        self.position, self.missing, self.items = 0, 1, 0
         try:
             value = self.reader.gets()
         except hiredis.ProtocolError as problem:
@@ -103,43 +104,43 @@
             value[-1], self.long = self.long, None
         return value
 
-    def _collect(self, at: int, end: int, size: int) -> None:
-        came = self.buffer[end : end + size]
-        self.long = came if self.admit is not None and self.admit(size) else DROPPED
-        self.left = size - len(came)
-        self.buffer[at : end + len(came)] = b"$0\r\n"
+    def _start_long_value(self, at: int, end: int, size: int) -> None:
+        received = self.buffer[end : end + size]
+        self.long = received if self.admit is not None and self.admit(size) else DISCARDED
+        self.long_remaining = size - len(received)
+        self.buffer[at : end + len(received)] = b"$0\r\n"
 
-    def _measure(self) -> bool:
-        """Steps over one value, or the head of an array; whether it was there."""
-        buffer, at = self.buffer, self.at
+    def _scan_value(self) -> bool:
+        """Advances past one value or array header; returns whether it is completely buffered."""
+        buffer, at = self.buffer, self.position
         if at >= len(buffer):
             return False
         if buffer[at] not in b"+-:$*":
             raise FramingError("invalid first byte")
-        end = buffer.find(b"\r\n", at, at + MOST_LINE)
+        end = buffer.find(b"\r\n", at, at + MAX_LINE)
         if end < 0:
-            if len(buffer) - at >= MOST_LINE:
+            if len(buffer) - at >= MAX_LINE:
                 raise FramingError("line too long")
             return False
         line, kind = bytes(buffer[at + 1 : end]), buffer[at : at + 1]
         end += 2
         if kind == b"*":
-            # Neither clients nor servers nest arrays; deep nesting would cost time without bound.
+            # Neither clients nor servers nest arrays; the cost of parsing deep nesting is unbounded.
             if at:
                 raise FramingError("an array in an array")
-            self.items = _length(line, MOST_ITEMS)
+            self.items = _length(line, MAX_ITEMS)
             self.missing += max(0, self.items)
         elif kind == b"$":
-            long = self.admit is not None and self.in_value and WRITE.match(buffer) is not None
-            size = _length(line, MOST_LONG if long else MOST_VALUE)
-            if size > MOST_VALUE:
-                self._collect(at, end, size)
-                return self._measure()
+            long = self.admit is not None and self.in_value and WRITE_COMMAND.match(buffer) is not None
+            size = _length(line, MAX_LONG_VALUE if long else MAX_BUFFERED_VALUE)
+            if size > MAX_BUFFERED_VALUE:
+                self._start_long_value(at, end, size)
+                return self._scan_value()
             if size >= 0:
                 if len(buffer) < end + size + 2:
                     return False
                 if buffer[end + size : end + size + 2] != b"\r\n":
                     raise FramingError("string longer than announced")
                 end += size + 2
-        self.at, self.missing = end, self.missing - 1
+        self.position, self.missing = end, self.missing - 1
         return True
--- a/applehub/node/stream.py
+++ b/applehub/node/stream.py
@@ -1,84 +1,84 @@
-"""Passes long values from a server to a client in pieces, and reads sockets into one shared buffer."""
+"""Streaming of long values from servers to clients in chunks, and a shared buffer for socket reads."""
 
 import asyncio
 from abc import abstractmethod
 from collections.abc import Callable, Iterator
 from typing import Protocol
 
-PIECE = 64 * 1024  # most bytes read from a socket, or handed to one, at once
-_piece = bytearray(PIECE)
+CHUNK_SIZE = 64 * 1024  # maximum number of bytes read from a socket or written to one at once
+_shared_buffer = bytearray(CHUNK_SIZE)
 
 
-def pieces_of(value: bytes | bytearray) -> Iterator[memoryview]:
-    """The value in views of at most PIECE bytes; nothing is copied."""
-    whole = memoryview(value)
-    return (whole[at : at + PIECE] for at in range(0, len(value), PIECE))
+def chunks_of(value: bytes | bytearray) -> Iterator[memoryview]:
+    """Returns views of the value, of at most CHUNK_SIZE bytes each; nothing is copied."""
+    view = memoryview(value)
+    return (view[start : start + CHUNK_SIZE] for start in range(0, len(value), CHUNK_SIZE))
 
 
-class Reader(asyncio.BufferedProtocol):
-    """A protocol whose socket is read into a buffer that all connections share.
+class SharedBufferProtocol(asyncio.BufferedProtocol):
+    """A protocol that reads its socket into a buffer shared by all connections.
 
-    That is safe because the event loop calls `buffer_updated` right after it has filled the buffer, and the
-    bytes are copied out there.
+    The event loop calls `buffer_updated` immediately after filling the buffer, and the bytes are copied out
+    there, so connections can't overwrite each other's input.
     """
 
     def get_buffer(self, sizehint: int) -> bytearray:
-        """The shared buffer, whatever size the event loop suggests."""
-        return _piece
+        """Returns the shared buffer; ignores the suggested size."""
+        return _shared_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
         """Passes a copy of the first `nbytes` of the buffer to `data_received`."""
-        self.data_received(bytes(memoryview(_piece)[:nbytes]))
+        self.data_received(bytes(memoryview(_shared_buffer)[:nbytes]))
 
     @abstractmethod
     def data_received(self, data: bytes) -> None:
-        """Processes bytes that were received."""
+        """Processes received bytes."""
 
 
 class Source(Protocol):
-    """The connection that a long value comes from."""
+    """The connection from which a long value is received."""
 
     def pause(self) -> None:
         """Stops reading the value until `resume`."""
 
     def resume(self) -> None:
-        """Continues to read the value."""
+        """Resumes reading the value."""
 
 
 class Stream:
-    """One value as a RESP bulk string, with backpressure from its client to its source.
+    """One value as a RESP bulk string, with backpressure from the client to the source.
 
-    The source is paused as soon as a piece waits here and resumed when the client takes it, so no more than
-    the pieces of one read are buffered.
+    The source is paused while a chunk is buffered and resumed when the client takes it, so that at most the
+    chunks of one read are buffered.
     """
 
-    __slots__ = ("begun", "done", "pieces", "source", "wake")
+    __slots__ = ("chunks", "done", "on_data", "source", "started")
 
     def __init__(self, size: int, source: Source) -> None:
         """size: length of the value in bytes, which the header of the bulk string announces."""
         self.source = source
-        self.pieces = [b"$%d\r\n" % size]
-        self.begun = self.done = False  # whether some of it was taken, and whether all of it was received
-        self.wake: Callable[[], None] = lambda: None  # called when there is more to take
-
-    def feed(self, piece: bytes) -> None:
-        """Adds a piece from the source; pauses the source unless the client takes the piece at once."""
-        self.pieces.append(piece)
-        self.wake()
-        if self.pieces:
+        self.chunks = [b"$%d\r\n" % size]
+        self.started = self.done = False  # a part was taken; the complete value was received
+        self.on_data: Callable[[], None] = lambda: None  # called when there is data to take
+
+    def feed(self, chunk: bytes) -> None:
+        """Adds a chunk from the source; pauses the source unless the client takes the chunk at once."""
+        self.chunks.append(chunk)
+        self.on_data()
+        if self.chunks:
             self.source.pause()
 
     def end(self) -> None:
-        """Marks the value as complete; the source is not used after that and may serve another request."""
-        self.pieces.append(b"\r\n")
+        """Marks the value as complete; the source is not used afterwards and may serve another request."""
+        self.chunks.append(b"\r\n")
         self.done = True
-        self.wake()
+        self.on_data()
 
     def take(self) -> bytes:
-        """Removes and returns all that waits, for the client; resumes the source if the value goes on."""
-        self.begun = True
-        taken = b"".join(self.pieces)
-        self.pieces.clear()
+        """Removes and returns the buffered data; resumes the source if the value is incomplete."""
+        self.started = True
+        taken = b"".join(self.chunks)
+        self.chunks.clear()
         if not self.done:
             self.source.resume()
         return taken
--- a/applehub/node/unread.py
+++ b/applehub/node/unread.py
@@ -1,28 +1,28 @@
-"""Looks at what the system holds of a connection and nobody has read yet."""
+"""Checks for input that the kernel has received on a socket and that was not read yet."""
 
 import select
 from typing import Protocol
 
-END = select.POLLRDHUP
+PEER_CLOSED = select.POLLRDHUP
 
 
-class Line(Protocol):
-    """A socket, or what stands for one."""
+class HasFileno(Protocol):
+    """A socket, or another object with a file descriptor."""
 
     def fileno(self) -> int:
-        """Its descriptor."""
+        """Returns the file descriptor."""
 
 
-class Unread:
-    """What has come on one socket and was not read: data or the end of the stream, or the end alone."""
+class UnreadInput:
+    """Unread input of one socket: data or the end of the stream, or only the end of the stream."""
 
-    __slots__ = ("_arrived",)
+    __slots__ = ("_poll",)
 
-    def __init__(self, line: Line, what: int = select.POLLIN) -> None:
-        """what: `select.POLLIN`, or END where data that comes before the end does not count."""
-        self._arrived = select.poll()
-        self._arrived.register(line.fileno(), what)
+    def __init__(self, sock: HasFileno, events: int = select.POLLIN) -> None:
+        """events: `select.POLLIN`, or PEER_CLOSED to ignore data that precedes the end of the stream."""
+        self._poll = select.poll()
+        self._poll.register(sock.fileno(), events)
 
-    def waits(self) -> bool:
-        """Whether there is any."""
-        return bool(self._arrived.poll(0))
+    def pending(self) -> bool:
+        """Returns whether there is unread input."""
+        return bool(self._poll.poll(0))
