--- a/applehub/node/accepting.py
+++ b/applehub/node/accepting.py
@@ -71,7 +71,7 @@
             self._retry_later(problem)
 
     def _accept_batch(self) -> bool:
-        """Accepts waiting connections, up to the maximum of one tick; returns whether more may be waiting.
+        """Accepts waiting connections, up to the maximum of one tick; returns whether more may wait.
 
         Raises OSError if accept fails, or if every connection in the batch was broken.
         """
@@ -131,7 +131,7 @@
     async def accept_all(self, timeout: float) -> None:
         """Accepts all waiting connections and none after that.
 
-        timeout: seconds for which a failing accept is retried. Returns in the tick that finds the queue empty.
+        timeout: seconds for which a failing accept is retried. Returns in the tick that finds an empty queue.
         """
         self._pause()
         end = self._loop.time() + timeout
--- a/tests/test_arrivals.py
+++ b/tests/test_arrivals.py
@@ -1,7 +1,8 @@
-"""The time of a request counts from the arrival of its last byte, however long it waits before it is read.
+"""The deadline of a request counts from the arrival of its last byte, however long it waits to be read.
 
-Each test has the event loop stand still, or not read a connection, while a command waits. Those on the clock
-of `virtual` let it stand still by moving that clock on, the others by time.sleep, which holds the router."""
+In each test the event loop stalls, or does not read a connection, while a command waits. Tests in virtual
+time stall the loop by advancing the clock, the others by calling time.sleep in the event loop.
+"""
 
 import asyncio
 import contextlib
@@ -14,107 +15,107 @@
 import pytest
 from peers import MISS, PATIENCE, Bench, Cache, Json, Web, entry, hit, http, router, soon
 from test_begins import slow_dials
-from virtual import Loop, play
+from virtual import VirtualTimeLoop, run_in_virtual_time
 
 from applehub.node import arrivals, clients, resp
-from applehub.node.listener import Clients
+from applehub.node.listener import ClientListener
 from applehub.node.pool import Connection
-from applehub.node.unread import Unread
+from applehub.node.unread import UnreadInput
 from applehub.policy.throttle import Throttle
 
-WAIT = 9000  # ms that the clients of these tests allow: far past what the busiest machine holds a test up
-PAST_WAIT = WAIT / 1000 + 0.1  # s after which that is over
-STILL = 0.5  # s for which the loop stands still, or a command waits unread
-GONE = int(STILL * 1000)
-SLACK = 60  # ms that may pass on the clock of `virtual` while a test waits for something
-BACK = 8  # ms that the router keeps for the way of an answer
-SHORT = 16  # ms by which a time that the system's account gave may be short: 10, a tick of 4, two roundings
+DEADLINE_MS = 9000  # longer than any delay of a test on a busy machine
+PAST_DEADLINE = DEADLINE_MS / 1000 + 0.1  # seconds after which DEADLINE_MS has passed
+STALL_SECONDS = 0.5  # for which the loop stalls, or a command waits unread
+STALL_MS = int(STALL_SECONDS * 1000)
+SLACK_MS = 60  # virtual time that may pass while a test waits for a condition
+ANSWER_RESERVE_MS = 8  # which the router subtracts for the transfer of the answer
+KERNEL_TIME_ERROR_MS = 16  # error of the kernel's time: resolution of 10, a clock tick of 4, rounding
 BUSY = b"-BUSY\r\n"
 
 
-def get(name: bytes = b"i1", wait: int | None = WAIT, key: bytes = b"k") -> bytes:
+def get(name: bytes = b"i1", wait: int | None = DEADLINE_MS, key: bytes = b"k") -> bytes:
     allowed = b"" if wait is None else b",d=%d" % wait
     return resp.command(b"C.GET", key, name, b"c=read,t=acme" + allowed)
 
 
 def put(value: bytes, name: bytes = b"w1") -> bytes:
-    return resp.command(b"C.SET", b"k", name, b"c=put,t=acme,d=%d,k=77" % WAIT, value)
+    return resp.command(b"C.SET", b"k", name, b"c=put,t=acme,d=%d,k=77" % DEADLINE_MS, value)
 
 
-def time_told(info: bytes) -> int:
-    """The milliseconds that a list of names and values tells as `d`."""
+def notified_deadline(info: bytes) -> int:
+    """Returns the value of `d`, in ms, in a list of names and values."""
     return int(dict(one.split(b"=") for one in info.split(b","))[b"d"])
 
 
-def told(bench: Bench) -> dict[bytes, int]:
-    """What the cache server was told of each request."""
-    return {command[2]: time_told(command[3]) for command in bench.cache.got}
+def notified_deadlines(bench: Bench) -> dict[bytes, int]:
+    """Returns the deadline in ms of which the cache server was notified, by request id."""
+    return {command[2]: notified_deadline(command[3]) for command in bench.cache.got}
 
 
-class Receipts:
-    """Cache servers that answer at once and note when they got each request."""
+class RecordingServer:
+    """A cache server that answers at once and records when it received each request."""
 
     def __init__(self) -> None:
         self.times: dict[bytes, float] = {}
 
-    def __call__(self, asked: Any, peer: asyncio.StreamWriter) -> bytes:
-        self.times[asked[2]] = time.monotonic()
+    def __call__(self, request: Any, peer: asyncio.StreamWriter) -> bytes:
+        self.times[request[2]] = time.monotonic()
         return hit()
 
-    def least(self, name: bytes, since: float, short: int = 1) -> int:
-        """What has to be told at least of a request that allows WAIT and counts from then."""
-        return WAIT - int((self.times[name] - since) * 1000) - BACK - short
+    def min_deadline(self, name: bytes, since: float, short: int = 1) -> int:
+        """Returns the minimum notified deadline in ms of a request that counts from `since`."""
+        return DEADLINE_MS - int((self.times[name] - since) * 1000) - ANSWER_RESERVE_MS - short
 
 
-def last_look() -> float:
-    """When the loop last looked at its sockets, in seconds."""
-    return arrivals.looks_of_running_loop().looked / 1e9
+def last_poll_time() -> float:
+    """Returns when the loop last polled its sockets, in seconds."""
+    return arrivals.running_selector().polled_at / 1e9
 
 
-def told_to_origin(bench: Bench) -> list[int]:
-    return [time_told(headers[b"x-call-info"]) for _, _, headers, _ in bench.origin.got]
+def origin_deadlines(bench: Bench) -> list[int]:
+    return [notified_deadline(headers[b"x-call-info"]) for _, _, headers, _ in bench.origin.got]
 
 
-def stand_still(seconds: float = STILL) -> None:
-    """The loop of a test on the clock of `virtual` is busy for so long."""
+def stall_loop(seconds: float = STALL_SECONDS) -> None:
+    """Makes the event loop, in virtual time, busy for `seconds`."""
     loop = asyncio.get_running_loop()
-    assert isinstance(loop, Loop)
+    assert isinstance(loop, VirtualTimeLoop)
     loop.now += seconds
 
 
-class Gate:
-    """Peers of the router that hold back their answers until they are let go."""
+class HeldAnswers:
+    """Servers that hold back their answers until `open` is called."""
 
     def __init__(self) -> None:
         self.held: list[tuple[asyncio.StreamWriter, bytes]] = []
-        self.shut = True
+        self.holding = True
 
-    def cache(self, asked: Any, peer: asyncio.StreamWriter) -> bytes | None:
+    def cache(self, request: Any, peer: asyncio.StreamWriter) -> bytes | None:
         return self._answer(peer, hit())
 
-    def origin(self, asked: Any, peer: asyncio.StreamWriter) -> bytes | None:
+    def origin(self, request: Any, peer: asyncio.StreamWriter) -> bytes | None:
         return self._answer(peer, http(200, b"v"))
 
     def _answer(self, peer: asyncio.StreamWriter, answer: bytes) -> bytes | None:
-        if self.shut:
+        if self.holding:
             self.held.append((peer, answer))
-        return None if self.shut else answer
+        return None if self.holding else answer
 
     def open(self) -> None:
-        self.shut = False
+        self.holding = False
         for peer, answer in self.held:
             peer.write(answer)
 
 
-async def full_pipeline(bench: Bench) -> None:
-    """Waits until the one client there is has as many commands in work as may be."""
-    (one,) = bench.clients.open
-    await soon(lambda: len(one.slots) == clients.MOST_PIPELINED)
+async def wait_for_full_pipeline(bench: Bench) -> None:
+    """Waits until the only client has the maximum number of commands in progress."""
+    (one,) = bench.clients.connections
+    await soon(lambda: len(one.slots) == clients.MAX_PIPELINED_COMMANDS)
 
 
 @contextlib.contextmanager
-def line(bench: Bench) -> Iterator[socket.socket]:
-    """A client on a bare socket: what it sends is with the system at once."""
+def raw_socket(bench: Bench) -> Iterator[socket.socket]:
+    """A client on a plain socket: data that it sends is in the kernel at once."""
     with socket.create_connection(("127.0.0.1", bench.port)) as one:
         one.setblocking(False)
         one.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -122,475 +123,528 @@
 
 
 @contextlib.asynccontextmanager
-async def in_use(bench: Bench) -> Any:
-    """The same, once the router has let it in and answered it."""
-    with line(bench) as one:
+async def connected_socket(bench: Bench) -> Any:
+    """The same, once the router has accepted it and answered a command."""
+    with raw_socket(bench) as one:
         one.sendall(resp.command(b"PING"))
-        assert await read(one) == b"+PONG\r\n"
+        assert await receive(one) == b"+PONG\r\n"
         yield one
 
 
-async def read(one: socket.socket) -> bytes:
+async def receive(one: socket.socket) -> bytes:
     async with asyncio.timeout(PATIENCE):
         return await asyncio.get_running_loop().sock_recv(one, 1 << 16)
 
 
-@pytest.fixture(params=["told", "silent"])
-def account(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> bool:
-    """Whether the system tells when it last received data."""
-    if request.param == "silent":
-        monkeypatch.setattr(arrivals, "silent_for", lambda line: None)
-    return bool(request.param == "told")
+@pytest.fixture(params=["reported", "unreported"])
+def kernel_time_known(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> bool:
+    """Whether the kernel reports when it last received data."""
+    if request.param == "unreported":
+        monkeypatch.setattr(arrivals, "ms_since_last_data", lambda sock: None)
+    return bool(request.param == "reported")
 
 
 @pytest.fixture
-def no_account(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The system tells nothing: its clock is not that of `virtual`."""
-    monkeypatch.setattr(arrivals, "silent_for", lambda line: None)
+def kernel_time_unknown(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The kernel reports no times, since its clock is not the virtual one."""
+    monkeypatch.setattr(arrivals, "ms_since_last_data", lambda sock: None)
 
 
-# Bytes in the system while the loop is busy
+# Unread bytes while the loop is busy
 
 
-async def test_bytes_that_wait_while_the_loop_stands_still_count_from_their_arrival(account: bool) -> None:
-    """Told 890 ms where 400 were left."""
-    got = Receipts()
-    async with router(got) as bench, in_use(bench) as client:
-        looked, sent = last_look(), time.monotonic()
+async def test_unread_bytes_count_from_arrival_while_loop_is_stalled(kernel_time_known: bool) -> None:
+    got = RecordingServer()
+    async with router(got) as bench, connected_socket(bench) as client:
+        looked, sent = last_poll_time(), time.monotonic()
         client.sendall(get())
-        time.sleep(STILL)
-        assert await read(client) == b"$1\r\nv\r\n"
-        least = got.least(b"i1", sent, SHORT) if account else got.least(b"i1", looked)
-        assert least <= told(bench)[b"i1"] <= WAIT - GONE
-
-
-async def test_the_system_tells_when_the_last_byte_came_during_a_long_turn() -> None:
-    got = Receipts()
-    async with router(got) as bench, in_use(bench) as client:
-        time.sleep(STILL / 2)
+        time.sleep(STALL_SECONDS)
+        assert await receive(client) == b"$1\r\nv\r\n"
+        least = (
+            got.min_deadline(b"i1", sent, KERNEL_TIME_ERROR_MS)
+            if kernel_time_known
+            else got.min_deadline(b"i1", looked)
+        )
+        assert least <= notified_deadlines(bench)[b"i1"] <= DEADLINE_MS - STALL_MS
+
+
+async def test_kernel_reports_arrival_of_last_byte_during_long_tick() -> None:
+    got = RecordingServer()
+    async with router(got) as bench, connected_socket(bench) as client:
+        time.sleep(STALL_SECONDS / 2)
         sent = time.monotonic()
         client.sendall(get())
-        time.sleep(STILL / 2)
-        assert await read(client) == b"$1\r\nv\r\n"
-        assert got.least(b"i1", sent, SHORT) <= told(bench)[b"i1"] <= WAIT - GONE / 2
-
-
-async def test_of_commands_that_came_apart_only_the_last_is_known_closely() -> None:
-    """The system tells of the last bytes alone: the first command might have come before the long turn."""
-    got = Receipts()
-    async with router(got) as bench, in_use(bench) as client:
-        looked = last_look()
+        time.sleep(STALL_SECONDS / 2)
+        assert await receive(client) == b"$1\r\nv\r\n"
+        assert (
+            got.min_deadline(b"i1", sent, KERNEL_TIME_ERROR_MS)
+            <= notified_deadlines(bench)[b"i1"]
+            <= DEADLINE_MS - STALL_MS / 2
+        )
+
+
+async def test_kernel_time_applies_only_to_last_of_separate_commands() -> None:
+    """The kernel reports only the last arrival: the first command may have arrived before the long tick."""
+    got = RecordingServer()
+    async with router(got) as bench, connected_socket(bench) as client:
+        looked = last_poll_time()
         client.sendall(get(b"first"))
-        time.sleep(STILL / 2)
+        time.sleep(STALL_SECONDS / 2)
         sent = time.monotonic()
         client.sendall(get(b"second"))
-        time.sleep(STILL / 2)
+        time.sleep(STALL_SECONDS / 2)
         await soon(lambda: len(got.times) == 2)
-        assert got.least(b"first", looked) <= told(bench)[b"first"] <= WAIT - GONE
-        assert got.least(b"second", sent, SHORT) <= told(bench)[b"second"] <= WAIT - GONE / 2
-
-
-async def test_an_idle_router_loses_no_time() -> None:
-    got = Receipts()
-    async with router(got) as bench, in_use(bench) as client:
-        await asyncio.sleep(STILL)
+        assert (
+            got.min_deadline(b"first", looked)
+            <= notified_deadlines(bench)[b"first"]
+            <= DEADLINE_MS - STALL_MS
+        )
+        assert (
+            got.min_deadline(b"second", sent, KERNEL_TIME_ERROR_MS)
+            <= notified_deadlines(bench)[b"second"]
+            <= DEADLINE_MS - STALL_MS / 2
+        )
+
+
+async def test_idle_router_adds_no_delay() -> None:
+    got = RecordingServer()
+    async with router(got) as bench, connected_socket(bench) as client:
+        await asyncio.sleep(STALL_SECONDS)
         sent = time.monotonic()
         client.sendall(get())
-        assert await read(client) == b"$1\r\nv\r\n"
-        assert got.least(b"i1", sent, SHORT) <= told(bench)[b"i1"] <= WAIT
+        assert await receive(client) == b"$1\r\nv\r\n"
+        assert (
+            got.min_deadline(b"i1", sent, KERNEL_TIME_ERROR_MS)
+            <= notified_deadlines(bench)[b"i1"]
+            <= DEADLINE_MS
+        )
 
 
-def test_each_turn_that_stands_still_counts(monkeypatch: pytest.MonkeyPatch, no_account: None) -> None:
+def test_each_stalled_tick_counts(monkeypatch: pytest.MonkeyPatch, kernel_time_unknown: None) -> None:
     async def test() -> None:
-        async with router() as bench, in_use(bench) as client:
+        async with router() as bench, connected_socket(bench) as client:
             for n in range(3):
                 client.sendall(get(b"i%d" % n))
-                stand_still(0.1 * (n + 1))
-                assert await read(client) == b"$1\r\nv\r\n"
+                stall_loop(0.1 * (n + 1))
+                assert await receive(client) == b"$1\r\nv\r\n"
                 await asyncio.sleep(1)
-            assert [WAIT - 100 * (n + 1) - 8 for n in range(3)] == list(told(bench).values())
+            assert [DEADLINE_MS - 100 * (n + 1) - 8 for n in range(3)] == list(
+                notified_deadlines(bench).values()
+            )
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-# Behind a full pipeline, and behind a paused read
+# Commands behind a full pipeline or a paused read
 
 
-def test_commands_behind_a_full_pipeline_keep_the_time_of_their_read(
-    monkeypatch: pytest.MonkeyPatch, no_account: None
+def test_commands_behind_full_pipeline_count_from_their_read(
+    monkeypatch: pytest.MonkeyPatch, kernel_time_unknown: None
 ) -> None:
-    """They counted from when their turn came: told 892 ms where 392 were left."""
+    """They must not count from when they are processed."""
 
     async def test() -> None:
-        count = clients.MOST_PIPELINED + 8
-        gate = Gate()
-        async with router(gate.cache, gate.origin, sockets=256) as bench, in_use(bench) as client:
+        count = clients.MAX_PIPELINED_COMMANDS + 8
+        gate = HeldAnswers()
+        async with router(gate.cache, gate.origin, sockets=256) as bench, connected_socket(bench) as client:
             client.sendall(b"".join(get(b"i%d" % n, key=b"k%d" % n) for n in range(count)))
-            await full_pipeline(bench)
-            stand_still()
+            await wait_for_full_pipeline(bench)
+            stall_loop()
             gate.open()
             await soon(lambda: not bench.driver.held)
-            late = [wait for name, wait in told(bench).items() if int(name[1:]) >= clients.MOST_PIPELINED]
-            assert late and all(WAIT - GONE - SLACK <= one <= WAIT - GONE for one in late)
+            late = [
+                wait
+                for name, wait in notified_deadlines(bench).items()
+                if int(name[1:]) >= clients.MAX_PIPELINED_COMMANDS
+            ]
+            assert late and all(
+                DEADLINE_MS - STALL_MS - SLACK_MS <= one <= DEADLINE_MS - STALL_MS for one in late
+            )
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_a_command_behind_a_paused_read_counts_from_the_pause(
-    monkeypatch: pytest.MonkeyPatch, no_account: None
+def test_command_behind_paused_read_counts_from_pause(
+    monkeypatch: pytest.MonkeyPatch, kernel_time_unknown: None
 ) -> None:
     async def test() -> None:
-        gate = Gate()
-        async with router(gate.cache, gate.origin, sockets=256) as bench, in_use(bench) as client:
-            for n in range(clients.MOST_PIPELINED):
+        gate = HeldAnswers()
+        async with router(gate.cache, gate.origin, sockets=256) as bench, connected_socket(bench) as client:
+            for n in range(clients.MAX_PIPELINED_COMMANDS):
                 client.sendall(get(b"i%d" % n, key=b"k%d" % n))
-            await full_pipeline(bench)
+            await wait_for_full_pipeline(bench)
             client.sendall(get(b"late"))
-            await asyncio.sleep(STILL)
+            await asyncio.sleep(STALL_SECONDS)
             gate.open()
-            await soon(lambda: b"late" in told(bench))
-            assert WAIT - GONE - SLACK <= told(bench)[b"late"] <= WAIT - GONE
-            # Read again, it loses no time any more.
+            await soon(lambda: b"late" in notified_deadlines(bench))
+            assert (
+                DEADLINE_MS - STALL_MS - SLACK_MS
+                <= notified_deadlines(bench)[b"late"]
+                <= DEADLINE_MS - STALL_MS
+            )
+            # Once reading has resumed, no delay is added.
             await asyncio.sleep(1)
             client.sendall(get(b"later"))
-            await soon(lambda: b"later" in told(bench))
-            assert told(bench)[b"later"] == WAIT - 8
+            await soon(lambda: b"later" in notified_deadlines(bench))
+            assert notified_deadlines(bench)[b"later"] == DEADLINE_MS - 8
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-async def test_the_system_tells_when_a_command_behind_a_paused_read_came() -> None:
-    gate, got = Gate(), Receipts()
+async def test_kernel_reports_arrival_of_command_behind_paused_read() -> None:
+    gate, got = HeldAnswers(), RecordingServer()
 
-    def cache(asked: Any, peer: asyncio.StreamWriter) -> bytes | None:
-        return got(asked, peer) if asked[2] == b"late" else gate.cache(asked, peer)
+    def cache(request: Any, peer: asyncio.StreamWriter) -> bytes | None:
+        return got(request, peer) if request[2] == b"late" else gate.cache(request, peer)
 
-    async with router(cache, gate.origin, sockets=256) as bench, in_use(bench) as client:
-        for n in range(clients.MOST_PIPELINED):
+    async with router(cache, gate.origin, sockets=256) as bench, connected_socket(bench) as client:
+        for n in range(clients.MAX_PIPELINED_COMMANDS):
             client.sendall(get(b"i%d" % n, 5000, b"k%d" % n))
-        await full_pipeline(bench)
-        await asyncio.sleep(STILL / 2)
+        await wait_for_full_pipeline(bench)
+        await asyncio.sleep(STALL_SECONDS / 2)
         sent = time.monotonic()
         client.sendall(get(b"late"))
-        await asyncio.sleep(STILL / 2)
+        await asyncio.sleep(STALL_SECONDS / 2)
         gate.open()
         await soon(lambda: got.times)
-        assert got.least(b"late", sent, SHORT) <= told(bench)[b"late"] <= WAIT - GONE / 2
+        assert (
+            got.min_deadline(b"late", sent, KERNEL_TIME_ERROR_MS)
+            <= notified_deadlines(bench)[b"late"]
+            <= DEADLINE_MS - STALL_MS / 2
+        )
 
 
-def test_a_command_of_a_client_that_leaves_its_answers_unread_counts_from_the_pause(
-    monkeypatch: pytest.MonkeyPatch, no_account: None
+def test_command_of_client_with_unread_answers_counts_from_pause(
+    monkeypatch: pytest.MonkeyPatch, kernel_time_unknown: None
 ) -> None:
     async def test() -> None:
-        big = bytes(resp.MOST_LONG)
+        big = bytes(resp.MAX_LONG_VALUE)
         async with (
-            router(lambda asked, line: hit(big if asked[2] == b"big" else b"v")) as bench,
-            in_use(bench) as client,
+            router(lambda request, writer: hit(big if request[2] == b"big" else b"v")) as bench,
+            connected_socket(bench) as client,
         ):
             client.sendall(get(b"big", 9000))
-            (one,) = bench.clients.open
-            await soon(lambda: one.blocked)
+            (one,) = bench.clients.connections
+            await soon(lambda: one.write_paused)
             client.sendall(get(b"late"))
-            await asyncio.sleep(STILL)
-            while b"late" not in told(bench):
-                await read(client)
-            assert WAIT - GONE - SLACK <= told(bench)[b"late"] <= WAIT - GONE
+            await asyncio.sleep(STALL_SECONDS)
+            while b"late" not in notified_deadlines(bench):
+                await receive(client)
+            assert (
+                DEADLINE_MS - STALL_MS - SLACK_MS
+                <= notified_deadlines(bench)[b"late"]
+                <= DEADLINE_MS - STALL_MS
+            )
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-# The listener's queue
+# The accept queue
 
 
 @pytest.mark.parametrize("count", [1, 60])
-async def test_a_client_that_waits_to_be_let_in_loses_that_time(account: bool, count: int) -> None:
-    """More of them than are let in during one turn: the last waited as long as the first."""
-    got = Receipts()
+async def test_time_in_accept_queue_counts_against_deadline(kernel_time_known: bool, count: int) -> None:
+    """With more clients than one tick accepts, all count from the same poll."""
+    got = RecordingServer()
     async with router(got, sockets=256) as bench, contextlib.AsyncExitStack() as stack:
-        looked = last_look()
+        looked = last_poll_time()
         for n in range(count):
-            stack.enter_context(line(bench)).sendall(get(b"i%d" % n, key=b"k%d" % n))
-        time.sleep(STILL)
+            stack.enter_context(raw_socket(bench)).sendall(get(b"i%d" % n, key=b"k%d" % n))
+        time.sleep(STALL_SECONDS)
         await soon(lambda: bench.cache.got and not bench.driver.held)
-        assert all(one <= WAIT - GONE for one in [*told(bench).values(), *told_to_origin(bench)])
-        assert all(got.least(name, looked) <= one for name, one in told(bench).items())
+        assert all(
+            one <= DEADLINE_MS - STALL_MS
+            for one in [*notified_deadlines(bench).values(), *origin_deadlines(bench)]
+        )
+        assert all(got.min_deadline(name, looked) <= one for name, one in notified_deadlines(bench).items())
 
 
-async def test_what_waits_for_a_listener_that_is_handed_over_counts_from_its_arrival(account: bool) -> None:
-    """An upgrade: nobody accepts for a while, then another process does. Only the system knows since when."""
-    got = Receipts()
+async def test_request_in_queue_of_handed_over_listener_counts_from_arrival(kernel_time_known: bool) -> None:
+    """During an upgrade no process accepts for a while; only the kernel knows the arrival time."""
+    got = RecordingServer()
     async with router(got) as bench:
         platform = socket.create_server(("127.0.0.1", 0))
         with socket.create_connection(platform.getsockname()) as client:
             client.setblocking(False)
             sent = time.monotonic()
             client.sendall(get())
-            time.sleep(STILL)
+            time.sleep(STALL_SECONDS)
             watched = time.monotonic()
-            following = Clients(bench.driver, bench.clients.names, bench.clients.places)
+            following = ClientListener(bench.driver, bench.clients.names, bench.clients.connection_limits)
             await following.listen("", 0, platform.detach())
-            assert await read(client) == b"$1\r\nv\r\n"
+            assert await receive(client) == b"$1\r\nv\r\n"
             following.close()
-            least = got.least(b"i1", sent if account else watched, SHORT)
-            assert least <= told(bench)[b"i1"] <= WAIT - (GONE if account else 0)
+            least = got.min_deadline(b"i1", sent if kernel_time_known else watched, KERNEL_TIME_ERROR_MS)
+            assert (
+                least
+                <= notified_deadlines(bench)[b"i1"]
+                <= DEADLINE_MS - (STALL_MS if kernel_time_known else 0)
+            )
 
 
-# Commands in pieces, and long writes
+# Commands in chunks, and long writes
 
 
-def test_a_command_in_pieces_counts_from_its_last_byte(
-    monkeypatch: pytest.MonkeyPatch, no_account: None
+def test_command_in_chunks_counts_from_last_byte(
+    monkeypatch: pytest.MonkeyPatch, kernel_time_unknown: None
 ) -> None:
     async def test() -> None:
-        async with router() as bench, in_use(bench) as client:
+        async with router() as bench, connected_socket(bench) as client:
             whole = get()
             for at in range(0, len(whole) - 1, 10):
                 client.sendall(whole[at : min(at + 10, len(whole) - 1)])
                 await asyncio.sleep(0.15)
             client.sendall(whole[-1:])
-            assert await read(client) == b"$1\r\nv\r\n"
-            assert told(bench)[b"i1"] == WAIT - 8
+            assert await receive(client) == b"$1\r\nv\r\n"
+            assert notified_deadlines(bench)[b"i1"] == DEADLINE_MS - 8
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-@pytest.mark.parametrize("still", [0.0, STILL])
-def test_a_long_write_whose_value_trickles_counts_from_its_last_byte(
-    monkeypatch: pytest.MonkeyPatch, no_account: None, still: float
+@pytest.mark.parametrize("still", [0.0, STALL_SECONDS])
+def test_slow_long_write_counts_from_last_byte(
+    monkeypatch: pytest.MonkeyPatch, kernel_time_unknown: None, still: float
 ) -> None:
     async def test() -> None:
-        async with router(origin=lambda asked, line: http(200, b"receipt")) as bench:
+        async with router(origin=lambda request, writer: http(200, b"receipt")) as bench:
             caller = await bench.caller()
             whole, step = put(bytes(200_000)), 40_000
             for at in range(0, len(whole), step):
                 caller.writer.write(whole[at : at + step])
                 await caller.writer.drain()
                 await asyncio.sleep(0.4 if at + step < len(whole) else 0)
-                stand_still(still if at + step >= len(whole) else 0)
+                stall_loop(still if at + step >= len(whole) else 0)
             assert await caller.answer() == b"receipt"
-            (one,) = told_to_origin(bench)
-            assert WAIT - still * 1000 - SLACK <= one <= WAIT - still * 1000
+            (one,) = origin_deadlines(bench)
+            assert DEADLINE_MS - still * 1000 - SLACK_MS <= one <= DEADLINE_MS - still * 1000
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_what_stands_behind_a_full_read_is_no_younger_than_that(
-    monkeypatch: pytest.MonkeyPatch, no_account: None
+def test_bytes_behind_full_read_count_from_that_read(
+    monkeypatch: pytest.MonkeyPatch, kernel_time_unknown: None
 ) -> None:
-    """One look at the sockets, several turns of reading: all had come before the first of them."""
+    """Input that takes several reads may have arrived before the first of them."""
 
     async def test() -> None:
-        async with router(origin=lambda asked, line: http(200, b"receipt")) as bench, in_use(bench) as client:
-            (one,) = bench.clients.open
+        async with (
+            router(origin=lambda request, writer: http(200, b"receipt")) as bench,
+            connected_socket(bench) as client,
+        ):
+            (one,) = bench.clients.connections
             client.sendall(put(bytes(90_000)))
-            stand_still()
+            stall_loop()
             await soon(lambda: bench.origin.got)
-            assert told_to_origin(bench) == [WAIT - GONE - 8]
+            assert origin_deadlines(bench) == [DEADLINE_MS - STALL_MS - 8]
             assert not one.frames.buffer
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-# Time that runs out
+# Expired requests
 
 
 @pytest.mark.parametrize("wait", [0, 1, 5])
-def test_a_client_that_allows_no_time_is_refused_at_once(monkeypatch: pytest.MonkeyPatch, wait: int) -> None:
+def test_request_without_time_left_is_rejected_at_once(monkeypatch: pytest.MonkeyPatch, wait: int) -> None:
     async def test() -> None:
-        async with router() as bench, in_use(bench) as client:
-            begun, heard = time.monotonic(), bench.driver.balancer.roster.flow
-            before = heard.per_second(time.monotonic_ns())
+        async with router() as bench, connected_socket(bench) as client:
+            started, request_flow = time.monotonic(), bench.driver.balancer.roster.flow
+            before = request_flow.per_second(time.monotonic_ns())
             client.sendall(get(wait=wait))
-            assert await read(client) == BUSY
-            assert time.monotonic() == begun
+            assert await receive(client) == BUSY
+            assert time.monotonic() == started
             assert not bench.cache.got and not bench.driver.held
-            assert heard.per_second(time.monotonic_ns()) == before  # the decisions never heard of it
+            assert request_flow.per_second(time.monotonic_ns()) == before  # the balancer never received it
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-async def test_a_request_whose_time_went_while_it_waited_is_never_sent(account: bool) -> None:
-    async with router() as bench, in_use(bench) as client:
+async def test_request_that_expired_unread_is_never_sent(kernel_time_known: bool) -> None:
+    async with router() as bench, connected_socket(bench) as client:
         client.sendall(get(wait=300))
-        time.sleep(STILL)
-        assert await read(client) == BUSY
+        time.sleep(STALL_SECONDS)
+        assert await receive(client) == BUSY
         assert not bench.cache.got and not bench.origin.got and not bench.driver.held
 
 
-def test_a_request_whose_time_went_while_it_waited_is_refused_at_once(
-    monkeypatch: pytest.MonkeyPatch, no_account: None
+def test_request_that_expired_unread_is_rejected_at_once(
+    monkeypatch: pytest.MonkeyPatch, kernel_time_unknown: None
 ) -> None:
     async def test() -> None:
-        async with router() as bench, in_use(bench) as client:
+        async with router() as bench, connected_socket(bench) as client:
             client.sendall(get(wait=300))
-            stand_still()
-            begun = time.monotonic()
-            assert await read(client) == BUSY
-            assert time.monotonic() == begun
+            stall_loop()
+            started = time.monotonic()
+            assert await receive(client) == BUSY
+            assert time.monotonic() == started
             assert not bench.cache.got and not bench.origin.got and not bench.driver.held
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_without_a_time_of_its_own_that_of_the_class_counts_from_the_arrival(
-    monkeypatch: pytest.MonkeyPatch, no_account: None
+def test_default_deadline_of_class_counts_from_arrival(
+    monkeypatch: pytest.MonkeyPatch, kernel_time_unknown: None
 ) -> None:
     async def test() -> None:
-        async with router() as bench, in_use(bench) as client:
+        async with router() as bench, connected_socket(bench) as client:
             client.sendall(get(wait=None))
-            stand_still()
-            assert await read(client) == b"$1\r\nv\r\n"
-            assert told(bench)[b"i1"] == 10_000 - GONE - 8
+            stall_loop()
+            assert await receive(client) == b"$1\r\nv\r\n"
+            assert notified_deadlines(bench)[b"i1"] == 10_000 - STALL_MS - 8
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_after_sigterm_no_more_is_told_than_is_left_until_the_end(
-    monkeypatch: pytest.MonkeyPatch, no_account: None
+def test_notified_deadline_after_sigterm_is_limited_by_shutdown(
+    monkeypatch: pytest.MonkeyPatch, kernel_time_unknown: None
 ) -> None:
     async def test() -> None:
-        async with router() as bench, in_use(bench) as client:
+        async with router() as bench, connected_socket(bench) as client:
             bench.driver.stop(0.8)
             client.sendall(get())
-            stand_still()
-            assert await read(client) == b"$1\r\nv\r\n"
-            assert told(bench)[b"i1"] == 300 - 8
+            stall_loop()
+            assert await receive(client) == b"$1\r\nv\r\n"
+            assert notified_deadlines(bench)[b"i1"] == 300 - 8
             client.sendall(get(b"i2"))
-            stand_still(0.3)
-            assert await read(client) == BUSY
+            stall_loop(0.3)
+            assert await receive(client) == BUSY
             assert len(bench.cache.got) == 1
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_a_connection_that_is_handed_over_answers_by_the_time_of_arrival(
-    monkeypatch: pytest.MonkeyPatch, no_account: None
+def test_request_on_handed_over_connection_counts_from_arrival(
+    monkeypatch: pytest.MonkeyPatch, kernel_time_unknown: None
 ) -> None:
     async def test() -> None:
-        async with router() as bench, in_use(bench) as client:
+        async with router() as bench, connected_socket(bench) as client:
             bench.clients.hand_over()
             client.sendall(get())
-            stand_still()
-            assert await read(client) == b"$1\r\nv\r\n"
-            assert await read(client) == b""
-            assert told(bench)[b"i1"] == WAIT - GONE - 8
+            stall_loop()
+            assert await receive(client) == b"$1\r\nv\r\n"
+            assert await receive(client) == b""
+            assert notified_deadlines(bench)[b"i1"] == DEADLINE_MS - STALL_MS - 8
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_a_slow_dial_is_taken_off_what_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_slow_connect_is_subtracted_from_notified_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        slow_dials(monkeypatch, STILL)
-        async with router() as bench, in_use(bench) as client:
+        slow_dials(monkeypatch, STALL_SECONDS)
+        async with router() as bench, connected_socket(bench) as client:
             client.sendall(get())
-            assert await read(client) == b"$1\r\nv\r\n"
-            assert told(bench)[b"i1"] == WAIT - GONE - 8
+            assert await receive(client) == b"$1\r\nv\r\n"
+            assert notified_deadlines(bench)[b"i1"] == DEADLINE_MS - STALL_MS - 8
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("write", [False, True])
-def test_a_dial_that_comes_up_when_the_time_is_over_carries_nothing(
+def test_connection_established_after_deadline_is_not_used(
     monkeypatch: pytest.MonkeyPatch, write: bool
 ) -> None:
-    """The loop stood still before it heard of the connection: it was sent, 1 ms told, before the time-out."""
+    """The event loop stalls before it handles the new connection."""
 
     async def test() -> None:
-        comes_up = Connection.connection_made
+        connection_made = Connection.connection_made
 
-        def late(connection: Connection, transport: asyncio.BaseTransport) -> None:
-            stand_still(PAST_WAIT)
-            comes_up(connection, transport)
+        def delayed(connection: Connection, transport: asyncio.BaseTransport) -> None:
+            stall_loop(PAST_DEADLINE)
+            connection_made(connection, transport)
 
-        monkeypatch.setattr(Connection, "connection_made", late)
-        async with router() as bench, in_use(bench) as client:
+        monkeypatch.setattr(Connection, "connection_made", delayed)
+        async with router() as bench, connected_socket(bench) as client:
             client.sendall(put(b"value") if write else get())
-            assert (await read(client)).startswith(b"-BUSY")
+            assert (await receive(client)).startswith(b"-BUSY")
             await asyncio.sleep(3)
             assert not bench.cache.got and not bench.origin.got and not bench.driver.held
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_a_write_that_waits_for_the_system_until_its_time_is_over_is_not_begun(
+def test_request_is_not_sent_if_socket_is_writable_only_after_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A connection may still be full of an earlier write, whose answer came early."""
+    """The socket may still be full of an earlier write whose answer came early."""
 
     async def test() -> None:
-        async with router(lambda asked, line: hit()) as bench, in_use(bench) as client:
+        async with router(lambda request, writer: hit()) as bench, connected_socket(bench) as client:
             client.sendall(get())
-            assert await read(client) == b"$1\r\nv\r\n"
+            assert await receive(client) == b"$1\r\nv\r\n"
             await asyncio.sleep(1)
             (connection,) = bench.pools.pools["c0"].idle
             connection.pause_writing()
             client.sendall(get(b"i2"))
             await soon(lambda: connection.exchange)
-            stand_still(PAST_WAIT)
+            stall_loop(PAST_DEADLINE)
             connection.resume_writing()
-            assert (await read(client)).startswith(b"-BUSY")
+            assert (await receive(client)).startswith(b"-BUSY")
             await asyncio.sleep(1)
-            assert set(told(bench)) == {b"i1"}
+            assert set(notified_deadlines(bench)) == {b"i1"}
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_the_origin_is_told_what_is_left_when_the_system_takes_the_write(
+def test_origin_is_notified_of_time_left_when_socket_becomes_writable(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The list of names and values was made when the attempt began."""
+    """The deadline must not be that of the start of the attempt."""
 
     async def test() -> None:
-        async with router(lambda asked, line: MISS) as bench, in_use(bench) as client:
+        async with router(lambda request, writer: MISS) as bench, connected_socket(bench) as client:
             client.sendall(get())
-            assert await read(client) == b"$11\r\nfrom origin\r\n"
+            assert await receive(client) == b"$11\r\nfrom origin\r\n"
             await asyncio.sleep(1)
             (connection,) = bench.pools.pools["o"].idle
             connection.pause_writing()
             client.sendall(get(b"i2"))
             await soon(lambda: connection.exchange)
-            stand_still()
+            stall_loop()
             connection.resume_writing()
-            assert await read(client) == b"$11\r\nfrom origin\r\n"
-            assert WAIT - GONE - SLACK <= told_to_origin(bench)[1] <= WAIT - GONE
+            assert await receive(client) == b"$11\r\nfrom origin\r\n"
+            assert DEADLINE_MS - STALL_MS - SLACK_MS <= origin_deadlines(bench)[1] <= DEADLINE_MS - STALL_MS
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_what_waits_in_the_buffer_of_the_decisions_is_sent_in_its_time_or_never(
+def test_throttled_request_is_sent_before_deadline_or_never(
     monkeypatch: pytest.MonkeyPatch, late: bool
 ) -> None:
-    """Four tokens a second, none left: a likely miss waits for one, and for a second one once it has missed.
-    Where the loop stands still, its time is over when it would get the first."""
+    """A likely miss waits for one token, and for another one after the miss, at four tokens per second.
+
+    With the stall, the deadline has passed when the first token is available.
+    """
 
     async def test() -> None:
-        async with router(lambda asked, line: MISS) as bench, in_use(bench) as client:
+        async with router(lambda request, writer: MISS) as bench, connected_socket(bench) as client:
             throttle = bench.driver.balancer.monitor.throttle = Throttle(time.monotonic_ns(), 4.0, 10)
             throttle.level = 0
             client.sendall(get())
             await soon(lambda: throttle.queue)
-            stand_still(PAST_WAIT if late else 0.0)
-            answer = await read(client)
+            stall_loop(PAST_DEADLINE if late else 0.0)
+            answer = await receive(client)
             if late:
                 assert answer.startswith(b"-BUSY") and not bench.cache.got and not bench.origin.got
             else:
                 assert answer == b"$11\r\nfrom origin\r\n"
-                assert told(bench)[b"i1"] <= WAIT - 250 and told_to_origin(bench)[0] <= WAIT - GONE
+                assert (
+                    notified_deadlines(bench)[b"i1"] <= DEADLINE_MS - 250
+                    and origin_deadlines(bench)[0] <= DEADLINE_MS - STALL_MS
+                )
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-# Many at once
+# Many clients
 
 
-async def test_hundreds_of_callers_whose_commands_wait_unread(account: bool) -> None:
-    """Half of them have no time left when they are read. The servers are slow with some of the others, refuse
-    some, and more come than they are sent at once."""
+async def test_hundreds_of_clients_with_unread_commands(kernel_time_known: bool) -> None:
+    """Half of the requests have expired when they are read; some of the others are slow or rejected."""
     count = 300
 
-    def crowded(asked: Any, peer: asyncio.StreamWriter) -> bytes | None:
-        kind = int(asked[2][1:]) % 20
+    def overloaded(request: Any, peer: asyncio.StreamWriter) -> bytes | None:
+        kind = int(request[2][1:]) % 20
         if kind == 1:
             return b"-BUSY\r\n"
         if kind in (3, 5, 7):
@@ -602,41 +656,49 @@
         listed = [entry(f"c{n}", cache.address) for n in range(30)]
         return [*listed, entry("o", origin.address, model="origin")]
 
-    async with router(crowded, entries=servers, sockets=1024) as bench, contextlib.AsyncExitStack() as stack:
-        lines = [await stack.enter_async_context(in_use(bench)) for _ in range(count)]
+    async with (
+        router(overloaded, entries=servers, sockets=1024) as bench,
+        contextlib.AsyncExitStack() as stack,
+    ):
+        lines = [await stack.enter_async_context(connected_socket(bench)) for _ in range(count)]
         for n, one in enumerate(lines):
             one.sendall(get(b"i%d" % n, 5000 if n % 2 else 300, b"k%d" % n))
-        time.sleep(STILL)
-        answers = [await read(one) for one in lines]
+        time.sleep(STALL_SECONDS)
+        answers = [await receive(one) for one in lines]
         assert all(answer == BUSY for answer in answers[::2])
         assert all(answer.startswith((b"$", b"-BUSY")) for answer in answers[1::2])
-        of = [int(name[1:]) for name in told(bench)]
-        assert of and all(n % 2 for n in of)
-        assert all(one <= 5000 - GONE for one in [*told(bench).values(), *told_to_origin(bench)])
+        forwarded = [int(name[1:]) for name in notified_deadlines(bench)]
+        assert forwarded and all(n % 2 for n in forwarded)
+        assert all(
+            one <= 5000 - STALL_MS for one in [*notified_deadlines(bench).values(), *origin_deadlines(bench)]
+        )
         assert not bench.driver.held and bench.driver.room.used == 0
 
 
-# The parts
+# Unit tests
 
 
-def test_a_look_that_finds_something_after_a_long_turn_counts_from_the_look_before(
+def test_input_found_after_long_tick_counts_from_previous_poll(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     now = [1_000 * arrivals.MILLI]
     monkeypatch.setattr(time, "monotonic_ns", lambda: now[0])
     ours, theirs = socket.socketpair()
-    with ours, theirs, arrivals.Looks() as looks:
-        looks.register(ours, 1)
-        assert not looks.select(0) and looks.looked == now[0]
+    with ours, theirs, arrivals.TimedSelector() as selector:
+        selector.register(ours, 1)
+        assert not selector.select(0) and selector.polled_at == now[0]
         theirs.send(b"x")
         now[0] += 40 * arrivals.MILLI
-        assert looks.select(5.0) and (looks.turn, looks.since) == (2, 1_000 * arrivals.MILLI)
-        now[0] += 2 * arrivals.MILLI  # a short turn is taken off without a second look
-        assert looks.select(None) and looks.since == 1_040 * arrivals.MILLI
+        assert selector.select(5.0) and (selector.poll_count, selector.earliest_arrival) == (
+            2,
+            1_000 * arrivals.MILLI,
+        )
+        now[0] += 2 * arrivals.MILLI  # a short tick is subtracted without a second poll
+        assert selector.select(None) and selector.earliest_arrival == 1_040 * arrivals.MILLI
 
 
 @pytest.mark.parametrize(
-    "told, silence",
+    "info, elapsed_ms",
     [
         (arrivals.TCP_INFO_HEAD.pack(1, 536, 70), 70),
         (arrivals.TCP_INFO_HEAD.pack(8, 536, 0), 0),
@@ -647,122 +709,120 @@
         (OSError(), None),
     ],
 )
-def test_an_account_that_makes_no_sense_is_none(told: bytes | OSError, silence: int | None) -> None:
-    class Told:
+def test_invalid_tcp_info_is_none(info: bytes | OSError, elapsed_ms: int | None) -> None:
+    class FakeSocket:
         def fileno(self) -> int:
             return -1
 
         def getsockopt(self, level: int, option: int, size: int) -> bytes:
-            if isinstance(told, OSError):
-                raise told
-            return told[:size]
+            if isinstance(info, OSError):
+                raise info
+            return info[:size]
 
-    assert arrivals.silent_for(Told()) == silence
+    assert arrivals.ms_since_last_data(FakeSocket()) == elapsed_ms
 
 
-async def test_the_system_tells_how_long_a_connection_was_silent() -> None:
+async def test_kernel_reports_time_since_last_data() -> None:
     async with router() as bench:
-        begun = time.monotonic()
-        async with in_use(bench):
-            (one,) = bench.clients.open
+        started = time.monotonic()
+        async with connected_socket(bench):
+            (one,) = bench.clients.connections
             assert one.transport is not None
             time.sleep(0.2)
-            silence = arrivals.silent_for(one.transport.get_extra_info("socket"))
-            most = (time.monotonic() - begun) * 1000 + arrivals.TICK
-            assert silence is not None and 200 - arrivals.TICK <= silence <= most
+            elapsed_ms = arrivals.ms_since_last_data(one.transport.get_extra_info("socket"))
+            most = (time.monotonic() - started) * 1000 + arrivals.TCP_INFO_RESOLUTION_MS
+            assert elapsed_ms is not None and 200 - arrivals.TCP_INFO_RESOLUTION_MS <= elapsed_ms <= most
 
 
-def test_the_account_is_not_taken_for_bytes_with_others_unread_behind_them() -> None:
-    """It tells of the last that came."""
+def test_kernel_time_is_not_used_for_bytes_followed_by_unread_bytes() -> None:
+    """It is the arrival time of the last byte received."""
     with (
         socket.create_server(("127.0.0.1", 0)) as listener,
         socket.create_connection(listener.getsockname()) as sender,
-        listener.accept()[0] as of,
-        arrivals.Looks() as looks,
+        listener.accept()[0] as receiver,
+        arrivals.TimedSelector() as selector,
     ):
         sent = time.monotonic_ns()
         sender.sendall(b"ab")
-        assert of.recv(1) == b"a" and Unread(of).waits()
-        looks.looked = time.monotonic_ns()
-        looks.since = looks.looked - 300 * arrivals.MILLI
-        came = arrivals.Arrivals(looks, looks.since)
-        came.note(1, of)
-        assert came.of_last_before(0) == looks.since
-        assert of.recv(1) == b"b" and not Unread(of).waits()
-        came.note(1, of)
-        assert came.of_last_before(1) == looks.since
-        assert came.of_last_before(0) > sent - SHORT * arrivals.MILLI
-
-
-def test_a_wait_after_a_long_turn_ends_when_something_comes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What comes then is not counted from before the turn."""
+        assert receiver.recv(1) == b"a" and UnreadInput(receiver).pending()
+        selector.polled_at = time.monotonic_ns()
+        selector.earliest_arrival = selector.polled_at - 300 * arrivals.MILLI
+        times = arrivals.ArrivalTimes(selector, selector.earliest_arrival)
+        times.record_read(1, receiver)
+        assert times.of_last_byte_before(0) == selector.earliest_arrival
+        assert receiver.recv(1) == b"b" and not UnreadInput(receiver).pending()
+        times.record_read(1, receiver)
+        assert times.of_last_byte_before(1) == selector.earliest_arrival
+        assert times.of_last_byte_before(0) > sent - KERNEL_TIME_ERROR_MS * arrivals.MILLI
+
+
+def test_input_during_wait_after_long_tick_counts_from_wait(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Such input does not count from before the tick."""
     now = [1_000 * arrivals.MILLI]
     monkeypatch.setattr(time, "monotonic_ns", lambda: now[0])
     ours, theirs = socket.socketpair()
-    with ours, theirs, arrivals.Looks() as looks:
-        looks.register(ours, 1)
-        looks.select(0)
+    with ours, theirs, arrivals.TimedSelector() as selector:
+        selector.register(ours, 1)
+        selector.select(0)
         now[0] += 40 * arrivals.MILLI
         sender = threading.Timer(0.05, theirs.send, [b"x"])
         sender.start()
-        assert looks.select(None) and looks.since == now[0]
+        assert selector.select(None) and selector.earliest_arrival == now[0]
         sender.join()
 
 
-@pytest.mark.parametrize("count, waited_on", [(2, False), (3, True), (4, True)])
-def test_who_is_let_in_after_as_many_as_a_turn_lets_in_may_have_waited_as_long(
-    count: int, waited_on: bool
-) -> None:
-    """What a turn left in the queue had come by that turn, whatever the next look tells."""
-    looks = arrivals.Looks()
-    queue = arrivals.Queue(looks, inherited=False)
+@pytest.mark.parametrize("count, remaining", [(2, False), (3, True), (4, True)])
+def test_clients_left_in_queue_by_full_tick_count_from_that_tick(count: int, remaining: bool) -> None:
+    """Clients left in the queue may have arrived by that tick, whatever the next poll finds."""
+    selector = arrivals.TimedSelector()
+    queue = arrivals.AcceptQueueTimes(selector, inherited=False)
 
-    def turn(since: int) -> None:
-        looks.turn, looks.since = looks.turn + 1, since
+    def advance(since: int) -> None:
+        selector.poll_count, selector.earliest_arrival = selector.poll_count + 1, since
 
     for since in (100, 200):
-        turn(since)
-    assert {queue.since for _ in range(count)} == {200}
-    if waited_on:
-        queue.leave_some()
-    turn(300)
-    assert queue.since == (200 if waited_on else 300)
-    turn(400)
-    assert queue.since == 400
-    looks.close()
-
-
-def test_who_waits_while_the_listener_is_not_watched_may_have_come_since_then() -> None:
-    looks = arrivals.Looks()
-    queue = arrivals.Queue(looks, inherited=False)
-    for turn, since in enumerate((100, 200), 1):
-        looks.turn, looks.since = turn, since
+        advance(since)
+    assert {queue.earliest_arrival for _ in range(count)} == {200}
+    if remaining:
+        queue.mark_remaining()
+    advance(300)
+    assert queue.earliest_arrival == (200 if remaining else 300)
+    advance(400)
+    assert queue.earliest_arrival == 400
+    selector.close()
+
+
+def test_clients_count_from_pause_while_listener_is_not_watched() -> None:
+    selector = arrivals.TimedSelector()
+    queue = arrivals.AcceptQueueTimes(selector, inherited=False)
+    for poll_count, earliest_arrival in enumerate((100, 200), 1):
+        selector.poll_count, selector.earliest_arrival = poll_count, earliest_arrival
     queue.pause()
-    for turn, since in enumerate((300, 400), 3):
-        looks.turn, looks.since = turn, since
-        assert queue.since == 200
+    for poll_count, earliest_arrival in enumerate((300, 400), 3):
+        selector.poll_count, selector.earliest_arrival = poll_count, earliest_arrival
+        assert queue.earliest_arrival == 200
     queue.pause()
     queue.resume()
-    looks.turn, looks.since = 5, 500
-    assert queue.since == 200
-    looks.turn, looks.since = 6, 600
-    assert queue.since == 600
-    looks.close()
+    selector.poll_count, selector.earliest_arrival = 5, 500
+    assert queue.earliest_arrival == 200
+    selector.poll_count, selector.earliest_arrival = 6, 600
+    assert queue.earliest_arrival == 600
+    selector.close()
 
 
-def test_who_stands_in_an_inherited_queue_has_waited_for_nobody_knows_how_long() -> None:
-    looks = arrivals.Looks()
-    queue = arrivals.Queue(looks, inherited=True)
-    looks.turn, looks.since = 1, 100
-    assert queue.since == arrivals.UNKNOWN
-    looks.turn, looks.since = 2, 200
-    assert queue.since == 200
-    looks.close()
+def test_arrival_in_inherited_queue_is_unknown() -> None:
+    selector = arrivals.TimedSelector()
+    queue = arrivals.AcceptQueueTimes(selector, inherited=True)
+    selector.poll_count, selector.earliest_arrival = 1, 100
+    assert queue.earliest_arrival == arrivals.UNKNOWN_TIME
+    selector.poll_count, selector.earliest_arrival = 2, 200
+    assert queue.earliest_arrival == 200
+    selector.close()
 
 
-def test_other_event_loops_are_refused() -> None:
+def test_other_event_loops_are_rejected() -> None:
     async def ask() -> None:
-        arrivals.looks_of_running_loop()
+        arrivals.running_selector()
 
     with pytest.raises(TypeError):
         asyncio.run(ask())
--- a/tests/test_broken_clients.py
+++ b/tests/test_broken_clients.py
@@ -1,4 +1,4 @@
-"""Connections of clients that break in the system's ways: the client has gone, and nobody else notices."""
+"""A system call that fails on one client connection disconnects that client and affects no other."""
 
 import asyncio
 import errno
@@ -12,108 +12,112 @@
 import pytest
 from peers import PATIENCE, Bench, hit, router, soon
 from test_arrivals import get
-from test_closes import PING, PONG, Raw, raw
-from virtual import play
+from test_closes import PING, PONG, RawClient, raw_client
+from virtual import run_in_virtual_time
 
 from applehub.lab.fleet.system_call_faults import SystemCallFault, SystemCallFaults
 from applehub.node import listener, resp
-from applehub.node.clients import MOST_PIPELINED
+from applehub.node.clients import MAX_PIPELINED_COMMANDS
 from applehub.node.console import Console
-from applehub.node.listener import IDLE_LEAST
+from applehub.node.listener import MIN_IDLE_TIME
 
-BREAKS = ["ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET", "ENETUNREACH", "EPIPE", "ENOBUFS", "ENOMEM"]
+CONNECTION_ERRORS = ["ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET", "ENETUNREACH", "EPIPE", "ENOBUFS", "ENOMEM"]
 VALUE = b"v" * 5000
 
 
-def peer_of(client: Raw) -> str:
-    return f"127.0.0.1:{client.line.getsockname()[1]}"
+def peer_of(client: RawClient) -> str:
+    return f"127.0.0.1:{client.sock.getsockname()[1]}"
 
 
-def reset(client: Raw) -> None:
-    client.line.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    client.line.close()
+def reset_connection(client: RawClient) -> None:
+    client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    client.sock.close()
 
 
-def complaints(caplog: pytest.LogCaptureFixture) -> list[str]:
+def logged_warnings(caplog: pytest.LogCaptureFixture) -> list[str]:
     return [record.getMessage() for record in caplog.records if record.levelno >= logging.WARNING]
 
 
-async def still_serves(bench: Bench, other: Raw) -> None:
-    """Another client is answered, on its connection and on a new one."""
-    other.line.sendall(PING)
+async def check_still_serving(bench: Bench, other: RawClient) -> None:
+    """Checks that another client is answered, on its connection and on a new one."""
+    other.sock.sendall(PING)
     assert await other.read() == PONG
-    async with raw(bench):
+    async with raw_client(bench):
         pass
 
 
-@pytest.mark.parametrize("error", BREAKS)
-def test_a_client_whose_reads_fail_has_gone(
+@pytest.mark.parametrize("error", CONNECTION_ERRORS)
+def test_failed_read_disconnects_client(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, error: str
 ) -> None:
     async def test() -> None:
-        async with router(lambda asked, line: None) as bench, raw(bench) as other, raw(bench) as client:
-            client.line.sendall(get(b"i1"))
+        async with (
+            router(lambda request, writer: None) as bench,
+            raw_client(bench) as other,
+            raw_client(bench) as client,
+        ):
+            client.sock.sendall(get(b"i1"))
             await soon(lambda: bench.cache.got)
             with SystemCallFaults(SystemCallFault("recv", error, peer=peer_of(client))) as faults:
-                client.line.sendall(get(b"i2"))
+                client.sock.sendall(get(b"i2"))
                 await soon(lambda: faults.count("recv", error))
                 await soon(lambda: not bench.driver.held)
-                assert len(bench.clients.open) == 1 and len(bench.cache.got) == 1
-                await still_serves(bench, other)
+                assert len(bench.clients.connections) == 1 and len(bench.cache.got) == 1
+                await check_still_serving(bench, other)
                 assert faults.count("recv") == 1
-            await soon(lambda: len(bench.clients.open) == 1 and not bench.clients.ending)
+            await soon(lambda: len(bench.clients.connections) == 1 and not bench.clients.lingering)
             assert not bench.driver.room.used
-        assert not complaints(caplog)
+        assert not logged_warnings(caplog)
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-@pytest.mark.parametrize("error", BREAKS)
+@pytest.mark.parametrize("error", CONNECTION_ERRORS)
 @pytest.mark.parametrize("size", [1, 20_000], ids=["short answers", "long values"])
-def test_a_client_whose_writes_fail_has_gone(
+def test_failed_write_disconnects_client(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, error: str, size: int
 ) -> None:
-    """Twenty answers in a row: asyncio logs each write but the first few that comes after a failed one."""
+    """asyncio logs a warning if writing goes on after a failed write."""
 
     async def test() -> None:
         async with (
-            router(lambda asked, line: hit(b"v" * size), sockets=256) as bench,
-            raw(bench) as other,
-            raw(bench) as client,
+            router(lambda request, writer: hit(b"v" * size), sockets=256) as bench,
+            raw_client(bench) as other,
+            raw_client(bench) as client,
         ):
             with SystemCallFaults(SystemCallFault("send", error, peer=peer_of(client))) as faults:
-                client.line.sendall(b"".join([PING, *[get(b"i%d" % n) for n in range(20)], PING * 20]))
+                client.sock.sendall(b"".join([PING, *[get(b"i%d" % n) for n in range(20)], PING * 20]))
                 await soon(lambda: faults.count("send", error))
-                await soon(lambda: not bench.driver.held and len(bench.clients.open) == 1)
-                await still_serves(bench, other)
+                await soon(lambda: not bench.driver.held and len(bench.clients.connections) == 1)
+                await check_still_serving(bench, other)
                 assert faults.count("send") == 1
-            assert not bench.driver.room.used and not bench.clients.ending
-        assert not complaints(caplog)
+            assert not bench.driver.room.used and not bench.clients.lingering
+        assert not logged_warnings(caplog)
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_no_request_of_a_client_whose_write_failed_is_taken_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """All stand in one read behind a command whose answer is written first."""
+def test_no_request_is_processed_after_failed_write(monkeypatch: pytest.MonkeyPatch) -> None:
+    """All commands arrive in one read, and the answer to the first is written first."""
 
     async def test() -> None:
-        async with router(lambda asked, line: hit()) as bench, raw(bench) as client:
-            client.line.sendall(get(b"first"))
+        async with router(lambda request, writer: hit()) as bench, raw_client(bench) as client:
+            client.sock.sendall(get(b"first"))
             assert await client.read() == b"$1\r\nv\r\n"
-            await asyncio.sleep(1)  # its connection to the cache server takes a request at once
+            await asyncio.sleep(1)  # the connection to the cache server is reusable
             with SystemCallFaults(SystemCallFault("send", "ETIMEDOUT", peer=peer_of(client))) as faults:
-                client.line.sendall(PING * 40 + get(b"late"))
+                client.sock.sendall(PING * 40 + get(b"late"))
                 await soon(lambda: faults.count("send"))
                 await asyncio.sleep(1)
-            assert [asked[2] for asked in bench.cache.got] == [b"first"]
+            assert [request[2] for request in bench.cache.got] == [b"first"]
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("short", [1, 7, 1000])
-def test_short_calls_change_no_byte(monkeypatch: pytest.MonkeyPatch, short: int) -> None:
+def test_short_reads_and_writes_change_no_byte(monkeypatch: pytest.MonkeyPatch, short: int) -> None:
     async def test() -> None:
-        async with router(lambda asked, line: hit(VALUE)) as bench, raw(bench) as client:
+        async with router(lambda request, writer: hit(VALUE)) as bench, raw_client(bench) as client:
             local = f"127.0.0.1:{bench.port}"
             faults = SystemCallFaults(
                 SystemCallFault("send", short=short, local=local),
@@ -121,7 +125,7 @@
                 SystemCallFault("recv", short=short, local=local),
             )
             with faults:
-                client.line.sendall(PING + get() + PING)
+                client.sock.sendall(PING + get() + PING)
                 answers = PONG + b"$5000\r\n" + VALUE + b"\r\n" + PONG
                 got = b""
                 while len(got) < len(answers):
@@ -129,81 +133,81 @@
                 assert got == answers
                 assert faults.count("send", "short") >= 5 and faults.count("recv", "EINTR") == 5
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_writes_that_are_interrupted_go_on(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_interrupted_writes_continue(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        async with router(lambda asked, line: hit(VALUE)) as bench, raw(bench) as client:
+        async with router(lambda request, writer: hit(VALUE)) as bench, raw_client(bench) as client:
             with SystemCallFaults(
                 SystemCallFault("send", "EINTR", times=3, local=f"*:{bench.port}"),
                 SystemCallFault("send", short=100, times=3, local=f"*:{bench.port}"),
                 SystemCallFault("send", "EAGAIN", times=3, local=f"*:{bench.port}"),
             ) as faults:
-                client.line.sendall(get() + resp.command(b"QUIT"))
-                assert await client.all() == b"$5000\r\n" + VALUE + b"\r\n+OK\r\n"
+                client.sock.sendall(get() + resp.command(b"QUIT"))
+                assert await client.read_all() == b"$5000\r\n" + VALUE + b"\r\n+OK\r\n"
                 assert faults.count("send") == 9
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_clients_that_reset_as_the_router_closes_cut_nobody_off(
+def test_resets_during_close_do_not_affect_other_clients(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The end of a stream can't be sent on a connection that is reset, of which nothing was read yet."""
+    """Ending the stream fails on a connection whose reset was not read yet."""
 
     async def test() -> None:
-        async with router(lambda asked, line: None) as bench, AsyncExitStack() as stack:
-            going = [await stack.enter_async_context(raw(bench)) for _ in range(8)]
-            staying = [await stack.enter_async_context(raw(bench)) for _ in range(8)]
-            asks = await stack.enter_async_context(raw(bench))
-            asks.line.sendall(get())
+        async with router(lambda request, writer: None) as bench, AsyncExitStack() as stack:
+            leaving = [await stack.enter_async_context(raw_client(bench)) for _ in range(8)]
+            staying = [await stack.enter_async_context(raw_client(bench)) for _ in range(8)]
+            requesting = await stack.enter_async_context(raw_client(bench))
+            requesting.sock.sendall(get())
             await soon(lambda: bench.cache.got)
-            for one in going:
-                reset(one)
+            for one in leaving:
+                reset_connection(one)
             bench.clients.close()
-            assert [await one.all() for one in staying] == [b""] * 8
+            assert [await one.read_all() for one in staying] == [b""] * 8
             bench.cache.lines[0].write(hit())
-            assert await asks.all() == b"$1\r\nv\r\n"
-            await asyncio.wait_for(bench.clients.emptied(PATIENCE), PATIENCE)
-            assert not bench.clients.open
-        assert not complaints(caplog)
+            assert await requesting.read_all() == b"$1\r\nv\r\n"
+            await asyncio.wait_for(bench.clients.wait_empty(PATIENCE), PATIENCE)
+            assert not bench.clients.connections
+        assert not logged_warnings(caplog)
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("how", ["reset", "ENOTCONN"])
-def test_a_client_for_which_room_is_made_outlives_the_broken_one_that_makes_it(
+def test_new_client_is_served_when_closed_idle_connection_is_broken(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, how: str
 ) -> None:
-    """The idle one's end could not be sent, and the new one's arrival ended with that error."""
+    """Ending the stream of the idle connection fails while the new connection is accepted."""
 
     async def test() -> None:
-        async with router(sockets=1) as bench, raw(bench) as idle:
-            await asyncio.sleep(2 * IDLE_LEAST)
+        async with router(sockets=1) as bench, raw_client(bench) as idle:
+            await asyncio.sleep(2 * MIN_IDLE_TIME)
             with ExitStack() as stack:
-                client = Raw(bench.port)
-                stack.callback(client.line.close)
+                client = RawClient(bench.port)
+                stack.callback(client.sock.close)
                 if how == "reset":
-                    reset(idle)
+                    reset_connection(idle)
                 else:
                     fault = SystemCallFault("shutdown", how, peer=peer_of(idle))
                     faults = stack.enter_context(SystemCallFaults(fault))
-                client.line.sendall(PING)
+                client.sock.sendall(PING)
                 assert await client.read() == PONG
-                await soon(lambda: not bench.clients.ending)
-                assert [one.proven for one in bench.clients.open] == [True]
+                await soon(lambda: not bench.clients.lingering)
+                assert [one.sent_command for one in bench.clients.connections] == [True]
                 assert how == "reset" or faults.count("shutdown") == 1
-        assert not complaints(caplog)
+        assert not logged_warnings(caplog)
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_a_look_for_who_has_left_that_fails_is_not_the_last(monkeypatch: pytest.MonkeyPatch) -> None:
-    """poll lacked memory once: no departure of a client that is not read was seen any more."""
+def test_failed_disconnect_check_is_repeated(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A poll that fails for lack of memory must not stop the checks."""
 
     class Poll:
-        """As the system's, which fails once."""
+        """A poll object whose first poll fails."""
 
         def __init__(self) -> None:
             self.real = select.poll()
@@ -218,57 +222,59 @@
             return self.real.poll(timeout)
 
     async def test() -> None:
-        async with router(lambda asked, line: None, sockets=256) as bench, raw(bench) as client:
-            client.line.sendall(b"".join(get(b"i%d" % n) for n in range(MOST_PIPELINED + 1)))
+        async with router(lambda request, writer: None, sockets=256) as bench, raw_client(bench) as client:
+            client.sock.sendall(b"".join(get(b"i%d" % n) for n in range(MAX_PIPELINED_COMMANDS + 1)))
             await soon(lambda: failed)
-            reset(client)
+            reset_connection(client)
             await soon(lambda: not bench.driver.held)
             assert len(failed) > 1
 
     failed: list[bool] = []
-    looks = SimpleNamespace(poll=Poll, POLLRDHUP=select.POLLRDHUP)
-    monkeypatch.setattr(listener, "select", looks)
-    play(monkeypatch, test)
+    fake_select = SimpleNamespace(poll=Poll, POLLRDHUP=select.POLLRDHUP)
+    monkeypatch.setattr(listener, "select", fake_select)
+    run_in_virtual_time(monkeypatch, test)
 
 
-async def test_interrupted_waits_change_nothing() -> None:
-    async with router() as bench, raw(bench) as client:
+async def test_interrupted_waits_have_no_effect() -> None:
+    async with router() as bench, raw_client(bench) as client:
         with SystemCallFaults(SystemCallFault("epoll", "EINTR", times=200)) as faults:
             for n in range(20):
-                client.line.sendall(get(b"i%d" % n))
+                client.sock.sendall(get(b"i%d" % n))
                 assert await client.read() == b"$1\r\nv\r\n"
             assert faults.count("epoll", "EINTR") >= 20
         assert len(bench.cache.got) == 20
 
 
 @pytest.mark.parametrize("call", ["recv", "send"])
-@pytest.mark.parametrize("error", BREAKS)
-def test_an_operators_connection_that_breaks_keeps_no_other_out(
+@pytest.mark.parametrize("error", CONNECTION_ERRORS)
+def test_broken_operator_connection_does_not_block_others(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, error: str, call: str
 ) -> None:
     async def test() -> None:
         served = Console({"HEALTH": lambda _: "+OK"})
         _, port = await served.listen("127.0.0.1", 0)
         with ExitStack() as stack:
-            first, second = Raw(port), Raw(port)
-            stack.callback(first.line.close)
-            stack.callback(second.line.close)
+            first, second = RawClient(port), RawClient(port)
+            stack.callback(first.sock.close)
+            stack.callback(second.sock.close)
             fault = SystemCallFault(call, error, peer=peer_of(first))  # type: ignore[arg-type]
             with SystemCallFaults(fault) as faults:
-                first.line.sendall(b"HEALTH\n")
+                first.sock.sendall(b"HEALTH\n")
                 await soon(lambda: faults.count(call, error))  # type: ignore[arg-type]
-                second.line.sendall(b"HEALTH\n")
-                assert await second.all() == b"+OK\n"
+                second.sock.sendall(b"HEALTH\n")
+                assert await second.read_all() == b"+OK\n"
                 await soon(lambda: not served.callers)
                 assert faults.count() == 1
         served.close()
-        assert not complaints(caplog)
+        assert not logged_warnings(caplog)
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("short", [1, 3])
-def test_an_operator_gets_a_whole_answer_by_short_calls(monkeypatch: pytest.MonkeyPatch, short: int) -> None:
+def test_operator_gets_complete_answer_with_short_reads_and_writes(
+    monkeypatch: pytest.MonkeyPatch, short: int
+) -> None:
     async def test() -> None:
         served = Console({"HEALTH": lambda _: "+OK"})
         _, port = await served.listen("127.0.0.1", 0)
@@ -278,11 +284,11 @@
             SystemCallFault("recv", short=short, local=f"*:{port}"),
         ]
         with SystemCallFaults(*faults) as injected:
-            caller = Raw(port)
-            caller.line.sendall(b"HEALTH\n")
-            assert await caller.all() == b"+OK\n"
-            caller.line.close()
+            caller = RawClient(port)
+            caller.sock.sendall(b"HEALTH\n")
+            assert await caller.read_all() == b"+OK\n"
+            caller.sock.close()
             assert injected.count("send", "short") and injected.count("recv", "EINTR") == 2
         served.close()
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -1,5 +1,8 @@
-"""A close that crosses bytes on their way: the last answer is read whole, the end comes without a reset, and
-a request that is read after the end of the sending is sent on to nobody."""
+"""Connections that close while data is in transit.
+
+The client reads the complete last answer and the end of the stream without a reset, and requests that are
+read after the router ended its sending are not forwarded.
+"""
 
 import asyncio
 import os
@@ -9,7 +12,7 @@
 
 import pytest
 from peers import MISS, Bench, hit, http, router, soon
-from virtual import play
+from virtual import run_in_virtual_time
 
 from applehub.node import clients, listener, resp
 
@@ -17,18 +20,18 @@
 PING, PONG = resp.command(b"PING"), b"+PONG\r\n"
 
 
-class Raw:
-    """A client on a bare socket, so that the test holds each byte of both ways."""
+class RawClient:
+    """A client on a plain socket, so that the test controls each byte in both directions."""
 
     def __init__(self, port: int) -> None:
-        self.line = socket.create_connection(("127.0.0.1", port))
-        self.line.setblocking(False)
+        self.sock = socket.create_connection(("127.0.0.1", port))
+        self.sock.setblocking(False)
 
     async def read(self, size: int = 1 << 16) -> bytes:
-        return await asyncio.get_running_loop().sock_recv(self.line, size)
+        return await asyncio.get_running_loop().sock_recv(self.sock, size)
 
-    async def all(self) -> bytes:
-        """All until the end of the stream; a reset raises."""
+    async def read_all(self) -> bytes:
+        """Reads until the end of the stream; raises ConnectionResetError after a reset."""
         got = b""
         while piece := await self.read():
             got += piece
@@ -36,115 +39,115 @@
 
 
 @asynccontextmanager
-async def raw(bench: Bench) -> AsyncIterator[Raw]:
-    """A client whose connection is in use and rests."""
-    one = Raw(bench.port)
+async def raw_client(bench: Bench) -> AsyncIterator[RawClient]:
+    """A client whose connection has been used and is idle."""
+    one = RawClient(bench.port)
     try:
-        one.line.sendall(PING)
+        one.sock.sendall(PING)
         assert await one.read() == PONG
         yield one
     finally:
-        one.line.close()
+        one.sock.close()
 
 
-ENDS: dict[str, Callable[[Bench], object]] = {
-    "room for another": lambda bench: next(iter(bench.clients.open)).make_room(),
+CLOSE_ACTIONS: dict[str, Callable[[Bench], object]] = {
+    "room for another": lambda bench: next(iter(bench.clients.connections)).close_idle(),
     "SIGTERM": lambda bench: bench.clients.close(),
 }
 
 
-@pytest.mark.parametrize("end", ENDS.values(), ids=ENDS)
+@pytest.mark.parametrize("end", CLOSE_ACTIONS.values(), ids=CLOSE_ACTIONS)
 @pytest.mark.parametrize("sent", [GET, GET[:9], GET * 50, PING], ids=["whole", "half", "many", "PING"])
-def test_a_request_that_crosses_the_end_of_a_resting_connection_goes_nowhere(
+def test_request_that_crosses_close_of_idle_connection_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch, sent: bytes, end: Callable[[Bench], object]
 ) -> None:
-    """The close came over unread bytes: the client saw a reset."""
+    """A close with unread bytes would reset the connection."""
 
     async def test() -> None:
-        async with router() as bench, raw(bench) as client:
+        async with router() as bench, raw_client(bench) as client:
             end(bench)
-            client.line.sendall(sent)  # before the router looks at its sockets again
-            assert await client.all() == b""
-            await asyncio.sleep(clients.LINGER / 2)
-            client.line.sendall(sent)  # it reads on for a while
+            client.sock.sendall(sent)  # before the router polls its sockets again
+            assert await client.read_all() == b""
+            await asyncio.sleep(clients.LINGER_TIMEOUT / 2)
+            client.sock.sendall(sent)  # the router still reads
             await asyncio.sleep(3)
-            assert not bench.cache.got and not bench.clients.ending
+            assert not bench.cache.got and not bench.clients.lingering
             assert bench.driver.room.used == 0
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("end", ["SIGTERM", "hand-over"])
-def test_the_last_answer_is_whole_though_more_comes_behind(monkeypatch: pytest.MonkeyPatch, end: str) -> None:
+def test_last_answer_is_complete_when_more_commands_follow(monkeypatch: pytest.MonkeyPatch, end: str) -> None:
     async def test() -> None:
-        async with router(lambda asked, line: None) as bench, raw(bench) as client:
-            client.line.sendall(GET)
+        async with router(lambda request, writer: None) as bench, raw_client(bench) as client:
+            client.sock.sendall(GET)
             await soon(lambda: bench.cache.got)
             (bench.clients.close if end == "SIGTERM" else bench.clients.hand_over)()
-            write = bench.clients.driver.room.note  # called after each read: the answer is being written now
+            write = bench.clients.driver.room.add  # called while the answer is written
 
-            def crossing(change: int) -> None:
-                if not bench.driver.held and not crossed:
-                    crossed.append(True)
-                    client.line.sendall(GET.replace(b"i1", b"i2"))
+            def add_and_send(change: int) -> None:
+                if not bench.driver.held and not sent_during_write:
+                    sent_during_write.append(True)
+                    client.sock.sendall(GET.replace(b"i1", b"i2"))
                 write(change)
 
-            crossed: list[bool] = []
-            monkeypatch.setattr(bench.driver.room, "note", crossing)
+            sent_during_write: list[bool] = []
+            monkeypatch.setattr(bench.driver.room, "add", add_and_send)
             bench.cache.lines[0].write(hit())
-            assert await client.all() == b"$1\r\nv\r\n"
+            assert await client.read_all() == b"$1\r\nv\r\n"
             await asyncio.sleep(3)
-            assert crossed and len(bench.cache.got) == 1 and not bench.clients.ending
+            assert sent_during_write and len(bench.cache.got) == 1 and not bench.clients.lingering
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_what_had_come_before_the_end_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_received_before_close_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        async with router() as bench, raw(bench) as client:
-            client.line.sendall(GET)
+        async with router() as bench, raw_client(bench) as client:
+            client.sock.sendall(GET)
             bench.clients.close()
-            assert await client.all() == b"$1\r\nv\r\n"
+            assert await client.read_all() == b"$1\r\nv\r\n"
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_half_a_command_at_the_end_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its client would have seen an end without an answer for a request that it had begun to send."""
+def test_partial_command_at_close_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Otherwise the client would see the end of the stream without an answer."""
 
     async def test() -> None:
-        async with router() as bench, raw(bench) as client:
-            client.line.sendall(GET[:20])
-            (one,) = bench.clients.open
+        async with router() as bench, raw_client(bench) as client:
+            client.sock.sendall(GET[:20])
+            (one,) = bench.clients.connections
             await soon(lambda: one.frames.buffer)
             bench.clients.close()
-            client.line.sendall(GET[20:])
-            assert await client.all() == b"-BUSY\r\n"
+            client.sock.sendall(GET[20:])
+            assert await client.read_all() == b"-BUSY\r\n"
             await asyncio.sleep(3)
-            assert not bench.cache.got and not bench.clients.ending
+            assert not bench.cache.got and not bench.clients.lingering
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("sent", [GET, b""], ids=["a request", "nothing"])
-def test_who_stands_in_the_listeners_queue_as_it_closes_is_let_in(
+def test_queued_clients_are_accepted_when_listener_closes(
     monkeypatch: pytest.MonkeyPatch, sent: bytes
 ) -> None:
-    """The system had taken connection and request; the listener's close reset both."""
+    """Closing the listener first would reset connections in the accept queue."""
 
     async def test() -> None:
-        async with router(lambda asked, line: hit(asked[2]), sockets=64) as bench, raw(bench):
-            late = [Raw(bench.port) for _ in range(3)]
-            for at, one in enumerate(late):
-                one.line.sendall(sent.replace(b"i1", b"j%d" % at))
-            await bench.clients.shut()  # in the turn in which they came
-            for at, one in enumerate(late):
-                assert await one.all() == (b"$2\r\nj%d\r\n" % at if sent else b"")
-                one.line.close()
-            await asyncio.wait_for(bench.clients.emptied(60), 60)
-            assert not bench.clients.open and len(bench.cache.got) == (3 if sent else 0)
+        async with router(lambda request, writer: hit(request[2]), sockets=64) as bench, raw_client(bench):
+            queued = [RawClient(bench.port) for _ in range(3)]
+            for at, one in enumerate(queued):
+                one.sock.sendall(sent.replace(b"i1", b"j%d" % at))
+            await bench.clients.shut_down()  # in the same tick
+            for at, one in enumerate(queued):
+                assert await one.read_all() == (b"$2\r\nj%d\r\n" % at if sent else b"")
+                one.sock.close()
+            await asyncio.wait_for(bench.clients.wait_empty(60), 60)
+            assert not bench.clients.connections and len(bench.cache.got) == (3 if sent else 0)
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("behind", [b"", GET, b"x" * 300_000], ids=["nothing", "a request", "a flood"])
@@ -156,117 +159,119 @@
     ],
     ids=["QUIT", "nonsense"],
 )
-def test_a_last_answer_reaches_a_client_that_goes_on_sending(
+def test_last_answer_reaches_client_that_keeps_sending(
     monkeypatch: pytest.MonkeyPatch, sent: bytes, answer: bytes, behind: bytes
 ) -> None:
     async def test() -> None:
-        async with router() as bench, raw(bench) as client:
-            client.line.sendall(sent + behind)
-            assert await client.all() == answer
+        async with router() as bench, raw_client(bench) as client:
+            client.sock.sendall(sent + behind)
+            assert await client.read_all() == answer
             await asyncio.sleep(3)
-            assert not bench.cache.got and not bench.clients.ending
+            assert not bench.cache.got and not bench.clients.lingering
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_a_client_too_many_that_has_asked_already_reads_why(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It was closed over its request, and saw a reset in place of the line."""
-    monkeypatch.setattr(listener, "IDLE_LEAST", 1e9)
+def test_rejected_client_that_has_sent_request_reads_error(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A close with the request unread would reset the connection before the client reads the error."""
+    monkeypatch.setattr(listener, "MIN_IDLE_TIME", 1e9)
 
     async def test() -> None:
-        async with router(sockets=1) as bench, raw(bench):
-            late = Raw(bench.port)
-            late.line.sendall(GET)
-            assert await late.all() == b"-ERR max number of clients reached\r\n"
+        async with router(sockets=1) as bench, raw_client(bench):
+            rejected = RawClient(bench.port)
+            rejected.sock.sendall(GET)
+            assert await rejected.read_all() == b"-ERR max number of clients reached\r\n"
             await asyncio.sleep(3)
-            assert not bench.cache.got and not bench.clients.ending
-            late.line.close()
+            assert not bench.cache.got and not bench.clients.lingering
+            rejected.sock.close()
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_a_value_that_breaks_off_resets_no_whole_answers(
+def test_incomplete_value_does_not_reset_earlier_answers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
         long = hit(bytes(200_000))
         answers = {b"i1": hit(b"whole"), b"i2": long[:100_000]}
-        async with router(lambda asked, line: answers[asked[2]]) as bench, raw(bench) as client:
-            client.line.sendall(GET + GET.replace(b"i1", b"i2"))
+        async with router(lambda request, writer: answers[request[2]]) as bench, raw_client(bench) as client:
+            client.sock.sendall(GET + GET.replace(b"i1", b"i2"))
             await soon(lambda: len(bench.cache.got) == 2)
             await asyncio.sleep(0.1)
-            client.line.sendall(GET.replace(b"i1", b"i3"))
-            for line in bench.cache.lines:
-                line.transport.abort()
-            got = await client.all()
+            client.sock.sendall(GET.replace(b"i1", b"i3"))
+            for writer in bench.cache.lines:
+                writer.transport.abort()
+            got = await client.read_all()
             assert got.startswith(b"$5\r\nwhole\r\n$200000\r\n") and len(got) < 200_000
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_a_client_that_reads_slowly_gets_all_of_its_last_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What was written and not yet sent was cut off 1 s after the last command."""
+def test_slow_reader_gets_complete_last_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Unsent data must not be discarded after the linger timeout."""
 
     async def test() -> None:
-        value = bytes(resp.MOST_LONG)
-        async with router(lambda asked, line: hit(value)) as bench, raw(bench) as client:
-            client.line.sendall(GET + resp.command(b"QUIT"))
+        value = bytes(resp.MAX_LONG_VALUE)
+        async with router(lambda request, writer: hit(value)) as bench, raw_client(bench) as client:
+            client.sock.sendall(GET + resp.command(b"QUIT"))
             await asyncio.sleep(1)
             got = bytearray()
             while piece := await client.read(1 << 18):
                 got += piece
                 await asyncio.sleep(0.5)
             assert len(got) == len(value) + len(b"$8388608\r\n\r\n+OK\r\n")
-            await asyncio.sleep(2 * clients.STUCK)  # and it stays, and sends nothing
-            assert not bench.clients.ending and bench.driver.room.used == 0
+            await asyncio.sleep(2 * clients.WRITE_STALL_TIMEOUT)  # the client keeps the connection open
+            assert not bench.clients.lingering and bench.driver.room.used == 0
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_who_reads_nothing_of_its_last_answer_is_closed(
+def test_client_that_does_not_read_its_last_answer_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        async with router(lambda asked, line: hit(bytes(resp.MOST_LONG))) as bench, raw(bench) as client:
-            client.line.sendall(GET + resp.command(b"QUIT"))
-            await asyncio.sleep(4 * clients.STUCK)
-            assert not bench.clients.open and not bench.clients.ending
+        async with (
+            router(lambda request, writer: hit(bytes(resp.MAX_LONG_VALUE))) as bench,
+            raw_client(bench) as client,
+        ):
+            client.sock.sendall(GET + resp.command(b"QUIT"))
+            await asyncio.sleep(4 * clients.WRITE_STALL_TIMEOUT)
+            assert not bench.clients.connections and not bench.clients.lingering
             assert bench.driver.room.used == 0
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-async def test_small_writes_do_not_wait_for_more() -> None:
-    """Clients' connections had no TCP_NODELAY: the library sets it where a socket names its protocol, and
-    those that a listener gives name none."""
-    async with router(lambda asked, line: MISS) as bench:
+async def test_connections_have_tcp_nodelay() -> None:
+    """asyncio does not set TCP_NODELAY on accepted sockets, whose protocol number is 0."""
+    async with router(lambda request, writer: MISS) as bench:
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == b"from origin"
-        lines = [client.transport for client in bench.clients.open]
-        lines += [line.transport for pool in bench.pools.pools.values() for line in pool.all]
+        lines = [client.transport for client in bench.clients.connections]
+        lines += [writer.transport for pool in bench.pools.pools.values() for writer in pool.all]
         for transport in lines:
             assert transport is not None
             assert transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         assert len(lines) == 3
 
 
-def resets(line: asyncio.StreamWriter) -> None:
-    """Breaks a connection as a process does that dies over unread bytes."""
-    at_once = b"\1\0\0\0\0\0\0\0"
-    line.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, at_once)
-    line.transport.abort()
+def reset_connection(writer: asyncio.StreamWriter) -> None:
+    """Resets a connection, as the kernel does for a process that exits with unread input."""
+    linger = b"\1\0\0\0\0\0\0\0"
+    writer.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+    writer.transport.abort()
 
 
 @pytest.mark.parametrize("head", [b"", b"Connection: close\r\n", b"Content-Length: 9\r\n"])
 @pytest.mark.parametrize("whole", [False, True])
-def test_a_value_without_a_length_is_whole_only_where_its_stream_ends(
+def test_value_without_length_is_complete_only_at_end_of_stream(
     monkeypatch: pytest.MonkeyPatch, head: bytes, whole: bool
 ) -> None:
-    """A reset is no end: the value is read again, and never passed on as it came."""
+    """After a reset the value is requested again; the incomplete value is never forwarded."""
 
     async def test() -> None:
-        async with router(lambda asked, line: MISS, origin=lambda asked, line: None) as bench:
+        async with router(lambda request, writer: MISS, origin=lambda request, writer: None) as bench:
             caller = await bench.caller()
             caller.get()
             await soon(lambda: bench.origin.got)
@@ -275,7 +280,7 @@
             if whole:
                 bench.origin.lines[0].write_eof()
             else:
-                resets(bench.origin.lines[0])
+                reset_connection(bench.origin.lines[0])
             if whole and b"Length" not in head:
                 assert await caller.answer() == b"half"
                 return
@@ -283,57 +288,57 @@
             bench.origin.lines[1].write(http(200, b"all of it"))
             assert await caller.answer() == b"all of it"
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_a_slow_reader_that_stays_is_closed_behind_its_last_answers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Written as one, more than the system takes: the end waits in the buffer; its client never closes."""
+def test_slow_reader_that_stays_is_closed_after_last_answers(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The answers exceed the socket buffer, so the end of the stream waits in the write buffer."""
 
     async def test() -> None:
-        async with router(lambda asked, line: None, sockets=128) as bench, raw(bench) as client:
-            (one,) = bench.clients.open
+        async with router(lambda request, writer: None, sockets=128) as bench, raw_client(bench) as client:
+            (one,) = bench.clients.connections
             assert one.transport is not None
             one.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 15)
-            client.line.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
+            client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
             names = [b"j%d" % n for n in range(5)]
-            client.line.sendall(b"".join(GET.replace(b"i1", name) for name in names) + resp.command(b"QUIT"))
+            client.sock.sendall(b"".join(GET.replace(b"i1", name) for name in names) + resp.command(b"QUIT"))
             await soon(lambda: len(bench.cache.got) == len(names))
-            first = [asked[2] for asked in bench.cache.got].index(names[0])
-            for line in [
+            first = [request[2] for request in bench.cache.got].index(names[0])
+            for writer in [
                 *bench.cache.lines[:first],
                 *bench.cache.lines[first + 1 :],
                 bench.cache.lines[first],
             ]:
-                line.write(hit(bytes(60_000)))
+                writer.write(hit(bytes(60_000)))
                 await asyncio.sleep(0.1)
-            assert one.blocked and one.phase is clients.Phase.ENDED
+            assert one.write_paused and one.phase is clients.Phase.LINGERING
             got = bytearray()
             while piece := await client.read(1 << 14):
                 got += piece
                 await asyncio.sleep(0.1)
             assert got.endswith(b"+OK\r\n") and got.count(b"$60000\r\n") == len(names)
-            await asyncio.sleep(2 * clients.STUCK)
-            assert not bench.clients.ending and bench.driver.room.used == 0
+            await asyncio.sleep(2 * clients.WRITE_STALL_TIMEOUT)
+            assert not bench.clients.lingering and bench.driver.room.used == 0
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("late", [0.0005, 0.002, 0.004, 0.008])
 @pytest.mark.parametrize("gap", [0.0, 0.0004, 0.001, 0.003, 0.006])
-def test_a_second_late_answer_is_never_the_next_requests(
-    monkeypatch: pytest.MonkeyPatch, late: float, gap: float
+def test_late_second_answer_is_not_used_for_next_request(
+    monkeypatch: pytest.MonkeyPatch, delay: float, gap: float
 ) -> None:
-    """Nothing in an answer tells whose it is: the next request, written before it came, took it."""
+    """Answers carry no request id, so a surplus answer could be taken for that of the next request."""
 
     async def test() -> None:
-        async with router(lambda asked, line: None) as bench:
+        async with router(lambda request, writer: None) as bench:
             caller = await bench.caller()
             caller.get(name=b"i1")
             await soon(lambda: bench.cache.got)
             first = bench.cache.lines[0]
             loop = asyncio.get_running_loop()
             first.write(hit(b"i1"))
-            loop.call_later(late, first.write, hit(b"i1 again"))
+            loop.call_later(delay, first.write, hit(b"i1 again"))
             assert await caller.answer() == b"i1"
             await asyncio.sleep(gap)
             caller.get(name=b"i2")
@@ -342,44 +347,44 @@
             bench.cache.lines[-1].write(hit(b"i2"))
             assert await caller.answer() == b"i2"
             await asyncio.sleep(0.02)
-            assert bench.cache.ended == 1  # the one that said too much
+            assert bench.cache.ended == 1  # the connection with the surplus answer
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_a_connection_that_holds_something_unread_is_not_used(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A late answer, or the end, that has come and was not read yet: a request of that turn went behind."""
+def test_connection_with_unread_input_is_not_reused(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A late answer, or the end of the stream, is in the socket when the connection is selected."""
 
     async def test() -> None:
-        for said in (hit(b"late"), b""):
-            async with router(lambda asked, line: hit(asked[2])) as bench:
+        for unread in (hit(b"late"), b""):
+            async with router(lambda request, writer: hit(request[2])) as bench:
                 caller = await bench.caller()
                 caller.get(name=b"i1")
                 assert await caller.answer() == b"i1"
                 await asyncio.sleep(0.1)
                 (idle,) = bench.pools.pools["c0"].idle
                 assert idle.quiet
-                line = bench.cache.lines[0].transport.get_extra_info("socket")
-                if said:
-                    os.write(line.fileno(), said)
+                sock = bench.cache.lines[0].transport.get_extra_info("socket")
+                if unread:
+                    os.write(sock.fileno(), unread)
                 else:
-                    line.shutdown(socket.SHUT_WR)
+                    sock.shutdown(socket.SHUT_WR)
                 assert bench.pools.pools["c0"]._rested() is None and not idle.quiet
                 caller.get(name=b"i2")
                 assert await caller.answer() == b"i2"
                 await soon(lambda: bench.cache.ended == 1)
                 assert len(bench.cache.lines) == 2
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-ENDLESS = {
+ENDLESS_CACHE_ANSWERS = {
     "a line": (b"*3\r\n$1\r\nv\r\n+", b"x" * 500),
     "arrays": (b"", b"*1\r\n" * 100),
     "a string past its length": (b"*3\r\n$1\r\nv\r\n$3\r\n", b"hit" * 100),
     "half of a value": (b"*3\r\n$60000\r\n", b"v"),
 }
-ENDLESS_FAR = {
+ENDLESS_ORIGIN_ANSWERS = {
     "a body without a length": (b"HTTP/1.1 200 OK\r\n\r\n", b"x" * 5000),
     "chunks": (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", b"400\r\n%b\r\n" % (b"x" * 1024)),
     "headers": (b"HTTP/1.1 200 OK\r\n", b"X-More: " + b"x" * 500 + b"\r\n"),
@@ -390,33 +395,36 @@
 
 @pytest.mark.parametrize(
     ("head", "more", "far"),
-    [*((*one, False) for one in ENDLESS.values()), *((*one, True) for one in ENDLESS_FAR.values())],
-    ids=[*ENDLESS, *ENDLESS_FAR],
+    [
+        *((*one, False) for one in ENDLESS_CACHE_ANSWERS.values()),
+        *((*one, True) for one in ENDLESS_ORIGIN_ANSWERS.values()),
+    ],
+    ids=[*ENDLESS_CACHE_ANSWERS, *ENDLESS_ORIGIN_ANSWERS],
 )
-def test_an_answer_that_never_ends_is_bounded_in_time_and_memory(
-    monkeypatch: pytest.MonkeyPatch, head: bytes, more: bytes, far: bool
+def test_endless_answer_is_bounded_in_time_and_memory(
+    monkeypatch: pytest.MonkeyPatch, head: bytes, more: bytes, from_origin: bool
 ) -> None:
     async def test() -> None:
-        async def endless(line: asyncio.StreamWriter) -> None:
-            line.write(head)
-            while not line.transport.is_closing():
-                line.write(more)
+        async def endless(writer: asyncio.StreamWriter) -> None:
+            writer.write(head)
+            while not writer.transport.is_closing():
+                writer.write(more)
                 await asyncio.sleep(0.01)
 
-        def begin(asked: object, line: asyncio.StreamWriter) -> None:
-            tasks.append(asyncio.get_running_loop().create_task(endless(line)))
+        def begin(request: object, writer: asyncio.StreamWriter) -> None:
+            tasks.append(asyncio.get_running_loop().create_task(endless(writer)))
 
         tasks: list[asyncio.Task[None]] = []
-        near = (lambda asked, line: MISS) if far else begin
-        async with router(near, origin=begin if far else lambda asked, line: http(503)) as bench:
+        near = (lambda request, writer: MISS) if from_origin else begin
+        async with router(near, origin=begin if from_origin else lambda request, writer: http(503)) as bench:
             caller = await bench.caller()
-            begun = asyncio.get_running_loop().time()
+            started = asyncio.get_running_loop().time()
             caller.get(info=b"c=read,t=acme,d=3000")
             answer = await caller.answer()
             assert str(answer).startswith("BUSY") or str(answer) == "ERR failed"
-            assert asyncio.get_running_loop().time() - begun <= 3.0
+            assert asyncio.get_running_loop().time() - started <= 3.0
             await asyncio.sleep(1)
             assert all(task.done() for task in tasks) and len(tasks) <= 4
             assert not bench.driver.held and bench.driver.room.used == 0
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -1,4 +1,4 @@
-"""A client that has gone is worked for no longer than 0.1 s, whatever its connection did when it left."""
+"""No attempt starts later than 0.1 s after a client has disconnected, however its connection ended."""
 
 import asyncio
 import socket
@@ -7,92 +7,95 @@
 
 import pytest
 from peers import MISS, Bench, Caller, hit, http, router
-from virtual import play
+from virtual import run_in_virtual_time
 
 from applehub.node import clients, resp
 
-SEEN = 0.1  # s after which no attempt may begin for a client that has left
+DETECTION_TIME = 0.1  # seconds after a disconnect from which on no attempt may start
 
 
-def leaves(caller: Caller, how: str) -> None:
-    """Ends a client's connection: in the ordinary way, or by a reset."""
-    line = caller.writer.transport.get_extra_info("socket")
+def disconnect(caller: Caller, how: str) -> None:
+    """Closes or resets a client's connection, or ends only its sending."""
+    sock = caller.writer.transport.get_extra_info("socket")
     if how == "resets":
-        line.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     elif how == "ends its sending":
-        line.shutdown(socket.SHUT_WR)
+        sock.shutdown(socket.SHUT_WR)
         return
     caller.writer.transport.abort()
 
 
-async def nothing_begins(
+async def check_nothing_starts(
     bench: Bench, caller: Caller, how: str, then: Callable[[], Any] = lambda: None
 ) -> None:
-    """The client leaves; 0.1 s later all that is out may end as it likes, and nothing more begins."""
-    leaves(caller, how)
-    await asyncio.sleep(SEEN)
+    """Disconnects the client and checks that no attempt starts after DETECTION_TIME, whatever `then` does."""
+    disconnect(caller, how)
+    await asyncio.sleep(DETECTION_TIME)
     before = len(bench.cache.got) + len(bench.origin.got)
     then()
-    await asyncio.sleep(2 * clients.STUCK)
+    await asyncio.sleep(2 * clients.WRITE_STALL_TIMEOUT)
     assert len(bench.cache.got) + len(bench.origin.got) == before
     assert not bench.driver.held and bench.driver.room.used == 0 and not bench.driver.balancer.jobs
 
 
 def answer_all(bench: Bench, answer: bytes) -> Callable[[], None]:
     def write() -> None:
-        for line in bench.cache.lines:
-            if not line.transport.is_closing():
-                line.write(answer)
+        for writer in bench.cache.lines:
+            if not writer.transport.is_closing():
+                writer.write(answer)
 
     return write
 
 
-HOWS = pytest.mark.parametrize("how", ["closes", "resets", "ends its sending"])
+DISCONNECTS = pytest.mark.parametrize("how", ["closes", "resets", "ends its sending"])
 
 
-@HOWS
-def test_commands_behind_a_full_pipeline_are_not_taken_up(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
-    """Reading was paused, so the end was not seen: each answer took up one command more, for nobody."""
+@DISCONNECTS
+def test_commands_behind_full_pipeline_are_not_processed(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+    """Reading is paused, so the end of the stream is not read."""
 
     async def test() -> None:
-        async with router(lambda asked, line: None, sockets=256) as bench:
+        async with router(lambda request, writer: None, sockets=256) as bench:
             caller = await bench.caller()
-            for n in range(3 * clients.MOST_PIPELINED):
+            for n in range(3 * clients.MAX_PIPELINED_COMMANDS):
                 caller.get(name=b"i%d" % n)
             await asyncio.sleep(0.01)
-            (client,) = bench.clients.open
-            assert len(client.slots) == clients.MOST_PIPELINED and client.frames.buffer
-            await nothing_begins(bench, caller, how, answer_all(bench, hit()))
+            (client,) = bench.clients.connections
+            assert len(client.slots) == clients.MAX_PIPELINED_COMMANDS and client.frames.buffer
+            await check_nothing_starts(bench, caller, how, answer_all(bench, hit()))
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-@HOWS
-def test_a_miss_of_a_client_behind_a_full_pipeline_goes_no_further(
+@DISCONNECTS
+def test_miss_is_not_forwarded_when_client_leaves_behind_full_pipeline(
     monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
-    """The end stands behind bytes that were not read: it shows only where it is looked for."""
+    """The end of the stream is behind unread input, so it has to be polled for."""
 
     async def test() -> None:
-        async with router(lambda asked, line: None, sockets=256) as bench:
+        async with router(lambda request, writer: None, sockets=256) as bench:
             caller = await bench.caller()
-            for n in range(clients.MOST_PIPELINED):
+            for n in range(clients.MAX_PIPELINED_COMMANDS):
                 caller.get(name=b"i%d" % n)
             await asyncio.sleep(0.01)
             caller.get(name=b"unread")
             await asyncio.sleep(0.01)
-            await nothing_begins(bench, caller, how, answer_all(bench, MISS))
+            await check_nothing_starts(bench, caller, how, answer_all(bench, MISS))
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-@HOWS
-def test_who_reads_nothing_and_leaves_is_missed(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
-    """Written answers that nobody read kept the connection, and with it what waited behind them."""
+@DISCONNECTS
+def test_disconnect_of_client_that_reads_nothing_is_detected(
+    monkeypatch: pytest.MonkeyPatch, how: str
+) -> None:
+    """Unread answers must not keep the connection and the requests behind them alive."""
 
     async def test() -> None:
         async with router(
-            lambda asked, line: hit(bytes(resp.MOST_LONG)) if asked[2] == b"big" else None, sockets=256
+            lambda request, writer: hit(bytes(resp.MAX_LONG_VALUE)) if request[2] == b"big" else None,
+            sockets=256,
         ) as bench:
             caller = await bench.caller()
             caller.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -100,30 +103,30 @@
             for n in range(8):
                 caller.get(name=b"i%d" % n)
             await asyncio.sleep(0.1)
-            (client,) = bench.clients.open
-            assert client.blocked
-            await nothing_begins(bench, caller, how, answer_all(bench, MISS))
+            (client,) = bench.clients.connections
+            assert client.write_paused
+            await check_nothing_starts(bench, caller, how, answer_all(bench, MISS))
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-@HOWS
-def test_who_says_quit_and_leaves_is_missed(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+@DISCONNECTS
+def test_disconnect_after_quit_is_detected(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
     async def test() -> None:
-        async with router(lambda asked, line: None) as bench:
+        async with router(lambda request, writer: None) as bench:
             caller = await bench.caller()
             caller.get()
             caller.send(b"QUIT")
             await asyncio.sleep(0.01)
-            await nothing_begins(bench, caller, how, answer_all(bench, MISS))
+            await check_nothing_starts(bench, caller, how, answer_all(bench, MISS))
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-@HOWS
-def test_a_request_that_waits_for_a_token_is_dropped(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+@DISCONNECTS
+def test_request_waiting_for_token_is_dropped(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
     async def test() -> None:
-        async with router(lambda asked, line: MISS, origin=lambda asked, line: http(503)) as bench:
+        async with router(lambda request, writer: MISS, origin=lambda request, writer: http(503)) as bench:
             first = await bench.caller()
             balancer = bench.driver.balancer
             n = 0
@@ -139,70 +142,68 @@
             caller.get(b"fresh", b"waits")
             await asyncio.sleep(0.01)
             assert "waits" in throttle.queue
-            await nothing_begins(bench, caller, how)
+            await check_nothing_starts(bench, caller, how)
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-@HOWS
-def test_a_write_that_waits_to_be_sent_again_is_dropped(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+@DISCONNECTS
+def test_write_waiting_for_retry_is_dropped(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
     async def test() -> None:
-        async with router(origin=lambda asked, line: http(503, b"", b"X-Rejected: 1\r\n")) as bench:
+        async with router(origin=lambda request, writer: http(503, b"", b"X-Rejected: 1\r\n")) as bench:
             caller = await bench.caller()
             caller.send(b"C.SET", b"k", b"w", b"c=put,t=acme,d=9000,k=1", b"value")
             await asyncio.sleep(0.05)
             assert len(bench.origin.got) == 1 and bench.driver.held
-            await nothing_begins(bench, caller, how)
+            await check_nothing_starts(bench, caller, how)
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-@HOWS
-def test_who_waits_for_another_ones_fetch_is_dropped(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+@DISCONNECTS
+def test_request_waiting_for_fetch_of_another_is_dropped(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
     async def test() -> None:
-        async with router(lambda asked, line: MISS, origin=lambda asked, line: None) as bench:
+        async with router(lambda request, writer: MISS, origin=lambda request, writer: None) as bench:
             fetcher, caller = await bench.caller(), await bench.caller()
             fetcher.get(name=b"i1")
             await asyncio.sleep(0.01)
             caller.get(name=b"i2")
             await asyncio.sleep(0.01)
             assert len(bench.origin.got) == 1
-            leaves(caller, how)
-            await asyncio.sleep(SEEN)
+            disconnect(caller, how)
+            await asyncio.sleep(DETECTION_TIME)
             before = len(bench.cache.got)
-            bench.origin.lines[
-                0
-            ].transport.abort()  # the fetch breaks: it is asked for again, by its own client
+            bench.origin.lines[0].transport.abort()  # the fetch fails and is retried for its own client only
             await asyncio.sleep(8)
-            asked = [one[2][b"x-call-id"] for one in bench.origin.got]
-            assert set(asked) == {b"i1"} and len(bench.cache.got) == before
+            requested = [one[2][b"x-call-id"] for one in bench.origin.got]
+            assert set(requested) == {b"i1"} and len(bench.cache.got) == before
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-def test_a_burst_of_departures_ends_all_of_them(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_many_simultaneous_disconnects_are_all_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        async with router(lambda asked, line: None, sockets=256) as bench:
+        async with router(lambda request, writer: None, sockets=256) as bench:
             callers = [await bench.caller() for _ in range(20)]
             for at, caller in enumerate(callers):
                 for n in range(40):
                     caller.get(name=b"i%d-%d" % (at, n))
             await asyncio.sleep(0.01)
             for caller in callers[1:]:
-                leaves(caller, "closes")
-            await nothing_begins(bench, callers[0], "closes", answer_all(bench, MISS))
+                disconnect(caller, "closes")
+            await check_nothing_starts(bench, callers[0], "closes", answer_all(bench, MISS))
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
-async def test_an_attempt_that_its_server_has_whole_runs_on() -> None:
-    """Its connection stays of use: a close would cost another handshake."""
-    async with router(lambda asked, line: None) as bench:
+async def test_completely_sent_attempt_continues_after_disconnect() -> None:
+    """The connection stays reusable; closing it would cost another handshake."""
+    async with router(lambda request, writer: None) as bench:
         caller = await bench.caller()
         caller.get()
         while not bench.cache.got:
             await asyncio.sleep(0)
-        leaves(caller, "closes")
+        disconnect(caller, "closes")
         while bench.driver.held["i1"].open:
             await asyncio.sleep(0)
         bench.cache.lines[0].write(hit())
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors: clients that fill all of theirs leave discovery, servers and operators untouched."""
+"""Clients that use all of their descriptors do not affect discovery, servers and operators."""
 
 import asyncio
 import contextlib
@@ -16,27 +16,40 @@
 from test_discovery import ROOT, configuration, listing, whole_list
 
 from applehub.lab.fleet.system_call_faults import SystemCallFault, in_environment
-from applehub.node.descriptors import CLOSING, CONSOLE, OWN, share_out
+from applehub.node.descriptors import (
+    CONSOLE_DESCRIPTORS,
+    OWN_DESCRIPTORS,
+    REJECTION_TICKS,
+    allocate_descriptors,
+)
 
 
 @pytest.mark.parametrize("console", [False, True])
 @pytest.mark.parametrize("sockets", [64, 100, 256, 384, 576, 1024, 100_000])
-def test_all_places_together_keep_to_the_limit(sockets: int, console: bool) -> None:
-    places = share_out(sockets, console)
-    own = OWN + CONSOLE * console
-    assert own + places.clients + places.ending + CLOSING * places.let_in + places.pools <= sockets
-    assert min(places.clients, places.pools, places.ending, places.let_in) >= 1
+def test_sum_of_limits_is_within_descriptor_limit(sockets: int, console: bool) -> None:
+    limits = allocate_descriptors(sockets, console)
+    own = OWN_DESCRIPTORS + CONSOLE_DESCRIPTORS * console
+    assert (
+        own
+        + limits.clients
+        + limits.lingering
+        + REJECTION_TICKS * limits.accepted_per_tick
+        + limits.server_connections
+        <= sockets
+    )
+    assert min(limits.clients, limits.server_connections, limits.lingering, limits.accepted_per_tick) >= 1
     if sockets >= 256:
-        assert places.clients >= sockets / 3 and places.pools >= sockets / 3
+        assert limits.clients >= sockets / 3 and limits.server_connections >= sockets / 3
 
 
 @asynccontextmanager
-async def program(
+async def running_program(
     tmp_path: Path, descriptors: int, **changes: Any
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, dict[str, tuple[str, int]], list[str]]]:
-    """The program under a limit on its descriptors; gives it, the addresses that it tells, and its log.
+    """Runs the program with a limit on its descriptors; yields it, the addresses that it logs, and its log.
 
-    changes: of its configuration; `faults`: system calls that fail, recorded in the file `injected`."""
+    changes: changes to its configuration; `faults`: system calls that fail, recorded in the file `injected`.
+    """
     faults: list[SystemCallFault] = changes.pop("faults", [])
     launcher = "applehub.lab.fleet.system_call_faults " if faults else ""
     command = f'ulimit -n {descriptors} && exec "{sys.executable}" -m {launcher}applehub'
@@ -68,36 +81,38 @@
         await reading
 
 
-async def caller_at(address: tuple[str, int]) -> Caller:
+async def connect_client(address: tuple[str, int]) -> Caller:
     return Caller(*await asyncio.open_connection(*address))
 
 
-async def test_idle_clients_may_fill_their_places_while_discovery_is_down(tmp_path: Path) -> None:
-    """Discovery, the servers and the operators are reached all the same once it is back."""
-    cache = Cache(lambda asked, line: hit())
+async def test_discovery_and_operators_are_reachable_when_idle_clients_use_all_connections(
+    tmp_path: Path,
+) -> None:
+    """Discovery, servers and operators are reachable once discovery is up."""
+    cache = Cache(lambda request, writer: hit())
     await cache.start()
-    away = socket.create_server(("127.0.0.1", 0))  # its port, where nobody answers yet
-    port = away.getsockname()[1]
-    away.close()
+    unused = socket.create_server(("127.0.0.1", 0))  # its port is that of discovery, which is not up yet
+    port = unused.getsockname()[1]
+    unused.close()
     known = listing(3, entry("c0", cache.address))
     more = {"console": "127.0.0.1:0", "limits": {"sockets": 128}, "known": known}
     tmp = tmp_path / "tmp"
     tmp.mkdir()
-    async with program(tmp_path, 128, discovery=f"127.0.0.1:{port}", **more) as (running, at, lines):
-        idle = [await caller_at(at["listening on"]) for _ in range(300)]
+    async with running_program(tmp_path, 128, discovery=f"127.0.0.1:{port}", **more) as (running, at, lines):
+        idle = [await connect_client(at["listening on"]) for _ in range(300)]
         for one in idle:
             one.send(b"PING")
-        turned_away = 0
+        rejected = 0
         for one in idle:
             with contextlib.suppress(OSError):
-                turned_away += await one.answer() != b"PONG"
-        assert turned_away  # all places were taken
-        held = psutil.Process(running.pid).num_fds()
-        assert held <= 128
-        new = Web(lambda asked, line: whole_list(9, entry("c0", cache.address)))
-        new.server = await asyncio.start_server(new._serve, "127.0.0.1", port)
-        await soon(lambda: new.got)
-        console = await caller_at(at["operators call at"])
+                rejected += await one.answer() != b"PONG"
+        assert rejected  # all connections were in use
+        used = psutil.Process(running.pid).num_fds()
+        assert used <= 128
+        discovery = Web(lambda request, writer: whole_list(9, entry("c0", cache.address)))
+        discovery.server = await asyncio.start_server(discovery._serve, "127.0.0.1", port)
+        await soon(lambda: discovery.got)
+        console = await connect_client(at["operators call at"])
         console.writer.write(b"HEALTH\n")
         assert await asyncio.wait_for(console.reader.readline(), PATIENCE) == b"+OK\n"
         served = next(one for one in idle if not one.reader.at_eof())
@@ -106,29 +121,29 @@
         assert not [line for line in lines if "Too many open files" in line]
         for one in [*idle, console]:
             one.writer.transport.abort()
-        await new.stop()
+        await discovery.stop()
     await cache.stop()
 
 
-async def test_a_lack_of_descriptors_costs_no_processor_time_and_is_survived(tmp_path: Path) -> None:
-    """The system gives fewer than was told: accept fails, and goes on once there are some."""
+async def test_router_recovers_from_lack_of_descriptors_without_busy_loop(tmp_path: Path) -> None:
+    """The limit of the process is lower than configured: accept fails, and succeeds once some are free."""
     known = listing(3, entry("c0", "127.0.0.1:1"))
-    web = Web(lambda asked, line: None if len(web.got) > 1 else http(503))
+    web = Web(lambda request, writer: None if len(web.got) > 1 else http(503))
     await web.start()
-    async with program(tmp_path, 40, discovery=web.address, known=known) as (running, at, lines):
+    async with running_program(tmp_path, 40, discovery=web.address, known=known) as (running, at, lines):
         process = psutil.Process(running.pid)
-        many = [await caller_at(at["listening on"]) for _ in range(80)]
+        many = [await connect_client(at["listening on"]) for _ in range(80)]
         for one in many[:10]:
             one.send(b"PING")
             assert await one.answer() == b"PONG"
         await soon(lambda: [line for line in lines if "accept fails" in line])
         before = sum(process.cpu_times()[:2])
-        await asyncio.sleep(1.0)  # nothing happens any more but that accept is tried again
+        await asyncio.sleep(1.0)  # only the retries of accept are running
         assert sum(process.cpu_times()[:2]) - before < 0.25
         assert len([line for line in lines if "accept" in line]) == 1
         for one in many:
             one.writer.transport.abort()
-        again = await caller_at(at["listening on"])
+        again = await connect_client(at["listening on"])
         again.send(b"PING")
         assert await again.answer() == b"PONG"
         assert running.returncode is None and os.getpid() != running.pid
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -1,7 +1,8 @@
-"""A router that stands still for 0.15 s between a look at its clock and what it writes then.
+"""Stalls of the process for 0.15 s between reading the clock and writing to a socket.
 
-The sockets are real and the clock is held by the test, so a stall takes no time of the machine: at the place
-that a test names, the clock moves on by 0.15 s in one step, and what others do meanwhile is done there."""
+The tests run in virtual time (see `virtual`): at the point of the stall the clock advances in one step, and
+the test performs there what other processes do in the meantime.
+"""
 
 import asyncio
 import contextlib
@@ -14,7 +15,7 @@
 import pytest
 from peers import MISS, Bench, Caller, Peer, entry, hit, http, router
 from test_told import Service
-from virtual import Loop, play
+from virtual import VirtualTimeLoop, run_in_virtual_time
 
 from applehub.node.caches import CacheConnection
 from applehub.node.call import Exchange
@@ -25,32 +26,33 @@
 from applehub.node.pool import Connection, Pool
 from applehub.node.watch import Watch
 
-STALL = 0.15  # s
-SLACK = 0.15  # s by which a server may be told more than its client has left
-WAIT = 900  # ms that the clients of these tests allow
-LEFT = 0.1  # s after its client's close from which on no attempt may begin
-GRACE = 0.5  # s from a change of the list in which an attempt may still begin
+STALL_SECONDS = 0.15
+MAX_EXCESS_SECONDS = 0.15  # by which a notified deadline may exceed the time that the client has left
+DEADLINE_MS = 900
+DETECTION_TIME = 0.1  # seconds after the client's close from which on no attempt may start
+DRAIN_GRACE = 0.5  # seconds after a list update within which an attempt may still start
 
 
 def now() -> float:
     return asyncio.get_running_loop().time()
 
 
-def stand_still(seconds: float = STALL) -> None:
+def stall_process(seconds: float = STALL_SECONDS) -> None:
     loop = asyncio.get_running_loop()
-    assert isinstance(loop, Loop)
+    assert isinstance(loop, VirtualTimeLoop)
     loop.now += seconds
 
 
 class Stalls:
-    """The process stands still between the encoding of an attempt, which reads the clock for the time that is
-    told, and its writing. `at` says at which attempts, counted from 1 over all servers; `meanwhile` is done
-    as the stall begins."""
+    """Stalls the process between encoding an attempt, which computes the notified deadline, and writing it.
+
+    at: attempts at which it stalls, counted from 1 over all servers. on_stall: called when a stall starts.
+    """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, *at: int) -> None:
         self.at, self.encoded = at, 0
-        self.meanwhile: Callable[[], None] = lambda: None
-        self.began: list[float] = []
+        self.on_stall: Callable[[], None] = lambda: None
+        self.started: list[float] = []
         for kind in (CacheConnection, OriginConnection):
             monkeypatch.setattr(kind, "encode", self._stalling(kind.encode))
 
@@ -60,141 +62,148 @@
             first = next(pieces)
             self.encoded += 1
             if self.encoded in self.at:
-                self.began.append(now())
-                self.meanwhile()
-                stand_still()
+                self.started.append(now())
+                self.on_stall()
+                stall_process()
             yield first
             yield from pieces
 
         return stalled
 
 
-class Clock:
-    """Notes when each attempt came to a peer, by its last byte."""
+class AttemptTimes:
+    """Records when each attempt was completely received by a server."""
 
     def __init__(self, *peers: Peer) -> None:
-        self.came: list[tuple[float, Any]] = []
+        self.received: list[tuple[float, Any]] = []
         for peer in peers:
-            peer.answer = self._noting(peer.answer)
+            peer.answer = self._recording(peer.answer)
 
-    def _noting(self, answer: Any) -> Any:
-        def noted(asked: Any, line: asyncio.StreamWriter) -> bytes | None:
-            self.came.append((now(), asked))
-            got: bytes | None = answer(asked, line)
+    def _recording(self, answer: Any) -> Any:
+        def recorded(request: Any, writer: asyncio.StreamWriter) -> bytes | None:
+            self.received.append((now(), request))
+            got: bytes | None = answer(request, writer)
             return got
 
-        return noted
+        return recorded
 
 
-def told(asked: Any) -> float:
-    """The seconds that an attempt tells its server."""
-    info = asked[2][b"x-call-info"] if isinstance(asked, tuple) else asked[3]
+def notified_seconds(request: Any) -> float:
+    """Returns the deadline, in seconds, of which an attempt notifies its server."""
+    info = request[2][b"x-call-info"] if isinstance(request, tuple) else request[3]
     fields = dict(one.split(b"=") for one in info.split(b","))
     return int(fields[b"d"]) / 1000
 
 
 def run(monkeypatch: pytest.MonkeyPatch, test: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("at", [1, 2, 3])
-def test_no_server_is_told_more_than_its_client_has_left(monkeypatch: pytest.MonkeyPatch, at: int) -> None:
-    """A first attempt, one on a connection that rested, a fetch, and a further try after a break."""
+def test_notified_deadline_does_not_exceed_time_left_after_stall(
+    monkeypatch: pytest.MonkeyPatch, at: int
+) -> None:
+    """Covers a first attempt, one on a reused connection, a fetch, and a retry after a disconnect."""
 
     async def test() -> None:
         stalls = Stalls(monkeypatch, at)
         answers: list[Any] = [MISS, None, MISS]
 
-        def answer(asked: Any, line: asyncio.StreamWriter) -> bytes | None:
+        def answer(request: Any, writer: asyncio.StreamWriter) -> bytes | None:
             if answers[0] is None:
-                line.transport.abort()
+                writer.transport.abort()
             got: bytes | None = answers.pop(0)
             return got
 
         async with router(answer) as bench:
-            clock = Clock(bench.cache, bench.origin)
+            attempts = AttemptTimes(bench.cache, bench.origin)
             caller = await bench.caller()
             for n in range(2):
-                begun = now()
-                first = len(clock.came)
-                caller.get(name=b"i%d" % n, info=b"c=read,t=acme,d=%d" % WAIT)
+                started = now()
+                first = len(attempts.received)
+                caller.get(name=b"i%d" % n, info=b"c=read,t=acme,d=%d" % DEADLINE_MS)
                 assert await caller.answer() == b"from origin"
-                for when, asked in clock.came[first:]:
-                    assert told(asked) <= WAIT / 1000 - (when - begun) + SLACK
+                for when, request in attempts.received[first:]:
+                    assert (
+                        notified_seconds(request)
+                        <= DEADLINE_MS / 1000 - (when - started) + MAX_EXCESS_SECONDS
+                    )
                 await asyncio.sleep(0.05)
-            assert stalls.began and len(clock.came) >= 4
+            assert stalls.started and len(attempts.received) >= 4
 
     run(monkeypatch, test)
 
 
 @pytest.mark.parametrize("rested", [False, True])
-def test_no_server_is_told_more_where_the_stall_is_before_the_request_is_read(
-    monkeypatch: pytest.MonkeyPatch, rested: bool
+def test_notified_deadline_is_bounded_for_stall_before_request_is_read(
+    monkeypatch: pytest.MonkeyPatch, reused: bool
 ) -> None:
-    """The bytes stand in the system while the process stands still."""
+    """The bytes wait in the kernel while the process stalls."""
 
     async def test() -> None:
         async with router() as bench:
-            clock = Clock(bench.cache)
+            attempts = AttemptTimes(bench.cache)
             caller = await bench.caller()
-            if rested:
+            if reused:
                 caller.get(name=b"i0")
                 assert await caller.answer() == b"v"
             await asyncio.sleep(0.05)
-            begun = now()
-            caller.get(name=b"i1", info=b"c=read,t=acme,d=%d" % WAIT)
-            stand_still()
+            started = now()
+            caller.get(name=b"i1", info=b"c=read,t=acme,d=%d" % DEADLINE_MS)
+            stall_process()
             assert await caller.answer() == b"v"
-            when, asked = clock.came[-1]
-            assert told(asked) <= WAIT / 1000 - (when - begun) + SLACK
+            when, request = attempts.received[-1]
+            assert notified_seconds(request) <= DEADLINE_MS / 1000 - (when - started) + MAX_EXCESS_SECONDS
 
     run(monkeypatch, test)
 
 
-def test_no_server_is_told_more_where_the_stall_is_between_the_decision_and_the_attempt(
+def test_notified_deadline_is_bounded_for_stall_between_decision_and_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
         start = Pool.start
 
         def stalled(pool: Pool, exchange: Exchange) -> bool:
-            stand_still()
+            stall_process()
             return start(pool, exchange)
 
         monkeypatch.setattr(Pool, "start", stalled)
         async with router() as bench:
-            clock = Clock(bench.cache)
+            attempts = AttemptTimes(bench.cache)
             caller = await bench.caller()
-            begun = now()
-            caller.get(info=b"c=read,t=acme,d=%d" % WAIT)
+            started = now()
+            caller.get(info=b"c=read,t=acme,d=%d" % DEADLINE_MS)
             assert await caller.answer() == b"v"
-            ((when, asked),) = clock.came
-            assert told(asked) <= WAIT / 1000 - (when - begun)
+            ((when, request),) = attempts.received
+            assert notified_seconds(request) <= DEADLINE_MS / 1000 - (when - started)
 
     run(monkeypatch, test)
 
 
 @pytest.mark.parametrize("rested", [False, True])
 @pytest.mark.parametrize("after", [0.3, 0.6, 0.8, 0.84, 0.86, 0.95, 0.99])
-def test_a_repeat_begins_in_its_window(monkeypatch: pytest.MonkeyPatch, after: float, rested: bool) -> None:
-    """The first attempt breaks shortly before the window is over, and the process stands still before it
-    writes the second: that began 0.14 s after the window, and could run again."""
+def test_retry_starts_within_its_window(monkeypatch: pytest.MonkeyPatch, after: float, reused: bool) -> None:
+    """The first attempt fails shortly before the window ends, and the process stalls before the retry.
+
+    A retry after the window could be executed twice.
+    """
     window = 1.0
 
     async def test() -> None:
-        broken = False
+        failed = False
 
-        def breaks(asked: Any, line: asyncio.StreamWriter) -> bytes | None:
-            nonlocal broken
-            if broken or asked[0] == b"GET":
+        def fail_first(request: Any, writer: asyncio.StreamWriter) -> bytes | None:
+            nonlocal failed
+            if failed or request[0] == b"GET":
                 return http(200, b"receipt")
-            broken = True
-            asyncio.get_running_loop().call_later(after, line.transport.abort)
+            failed = True
+            asyncio.get_running_loop().call_later(after, writer.transport.abort)
             return None
 
-        async with router(lambda asked, line: MISS, breaks) as bench:
+        async with router(lambda request, writer: MISS, fail_first) as bench:
             bench.driver.balancer.settings.classes[1].window = int(window * 1e9)
-            if rested:  # two connections to the origin, of which the first attempt breaks one
+            if reused:  # two connections to the origin, one of which fails with the first attempt
                 callers = [await bench.caller() for _ in range(2)]
                 for n, caller in enumerate(callers):
                     caller.get(b"k%d" % n, b"r%d" % n)
@@ -202,31 +211,31 @@
                     assert await caller.answer() == b"receipt"
                 await asyncio.sleep(0.05)
                 assert len(bench.pools.pools["o"].idle) == 2
-            clock = Clock(bench.origin)
+            attempts = AttemptTimes(bench.origin)
             stalls = Stalls(monkeypatch, 2)
             caller = await bench.caller()
             caller.send(b"C.SET", b"k", b"w1", b"c=put,t=acme,d=9000,k=1", b"value")
             answer = await caller.answer()
             assert answer == b"receipt" or str(answer) in ("ERR failed", "BUSY")
-            begun = [when for when, _ in clock.came]
-            assert begun[-1] - begun[0] < window
-            assert (answer == b"receipt") == (len(begun) == 2)
-            assert len(begun) == 2 or after > 0.3
-            assert len(begun) == 1 or stalls.began
+            started = [when for when, _ in attempts.received]
+            assert started[-1] - started[0] < window
+            assert (answer == b"receipt") == (len(started) == 2)
+            assert len(started) == 2 or after > 0.3
+            assert len(started) == 1 or stalls.started
 
     run(monkeypatch, test)
 
 
 @pytest.mark.parametrize("place", ["first", "rested", "fetch", "retry", "write"])
-def test_no_attempt_begins_for_a_client_that_left_during_the_stall(
+def test_no_attempt_starts_for_client_that_left_during_stall(
     monkeypatch: pytest.MonkeyPatch, place: str
 ) -> None:
-    """It was written at the stall's end, 0.15 s after the client's close, of which nobody had read."""
+    """The client's close is not read yet when the stall ends."""
 
     async def test() -> None:
         left = False
-        answer: dict[str, Any] = {"fetch": lambda asked, line: MISS, "retry": _breaks}
-        async with router(answer.get(place, lambda asked, line: hit())) as bench:
+        answer: dict[str, Any] = {"fetch": lambda request, writer: MISS, "retry": _break_first_attempt}
+        async with router(answer.get(place, lambda request, writer: hit())) as bench:
             caller = await bench.caller()
             if place == "rested":
                 caller.get(name=b"i0")
@@ -237,20 +246,20 @@
             def leave() -> None:
                 nonlocal left
                 left = True
-                _close(caller)
+                _close_now(caller)
 
-            stalls.meanwhile = leave
-            clock = Clock(bench.cache, bench.origin)
+            stalls.on_stall = leave
+            attempts = AttemptTimes(bench.cache, bench.origin)
             if place == "write":
                 caller.send(b"C.SET", b"k", b"i1", b"c=put,t=acme,d=9000,k=1", b"value")
             else:
                 caller.get()
             await asyncio.sleep(1.0)
             assert left and not bench.driver.held and not bench.driver.balancer.jobs
-            late = [when for when, _ in clock.came if when - stalls.began[0] > LEFT]
+            late = [when for when, _ in attempts.received if when - stalls.started[0] > DETECTION_TIME]
             assert not late
             assert bench.driver.balancer.roster.servers["c0"].out == 0
-            # Who comes after is served.
+            # Other clients are served.
             other = await bench.caller()
             other.get(b"k2", name=b"i2")
             assert await other.answer() in (b"v", b"from origin")
@@ -258,41 +267,41 @@
     run(monkeypatch, test)
 
 
-def _breaks(asked: Any, line: asyncio.StreamWriter) -> bytes | None:
-    """Breaks the first attempt at each key."""
-    seen = line.transport.get_extra_info("seen", None)
-    if asked[1] == b"k" and seen is None:
-        line.transport.abort()
+def _break_first_attempt(request: Any, writer: asyncio.StreamWriter) -> bytes | None:
+    """Aborts the connection of the first attempt."""
+    seen = writer.transport.get_extra_info("seen", None)
+    if request[1] == b"k" and seen is None:
+        writer.transport.abort()
         return None
     return hit()
 
 
-def _close(caller: Caller) -> None:
-    """Closes a client's connection in this moment: asyncio would do so in the loop's next turn."""
-    line = caller.writer.transport.get_extra_info("socket")
-    line.shutdown(socket.SHUT_RDWR)
+def _close_now(caller: Caller) -> None:
+    """Closes a client's connection immediately; asyncio would do so in the next tick."""
+    sock = caller.writer.transport.get_extra_info("socket")
+    sock.shutdown(socket.SHUT_RDWR)
 
 
 @pytest.mark.parametrize("pipelined", [False, True])
-def test_a_client_that_is_not_being_read_has_left_all_the_same(
+def test_disconnect_of_paused_client_is_detected_after_stall(
     monkeypatch: pytest.MonkeyPatch, pipelined: bool
 ) -> None:
-    """Its end stands behind requests that nobody has read, or behind none."""
+    """The end of the stream is behind unread requests, or behind none."""
 
     async def test() -> None:
-        async with router(lambda asked, line: None) as bench:
+        async with router(lambda request, writer: None) as bench:
             caller = await bench.caller()
             for n in range(100 if pipelined else 1):
                 caller.get(b"k%d" % n, b"i%d" % n)
             await asyncio.sleep(0.02)
-            clock = Clock(bench.cache, bench.origin)
+            attempts = AttemptTimes(bench.cache, bench.origin)
             closed = now()
-            _close(caller)
-            stand_still()
-            for line in bench.cache.lines:
-                line.write(hit())
+            _close_now(caller)
+            stall_process()
+            for writer in bench.cache.lines:
+                writer.write(hit())
             await asyncio.sleep(1.0)
-            assert all(when - closed <= LEFT for when, _ in clock.came)
+            assert all(when - closed <= DETECTION_TIME for when, _ in attempts.received)
             assert not bench.driver.balancer.jobs
 
     run(monkeypatch, test)
@@ -300,43 +309,43 @@
 
 @pytest.mark.parametrize("how", ["Terminating", "Gone"])
 @pytest.mark.parametrize("rested", [False, True])
-def test_nothing_begins_at_a_draining_server_after_the_grace(
-    monkeypatch: pytest.MonkeyPatch, how: str, rested: bool
+def test_no_attempt_starts_at_draining_server_after_grace_period(
+    monkeypatch: pytest.MonkeyPatch, how: str, reused: bool
 ) -> None:
-    """Discovery writes the change as the stall begins; the attempt is written at its end, none after it."""
+    """Discovery sends the update when the stall starts; only the stalled attempt is sent after it."""
 
     async def test() -> None:
         async with router() as bench:
-            service = Drains(bench, how)
+            service = DrainingDiscovery(bench, how)
             watch = Watch([await service.start()], bench.directory, 1, False)
             watch.start()
             await asyncio.wait_for(service.called.wait(), 5)
             await asyncio.sleep(0.1)
             caller = await bench.caller()
-            if rested:
+            if reused:
                 caller.get(name=b"i0")
                 assert await caller.answer() == b"v"
                 await asyncio.sleep(0.05)
             stalls = Stalls(monkeypatch, 1)
-            clock = Clock(bench.cache)
-            stalls.meanwhile = service.change
+            attempts = AttemptTimes(bench.cache)
+            stalls.on_stall = service.change
             for n in range(1, 50):
                 caller.get(b"k%d" % n, b"i%d" % n)
                 answer = await caller.answer()
                 assert answer in (b"v", b"from origin") or str(answer).startswith("BUSY")
                 await asyncio.sleep(0.05)
-            (changed,) = stalls.began
-            begun = [when - changed for when, _ in clock.came]
-            assert begun[0] == pytest.approx(STALL, abs=0.01)
-            assert max(begun) <= STALL + 0.1 < GRACE
+            (changed,) = stalls.started
+            started = [when - changed for when, _ in attempts.received]
+            assert started[0] == pytest.approx(STALL_SECONDS, abs=0.01)
+            assert max(started) <= STALL_SECONDS + 0.1 < DRAIN_GRACE
             watch.stop()
             service.server.close()
 
     run(monkeypatch, test)
 
 
-class Drains(Service):
-    """Discovery that tells of one server, which begins to drain."""
+class DrainingDiscovery(Service):
+    """Discovery with one server, which starts to drain."""
 
     def __init__(self, bench: Bench, how: str) -> None:
         super().__init__()
@@ -355,39 +364,39 @@
         return False
 
 
-def test_an_answer_is_not_lost_by_a_stall_before_it_is_written(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Up to half a second after its time an answer only earns nothing."""
+def test_answer_is_not_lost_by_stall_before_write(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An answer may be up to half a second late."""
 
     async def test() -> None:
         fill = Slot.fill
 
         def stalled(slot: Slot, answer: bytes) -> None:
-            stand_still()
+            stall_process()
             fill(slot, answer)
 
         monkeypatch.setattr(Slot, "fill", stalled)
-        async with router(lambda asked, line: None) as bench:
+        async with router(lambda request, writer: None) as bench:
             caller = await bench.caller()
-            begun = now()
-            caller.get(info=b"c=once,t=acme,d=%d" % WAIT)
+            started = now()
+            caller.get(info=b"c=once,t=acme,d=%d" % DEADLINE_MS)
             assert str(await caller.answer()) == "ERR failed"
-            assert now() - begun <= WAIT / 1000 + 0.5
+            assert now() - started <= DEADLINE_MS / 1000 + 0.5
 
     run(monkeypatch, test)
 
 
-def test_what_is_held_at_the_end_is_answered_before_the_kill(monkeypatch: pytest.MonkeyPatch) -> None:
-    """0.3 s are kept between the last answers and SIGKILL."""
+def test_requests_in_flight_at_stop_are_answered_before_sigkill(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The router reserves 0.3 s between the last answers and SIGKILL."""
 
     async def test() -> None:
         end = Driver._end_all
 
         def stalled(driver: Driver) -> None:
-            stand_still()
+            stall_process()
             end(driver)
 
         monkeypatch.setattr(Driver, "_end_all", stalled)
-        async with router(lambda asked, line: None) as bench:
+        async with router(lambda request, writer: None) as bench:
             caller = await bench.caller()
             caller.get(info=b"c=read,t=acme,d=9000")
             await asyncio.sleep(0.1)
@@ -400,11 +409,10 @@
 
 
 @pytest.mark.parametrize("keepalive", [1.0, 3.0])
-def test_nothing_is_written_to_a_connection_that_its_server_has_closed_by_then(
+def test_idle_connection_is_not_used_after_keepalive_timeout(
     monkeypatch: pytest.MonkeyPatch, keepalive: float
 ) -> None:
-    """The connection idles for nearly as long as its server lets it, and the process stands still before it
-    writes to it: between two sweeps that began on a connection that was about to be closed."""
+    """The connection is idle for almost its keepalive timeout, then the process stalls before a write."""
 
     async def test() -> None:
         async with router(keepalive=int(keepalive * 1e9)) as bench:
@@ -414,27 +422,27 @@
             idle = now()
             Stalls(monkeypatch, 1)
             await asyncio.sleep(keepalive - 0.1)
-            clock = Clock(bench.cache)
+            attempts = AttemptTimes(bench.cache)
             caller.get(name=b"i1")
             assert await caller.answer() == b"v"
-            ((when, _),) = clock.came
+            ((when, _),) = attempts.received
             assert when - idle < keepalive or len(bench.cache.lines) == 2
 
     run(monkeypatch, test)
 
 
-def test_a_watch_goes_on_in_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The next call has to come within 200 ms of the answer before it."""
+def test_next_watch_call_is_in_time_after_stall(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The next call has to start within 200 ms of the previous answer."""
 
     async def test() -> None:
         async with router() as bench:
-            service = Drains(bench, "Terminating")
+            service = DrainingDiscovery(bench, "Terminating")
             watch = Watch([await service.start()], bench.directory, 1, False)
             take, taken = bench.directory.take, []
 
             def stalled(*what: Any, **more: Any) -> None:
                 taken.append(now())
-                stand_still()
+                stall_process()
                 take(*what, **more)
 
             monkeypatch.setattr(bench.directory, "take", stalled)
@@ -442,17 +450,17 @@
             await asyncio.sleep(3 * HOLD)
             assert len(taken) >= 2
             for when in taken:
-                assert min(asked - when for asked in service.asked if asked >= when) <= 0.2
+                assert min(request - when for request in service.asked if request >= when) <= 0.2
             watch.stop()
             service.server.close()
 
     run(monkeypatch, test)
 
 
-def test_the_clock_is_the_tests_own(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stall_uses_virtual_time(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         before, real = time.monotonic_ns(), time.perf_counter()
-        stand_still(60.0)
+        stall_process(60.0)
         assert time.monotonic_ns() - before >= 60e9 and time.perf_counter() - real < 30
 
     run(monkeypatch, test)
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,6 +1,7 @@
-"""A clock that the tests hold: real sockets, and time that passes only while nothing is ready on them.
+"""Virtual time for tests with real sockets: the clock advances only while no socket is ready.
 
-A wait of seconds takes none, and how fast the machine is changes nothing: time stands still during work."""
+Waiting takes no real time, and the speed of the machine has no influence: no time passes during computations.
+"""
 
 import asyncio
 import selectors
@@ -12,49 +13,51 @@
 
 from applehub.node import arrivals
 
-SETTLED = 0.001  # s of real time without a sign on any socket after which what was sent has arrived
-STUCK = 30.0  # s of real time with no timer and nothing to read: the test waits in vain
+SETTLE_TIME = 0.001  # seconds of real time without a ready socket after which all sent data has arrived
+HANG_TIMEOUT = 30.0  # seconds of real time with no timer and no ready socket after which the test fails
 
 
-class _Selector(selectors.DefaultSelector):
-    """Looks at the sockets; where none is ready, it passes the time that it was to wait."""
+class _SkippingSelector(selectors.DefaultSelector):
+    """Polls the sockets; if none is ready, it advances the clock by the timeout."""
 
-    skip: Callable[[float], None]
+    skip_time: Callable[[float], None]
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is not None and timeout <= 0:
             return super().select(0)
-        ready = super().select(STUCK if timeout is None else SETTLED)
+        ready = super().select(HANG_TIMEOUT if timeout is None else SETTLE_TIME)
         if not ready and timeout is None:
-            raise TimeoutError("nothing is due and nothing comes")
+            raise TimeoutError("the test hangs: no timer is pending and no socket becomes ready")
         if not ready and timeout is not None:
-            self.skip(timeout)
+            self.skip_time(timeout)
         return ready
 
 
-class _Looks(arrivals.Looks, _Selector):
-    """The same, which keeps when it looked."""
+class _TimedSkippingSelector(arrivals.TimedSelector, _SkippingSelector):
+    """A TimedSelector on virtual time."""
 
 
-class Loop(arrivals.Loop):
-    """An event loop on that clock, in seconds."""
+class VirtualTimeLoop(arrivals.TimedEventLoop):
+    """An event loop on virtual time, in seconds."""
 
     def __init__(self) -> None:
-        selector = _Looks()
-        selector.skip = self._skip
+        selector = _TimedSkippingSelector()
+        selector.skip_time = self._skip_time
         self.now = 1000.0
         super().__init__(selector)
 
     def time(self) -> float:
         return self.now
 
-    def _skip(self, seconds: float) -> None:
+    def _skip_time(self, seconds: float) -> None:
         self.now += seconds
 
 
-def play(monkeypatch: pytest.MonkeyPatch, test: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Runs a test on such a loop; what reads the system's clock sees the same time."""
-    with asyncio.Runner(loop_factory=Loop) as runner:
+def run_in_virtual_time(
+    monkeypatch: pytest.MonkeyPatch, test: Callable[[], Coroutine[Any, Any, None]]
+) -> None:
+    """Runs a test in virtual time, and replaces the monotonic clock of `time` by it."""
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         loop = runner.get_loop()
         monkeypatch.setattr(time, "monotonic_ns", lambda: int(loop.time() * 1e9))
         monkeypatch.setattr(time, "monotonic", loop.time)
