--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -161,12 +161,12 @@
                 platform.dup(), lambda earliest_arrival: asyncio.Protocol(), 8, inherited=True
             )
             with accept_fails(port, "EMFILE") as faults:
-                queue_clients(stack, port, [b"data"])
+                queue_clients(stack, port, [b"waits"])
                 await soon(lambda: faults.count("accept"))
                 acceptor.close()
             platform.setblocking(False)
             sock, _ = platform.accept()
-            assert sock.recv(100) == b"data"
+            assert sock.recv(100) == b"waits"
             sock.close()
 
     run_in_virtual_time(monkeypatch, test)
--- a/tests/test_arrivals.py
+++ b/tests/test_arrivals.py
@@ -34,8 +34,8 @@
 
 
 def get(name: bytes = b"i1", wait: int | None = DEADLINE_MS, key: bytes = b"k") -> bytes:
-    allowed = b"" if wait is None else b",d=%d" % wait
-    return resp.command(b"C.GET", key, name, b"c=read,t=acme" + allowed)
+    deadline = b"" if wait is None else b",d=%d" % wait
+    return resp.command(b"C.GET", key, name, b"c=read,t=acme" + deadline)
 
 
 def put(value: bytes, name: bytes = b"w1") -> bytes:
@@ -115,25 +115,25 @@
 
 @contextlib.contextmanager
 def raw_socket(bench: Bench) -> Iterator[socket.socket]:
-    """A client on a plain socket: data that it sends is in the kernel at once."""
-    with socket.create_connection(("127.0.0.1", bench.port)) as one:
-        one.setblocking(False)
-        one.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        yield one
+    """Yields a connected plain socket; data that it sends is in the kernel at once."""
+    with socket.create_connection(("127.0.0.1", bench.port)) as sock:
+        sock.setblocking(False)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        yield sock
 
 
 @contextlib.asynccontextmanager
 async def connected_socket(bench: Bench) -> Any:
-    """The same, once the router has accepted it and answered a command."""
-    with raw_socket(bench) as one:
-        one.sendall(resp.command(b"PING"))
-        assert await receive(one) == b"+PONG\r\n"
-        yield one
+    """Yields the same socket, once the router has accepted it and answered a command."""
+    with raw_socket(bench) as sock:
+        sock.sendall(resp.command(b"PING"))
+        assert await receive(sock) == b"+PONG\r\n"
+        yield sock
 
 
-async def receive(one: socket.socket) -> bytes:
+async def receive(sock: socket.socket) -> bytes:
     async with asyncio.timeout(PATIENCE):
-        return await asyncio.get_running_loop().sock_recv(one, 1 << 16)
+        return await asyncio.get_running_loop().sock_recv(sock, 1 << 16)
 
 
 @pytest.fixture(params=["reported", "unreported"])
@@ -154,30 +154,30 @@
 
 
 async def test_unread_bytes_count_from_arrival_while_loop_is_stalled(kernel_time_known: bool) -> None:
-    got = RecordingServer()
-    async with router(got) as bench, connected_socket(bench) as client:
-        looked, sent = last_poll_time(), time.monotonic()
+    server = RecordingServer()
+    async with router(server) as bench, connected_socket(bench) as client:
+        polled_at, sent = last_poll_time(), time.monotonic()
         client.sendall(get())
         time.sleep(STALL_SECONDS)
         assert await receive(client) == b"$1\r\nv\r\n"
         least = (
-            got.min_deadline(b"i1", sent, KERNEL_TIME_ERROR_MS)
+            server.min_deadline(b"i1", sent, KERNEL_TIME_ERROR_MS)
             if kernel_time_known
-            else got.min_deadline(b"i1", looked)
+            else server.min_deadline(b"i1", polled_at)
         )
         assert least <= notified_deadlines(bench)[b"i1"] <= DEADLINE_MS - STALL_MS
 
 
 async def test_kernel_reports_arrival_of_last_byte_during_long_tick() -> None:
-    got = RecordingServer()
-    async with router(got) as bench, connected_socket(bench) as client:
+    server = RecordingServer()
+    async with router(server) as bench, connected_socket(bench) as client:
         time.sleep(STALL_SECONDS / 2)
         sent = time.monotonic()
         client.sendall(get())
         time.sleep(STALL_SECONDS / 2)
         assert await receive(client) == b"$1\r\nv\r\n"
         assert (
-            got.min_deadline(b"i1", sent, KERNEL_TIME_ERROR_MS)
+            server.min_deadline(b"i1", sent, KERNEL_TIME_ERROR_MS)
             <= notified_deadlines(bench)[b"i1"]
             <= DEADLINE_MS - STALL_MS / 2
         )
@@ -185,36 +185,36 @@
 
 async def test_kernel_time_applies_only_to_last_of_separate_commands() -> None:
     """The kernel reports only the last arrival: the first command may have arrived before the long tick."""
-    got = RecordingServer()
-    async with router(got) as bench, connected_socket(bench) as client:
-        looked = last_poll_time()
+    server = RecordingServer()
+    async with router(server) as bench, connected_socket(bench) as client:
+        polled_at = last_poll_time()
         client.sendall(get(b"first"))
         time.sleep(STALL_SECONDS / 2)
         sent = time.monotonic()
         client.sendall(get(b"second"))
         time.sleep(STALL_SECONDS / 2)
-        await soon(lambda: len(got.times) == 2)
+        await soon(lambda: len(server.times) == 2)
         assert (
-            got.min_deadline(b"first", looked)
+            server.min_deadline(b"first", polled_at)
             <= notified_deadlines(bench)[b"first"]
             <= DEADLINE_MS - STALL_MS
         )
         assert (
-            got.min_deadline(b"second", sent, KERNEL_TIME_ERROR_MS)
+            server.min_deadline(b"second", sent, KERNEL_TIME_ERROR_MS)
             <= notified_deadlines(bench)[b"second"]
             <= DEADLINE_MS - STALL_MS / 2
         )
 
 
 async def test_idle_router_adds_no_delay() -> None:
-    got = RecordingServer()
-    async with router(got) as bench, connected_socket(bench) as client:
+    server = RecordingServer()
+    async with router(server) as bench, connected_socket(bench) as client:
         await asyncio.sleep(STALL_SECONDS)
         sent = time.monotonic()
         client.sendall(get())
         assert await receive(client) == b"$1\r\nv\r\n"
         assert (
-            got.min_deadline(b"i1", sent, KERNEL_TIME_ERROR_MS)
+            server.min_deadline(b"i1", sent, KERNEL_TIME_ERROR_MS)
             <= notified_deadlines(bench)[b"i1"]
             <= DEADLINE_MS
         )
@@ -245,12 +245,15 @@
 
     async def test() -> None:
         count = clients.MAX_PIPELINED_COMMANDS + 8
-        gate = HeldAnswers()
-        async with router(gate.cache, gate.origin, sockets=256) as bench, connected_socket(bench) as client:
+        held_answers = HeldAnswers()
+        async with (
+            router(held_answers.cache, held_answers.origin, sockets=256) as bench,
+            connected_socket(bench) as client,
+        ):
             client.sendall(b"".join(get(b"i%d" % n, key=b"k%d" % n) for n in range(count)))
             await wait_for_full_pipeline(bench)
             stall_loop()
-            gate.open()
+            held_answers.open()
             await soon(lambda: not bench.driver.held)
             late = [
                 wait
@@ -268,14 +271,17 @@
     monkeypatch: pytest.MonkeyPatch, kernel_time_unknown: None
 ) -> None:
     async def test() -> None:
-        gate = HeldAnswers()
-        async with router(gate.cache, gate.origin, sockets=256) as bench, connected_socket(bench) as client:
+        held_answers = HeldAnswers()
+        async with (
+            router(held_answers.cache, held_answers.origin, sockets=256) as bench,
+            connected_socket(bench) as client,
+        ):
             for n in range(clients.MAX_PIPELINED_COMMANDS):
                 client.sendall(get(b"i%d" % n, key=b"k%d" % n))
             await wait_for_full_pipeline(bench)
             client.sendall(get(b"late"))
             await asyncio.sleep(STALL_SECONDS)
-            gate.open()
+            held_answers.open()
             await soon(lambda: b"late" in notified_deadlines(bench))
             assert (
                 DEADLINE_MS - STALL_MS - SLACK_MS
@@ -292,12 +298,12 @@
 
 
 async def test_kernel_reports_arrival_of_command_behind_paused_read() -> None:
-    gate, got = HeldAnswers(), RecordingServer()
+    held_answers, server = HeldAnswers(), RecordingServer()
 
     def cache(request: Any, peer: asyncio.StreamWriter) -> bytes | None:
-        return got(request, peer) if request[2] == b"late" else gate.cache(request, peer)
+        return server(request, peer) if request[2] == b"late" else held_answers.cache(request, peer)
 
-    async with router(cache, gate.origin, sockets=256) as bench, connected_socket(bench) as client:
+    async with router(cache, held_answers.origin, sockets=256) as bench, connected_socket(bench) as client:
         for n in range(clients.MAX_PIPELINED_COMMANDS):
             client.sendall(get(b"i%d" % n, 5000, b"k%d" % n))
         await wait_for_full_pipeline(bench)
@@ -305,10 +311,10 @@
         sent = time.monotonic()
         client.sendall(get(b"late"))
         await asyncio.sleep(STALL_SECONDS / 2)
-        gate.open()
-        await soon(lambda: got.times)
+        held_answers.open()
+        await soon(lambda: server.times)
         assert (
-            got.min_deadline(b"late", sent, KERNEL_TIME_ERROR_MS)
+            server.min_deadline(b"late", sent, KERNEL_TIME_ERROR_MS)
             <= notified_deadlines(bench)[b"late"]
             <= DEADLINE_MS - STALL_MS / 2
         )
@@ -345,9 +351,9 @@
 @pytest.mark.parametrize("count", [1, 60])
 async def test_time_in_accept_queue_counts_against_deadline(kernel_time_known: bool, count: int) -> None:
     """With more clients than one tick accepts, all count from the same poll."""
-    got = RecordingServer()
-    async with router(got, sockets=256) as bench, contextlib.AsyncExitStack() as stack:
-        looked = last_poll_time()
+    server = RecordingServer()
+    async with router(server, sockets=256) as bench, contextlib.AsyncExitStack() as stack:
+        polled_at = last_poll_time()
         for n in range(count):
             stack.enter_context(raw_socket(bench)).sendall(get(b"i%d" % n, key=b"k%d" % n))
         time.sleep(STALL_SECONDS)
@@ -356,13 +362,15 @@
             one <= DEADLINE_MS - STALL_MS
             for one in [*notified_deadlines(bench).values(), *origin_deadlines(bench)]
         )
-        assert all(got.min_deadline(name, looked) <= one for name, one in notified_deadlines(bench).items())
+        assert all(
+            server.min_deadline(name, polled_at) <= one for name, one in notified_deadlines(bench).items()
+        )
 
 
 async def test_request_in_queue_of_handed_over_listener_counts_from_arrival(kernel_time_known: bool) -> None:
     """During an upgrade no process accepts for a while; only the kernel knows the arrival time."""
-    got = RecordingServer()
-    async with router(got) as bench:
+    server = RecordingServer()
+    async with router(server) as bench:
         platform = socket.create_server(("127.0.0.1", 0))
         with socket.create_connection(platform.getsockname()) as client:
             client.setblocking(False)
@@ -374,7 +382,7 @@
             await following.listen("", 0, platform.detach())
             assert await receive(client) == b"$1\r\nv\r\n"
             following.close()
-            least = got.min_deadline(b"i1", sent if kernel_time_known else watched, KERNEL_TIME_ERROR_MS)
+            least = server.min_deadline(b"i1", sent if kernel_time_known else watched, KERNEL_TIME_ERROR_MS)
             assert (
                 least
                 <= notified_deadlines(bench)[b"i1"]
@@ -390,33 +398,33 @@
 ) -> None:
     async def test() -> None:
         async with router() as bench, connected_socket(bench) as client:
-            whole = get()
-            for at in range(0, len(whole) - 1, 10):
-                client.sendall(whole[at : min(at + 10, len(whole) - 1)])
+            data = get()
+            for at in range(0, len(data) - 1, 10):
+                client.sendall(data[at : min(at + 10, len(data) - 1)])
                 await asyncio.sleep(0.15)
-            client.sendall(whole[-1:])
+            client.sendall(data[-1:])
             assert await receive(client) == b"$1\r\nv\r\n"
             assert notified_deadlines(bench)[b"i1"] == DEADLINE_MS - 8
 
     run_in_virtual_time(monkeypatch, test)
 
 
-@pytest.mark.parametrize("still", [0.0, STALL_SECONDS])
+@pytest.mark.parametrize("stall", [0.0, STALL_SECONDS])
 def test_slow_long_write_counts_from_last_byte(
-    monkeypatch: pytest.MonkeyPatch, kernel_time_unknown: None, still: float
+    monkeypatch: pytest.MonkeyPatch, kernel_time_unknown: None, stall: float
 ) -> None:
     async def test() -> None:
         async with router(origin=lambda request, writer: http(200, b"receipt")) as bench:
             caller = await bench.caller()
-            whole, step = put(bytes(200_000)), 40_000
-            for at in range(0, len(whole), step):
-                caller.writer.write(whole[at : at + step])
+            data, step = put(bytes(200_000)), 40_000
+            for at in range(0, len(data), step):
+                caller.writer.write(data[at : at + step])
                 await caller.writer.drain()
-                await asyncio.sleep(0.4 if at + step < len(whole) else 0)
-                stall_loop(still if at + step >= len(whole) else 0)
+                await asyncio.sleep(0.4 if at + step < len(data) else 0)
+                stall_loop(stall if at + step >= len(data) else 0)
             assert await caller.answer() == b"receipt"
             (one,) = origin_deadlines(bench)
-            assert DEADLINE_MS - still * 1000 - SLACK_MS <= one <= DEADLINE_MS - still * 1000
+            assert DEADLINE_MS - stall * 1000 - SLACK_MS <= one <= DEADLINE_MS - stall * 1000
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -607,9 +615,9 @@
     run_in_virtual_time(monkeypatch, test)
 
 
-@pytest.mark.parametrize("late", [False, True])
+@pytest.mark.parametrize("expired", [False, True])
 def test_throttled_request_is_sent_before_deadline_or_never(
-    monkeypatch: pytest.MonkeyPatch, late: bool
+    monkeypatch: pytest.MonkeyPatch, expired: bool
 ) -> None:
     """A likely miss waits for one token, and for another one after the miss, at four tokens per second.
 
@@ -622,9 +630,9 @@
             throttle.level = 0
             client.sendall(get())
             await soon(lambda: throttle.queue)
-            stall_loop(PAST_DEADLINE if late else 0.0)
+            stall_loop(PAST_DEADLINE if expired else 0.0)
             answer = await receive(client)
-            if late:
+            if expired:
                 assert answer.startswith(b"-BUSY") and not bench.cache.got and not bench.origin.got
             else:
                 assert answer == b"$11\r\nfrom origin\r\n"
@@ -653,18 +661,18 @@
         return hit()
 
     def servers(cache: Cache, origin: Web) -> list[Json]:
-        listed = [entry(f"c{n}", cache.address) for n in range(30)]
-        return [*listed, entry("o", origin.address, model="origin")]
+        entries = [entry(f"c{n}", cache.address) for n in range(30)]
+        return [*entries, entry("o", origin.address, model="origin")]
 
     async with (
         router(overloaded, entries=servers, sockets=1024) as bench,
         contextlib.AsyncExitStack() as stack,
     ):
-        lines = [await stack.enter_async_context(connected_socket(bench)) for _ in range(count)]
-        for n, one in enumerate(lines):
+        sockets = [await stack.enter_async_context(connected_socket(bench)) for _ in range(count)]
+        for n, one in enumerate(sockets):
             one.sendall(get(b"i%d" % n, 5000 if n % 2 else 300, b"k%d" % n))
         time.sleep(STALL_SECONDS)
-        answers = [await receive(one) for one in lines]
+        answers = [await receive(one) for one in sockets]
         assert all(answer == BUSY for answer in answers[::2])
         assert all(answer.startswith((b"$", b"-BUSY")) for answer in answers[1::2])
         forwarded = [int(name[1:]) for name in notified_deadlines(bench)]
@@ -730,8 +738,8 @@
             assert one.transport is not None
             time.sleep(0.2)
             elapsed_ms = arrivals.ms_since_last_data(one.transport.get_extra_info("socket"))
-            most = (time.monotonic() - started) * 1000 + arrivals.TCP_INFO_RESOLUTION_MS
-            assert elapsed_ms is not None and 200 - arrivals.TCP_INFO_RESOLUTION_MS <= elapsed_ms <= most
+            maximum = (time.monotonic() - started) * 1000 + arrivals.TCP_INFO_RESOLUTION_MS
+            assert elapsed_ms is not None and 200 - arrivals.TCP_INFO_RESOLUTION_MS <= elapsed_ms <= maximum
 
 
 def test_kernel_time_is_not_used_for_bytes_followed_by_unread_bytes() -> None:
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -33,8 +33,8 @@
     async def read_all(self) -> bytes:
         """Reads until the end of the stream; raises ConnectionResetError after a reset."""
         got = b""
-        while piece := await self.read():
-            got += piece
+        while chunk := await self.read():
+            got += chunk
         return got
 
 
@@ -150,7 +150,7 @@
     run_in_virtual_time(monkeypatch, test)
 
 
-@pytest.mark.parametrize("behind", [b"", GET, b"x" * 300_000], ids=["nothing", "a request", "a flood"])
+@pytest.mark.parametrize("extra", [b"", GET, b"x" * 300_000], ids=["nothing", "a request", "a flood"])
 @pytest.mark.parametrize(
     ("sent", "answer"),
     [
@@ -160,11 +160,11 @@
     ids=["QUIT", "nonsense"],
 )
 def test_last_answer_reaches_client_that_keeps_sending(
-    monkeypatch: pytest.MonkeyPatch, sent: bytes, answer: bytes, behind: bytes
+    monkeypatch: pytest.MonkeyPatch, sent: bytes, answer: bytes, extra: bytes
 ) -> None:
     async def test() -> None:
         async with router() as bench, raw_client(bench) as client:
-            client.sock.sendall(sent + behind)
+            client.sock.sendall(sent + extra)
             assert await client.read_all() == answer
             await asyncio.sleep(3)
             assert not bench.cache.got and not bench.clients.lingering
@@ -216,8 +216,8 @@
             client.sock.sendall(GET + resp.command(b"QUIT"))
             await asyncio.sleep(1)
             got = bytearray()
-            while piece := await client.read(1 << 18):
-                got += piece
+            while chunk := await client.read(1 << 18):
+                got += chunk
                 await asyncio.sleep(0.5)
             assert len(got) == len(value) + len(b"$8388608\r\n\r\n+OK\r\n")
             await asyncio.sleep(2 * clients.WRITE_STALL_TIMEOUT)  # the client keeps the connection open
@@ -248,12 +248,12 @@
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == b"from origin"
-        lines = [client.transport for client in bench.clients.connections]
-        lines += [writer.transport for pool in bench.pools.pools.values() for writer in pool.all]
-        for transport in lines:
+        transports = [client.transport for client in bench.clients.connections]
+        transports += [writer.transport for pool in bench.pools.pools.values() for writer in pool.all]
+        for transport in transports:
             assert transport is not None
             assert transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
-        assert len(lines) == 3
+        assert len(transports) == 3
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
@@ -264,9 +264,9 @@
 
 
 @pytest.mark.parametrize("head", [b"", b"Connection: close\r\n", b"Content-Length: 9\r\n"])
-@pytest.mark.parametrize("whole", [False, True])
+@pytest.mark.parametrize("complete", [False, True])
 def test_value_without_length_is_complete_only_at_end_of_stream(
-    monkeypatch: pytest.MonkeyPatch, head: bytes, whole: bool
+    monkeypatch: pytest.MonkeyPatch, head: bytes, complete: bool
 ) -> None:
     """After a reset the value is requested again; the incomplete value is never forwarded."""
 
@@ -277,11 +277,11 @@
             await soon(lambda: bench.origin.got)
             bench.origin.lines[0].write(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n" + b"half")
             await asyncio.sleep(0.1)
-            if whole:
+            if complete:
                 bench.origin.lines[0].write_eof()
             else:
                 reset_connection(bench.origin.lines[0])
-            if whole and b"Length" not in head:
+            if complete and b"Length" not in head:
                 assert await caller.answer() == b"half"
                 return
             await soon(lambda: len(bench.origin.got) == 2)
@@ -313,8 +313,8 @@
                 await asyncio.sleep(0.1)
             assert one.write_paused and one.phase is clients.Phase.LINGERING
             got = bytearray()
-            while piece := await client.read(1 << 14):
-                got += piece
+            while chunk := await client.read(1 << 14):
+                got += chunk
                 await asyncio.sleep(0.1)
             assert got.endswith(b"+OK\r\n") and got.count(b"$60000\r\n") == len(names)
             await asyncio.sleep(2 * clients.WRITE_STALL_TIMEOUT)
@@ -323,7 +323,7 @@
     run_in_virtual_time(monkeypatch, test)
 
 
-@pytest.mark.parametrize("late", [0.0005, 0.002, 0.004, 0.008])
+@pytest.mark.parametrize("delay", [0.0005, 0.002, 0.004, 0.008])
 @pytest.mark.parametrize("gap", [0.0, 0.0004, 0.001, 0.003, 0.006])
 def test_late_second_answer_is_not_used_for_next_request(
     monkeypatch: pytest.MonkeyPatch, delay: float, gap: float
@@ -394,7 +394,7 @@
 
 
 @pytest.mark.parametrize(
-    ("head", "more", "far"),
+    ("head", "more", "from_origin"),
     [
         *((*one, False) for one in ENDLESS_CACHE_ANSWERS.values()),
         *((*one, True) for one in ENDLESS_ORIGIN_ANSWERS.values()),
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -109,9 +109,9 @@
         assert rejected  # all connections were in use
         used = psutil.Process(running.pid).num_fds()
         assert used <= 128
-        discovery = Web(lambda request, writer: whole_list(9, entry("c0", cache.address)))
-        discovery.server = await asyncio.start_server(discovery._serve, "127.0.0.1", port)
-        await soon(lambda: discovery.got)
+        discovery_server = Web(lambda request, writer: whole_list(9, entry("c0", cache.address)))
+        discovery_server.server = await asyncio.start_server(discovery_server._serve, "127.0.0.1", port)
+        await soon(lambda: discovery_server.got)
         console = await connect_client(at["operators call at"])
         console.writer.write(b"HEALTH\n")
         assert await asyncio.wait_for(console.reader.readline(), PATIENCE) == b"+OK\n"
@@ -121,7 +121,7 @@
         assert not [line for line in lines if "Too many open files" in line]
         for one in [*idle, console]:
             one.writer.transport.abort()
-        await discovery.stop()
+        await discovery_server.stop()
     await cache.stop()
 
 
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -53,20 +53,20 @@
         self.at, self.encoded = at, 0
         self.on_stall: Callable[[], None] = lambda: None
         self.started: list[float] = []
-        for kind in (CacheConnection, OriginConnection):
-            monkeypatch.setattr(kind, "encode", self._stalling(kind.encode))
+        for connection_class in (CacheConnection, OriginConnection):
+            monkeypatch.setattr(connection_class, "encode", self._stalling(connection_class.encode))
 
     def _stalling(self, encode: Any) -> Any:
         def stalled(connection: Connection, exchange: Exchange) -> Iterator[bytes | memoryview]:
-            pieces = encode(connection, exchange)
-            first = next(pieces)
+            chunks = encode(connection, exchange)
+            first = next(chunks)
             self.encoded += 1
             if self.encoded in self.at:
                 self.started.append(now())
                 self.on_stall()
                 stall_process()
             yield first
-            yield from pieces
+            yield from chunks
 
         return stalled
 
@@ -134,7 +134,7 @@
     run(monkeypatch, test)
 
 
-@pytest.mark.parametrize("rested", [False, True])
+@pytest.mark.parametrize("reused", [False, True])
 def test_notified_deadline_is_bounded_for_stall_before_request_is_read(
     monkeypatch: pytest.MonkeyPatch, reused: bool
 ) -> None:
@@ -181,7 +181,7 @@
     run(monkeypatch, test)
 
 
-@pytest.mark.parametrize("rested", [False, True])
+@pytest.mark.parametrize("reused", [False, True])
 @pytest.mark.parametrize("after", [0.3, 0.6, 0.8, 0.84, 0.86, 0.95, 0.99])
 def test_retry_starts_within_its_window(monkeypatch: pytest.MonkeyPatch, after: float, reused: bool) -> None:
     """The first attempt fails shortly before the window ends, and the process stalls before the retry.
@@ -226,7 +226,7 @@
     run(monkeypatch, test)
 
 
-@pytest.mark.parametrize("place", ["first", "rested", "fetch", "retry", "write"])
+@pytest.mark.parametrize("place", ["first", "reused", "fetch", "retry", "write"])
 def test_no_attempt_starts_for_client_that_left_during_stall(
     monkeypatch: pytest.MonkeyPatch, place: str
 ) -> None:
@@ -234,10 +234,10 @@
 
     async def test() -> None:
         left = False
-        answer: dict[str, Any] = {"fetch": lambda request, writer: MISS, "retry": _break_first_attempt}
+        answer: dict[str, Any] = {"fetch": lambda request, writer: MISS, "retry": _abort_attempt}
         async with router(answer.get(place, lambda request, writer: hit())) as bench:
             caller = await bench.caller()
-            if place == "rested":
+            if place == "reused":
                 caller.get(name=b"i0")
                 assert await caller.answer() == b"v"
                 await asyncio.sleep(0.05)
@@ -267,8 +267,8 @@
     run(monkeypatch, test)
 
 
-def _break_first_attempt(request: Any, writer: asyncio.StreamWriter) -> bytes | None:
-    """Aborts the connection of the first attempt."""
+def _abort_attempt(request: Any, writer: asyncio.StreamWriter) -> bytes | None:
+    """Aborts the connection of an attempt for the key `k`."""
     seen = writer.transport.get_extra_info("seen", None)
     if request[1] == b"k" and seen is None:
         writer.transport.abort()
@@ -308,7 +308,7 @@
 
 
 @pytest.mark.parametrize("how", ["Terminating", "Gone"])
-@pytest.mark.parametrize("rested", [False, True])
+@pytest.mark.parametrize("reused", [False, True])
 def test_no_attempt_starts_at_draining_server_after_grace_period(
     monkeypatch: pytest.MonkeyPatch, how: str, reused: bool
 ) -> None:
@@ -438,18 +438,18 @@
         async with router() as bench:
             service = DrainingDiscovery(bench, "Terminating")
             watch = Watch([await service.start()], bench.directory, 1, False)
-            take, taken = bench.directory.take, []
+            take, taken_at = bench.directory.take, []
 
             def stalled(*what: Any, **more: Any) -> None:
-                taken.append(now())
+                taken_at.append(now())
                 stall_process()
                 take(*what, **more)
 
             monkeypatch.setattr(bench.directory, "take", stalled)
             watch.start()
             await asyncio.sleep(3 * HOLD)
-            assert len(taken) >= 2
-            for when in taken:
+            assert len(taken_at) >= 2
+            for when in taken_at:
                 assert min(request - when for request in service.asked if request >= when) <= 0.2
             watch.stop()
             service.server.close()
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize(
     "size", [resp.MAX_BUFFERED_VALUE - 1, resp.MAX_BUFFERED_VALUE, resp.MAX_BUFFERED_VALUE + 1, len(LONG)]
 )
-@pytest.mark.parametrize("far", [False, True])
+@pytest.mark.parametrize("from_origin", [False, True])
 async def test_values_of_any_size_are_unchanged_and_connections_are_reused(
     size: int, from_origin: bool
 ) -> None:
