--- a/applehub/node/clients.py
+++ b/applehub/node/clients.py
@@ -313,7 +313,7 @@
         self._discard_input()
         self._cancel_command_timer()
         sock = self.transport.get_extra_info("socket")
-        with contextlib.suppress(OSError):  # without it the end of the stream is only a separate segment
+        with contextlib.suppress(OSError):  # without TCP_CORK the end of the stream is a separate segment
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_CORK, 1)
         if answers:
             self.transport.write(answers)
--- a/applehub/node/descriptors.py
+++ b/applehub/node/descriptors.py
@@ -6,9 +6,8 @@
 # persisted files, gossip with peers.
 OWN_DESCRIPTORS = 19
 CONSOLE_DESCRIPTORS = 19  # listener, open connections, and connections that are closing
-REJECTION_TICKS = (
-    4  # event loop ticks for which a rejected client uses a descriptor; each accepted client reserves as many
-)
+# Event loop ticks for which a rejected client uses a descriptor; so many are reserved per accepted client.
+REJECTION_TICKS = 4
 MAX_ACCEPTED_PER_TICK = 16  # clients accepted in one event loop tick
 SERVER_FRACTION = 3 / 7  # of the remaining descriptors, for connections to servers
 LINGERING_FRACTION = 1 / 9  # of the descriptors for clients, for connections whose sending has ended
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -22,10 +22,9 @@
 from applehub.node import accepting, arrivals, console
 from applehub.node.console import Console
 
-RESOURCE_ERRORS = ["ENFILE", "EMFILE", "ENOBUFS", "ENOMEM"]  # affect all connections
-CONNECTION_ERRORS = [
-    errno.errorcode[number] for number in sorted(accepting.BROKEN_CONNECTION_ERRORS)
-]  # affect one connection
+# Errors that affect all connections, and errors that affect only one.
+RESOURCE_ERRORS = ["ENFILE", "EMFILE", "ENOBUFS", "ENOMEM"]
+CONNECTION_ERRORS = [errno.errorcode[number] for number in sorted(accepting.BROKEN_CONNECTION_ERRORS)]
 OUTAGE_SECONDS = 0.1
 MAX_RESUME_DELAY = 0.05  # seconds from the end of an outage within which accepting has to continue
 
--- a/tests/test_arrivals.py
+++ b/tests/test_arrivals.py
@@ -160,12 +160,12 @@
         client.sendall(get())
         time.sleep(STALL_SECONDS)
         assert await receive(client) == b"$1\r\nv\r\n"
-        least = (
+        minimum = (
             server.min_deadline(b"i1", sent, KERNEL_TIME_ERROR_MS)
             if kernel_time_known
             else server.min_deadline(b"i1", polled_at)
         )
-        assert least <= notified_deadlines(bench)[b"i1"] <= DEADLINE_MS - STALL_MS
+        assert minimum <= notified_deadlines(bench)[b"i1"] <= DEADLINE_MS - STALL_MS
 
 
 async def test_kernel_reports_arrival_of_last_byte_during_long_tick() -> None:
@@ -255,13 +255,13 @@
             stall_loop()
             held_answers.open()
             await soon(lambda: not bench.driver.held)
-            late = [
-                wait
-                for name, wait in notified_deadlines(bench).items()
+            deadlines = [
+                deadline
+                for name, deadline in notified_deadlines(bench).items()
                 if int(name[1:]) >= clients.MAX_PIPELINED_COMMANDS
             ]
-            assert late and all(
-                DEADLINE_MS - STALL_MS - SLACK_MS <= one <= DEADLINE_MS - STALL_MS for one in late
+            assert deadlines and all(
+                DEADLINE_MS - STALL_MS - SLACK_MS <= one <= DEADLINE_MS - STALL_MS for one in deadlines
             )
 
     run_in_virtual_time(monkeypatch, test)
@@ -378,13 +378,13 @@
             client.sendall(get())
             time.sleep(STALL_SECONDS)
             watched = time.monotonic()
-            following = ClientListener(bench.driver, bench.clients.names, bench.clients.connection_limits)
-            await following.listen("", 0, platform.detach())
+            successor = ClientListener(bench.driver, bench.clients.names, bench.clients.connection_limits)
+            await successor.listen("", 0, platform.detach())
             assert await receive(client) == b"$1\r\nv\r\n"
-            following.close()
-            least = server.min_deadline(b"i1", sent if kernel_time_known else watched, KERNEL_TIME_ERROR_MS)
+            successor.close()
+            minimum = server.min_deadline(b"i1", sent if kernel_time_known else watched, KERNEL_TIME_ERROR_MS)
             assert (
-                least
+                minimum
                 <= notified_deadlines(bench)[b"i1"]
                 <= DEADLINE_MS - (STALL_MS if kernel_time_known else 0)
             )
@@ -668,11 +668,11 @@
         router(overloaded, entries=servers, sockets=1024) as bench,
         contextlib.AsyncExitStack() as stack,
     ):
-        sockets = [await stack.enter_async_context(connected_socket(bench)) for _ in range(count)]
-        for n, one in enumerate(sockets):
+        client_sockets = [await stack.enter_async_context(connected_socket(bench)) for _ in range(count)]
+        for n, one in enumerate(client_sockets):
             one.sendall(get(b"i%d" % n, 5000 if n % 2 else 300, b"k%d" % n))
         time.sleep(STALL_SECONDS)
-        answers = [await receive(one) for one in sockets]
+        answers = [await receive(one) for one in client_sockets]
         assert all(answer == BUSY for answer in answers[::2])
         assert all(answer.startswith((b"$", b"-BUSY")) for answer in answers[1::2])
         forwarded = [int(name[1:]) for name in notified_deadlines(bench)]
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -415,8 +415,10 @@
             tasks.append(asyncio.get_running_loop().create_task(endless(writer)))
 
         tasks: list[asyncio.Task[None]] = []
-        near = (lambda request, writer: MISS) if from_origin else begin
-        async with router(near, origin=begin if from_origin else lambda request, writer: http(503)) as bench:
+        cache_answer = (lambda request, writer: MISS) if from_origin else begin
+        async with router(
+            cache_answer, origin=begin if from_origin else lambda request, writer: http(503)
+        ) as bench:
             caller = await bench.caller()
             started = asyncio.get_running_loop().time()
             caller.get(info=b"c=read,t=acme,d=3000")
