--- a/applehub/node/resp.py
+++ b/applehub/node/resp.py
@@ -49,7 +49,7 @@
 class FrameParser:
     """Splits a byte stream into complete RESP values.
 
-    Each value is measured before hiredis parses it. hiredis allocates whatever size a header announces and
+    Each value is scanned before hiredis parses it. hiredis allocates whatever size a header announces and
     does not check the end of a string, so an invalid length must be rejected before.
 
     With `admit`, the last item of a C.SET command may be a long value: it is collected separately, or
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -131,9 +131,8 @@
 
 def test_time_in_queue_during_outage_counts_against_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     """The listener is not polled during an outage, so the polls give no lower bound for arrival times."""
-    monkeypatch.setattr(
-        arrivals, "ms_since_last_data", lambda writer: None
-    )  # the kernel's clock is not the virtual one
+    # The kernel's clock is not the virtual one.
+    monkeypatch.setattr(arrivals, "ms_since_last_data", lambda sock: None)
 
     async def test() -> None:
         async with router(sockets=256) as bench:
