--- a/applehub/node/answer_time.py
+++ b/applehub/node/answer_time.py
@@ -1,26 +1,27 @@
-"""How long a peer takes to answer, learnt from its answers."""
+"""Estimates how long a service takes to answer."""
 
-MEAN_WEIGHT = 1 / 8  # of a new sample in the mean, RFC 6298 section 2
-DEVIATION_WEIGHT = 1 / 4  # of a new sample in the mean deviation
-DEVIATIONS = 4  # mean deviations above the mean that a timeout allows
+MEAN_WEIGHT = 1 / 8  # weight of a new sample in the mean, RFC 6298 section 2
+DEVIATION_WEIGHT = 1 / 4  # weight of a new sample in the mean deviation
+DEVIATIONS = 4  # number of mean deviations that a timeout lies above the mean
 
 
 class AnswerTime:
-    """A moving mean of answer times and its mean deviation, as RFC 6298 has them for round-trip times.
+    """Moving mean and mean deviation of answer times, as RFC 6298 computes them for round-trip times.
 
-    All times are in seconds. `mean` is the expected answer time, `timeout` the time after which an answer is
-    late; both stay between `least` and `most`. Until the first sample both are `first`.
+    All times are in seconds. `mean` is the expected answer time and `timeout` the time after which an answer
+    is late; both are limited to the range from `minimum` to `maximum`. Until the first sample both are
+    `initial`.
     """
 
-    __slots__ = ("_deviation", "_mean", "first", "least", "most")
+    __slots__ = ("_deviation", "_mean", "initial", "maximum", "minimum")
 
-    def __init__(self, first: float, least: float, most: float) -> None:
-        self.first, self.least, self.most = first, least, most
+    def __init__(self, initial: float, minimum: float, maximum: float) -> None:
+        self.initial, self.minimum, self.maximum = initial, minimum, maximum
         self._mean: float | None = None
         self._deviation = 0.0
 
     def observe(self, sample: float) -> None:
-        """Takes in the answer time of one call."""
+        """Adds a sample of the answer time."""
         if self._mean is None:
             self._mean, self._deviation = sample, sample / 2
             return
@@ -29,13 +30,13 @@
 
     @property
     def mean(self) -> float:
-        return self._bounded(self.first if self._mean is None else self._mean)
+        return self._bounded(self.initial if self._mean is None else self._mean)
 
     @property
     def timeout(self) -> float:
         if self._mean is None:
-            return self.first
+            return self.initial
         return self._bounded(self._mean + DEVIATIONS * self._deviation)
 
     def _bounded(self, value: float) -> float:
-        return min(max(value, self.least), self.most)
+        return min(max(value, self.minimum), self.maximum)
--- a/applehub/node/caches.py
+++ b/applehub/node/caches.py
@@ -1,4 +1,7 @@
-"""Connections to cache servers: RESP2, one command out at a time, since answers come in order."""
+"""Connections to cache servers, which speak RESP2.
+
+A connection carries one command at a time, because responses come in order.
+"""
 
 import re
 from collections.abc import Iterator
@@ -7,28 +10,28 @@
 
 from applehub.interface import Status
 from applehub.node import resp
-from applehub.node.call import Ending, Exchange, read_load
+from applehub.node.call import AttemptResult, Exchange, read_load
 from applehub.node.pool import Connection, Pool
 from applehub.node.stream import Stream, pieces_of
 
-LONG = re.compile(rb"\*([1-8])\r\n\$(\d{1,10})\r\n")  # the head of an answer that begins with a value
-NOTES = {b"hit": 1, b"miss": 2, b"pending": 3}
+LONG_VALUE = re.compile(rb"\*([1-8])\r\n\$(\d{1,10})\r\n")  # start of a reply whose first element is a value
+CACHE_NOTES = {b"hit": 1, b"miss": 2, b"pending": 3}
 
 
-def ending_of(answer: object) -> Ending | None:
-    """What a cache server's answer says; none for one that no command of ours can have."""
-    if isinstance(answer, hiredis.ReplyError):
-        words = str(answer).split(" ")
-        load = read_load(words[-1]) if len(words) > 1 else None  # in an error line it may come last
-        return Ending(Status.FULL if words[0] == "BUSY" else Status.ERROR, load=load)
-    if not isinstance(answer, list) or not answer:
+def result_of(reply: object) -> AttemptResult | None:
+    """Returns the result that a cache server's reply stands for; None if the reply is invalid."""
+    if isinstance(reply, hiredis.ReplyError):
+        words = str(reply).split(" ")
+        load = read_load(words[-1]) if len(words) > 1 else None  # a load report may end an error line
+        return AttemptResult(Status.FULL if words[0] == "BUSY" else Status.ERROR, load=load)
+    if not isinstance(reply, list) or not reply:
         return None
-    value, note = answer[0], answer[1] if len(answer) > 1 else None
-    number = NOTES.get(note, 0) if isinstance(note, bytes) else 0
-    load = read_load(answer[2]) if len(answer) > 2 else None
+    value, note = reply[0], reply[1] if len(reply) > 1 else None
+    number = CACHE_NOTES.get(note, 0) if isinstance(note, bytes) else 0
+    load = read_load(reply[2]) if len(reply) > 2 else None
     if value is None:
-        return Ending(Status.MISS, note=number, load=load)
-    return Ending(Status.OK, value, number, load) if isinstance(value, bytes) else None
+        return AttemptResult(Status.MISS, note=number, load=load)
+    return AttemptResult(Status.OK, value, number, load) if isinstance(value, bytes) else None
 
 
 class CacheConnection(Connection):
@@ -38,7 +41,7 @@
         super().__init__(pool)
         self.frames = resp.Frames()
         self.stream: Stream | None = None
-        self.left = 0  # bytes of the long value that are still to come
+        self.remaining = 0  # bytes of the long value not yet received
 
     def encode(self, exchange: Exchange) -> Iterator[bytes | memoryview]:
         call = exchange.call
@@ -51,45 +54,48 @@
         yield b"\r\n"
 
     def read(self, data: bytes) -> None:
-        if self.left and self.stream is not None:
-            piece, data = data[: self.left], data[self.left :]
-            self.left -= len(piece)
+        if self.remaining and self.stream is not None:
+            piece, data = data[: self.remaining], data[self.remaining :]
+            self.remaining -= len(piece)
             self.stream.feed(piece)
-            if self.left or self.exchange is None:
+            if self.remaining or self.exchange is None:
                 return
         self.frames.feed(data)
         if (
             self.stream is None
-            and (head := LONG.match(self.frames.buffer))
+            and (head := LONG_VALUE.match(self.frames.buffer))
             and int(head[2]) > resp.MOST_VALUE
         ):
-            self._open(int(head[2]), head.end())
+            self._start_stream(int(head[2]), head.end())
             return
         try:
-            answer = self.frames.next()
+            reply = self.frames.next()
         except resp.FramingError:
-            self.spoil()
+            self.protocol_error()
             return
-        if answer is resp.WAITING:
+        if reply is resp.WAITING:
             return
         self.stream = None
-        ending = ending_of(answer)
-        if ending is None:
-            self.spoil()
+        result = result_of(reply)
+        if result is None:
+            self.protocol_error()
         else:
-            self.finish(ending, reusable=not self.frames.buffer)
+            self.finish(result, reusable=not self.frames.buffer)
+
+    def _start_stream(self, size: int, end: int) -> None:
+        """Starts to stream a long value.
 
-    def _open(self, size: int, end: int) -> None:
-        """Lets a long value pass; for the rest of the answer an empty one stands in its place."""
+        An empty value takes its place in the buffer, so that the rest of the reply is parsed as usual.
+        """
         if size > resp.MOST_LONG or self.exchange is None:
-            self.spoil()
+            self.protocol_error()
             return
-        self.stream = self.exchange.opened(size, self)
+        self.stream = self.exchange.on_long_value(size, self)
         if self.stream is None:
-            self.finish(Ending(Status.CANCELLED), reusable=False)
+            self.finish(AttemptResult(Status.CANCELLED), reusable=False)
             return
-        came = bytes(self.frames.buffer[end:])
+        received = bytes(self.frames.buffer[end:])
         self.frames.replace(b"%b\r\n$0\r\n" % bytes(self.frames.buffer[:2]))
-        self.left = size
-        if came:
-            self.read(came)
+        self.remaining = size
+        if received:
+            self.read(received)
--- a/applehub/node/call.py
+++ b/applehub/node/call.py
@@ -1,4 +1,4 @@
-"""A client's command, as it came, and the outcome of one attempt at it."""
+"""Client commands and the results of attempts to execute them."""
 
 import math
 import re
@@ -13,51 +13,51 @@
 from applehub.node.stream import Source, Stream
 from applehub.settings import LOAD, Names
 
-PLAIN = re.compile(rb"[!-~]+")  # fit for a list of names and values, and for an HTTP header
-FIGURE = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")  # of a load report
-MOST_WAIT = 3_600_000  # ms
-MILLI = 1_000_000
-LEAST_TOLD = MILLI  # ns; time left is told in whole milliseconds, and none is nothing to tell
+PRINTABLE_ASCII = re.compile(rb"[!-~]+")  # allowed in a client's ids and parameter lists, and in HTTP headers
+LOAD_VALUE = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")  # a value in a load report
+MAX_WAIT_MS = 3_600_000
+NS_PER_MS = 1_000_000
+MIN_TIME_LEFT = NS_PER_MS  # ns; the time left is sent in whole milliseconds and must not be 0
 
 
 class CallError(ValueError):
-    """A command that is whole but makes no sense."""
+    """A command that is complete but invalid."""
 
 
 class NoTimeLeftError(Exception):
-    """The time of an attempt is over before any of it was written."""
+    """The time of an attempt ended before any of it was written."""
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One command of a client; key, id, info and value go on as they came."""
+    """A client's command. The key, id, info and value are forwarded as received."""
 
     name: bytes
     key: bytes
     id: bytes
     info: bytes
     value: bytes | bytearray | None
-    cls: int
-    kind: str  # the name of its class, which outlives the index
+    class_index: int
+    class_name: str  # name of its class, which stays valid after a reload
     tenant: int
-    wait: int | None  # ms until the client gives up, from when it sent the command
-    repeat: bool
+    wait_ms: int | None  # ms until the client stops waiting, counted from when it sent the command
+    is_retry: bool
 
     @property
     def size(self) -> int:
         return len(self.key) + len(self.id) + len(self.info) + len(self.value or b"")
 
-    def info_for(self, wait: int) -> bytes:
-        """The list with the milliseconds that the router will wait, in place of the client's."""
-        told = b"d=%d" % wait
-        if self.wait is None:
-            return self.info + b"," + told
-        return b",".join(told if one.startswith(b"d=") else one for one in self.info.split(b","))
+    def info_with_wait(self, wait_ms: int) -> bytes:
+        """Returns the parameter list with `d`, the client's waiting time, replaced by the router's (ms)."""
+        time_field = b"d=%d" % wait_ms
+        if self.wait_ms is None:
+            return self.info + b"," + time_field
+        return b",".join(time_field if one.startswith(b"d=") else one for one in self.info.split(b","))
 
 
 @dataclass(slots=True)
-class Ending:
-    """How an attempt ended; a value only where it was served."""
+class AttemptResult:
+    """The result of an attempt; the value is empty unless the status is OK."""
 
     status: Status
     value: bytes | bytearray = b""
@@ -66,50 +66,56 @@
 
 
 class Carrier(Protocol):
-    """What an attempt is made on."""
+    """The connection that carries an attempt."""
 
-    unsent: bool  # what is asked is not yet wholly with the system: it has not run
+    unsent: bool  # whether the request is not completely written and so cannot have been executed
 
     @property
     def connected(self) -> bool:
-        """Whether it came up for the attempt that it carries, or carried last."""
+        """Whether the connection was established for its current or latest attempt."""
 
-    def give_up(self) -> bool:
-        """Ends the attempt that is out; whether it may have run."""
+    def abort_attempt(self) -> bool:
+        """Aborts the attempt in flight; returns whether the server may have executed it."""
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One attempt as a connection sees it: what to ask, until when the router waits, whom to tell."""
+    """An attempt as a connection sees it: the command, its deadline and its callbacks."""
 
     call: Call
-    until: int  # monotonic ns
-    done: Callable[[Ending], None]
-    # Called when a long value begins, with its size: where its pieces go, or none if nobody waits.
-    opened: Callable[[int, Source], Stream | None] = lambda size, source: None
-    room: MemoryBudget | None = None  # where what is held of a long answer counts
+    deadline: int  # monotonic ns
+    on_done: Callable[[AttemptResult], None]
+    # Called with the size of a long value when it starts; returns its stream, or None if no client waits.
+    on_long_value: Callable[[int, Source], Stream | None] = lambda size, source: None
+    memory: MemoryBudget | None = None  # accounts for the buffered part of a long response
     carrier: Carrier | None = None
-    begin_by: float = math.inf  # monotonic ns from which on none of it may be written any more
-    # Asked right before its first byte is written: whether anybody still wants it. Where not, it has ended.
-    wanted: Callable[[], bool] = lambda: True
+    start_by: float = math.inf  # monotonic ns after which the attempt must not be started
+    # Called right before the first byte is written. If it returns False, the attempt has been cancelled.
+    still_wanted: Callable[[], bool] = lambda: True
 
     def info(self) -> bytes:
-        """The list of names and values as the peer is to read it now; raises NoTimeLeftError.
+        """Returns the parameter list to send, whose `d` is the time left in whole milliseconds.
 
-        Its `d` tells the whole milliseconds that are left of the time that the router waits."""
-        left = self.until - time.monotonic_ns()
-        if left < LEAST_TOLD:
+        Raises NoTimeLeftError if less than a millisecond is left.
+        """
+        left = self.deadline - time.monotonic_ns()
+        if left < MIN_TIME_LEFT:
             raise NoTimeLeftError
-        return self.call.info_for(left // MILLI)
+        return self.call.info_with_wait(left // NS_PER_MS)
 
 
 def read_call(parts: list[bytes], names: Names) -> Call:
-    """Reads C.GET key id info, or C.SET key id info value."""
+    """Parses `C.GET key id info` or `C.SET key id info value`; raises CallError."""
     name = parts[0].upper()
     if len(parts) != (5 if name == b"C.SET" else 4):
         raise CallError("wrong number of arguments")
     key, identity, info = parts[1:4]
-    if not key or len(key) > MOST_VALUE or not PLAIN.fullmatch(identity) or not PLAIN.fullmatch(info):
+    if (
+        not key
+        or len(key) > MOST_VALUE
+        or not PRINTABLE_ASCII.fullmatch(identity)
+        or not PRINTABLE_ASCII.fullmatch(info)
+    ):
         raise CallError("invalid key, id or list")
     fields: dict[str, str] = {}
     for pair in info.decode().split(","):
@@ -117,32 +123,36 @@
         if not equals or field in fields:
             raise CallError("invalid list of names and values")
         fields[field] = value
-    kind = fields.get("c", "")
-    cls = names.classes.get(kind)
-    if cls is None:
+    class_name = fields.get("c", "")
+    class_index = names.classes.get(class_name)
+    if class_index is None:
         raise CallError("unknown class")
     tenant = names.tenants.get(fields["t"]) if "t" in fields else 0
     if tenant is None:
         raise CallError("unknown tenant")
-    wait = fields.get("d")
-    if wait is not None and (not wait.isdigit() or len(wait) > 7 or int(wait) > MOST_WAIT):
+    wait_text = fields.get("d")
+    if wait_text is not None and (
+        not wait_text.isdigit() or len(wait_text) > 7 or int(wait_text) > MAX_WAIT_MS
+    ):
         raise CallError("invalid d")
     value_sent = parts[4] if name == b"C.SET" else None
-    number = None if wait is None else int(wait)
-    repeat = fields.get("r") == "1"
-    return Call(name, key, identity, info, value_sent, cls, kind, tenant, number, repeat)
+    wait_ms = None if wait_text is None else int(wait_text)
+    is_retry = fields.get("r") == "1"
+    return Call(name, key, identity, info, value_sent, class_index, class_name, tenant, wait_ms, is_retry)
 
 
 def read_load(report: object) -> Load | None:
-    """Reads a load report, names and values as bytes or text. One that is cut off or makes no sense counts as
-    none; names that are not known are skipped."""
+    """Parses a load report of name=value pairs, given as bytes or text; skips unknown names.
+
+    Returns None for a report that is truncated or invalid, or has no known name.
+    """
     text = report.decode("ascii", "replace") if isinstance(report, bytes) else report
     if not isinstance(text, str) or not text:
         return None
     fields: dict[str, float] = {}
     for pair in text.split(","):
         name, _, value = pair.partition("=")
-        if not name or not FIGURE.fullmatch(value):
+        if not name or not LOAD_VALUE.fullmatch(value):
             return None
         if name in LOAD:
             fields[LOAD[name]] = float(value)
--- a/applehub/node/call_schedule.py
+++ b/applehub/node/call_schedule.py
@@ -1,9 +1,9 @@
-"""When a watch makes its next call to discovery, by what its earlier calls have shown.
+"""Decides when a watch makes its next call to discovery, from the response times of earlier calls.
 
-A change of the list counts as told 6 s after discovery has it, 4 s after a reload moved discovery, whether a
-call brought it or not. So a call that is still unanswered is joined by a second one, on a connection of its
-own, as late as the answer time that was learnt and that deadline allow. An unanswered call is not given up
-for it: discovery handles calls in turn, and a call that is thrown away and made again waits from the start.
+A change of the list must arrive within 6 s of the time at which discovery has it, or within 4 s of a reload
+that changed discovery's address. A call that is unanswered for too long is therefore followed by a second one
+on its own connection, as late as the observed response time and that deadline allow. The first call is not
+cancelled, because discovery handles calls in turn and a repeated call goes to the end of the queue.
 
 All times are seconds on the event loop's clock.
 """
@@ -12,45 +12,52 @@
 
 from applehub.node.answer_time import AnswerTime
 
-HOLD = 2.5  # that discovery may hold a watch, at the most
-LEAST_HOLD = 0.5  # the same, at the least
-LATE = 0.7  # past its hold after which a watch that goes on counts as silent, at the least
-JITTER = 0.3  # of LATE, drawn by each router: watches that fall silent together are not opened anew together
-DEADLINE = 6.0  # from a change until it counts as told
-RELOAD_DEADLINE = 4.0  # the same, from a reload that moved discovery
-MARGIN = 0.3  # of the deadline that is kept for taking the list up
-FIRST_ANSWER = 2.0  # expected of a call that waits for its turn, before the first was answered
-MOST_ANSWER = 4.0  # the longest answer time that is waited for
-LEAST_ANSWER = 0.5  # the shortest that is counted on; a last call is made so long before a deadline
-# Between the begins of two calls of a watch that goes on, at the least: a call costs about as much whether it
-# brings one change or many, and where thousands of servers are replaced, hundreds of changes come a second.
-# A tenth of the grace that a draining server gives, and a quarter of the time in which a watch goes on.
-WATCH_GAP = 0.05
-LEAST_GAP = 1.0  # between two calls of which the first is unanswered
-MOST_GAP = 2.4  # the same past a deadline: discovery may have come back since the first
-CROWDED_GAP = 3.0  # the same after a refusal: the first stands in a queue that is known to be long
-FIRST_PAUSE = 0.25  # the longest after a first failed call; doubled by each one that follows
-MOST_PAUSE = 1.5  # the longest after any number of failed calls
-WHOLE = 1 - 1e-9  # of a token: what is refilled in parts may fall short of one by rounding
+MAX_HOLD = 2.5  # maximum seconds for which discovery may hold a long poll
+MIN_HOLD = 0.5  # minimum seconds for which discovery may hold a long poll
+# Seconds after the end of its hold at which a continued watch counts as lost, at least.
+MIN_WATCH_TIMEOUT = 0.7
+# Maximum random increase of a delay, as a fraction of it, so that routers do not call in step.
+JITTER = 0.3
+CHANGE_DEADLINE = 6.0  # seconds within which a change must arrive
+# Seconds within which the list must arrive after a reload that changed discovery's address.
+RELOAD_DEADLINE = 4.0
+APPLY_MARGIN = 0.3  # seconds of the deadline that are reserved for applying the list
+INITIAL_ANSWER_TIME = 2.0  # seconds assumed for a queued call before the first response
+MAX_ANSWER_TIME = 4.0  # upper bound of the expected response time, in seconds
+# Lower bound of the expected response time, in seconds, and the time left for the last call before a
+# deadline.
+MIN_ANSWER_TIME = 0.5
+# Minimum seconds between the starts of two calls of a continued watch. It batches rapid changes, because a
+# call costs discovery about as much for one change as for many.
+MIN_WATCH_INTERVAL = 0.05
+MIN_CALL_INTERVAL = 1.0  # minimum seconds between an unanswered call and the next one
+# Seconds between the two calls once the deadline has passed, when discovery may have recovered.
+OVERDUE_CALL_INTERVAL = 2.4
+# Seconds between the two calls after a rejected call, which shows that discovery's queue is long.
+OVERLOAD_CALL_INTERVAL = 3.0
+# Upper bound in seconds of the random backoff after one failed call, doubled with each further one.
+INITIAL_BACKOFF = 0.25
+MAX_BACKOFF = 1.5  # upper bound in seconds of the backoff after any number of failed calls
+FULL_TOKEN = 1 - 1e-9  # tolerates the rounding of partial refills
 
 
 class CallBudget:
-    """A token bucket for calls that wait for a turn at discovery. Calls that go on with a watch need none."""
+    """A token bucket for calls that wait in discovery's queue. Calls that continue a watch need no token."""
 
     __slots__ = ("at", "rate", "size", "tokens")
 
     def __init__(self, size: float, rate: float) -> None:
-        """size: calls that may be made at once; rate: calls a second after that."""
+        """size: calls that may be made at once. rate: calls per second after that."""
         self.size, self.rate = size, rate
         self.tokens, self.at = size, 0.0
 
     def wait(self, now: float) -> float:
-        """The seconds until the next call may be made."""
+        """Returns the seconds until the next call may be made."""
         self._refill(now)
-        return 0.0 if self.tokens >= WHOLE else (1 - self.tokens) / self.rate
+        return 0.0 if self.tokens >= FULL_TOKEN else (1 - self.tokens) / self.rate
 
     def spend(self, now: float) -> None:
-        """Counts a call that is made now."""
+        """Takes a token for a call that is made now."""
         self._refill(now)
         self.tokens = max(0.0, self.tokens - 1)
 
@@ -60,88 +67,93 @@
 
 
 class CallSchedule:
-    """The times between the calls of one watch."""
+    """Times of the calls of one watch."""
 
     def __init__(self, source: random.Random, addresses: int = 1) -> None:
         self.random, self.addresses = source, addresses
-        self.deadline: float | None = None  # when what changed since the last answer counts as told
-        self._learn_anew()
+        self.deadline: float | None = None  # time by which a change since the last response must arrive
+        self._reset_answer_times()
 
-    def _learn_anew(self) -> None:
-        self.in_turn = AnswerTime(FIRST_ANSWER, LEAST_ANSWER, MOST_ANSWER)
-        self.watch = AnswerTime(LATE, LATE, MOST_ANSWER)
-        self.crowded = False  # a call was refused since the last answer
+    def _reset_answer_times(self) -> None:
+        self.queued_time = AnswerTime(INITIAL_ANSWER_TIME, MIN_ANSWER_TIME, MAX_ANSWER_TIME)
+        self.watch_time = AnswerTime(MIN_WATCH_TIMEOUT, MIN_WATCH_TIMEOUT, MAX_ANSWER_TIME)
+        self.overloaded = False  # whether a call was rejected since the last response
 
-    def begin(self, now: float) -> None:
-        """Notes that the first call is made; changes nothing later on."""
+    def start(self, now: float) -> None:
+        """Records the start of the first call; later calls have no effect."""
         if self.deadline is None:
-            self.deadline = now + DEADLINE
+            self.deadline = now + CHANGE_DEADLINE
 
-    def moved(self, now: float, addresses: int) -> None:
-        """Discovery is elsewhere from now on: what was learnt of its answer times says nothing of the new."""
+    def endpoints_changed(self, now: float, addresses: int) -> None:
+        """Records that discovery has other addresses; resets the observed response times."""
         self.addresses = addresses
         self.deadline = now + RELOAD_DEADLINE
-        self._learn_anew()
+        self._reset_answer_times()
 
-    def answered(self, now: float, took: float, hold: float, in_turn: bool) -> None:
-        """Takes in that a call was answered.
+    def answered(self, now: float, elapsed: float, hold: float, queued: bool) -> None:
+        """Records the response to a call.
 
-        took: the seconds from its begin to its answer. hold: those for which discovery might hold it.
-        in_turn: it had to wait for a turn, since it did not go on with a watch. A watch that is answered
-        before its hold is over brings a change, and how long that took to come is not known.
+        elapsed: seconds from the start of the call to its response.
+        hold: seconds for which discovery might hold the call.
+        queued: whether the call waited in discovery's queue, because it did not continue a watch.
+
+        A watch that is answered before the end of its hold carries a change and gives no sample of the
+        response time.
         """
-        self.deadline, self.crowded = now + DEADLINE, False
-        if took >= hold:
-            (self.in_turn if in_turn else self.watch).observe(took - hold)
+        self.deadline, self.overloaded = now + CHANGE_DEADLINE, False
+        if elapsed >= hold:
+            (self.queued_time if queued else self.watch_time).observe(elapsed - hold)
 
     @property
     def hold(self) -> float:
-        """How long discovery may hold a watch that is opened now.
+        """Maximum time, in seconds, for which discovery may hold a long poll that starts now.
 
-        Calls that wait for a turn may take so long that a watch has to be found silent sooner. Watches that
-        are held for a shorter time go on more often, which takes no turn.
+        The longer queued calls take, the shorter the hold, so that a lost watch is detected early enough. A
+        shorter hold means more calls, but calls that continue a watch do not wait in discovery's queue.
         """
-        longest = DEADLINE - MARGIN - self.in_turn.mean - self.watch.timeout * (1 + JITTER)
-        return min(HOLD, max(longest, LEAST_HOLD))
+        longest = (
+            CHANGE_DEADLINE - APPLY_MARGIN - self.queued_time.mean - self.watch_time.timeout * (1 + JITTER)
+        )
+        return min(MAX_HOLD, max(longest, MIN_HOLD))
 
-    def spread(self) -> float:
-        """A factor for the delay of one call, drawn so that routers do not call in step."""
+    def jitter(self) -> float:
+        """Returns a random factor for the delay of one call, so that routers do not call in step."""
         return 1 + JITTER * self.random.random()
 
-    def watch_due(self, begun: float, hold: float, in_turn: bool, spread: float) -> float:
-        """When a watch that was opened at a time and has not been answered is joined by another call."""
-        if in_turn:
-            answer = max(self.in_turn.timeout, FIRST_ANSWER)
-            return begun + min(hold + answer, DEADLINE - MARGIN - LEAST_GAP)
-        return begun + min(hold + self.watch.timeout * spread, self._gap_for_deadline())
+    def watch_due(self, started_at: float, hold: float, queued: bool, jitter: float) -> float:
+        """Returns when another call is started beside a watch that is unanswered."""
+        if queued:
+            answer = max(self.queued_time.timeout, INITIAL_ANSWER_TIME)
+            return started_at + min(hold + answer, CHANGE_DEADLINE - APPLY_MARGIN - MIN_CALL_INTERVAL)
+        return started_at + min(hold + self.watch_time.timeout * jitter, self._max_interval_for_deadline())
 
-    def call_due(self, begun: float, spread: float) -> float:
-        """The same for a call that need not wait, or a watch whose connection is not up yet.
+    def call_due(self, started_at: float, jitter: float) -> float:
+        """Returns when another call is started beside one that does not wait for a change or is connecting.
 
-        A further call takes a turn from other routers, and discovery may drop the first for it. So it is made
-        only for the case that a connection is lost, as late as the deadline allows; with several addresses it
+        A further call adds to discovery's queue, and discovery may drop the first one for it. It is needed
+        only if a connection is lost, and is made as late as the deadline allows. With several addresses it
         goes to another service and is made sooner.
         """
-        left = (self.deadline or begun) - begun
+        time_left = (self.deadline or started_at) - started_at
         if self.addresses > 1:
-            gap = LEAST_GAP / spread
-        elif self.crowded:
-            gap = CROWDED_GAP / spread
-        elif left >= LEAST_GAP:
-            gap = max(left - LEAST_ANSWER, LEAST_GAP)
+            interval = MIN_CALL_INTERVAL / jitter
+        elif self.overloaded:
+            interval = OVERLOAD_CALL_INTERVAL / jitter
+        elif time_left >= MIN_CALL_INTERVAL:
+            interval = max(time_left - MIN_ANSWER_TIME, MIN_CALL_INTERVAL)
         else:
-            gap = MOST_GAP / spread
-        return begun + min(gap, CROWDED_GAP, self._gap_for_deadline())
+            interval = OVERDUE_CALL_INTERVAL / jitter
+        return started_at + min(interval, OVERLOAD_CALL_INTERVAL, self._max_interval_for_deadline())
 
-    def refused(self) -> None:
-        """Takes in that a call was refused: discovery is there, and has more calls than it can handle."""
-        self.crowded = True
+    def rejected(self) -> None:
+        """Records that a call was rejected, which means that discovery is overloaded."""
+        self.overloaded = True
 
-    def _gap_for_deadline(self) -> float:
-        """The longest gap at which some call that begins after a change is answered before its deadline."""
-        return max(DEADLINE - MARGIN - self.in_turn.mean, LEAST_GAP)
+    def _max_interval_for_deadline(self) -> float:
+        """Returns the longest interval between calls at which a change arrives before its deadline."""
+        return max(CHANGE_DEADLINE - APPLY_MARGIN - self.queued_time.mean, MIN_CALL_INTERVAL)
 
-    def pause(self, failures: int) -> float:
-        """The pause after so many failed calls in a row: exponential back-off with full jitter."""
-        longest = min(MOST_PAUSE, FIRST_PAUSE * 2.0 ** min(failures - 1, 10))
+    def backoff(self, failures: int) -> float:
+        """Returns the backoff after consecutive failed calls: exponential with full jitter."""
+        longest = min(MAX_BACKOFF, INITIAL_BACKOFF * 2.0 ** min(failures - 1, 10))
         return self.random.uniform(0, longest)
--- a/applehub/node/discovery.py
+++ b/applehub/node/discovery.py
@@ -1,4 +1,4 @@
-"""The list of servers as discovery tells it: what it says goes to the pools, then to the decisions."""
+"""Applies the list of servers from discovery to the connection pools, and notifies the balancer of it."""
 
 import logging
 import time
@@ -19,104 +19,112 @@
 
 
 class ListError(ValueError):
-    """A list, or an entry of it, that can't be read."""
+    """The list, or an entry of it, is invalid."""
 
 
 @dataclass(slots=True)
 class Target:
-    """One entry of the list, and where this router dials it."""
+    """An entry of the list, and the address at which this router connects to the server."""
 
     member: api.Member
     endpoint: Endpoint
-    boot_ms: int  # its latest start as the list tells it (Unix time), 0 for long ago
+    boot_ms: int  # latest start of the server as listed (Unix time, ms); 0 for long ago
 
 
 def read_endpoint(text: object) -> Endpoint:
+    """Parses HOST:PORT; raises ListError."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not colon or not port.isdecimal() or not int(port) < 65_536:
-        raise ListError(f"no address: {text!r}")
+        raise ListError(f"expected an address HOST:PORT, got {text!r}")
     return host.strip("[]"), int(port)
 
 
 class Directory:
-    """The list as this router holds it: versions, pools, and the event for the decisions."""
+    """This router's copy of the list, with its version."""
 
     def __init__(
-        self, names: Names, origin_kind: int, pools: Pools, tell: Callable[[api.Members], None]
+        self, names: Names, origin_kind: int, pools: Pools, notify: Callable[[api.Members], None]
     ) -> None:
-        self.names, self.origin_kind, self.pools, self.tell = names, origin_kind, pools, tell
+        self.names, self.origin_kind, self.pools, self.notify = names, origin_kind, pools, notify
         self.rev = -1
         self.targets: dict[str, Target] = {}
-        self.out: set[str] = set()  # left out by hand
-        self.took: Callable[[Json, bool], None] = lambda answer, whole: None  # told what discovery said
+        self.excluded: set[str] = set()  # excluded by an operator override
+        # receives each applied list, and whether it is complete
+        self.on_update: Callable[[Json, bool], None] = lambda answer, is_full: None
         self.start_times = StartTimes()
 
     @property
     def can_serve(self) -> bool:
-        return any(self.is_cache(name) and self._open(one) for name, one in self.targets.items())
+        return any(self.is_cache(name) and self._accepts_attempts(one) for name, one in self.targets.items())
 
     @property
     def size(self) -> int:
-        """How many cache servers are listed."""
+        """Number of listed cache servers."""
         return sum(map(self.is_cache, self.targets))
 
     def is_cache(self, name: str) -> bool:
         return name in self.targets and self.targets[name].member.kind != self.origin_kind
 
-    def leave_out(self, name: str, out: bool) -> None:
-        """Takes up what operators said of a cache server, whatever its entry says."""
-        (self.out.add if out else self.out.discard)(name)
+    def set_excluded(self, name: str, excluded: bool) -> None:
+        """Applies or lifts an operator override that excludes a cache server, whatever its listed state."""
+        (self.excluded.add if excluded else self.excluded.discard)(name)
         if name in self.targets:
-            self._open_or_retire(self.targets[name])
+            self._update_pool(self.targets[name])
 
-    def take(self, answer: Any, cached: bool = False) -> bool:
-        """Takes up a list or changes of it; whether it was of use. An older version changes nothing."""
+    def apply(self, answer: Any, cached: bool = False) -> bool:
+        """Applies a list or changes of it; returns False, with no effect, for an older version.
+
+        answer: decoded JSON, as discovery sends it.
+        cached: the list does not come from discovery, so it is complete and of unknown age.
+
+        Raises ListError if the answer as a whole is invalid.
+        """
         if not isinstance(answer, dict) or not isinstance(answer.get("targets"), list):
-            raise ListError("no list of servers")
-        rev, whole = answer.get("rev"), answer.get("all") is True or cached
+            raise ListError("expected an object with a list `targets`")
+        rev, is_full = answer.get("rev"), answer.get("all") is True or cached
         if type(rev) is not int:
-            raise ListError(f"no version: {rev!r}")
+            raise ListError(f"rev: expected an integer, got {rev!r}")
         now = ClockReading(time.monotonic_ns(), time.time_ns())
         if rev < self.rev:
             return False
-        if rev == self.rev and not whole:
+        if rev == self.rev and not is_full:
             self.start_times.confirm(now)
             return True
         self.rev = rev
-        entries = [target for one in answer["targets"] if (target := self._read(one, now)) is not None]
+        entries = [target for one in answer["targets"] if (target := self._read_entry(one, now)) is not None]
         if not cached:
             self.start_times.confirm(now)
         named = {target.member.server for target in entries}
-        gone = [name for name in self.targets if name not in named] if whole else []
-        if not whole and not entries:
+        removed = [name for name in self.targets if name not in named] if is_full else []
+        if not is_full and not entries:
             return True
         before = {name: self.targets[name] for name in named if name in self.targets}
         for target in entries:
-            self._place(target)
-        kind = api.ListKind.FULL if whole else api.ListKind.DELTA
-        self.tell(api.Members(api.ListKind.CACHED if cached else kind, [one.member for one in entries]))
-        # Only now: what these ends hand back is decided on by the new list, never by the old one.
-        for name in gone:
-            self._drop(name)
+            self._add(target)
+        kind = api.ListKind.FULL if is_full else api.ListKind.DELTA
+        self.notify(api.Members(api.ListKind.CACHED if cached else kind, [one.member for one in entries]))
+        # Attempts that the following calls cancel are decided on by the new list, which the balancer now has.
+        for name in removed:
+            self._remove(name)
         for target in entries:
-            self._settle(target, before.get(target.member.server))
+            self._finish_update(target, before.get(target.member.server))
         self.start_times.forget_unlisted(self.targets, len(self.targets))
         if not cached:
-            self.took(answer, whole)
+            self.on_update(answer, is_full)
         return True
 
-    def _read(self, entry: Any, now: ClockReading) -> Target | None:
-        """Reads an entry; one that makes no sense is skipped, and the others stand."""
+    def _read_entry(self, entry: Any, now: ClockReading) -> Target | None:
+        """Parses an entry; logs an invalid one and returns None, so that the others still apply."""
         try:
-            return self._target(entry, now)
-        except (ListError, KeyError, TypeError, ValueError, AttributeError) as problem:
-            log.warning("an entry of the list is skipped: %s: %s", type(problem).__name__, problem)
+            return self._parse_entry(entry, now)
+        except (ListError, KeyError, TypeError, ValueError, AttributeError) as error:
+            log.warning("invalid list entry is skipped: %s: %s", type(error).__name__, error)
             return None
 
-    def _target(self, entry: Json, now: ClockReading) -> Target:
+    def _parse_entry(self, entry: Json, now: ClockReading) -> Target:
         name, boot, weight = entry["uid"], entry.get("boot_ms") or 0, entry.get("capacity_hint", 1.0)
         if not isinstance(name, str) or not name:
-            raise ListError("no uid")
+            raise ListError("uid: expected a non-empty string")
         boot_ms = int(boot) if boot > 0 else 0
         member = api.Member(
             name,
@@ -129,35 +137,35 @@
         )
         return Target(member, read_endpoint(entry["endpoint"]), boot_ms)
 
-    def _place(self, target: Target) -> None:
-        """Makes ready what the decisions may send to once they are told."""
+    def _add(self, target: Target) -> None:
+        """Creates the server's pool before the balancer is notified and may send attempts there."""
         if target.member.state is not api.State.GONE:
             name = target.member.server
-            make = OriginConnection if target.member.kind == self.origin_kind else CacheConnection
-            pool = self.pools.add(name, target.endpoint, make)
-            pool.retired = pool.retired and not self._open(target)
+            make_connection = OriginConnection if target.member.kind == self.origin_kind else CacheConnection
+            pool = self.pools.add(name, target.endpoint, make_connection)
+            pool.retired = pool.retired and not self._accepts_attempts(target)
             self.targets[name] = target
 
-    def _settle(self, target: Target, before: Target | None) -> None:
-        """Ends what leads nowhere any more, once the decisions are told."""
+    def _finish_update(self, target: Target, before: Target | None) -> None:
+        """Closes connections that became useless, after the balancer was notified."""
         name = target.member.server
         if target.member.state is api.State.GONE:
-            self._drop(name)
+            self._remove(name)
             return
         if before is not None and target.boot_ms > 0 and target.boot_ms != before.boot_ms:
-            self.pools.pools[name].forget_before(target.member.since / NS_PER_S)
-        self._open_or_retire(target)
+            self.pools.pools[name].close_opened_before(target.member.since / NS_PER_S)
+        self._update_pool(target)
 
-    def _open_or_retire(self, target: Target) -> None:
+    def _update_pool(self, target: Target) -> None:
         pool = self.pools.pools[target.member.server]
         pool.retired = False
-        if not self._open(target):
+        if not self._accepts_attempts(target):
             pool.retire()
 
-    def _open(self, target: Target) -> bool:
-        """Whether attempts may begin there."""
-        return target.member.state is api.State.READY and target.member.server not in self.out
+    def _accepts_attempts(self, target: Target) -> bool:
+        """Returns whether attempts may start at the server."""
+        return target.member.state is api.State.READY and target.member.server not in self.excluded
 
-    def _drop(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         self.targets.pop(name, None)
         self.pools.remove(name)
--- a/applehub/node/driver.py
+++ b/applehub/node/driver.py
@@ -1,4 +1,7 @@
-"""Events in, actions out: holds the requests, attempts and timers of the router, and chooses nothing."""
+"""Runs the balancer: passes events to it and executes its actions.
+
+The driver owns the requests, attempts and timers of the router. All decisions are the balancer's.
+"""
 
 import asyncio
 import logging
@@ -11,328 +14,375 @@
 
 from applehub import interface as api
 from applehub.node import resp
-from applehub.node.call import LEAST_TOLD, MILLI, Call, Carrier, Ending, Exchange
+from applehub.node.call import MIN_TIME_LEFT, NS_PER_MS, AttemptResult, Call, Carrier, Exchange
 from applehub.node.figures import Answered, Figures
-from applehub.node.memory_budget import MemoryBudget as Room
+from applehub.node.memory_budget import MemoryBudget
 from applehub.node.pool import Pools
 from applehub.node.stream import Source, Stream
 from applehub.policy import Balancer
 
-SECOND = 1_000_000_000
-WAY_BACK = 8 * MILLI  # kept of a client's time so that the last answer reaches it before it leaves
+NS_PER_S = 1_000_000_000
+ANSWER_MARGIN = 8 * NS_PER_MS  # part of a deadline reserved for sending the answer to the client
 log = logging.getLogger("applehub")
 
 
 class Reply(Protocol):
-    """Where the answer to a call goes."""
+    """The destination of the answer to a request."""
 
     def fill(self, answer: bytes) -> None:
-        """Takes the whole answer."""
+        """Sends the complete answer."""
 
     def begin(self, stream: Stream) -> None:
-        """Takes a long answer as it comes."""
+        """Starts to stream a long answer."""
 
     def waits(self) -> bool:
-        """Whether the client is still there."""
+        """Returns whether the client is still connected."""
 
     def break_off(self) -> None:
-        """The long answer that has begun can't be finished."""
+        """Aborts a long answer that cannot be completed."""
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt that is out."""
+    """An attempt in flight."""
 
-    held: "Held"
+    request: "PendingRequest"
     number: int
     server: str
-    sent: int
-    opened: int = 0  # when a long answer began
+    sent_at: int
+    long_answer_at: int = 0  # monotonic ns at which a long answer started
     exchange: Exchange | None = None
     timer: asyncio.TimerHandle | None = None
 
 
 @dataclass(slots=True, eq=False)
-class Held:
-    """A request and what is known of it; open until its one answer has been given."""
+class PendingRequest:
+    """A request and its state; it is open until its answer has been given or its stream has started."""
 
     id: str
     call: Call
     reply: Reply
     deadline: int
-    open: bool = True  # its answer has neither been given nor begun
-    stream: Stream | None = None  # its answer, once begun and until ended
-    made: int = 0
-    not_begun: int = 0  # attempts among them that failed on this machine
+    open: bool = True
+    stream: Stream | None = None  # a long answer that is being streamed
+    attempts_made: int = 0
+    local_failures: int = 0  # attempts that could not start because of a failure on this machine
     attempt: Attempt | None = None
-    guard: asyncio.TimerHandle | None = None
+    deadline_timer: asyncio.TimerHandle | None = None
 
 
 class Driver:
-    """The host of one Balancer."""
+    """Host of one Balancer."""
 
-    def __init__(self, balancer: Balancer, pools: Pools, most_held: int, figures: Figures) -> None:
-        self.balancer, self.pools, self.most_held = balancer, pools, most_held
+    def __init__(self, balancer: Balancer, pools: Pools, max_requests: int, figures: Figures) -> None:
+        self.balancer, self.pools, self.max_requests = balancer, pools, max_requests
         self.figures = figures
         self.loop = asyncio.get_running_loop()
-        self.held: dict[str, Held] = {}
-        self.room = Room()
-        self.watch: Callable[[], None] = lambda: None
-        self.say: Callable[[api.Tell], None] = lambda _: None
-        self.stop_at = 0  # when all must be answered, once the router is told to stop
+        self.requests: dict[str, PendingRequest] = {}
+        self.memory = MemoryBudget()
+        self.start_watch: Callable[[], None] = lambda: None
+        self.publish: Callable[[api.Tell], None] = lambda _: None
+        # monotonic ns by which all requests must be answered; 0 until the router stops
+        self.answer_all_by = 0
         self._events: deque[api.Event] = deque()
-        self._playing = False
-
-    def take(self, call: Call, reply: Reply, arrived: int) -> Held | None:
-        """Takes a client's call; reply is told once. None where it is answered already.
-
-        What the client allows counts from `arrived`, the time at which the last byte of the call came."""
-        name = call.id.decode()
-        if name in self.held:
-            self.figures.answered(call.kind, Answered.ERRORS)
+        self._handling = False
+
+    def accept(self, call: Call, reply: Reply, arrived: int) -> PendingRequest | None:
+        """Accepts a request; returns None if it was answered at once.
+
+        reply: receives exactly one answer.
+        arrived: monotonic ns at which the last byte of the request was received; the client's deadline counts
+        from it.
+        """
+        request_id = call.id.decode()
+        if request_id in self.requests:
+            self.figures.answered(call.class_name, Answered.ERRORS)
             reply.fill(resp.error("this id is in use"))
             return None
-        spec = self.balancer.settings.classes[call.cls]
-        until = arrived + (spec.deadline if call.wait is None else call.wait * MILLI)
-        until = min(until, self.stop_at or until)
-        left = until - WAY_BACK - time.monotonic_ns()
-        full = call.value is resp.DROPPED or len(self.held) >= self.most_held
-        if left < LEAST_TOLD or full or not self.room.reserve(call.size):
-            log.debug("%s not taken: %d ms left", name, (left + WAY_BACK) // MILLI)
-            self.figures.answered(call.kind, Answered.SHED)
-            reply.fill(resp.refused(-(-self.balancer.come_back // MILLI)))  # not begun: repeating is harmless
+        spec = self.balancer.settings.classes[call.class_index]
+        answer_by = arrived + (spec.deadline if call.wait_ms is None else call.wait_ms * NS_PER_MS)
+        answer_by = min(answer_by, self.answer_all_by or answer_by)
+        time_left = answer_by - ANSWER_MARGIN - time.monotonic_ns()
+        over_limit = call.value is resp.DROPPED or len(self.requests) >= self.max_requests
+        if time_left < MIN_TIME_LEFT or over_limit or not self.memory.reserve(call.size):
+            log.debug("request %s rejected: %d ms left", request_id, (time_left + ANSWER_MARGIN) // NS_PER_MS)
+            self.figures.answered(call.class_name, Answered.SHED)
+            # No attempt was started, so the client may retry.
+            reply.fill(resp.refused(-(-self.balancer.come_back // NS_PER_MS)))
             return None
-        held = self.held[name] = Held(name, call, reply, until - WAY_BACK)
-        log.debug("%s taken: %s, %d ms", name, call.info.decode(), (left + WAY_BACK) // MILLI)
-        held.guard = self.loop.call_at((until - WAY_BACK // 2) / SECOND, self._overdue, held)
+        request = self.requests[request_id] = PendingRequest(
+            request_id, call, reply, answer_by - ANSWER_MARGIN
+        )
+        log.debug(
+            "request %s accepted: info %s, %d ms left",
+            request_id,
+            call.info.decode(),
+            (time_left + ANSWER_MARGIN) // NS_PER_MS,
+        )
+        request.deadline_timer = self.loop.call_at(
+            (answer_by - ANSWER_MARGIN // 2) / NS_PER_S, self._fail_overdue, request
+        )
         key = call.key.decode("latin-1")
         write = call.value is not None
-        self._tell(api.Request(name, call.cls, held.deadline, key, write, call.tenant, call.repeat))
-        return held
-
-    def withdraw(self, held: Held) -> None:
-        """The client has left. An attempt that its server has whole runs on: the connection stays of use. One
-        that waits for its connection, or is half written, ends here: nobody wants it."""
-        if held.open:
-            log.debug("%s withdrawn", held.id)
-            self._close(held)
-            self._tell(api.Withdrawn(held.id))
-            carrier = self._carrier(held.attempt)
-            if held.attempt is not None and carrier is not None and carrier.unsent:
-                carrier.give_up()
-                self._ended(held.attempt, Ending(api.Status.CANCELLED))
-            self._forget(held)
-        elif held.stream is not None and held.attempt is not None:
-            carrier = self._carrier(held.attempt)
+        self._process(
+            api.Request(
+                request_id, call.class_index, request.deadline, key, write, call.tenant, call.is_retry
+            )
+        )
+        return request
+
+    def withdraw(self, request: PendingRequest) -> None:
+        """Cancels a request whose client has disconnected.
+
+        An attempt that was sent completely runs on, so that its connection can be reused. An attempt that is
+        connecting or partly written is aborted.
+        """
+        if request.open:
+            log.debug("request %s cancelled by its client", request.id)
+            self._close(request)
+            self._process(api.Withdrawn(request.id))
+            carrier = self._carrier(request.attempt)
+            if request.attempt is not None and carrier is not None and carrier.unsent:
+                carrier.abort_attempt()
+                self._attempt_ended(request.attempt, AttemptResult(api.Status.CANCELLED))
+            self._remove_if_done(request)
+        elif request.stream is not None and request.attempt is not None:
+            carrier = self._carrier(request.attempt)
             if carrier is not None:
-                carrier.give_up()
-            self._ended(held.attempt, Ending(api.Status.CANCELLED))
+                carrier.abort_attempt()
+            self._attempt_ended(request.attempt, AttemptResult(api.Status.CANCELLED))
 
     @staticmethod
     def _carrier(attempt: Attempt | None) -> Carrier | None:
-        """What an attempt that is out is made on."""
+        """Returns the connection of an attempt in flight; None if there is none."""
         return attempt.exchange.carrier if attempt is not None and attempt.exchange is not None else None
 
-    def tell(
+    def notify(
         self, event: api.Members | api.ByHand | api.Retuned | api.Copies | api.Fleet | api.Learnt
     ) -> None:
-        """Passes on news that concerns no single request."""
-        self._tell(event)
+        """Passes an event that concerns no single request to the balancer."""
+        self._process(event)
 
     @property
     def longest_deadline(self) -> int:
         return max(spec.deadline for spec in self.balancer.settings.classes)
 
-    def stop(self, by: float) -> None:
-        """Nothing is held for longer than these seconds from now."""
-        self.stop_at = time.monotonic_ns() + int(by * SECOND)
-        self.loop.call_later(by - WAY_BACK / SECOND, self._end_all)
+    def stop(self, seconds: float) -> None:
+        """Fails every request that is still open after the given number of seconds."""
+        self.answer_all_by = time.monotonic_ns() + int(seconds * NS_PER_S)
+        self.loop.call_later(seconds - ANSWER_MARGIN / NS_PER_S, self._end_all)
 
     def _end_all(self) -> None:
-        for held in list(self.held.values()):
-            self._overdue(held)
-
-    def _overdue(self, held: Held) -> None:
-        """Guards rule 1 against a request that the decisions have lost: it fails in time all the same."""
-        if held.open:
-            self._answer(held, resp.FAILED, Answered.ERRORS)
-            self._tell(api.Withdrawn(held.id))
-            self._forget(held)
-
-    def _tell(self, event: api.Event) -> None:
-        """Plays an event, and then those that its actions bring about, in order."""
+        for request in list(self.requests.values()):
+            self._fail_overdue(request)
+
+    def _fail_overdue(self, request: PendingRequest) -> None:
+        """Fails an open request.
+
+        This bounds the time of every request, also if the balancer never answers it.
+        """
+        if request.open:
+            self._answer(request, resp.FAILED, Answered.ERRORS)
+            self._process(api.Withdrawn(request.id))
+            self._remove_if_done(request)
+
+    def _process(self, event: api.Event) -> None:
+        """Handles an event, then the events that its actions cause, in order."""
         self._events.append(event)
-        if self._playing:
+        if self._handling:
             return
-        self._playing = True
+        self._handling = True
         try:
             while self._events:
-                self._play(self._events.popleft())
+                self._handle(self._events.popleft())
         finally:
-            self._playing = False
+            self._handling = False
 
-    def _play(self, event: api.Event) -> None:
+    def _handle(self, event: api.Event) -> None:
         try:
             actions = self.balancer.handle(time.monotonic_ns(), event)
         except Exception:
-            log.exception("an event could not be decided on: %s", type(event).__name__)
-            self._abandon(getattr(event, "id", ""))
+            log.exception("the balancer failed to handle an event: %s", type(event).__name__)
+            self._fail(getattr(event, "id", ""))
             return
         for action in actions:
             try:
-                self._act(action)
+                self._execute(action)
             except Exception:
-                log.exception("an action could not be carried out: %s", type(action).__name__)
-                self._abandon(getattr(action, "id", ""))
+                log.exception("failed to execute an action: %s", type(action).__name__)
+                self._fail(getattr(action, "id", ""))
 
-    def _abandon(self, name: str) -> None:
-        held = self.held.get(name)
-        if held is not None:
-            self._overdue(held)
+    def _fail(self, request_id: str) -> None:
+        request = self.requests.get(request_id)
+        if request is not None:
+            self._fail_overdue(request)
 
-    def _act(self, action: api.Action) -> None:
+    def _execute(self, action: api.Action) -> None:
         match action:
             case api.Send():
                 self._send(action)
             case api.Refuse() | api.Fail():
-                held = self.held.get(action.id)
-                if held is not None and held.open:
+                request = self.requests.get(action.id)
+                if request is not None and request.open:
                     if isinstance(action, api.Refuse):
-                        refusal = resp.refused(-(-action.retry_after // MILLI))
-                        self._answer(held, refusal, Answered.SHED)
+                        refusal = resp.refused(-(-action.retry_after // NS_PER_MS))
+                        self._answer(request, refusal, Answered.SHED)
                     else:
-                        self._answer(held, resp.FAILED, Answered.ERRORS)
-                    self._forget(held)
+                        self._answer(request, resp.FAILED, Answered.ERRORS)
+                    self._remove_if_done(request)
             case api.Wake():
-                self.loop.call_later(action.delay / SECOND, self._tell, api.Alarm(action.token))
+                self.loop.call_later(action.delay / NS_PER_S, self._process, api.Alarm(action.token))
             case api.Watch():
-                self.watch()
+                self.start_watch()
             case api.Tell():
-                self.say(action)
+                self.publish(action)
             case api.Log():
                 log.info("%s", action.text)
 
     def _send(self, action: api.Send) -> None:
-        held, now = self.held.get(action.id), time.monotonic_ns()
-        if held is None:
-            log.error("a send for a request that is not held")
+        request, now = self.requests.get(action.id), time.monotonic_ns()
+        if request is None:
+            log.error("send action for an unknown request")
             return
-        number, held.made = held.made, held.made + 1
-        attempt = Attempt(held, number, action.server, now)
-        left = held.deadline - now
-        wait = min(action.timeout, left) if action.timeout else left
+        number, request.attempts_made = request.attempts_made, request.attempts_made + 1
+        attempt = Attempt(request, number, action.server, now)
+        time_left = request.deadline - now
+        wait = min(action.timeout, time_left) if action.timeout else time_left
         pool = self.pools.pools.get(action.server)
-        begun, most = number - held.not_begun, self.balancer.settings.max_attempts
-        allowed = held.open and held.attempt is None and begun < most
+        started, max_attempts = number - request.local_failures, self.balancer.settings.max_attempts
+        allowed = request.open and request.attempt is None and started < max_attempts
         if pool is None or pool.retired or not allowed or wait <= 0:
-            self._outcome(attempt, Ending(api.Status.MOOT))
+            self._report_outcome(attempt, AttemptResult(api.Status.MOOT))
             return
-        held.attempt = attempt
-        attempt.timer = self.loop.call_later(wait / SECOND, self._timeout, attempt)
+        request.attempt = attempt
+        attempt.timer = self.loop.call_later(wait / NS_PER_S, self._timeout, attempt)
         attempt.exchange = Exchange(
-            held.call,
+            request.call,
             now + wait,
-            lambda ending: self._ended(attempt, ending),
-            lambda size, source: self._opened(attempt, size, source),
-            self.room,
-            begin_by=action.begin_by or math.inf,
-            wanted=lambda: self._wanted(attempt),
+            lambda result: self._attempt_ended(attempt, result),
+            lambda size, source: self._start_stream(attempt, size, source),
+            self.memory,
+            start_by=action.begin_by or math.inf,
+            still_wanted=lambda: self._still_wanted(attempt),
         )
         if not pool.start(attempt.exchange):
-            self._ended(attempt, Ending(api.Status.FULL))
+            self._attempt_ended(attempt, AttemptResult(api.Status.FULL))
+
+    def _still_wanted(self, attempt: Attempt) -> bool:
+        """Returns whether the client is still connected; cancels the request if it is not.
 
-    def _wanted(self, attempt: Attempt) -> bool:
-        """Guards servers against work for nobody: the client may have left since this process last looked at
-        the sockets, and it may have stood still since."""
-        if attempt.held.reply.waits():
+        The client may have disconnected since the event loop last polled its socket.
+        """
+        if attempt.request.reply.waits():
             return True
-        self.withdraw(attempt.held)
+        self.withdraw(attempt.request)
         return False
 
     def _timeout(self, attempt: Attempt) -> None:
-        """The connection is closed before the decisions hear of it, so that no second copy is ever out."""
+        """Aborts an attempt that timed out.
+
+        Its connection is closed before the balancer is notified, so that no retry runs beside it.
+        """
         carrier = self._carrier(attempt)
-        if attempt.held.attempt is attempt and carrier is not None:
-            may_have_run = carrier.give_up()
-            self._ended(attempt, Ending(api.Status.TIMEOUT if may_have_run else api.Status.MOOT))
-
-    def _opened(self, attempt: Attempt, size: int, source: Source) -> Stream | None:
-        """A long answer begins. From now on the attempt is the client's: no time-out, no second."""
-        held = attempt.held
-        if held.attempt is not attempt or not held.open:
+        if attempt.request.attempt is attempt and carrier is not None:
+            may_have_run = carrier.abort_attempt()
+            self._attempt_ended(
+                attempt, AttemptResult(api.Status.TIMEOUT if may_have_run else api.Status.MOOT)
+            )
+
+    def _start_stream(self, attempt: Attempt, size: int, source: Source) -> Stream | None:
+        """Starts to stream a long answer; returns None if the attempt is no longer current.
+
+        From here on the attempt has no timeout and the request no retry.
+        """
+        request = attempt.request
+        if request.attempt is not attempt or not request.open:
             return None
-        log.debug("%s attempt %d at %s begins %d bytes", held.id, attempt.number, attempt.server, size)
+        log.debug(
+            "request %s attempt %d at %s: streaming %d bytes",
+            request.id,
+            attempt.number,
+            attempt.server,
+            size,
+        )
         if attempt.timer is not None:
             attempt.timer.cancel()
-        attempt.opened = time.monotonic_ns()
-        self._close(held)
-        held.stream = Stream(size, source)
-        held.reply.begin(held.stream)
-        self._tell(api.Opened(held.id, attempt.number, attempt.server))
-        return held.stream
-
-    def _end_stream(self, held: Held, stream: Stream, status: api.Status) -> None:
-        held.stream = None
+        attempt.long_answer_at = time.monotonic_ns()
+        self._close(request)
+        request.stream = Stream(size, source)
+        request.reply.begin(request.stream)
+        self._process(api.Opened(request.id, attempt.number, attempt.server))
+        return request.stream
+
+    def _end_stream(self, request: PendingRequest, stream: Stream, status: api.Status) -> None:
+        request.stream = None
         if status is api.Status.OK:
-            self.figures.answered(held.call.kind, Answered.OK)
+            self.figures.answered(request.call.class_name, Answered.OK)
             stream.end()
-        elif status is not api.Status.CANCELLED:  # that is the client's own doing
-            log.debug("%s broken off: %s", held.id, status)
-            self.figures.answered(held.call.kind, Answered.ERRORS)
-            held.reply.break_off()
-
-    def _ended(self, attempt: Attempt, ending: Ending) -> None:
-        held = attempt.held
-        if held.attempt is not attempt:
+        elif status is not api.Status.CANCELLED:  # a cancellation by the client is not counted as an error
+            log.debug("request %s: stream aborted: %s", request.id, status)
+            self.figures.answered(request.call.class_name, Answered.ERRORS)
+            request.reply.break_off()
+
+    def _attempt_ended(self, attempt: Attempt, result: AttemptResult) -> None:
+        request = attempt.request
+        if request.attempt is not attempt:
             return
         carrier = self._carrier(attempt)
         connected = carrier is not None and carrier.connected
-        held.attempt = attempt.exchange = None  # attempt and exchange hold each other
-        held.not_begun += ending.status in api.NOT_BEGUN
+        request.attempt = attempt.exchange = None  # breaks the reference cycle between attempt and exchange
+        request.local_failures += result.status in api.NOT_BEGUN
         if attempt.timer is not None:
             attempt.timer.cancel()
-        if held.stream is not None:
-            self._end_stream(held, held.stream, ending.status)
-        elif ending.status is api.Status.OK and held.open:
-            self._answer(held, resp.bulk(ending.value), Answered.OK)
-        self._outcome(attempt, ending, connected)
-        self._forget(held)
-
-    def _outcome(self, attempt: Attempt, ending: Ending, connected: bool = False) -> None:
-        held, elapsed = attempt.held, (attempt.opened or time.monotonic_ns()) - attempt.sent
-        of, where, how = attempt.number, attempt.server, ending.status
-        log.debug("%s attempt %d at %s: %s after %.1f ms", held.id, of, where, how, elapsed / MILLI)
-        self._tell(
+        if request.stream is not None:
+            self._end_stream(request, request.stream, result.status)
+        elif result.status is api.Status.OK and request.open:
+            self._answer(request, resp.bulk(result.value), Answered.OK)
+        self._report_outcome(attempt, result, connected)
+        self._remove_if_done(request)
+
+    def _report_outcome(self, attempt: Attempt, result: AttemptResult, connected: bool = False) -> None:
+        request, elapsed = attempt.request, (attempt.long_answer_at or time.monotonic_ns()) - attempt.sent_at
+        number, server, status = attempt.number, attempt.server, result.status
+        log.debug(
+            "request %s attempt %d at %s: %s after %.1f ms",
+            request.id,
+            number,
+            server,
+            status,
+            elapsed / NS_PER_MS,
+        )
+        self._process(
             api.Outcome(
-                held.id,
+                request.id,
                 attempt.number,
                 attempt.server,
-                ending.status,
-                not held.open,
+                result.status,
+                not request.open,
                 elapsed,
-                ending.note,
-                ending.load,
+                result.note,
+                result.load,
                 connected,
             )
         )
 
-    def _answer(self, held: Held, answer: bytes, how: Answered) -> None:
-        self.figures.answered(held.call.kind, how)
-        log.debug("%s answered: %.16r", held.id, answer)
-        self._close(held)
-        held.reply.fill(answer)
+    def _answer(self, request: PendingRequest, answer: bytes, how: Answered) -> None:
+        self.figures.answered(request.call.class_name, how)
+        log.debug("request %s answered: %.16r", request.id, answer)
+        self._close(request)
+        request.reply.fill(answer)
 
     @property
     def active(self) -> int:
-        """Requests taken and not ended."""
-        return sum(held.open or held.stream is not None for held in self.held.values())
-
-    def _close(self, held: Held) -> None:
-        held.open = False
-        if held.guard is not None:
-            held.guard.cancel()
-
-    def _forget(self, held: Held) -> None:
-        """Drops a request that is answered and has no attempt out."""
-        if not held.open and held.attempt is None and self.held.pop(held.id, None) is not None:
-            self.room.free(held.call.size)
+        """Number of requests accepted and not yet completely answered."""
+        return sum(request.open or request.stream is not None for request in self.requests.values())
+
+    def _close(self, request: PendingRequest) -> None:
+        request.open = False
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
+
+    def _remove_if_done(self, request: PendingRequest) -> None:
+        """Removes a request that is answered and has no attempt in flight."""
+        if not request.open and request.attempt is None and self.requests.pop(request.id, None) is not None:
+            self.memory.free(request.call.size)
--- a/applehub/node/http1.py
+++ b/applehub/node/http1.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 exchange after another on a connection, without the sockets."""
+"""HTTP/1.1 client protocol for a sequence of requests on one connection, without I/O."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
@@ -9,38 +9,44 @@
 
 
 class HttpError(ValueError):
-    """What came is no answer of HTTP/1.1, or larger than wanted."""
+    """The response is invalid or too large."""
 
 
 @dataclass(slots=True)
-class Answer:
-    """A whole answer; header names are in lower case."""
+class HttpResponse:
+    """A complete response; header names are in lower case."""
 
     status: int
     headers: dict[bytes, bytes]
     body: bytearray = field(default_factory=bytearray)
 
 
-class Http:
-    """The client's side of one connection."""
+class HttpClient:
+    """The client side of one connection.
 
-    __slots__ = ("answer", "connection", "grow", "host", "long", "most", "sink")
+    host: value of the Host header.
+    max_body: maximum length in bytes of a body that is buffered completely.
+    on_long_body: called with the length of a longer body; returns the function that receives its pieces, or
+    None to abort it.
+    may_buffer_long: called with the length so far of a longer body without a Content-Length; returns whether
+    it may be buffered completely.
+    """
+
+    __slots__ = ("body_sink", "connection", "host", "max_body", "may_buffer_long", "on_long_body", "response")
 
     def __init__(
         self,
         host: str,
-        most: int,
-        long: Callable[[int], Callable[[bytes], None] | None] | None = None,
-        grow: Callable[[int], bool] = lambda length: False,
+        max_body: int,
+        on_long_body: Callable[[int], Callable[[bytes], None] | None] | None = None,
+        may_buffer_long: Callable[[int], bool] = lambda length: False,
     ) -> None:
-        # Called with the length of a body that is longer than what is held whole: where its pieces go.
-        self.long = long
-        # Called with the length so far of such a body that announces none: whether it may be held whole.
-        self.grow = grow
-        self.sink: Callable[[bytes], None] | None = None
+        self.on_long_body = on_long_body
+        self.may_buffer_long = may_buffer_long
+        self.body_sink: Callable[[bytes], None] | None = None
         self.connection = h11.Connection(h11.CLIENT)
-        self.host, self.most = host.encode(), most
-        self.answer: Answer | None = None
+        self.host, self.max_body = host.encode(), max_body
+        self.response: HttpResponse | None = None
 
     def request(
         self,
@@ -49,13 +55,13 @@
         headers: list[tuple[bytes, bytes]] | None = None,
         body: bytes | bytearray | None = None,
     ) -> Iterator[bytes | memoryview]:
-        """The bytes of a request, piece by piece."""
+        """Yields the bytes of a request, piece by piece."""
         all_headers = [(b"Host", self.host), *(headers or [])]
         if body is not None:
             all_headers.append((b"Content-Length", b"%d" % len(body)))
         head = self.connection.send(h11.Request(method=method, target=target, headers=all_headers)) or b""
         for piece in pieces_of(body or b""):
-            # Passed through as it is, so that a long body is not copied; only its length counts here.
+            # The piece itself is written, so that a long body is not copied; h11 only counts its length.
             self.connection.send_with_data_passthrough(h11.Data(data=piece))  # type: ignore[arg-type]
             yield b"".join((head, piece)) if head else piece
             head = b""
@@ -63,44 +69,49 @@
         if head:
             yield head
 
-    def receive(self, data: bytes) -> Answer | None:
-        """Takes in what came, nothing at the end of the stream; gives the answer once it is whole."""
+    def receive(self, data: bytes) -> HttpResponse | None:
+        """Processes received data; returns the response once it is complete.
+
+        data: empty at the end of the stream. Raises HttpError.
+        """
         try:
             self.connection.receive_data(data)
             while True:
                 event = self.connection.next_event()
                 if isinstance(event, h11.Response):
-                    self.answer = Answer(event.status_code, dict(event.headers))
-                    self._open(self.answer)
-                elif isinstance(event, h11.Data) and self.sink is not None:
-                    self.sink(bytes(event.data))
-                elif isinstance(event, h11.Data) and self.answer is not None:
-                    self._hold(self.answer, event.data)
+                    self.response = HttpResponse(event.status_code, dict(event.headers))
+                    self._start_long_body(self.response)
+                elif isinstance(event, h11.Data) and self.body_sink is not None:
+                    self.body_sink(bytes(event.data))
+                elif isinstance(event, h11.Data) and self.response is not None:
+                    self._append_body(self.response, event.data)
                 elif isinstance(event, h11.EndOfMessage):
-                    return self.answer
+                    return self.response
                 elif not isinstance(event, h11.InformationalResponse):
-                    return None  # more is needed, or the stream has ended
-        except h11.RemoteProtocolError as problem:
-            raise HttpError(str(problem)) from None
-
-    def _hold(self, answer: Answer, data: bytes) -> None:
-        """Adds a piece to a body that is held whole; one that announces no length may grow long."""
-        answer.body += data
-        held, announced = len(answer.body), b"content-length" in answer.headers
-        if held > self.most and (announced or answer.status != 200 or not self.grow(held)):
-            raise HttpError("answer too large")
-
-    def _open(self, answer: Answer) -> None:
-        length = answer.headers.get(b"content-length", b"0")  # digits alone, as h11 has checked
-        if self.long is None or answer.status != 200 or int(length) <= self.most:
+                    return None  # the response is incomplete, or the stream has ended
+        except h11.RemoteProtocolError as error:
+            raise HttpError(str(error)) from None
+
+    def _append_body(self, response: HttpResponse, data: bytes) -> None:
+        """Adds a piece to a body that is buffered completely; raises HttpError if the body is too large."""
+        response.body += data
+        buffered, announced = len(response.body), b"content-length" in response.headers
+        if buffered > self.max_body and (
+            announced or response.status != 200 or not self.may_buffer_long(buffered)
+        ):
+            raise HttpError("response body is too large")
+
+    def _start_long_body(self, response: HttpResponse) -> None:
+        length = response.headers.get(b"content-length", b"0")  # h11 has checked that it is a number
+        if self.on_long_body is None or response.status != 200 or int(length) <= self.max_body:
             return
-        self.sink = self.long(int(length))
-        if self.sink is None:
-            raise HttpError("answer too large, or nobody waits for it")
+        self.body_sink = self.on_long_body(int(length))
+        if self.body_sink is None:
+            raise HttpError("response body is too large, or no client waits for it")
 
     def next_cycle(self) -> bool:
-        """Makes ready for another request; whether the connection can carry one."""
-        self.answer = self.sink = None
+        """Prepares for the next request; returns whether the connection can carry one."""
+        self.response = self.body_sink = None
         if self.connection.trailing_data[0]:
             return False
         try:
--- a/applehub/node/pool.py
+++ b/applehub/node/pool.py
@@ -1,4 +1,7 @@
-"""Connections to one server and which of them an attempt uses; what they speak is the subclass's."""
+"""Connection pools: the connections to each server, and the choice of the one that an attempt uses.
+
+The protocol spoken on a connection is that of the Connection subclass.
+"""
 
 import asyncio
 import contextlib
@@ -12,19 +15,21 @@
 from typing import cast
 
 from applehub.interface import NOT_BEGUN, Status
-from applehub.node.call import Ending, Exchange, NoTimeLeftError
+from applehub.node.call import AttemptResult, Exchange, NoTimeLeftError
 from applehub.node.stream import Reader
 from applehub.node.unread import Unread
 
-IDLE_MOST = 10.0  # s after which an idle connection is surplus: it costs more than opening one anew
-IDLE_PART = 0.8  # of the server's keepalive: closed well before the server does
-SWEEP = 1.0
-HELD_UP = 0.15  # s for which the process may stand still between a look at its clock and what it writes then
-# s for which a connection rests after an answer. A second answer came up to 4 ms after the first, and nothing
-# in it tells whose it is (docs/findings/standing.md): the next request must not be there yet.
-REST = 0.01
-# Errors of socket and connect by which this machine says what it lacks. None comes from the server.
-LOCAL_FAILURES = frozenset(
+MAX_IDLE_SECONDS = 10.0  # a connection that is idle for longer is closed
+# Fraction of the server's keepalive time after which an idle connection is closed, before the server closes
+# it.
+KEEPALIVE_FRACTION = 0.8
+SWEEP_INTERVAL = 1.0  # seconds
+MAX_PROCESS_STALL = 0.15  # seconds between reading the clock and the write that depends on it
+# Seconds for which a connection is not reused after a response. A duplicate response that arrives later
+# cannot be told from the response to the next request, so it must arrive while the connection is idle.
+MIN_IDLE_BEFORE_REUSE = 0.01
+# Errors of socket() and connect() for resources that this machine lacks; the server does not cause them.
+LOCAL_FAILURE_ERRNOS = frozenset(
     (
         errno.EMFILE,
         errno.ENFILE,
@@ -35,102 +40,110 @@
         errno.EAGAIN,
     )
 )
-# Errors by which it says that it knows no way to an address, to this alone or to all of them.
-NO_ROUTE = frozenset((errno.ENETUNREACH, errno.ENETDOWN, errno.EHOSTUNREACH))
+# Errors for a missing route to one address or to all addresses.
+NO_ROUTE_ERRNOS = frozenset((errno.ENETUNREACH, errno.ENETDOWN, errno.EHOSTUNREACH))
 Endpoint = tuple[str, int]
 log = logging.getLogger("applehub")
 
 
-def status_of_failed_connect(problem: OSError) -> Status:
-    """How an attempt ended whose connection never came up."""
-    if problem.errno in LOCAL_FAILURES:
+def status_of_failed_connect(error: OSError) -> Status:
+    """Returns the status of an attempt whose connection could not be established."""
+    if error.errno in LOCAL_FAILURE_ERRNOS:
         return Status.LOCAL_FAILURE
-    return Status.UNREACHABLE if problem.errno in NO_ROUTE else Status.CONNECT_FAILED
+    return Status.UNREACHABLE if error.errno in NO_ROUTE_ERRNOS else Status.CONNECT_FAILED
 
 
 class Connection(Reader):
-    """A connection that carries one attempt at a time and tells how it ended."""
+    """A connection that carries one attempt at a time and reports its result."""
 
     def __init__(self, pool: "Pool") -> None:
         self.pool = pool
         self.exchange: Exchange | None = None
         self.transport: asyncio.Transport | None = None
-        self.dialling: asyncio.Task[None] | None = None
-        self.taken = False  # the server accepted it
-        self.failure = Status.CONNECT_FAILED  # how an attempt ends where it never does
-        self.carried = 0  # attempts that were asked on it
-        self.full = False  # the system takes no more for now
-        self.pieces: Iterator[bytes | memoryview] = iter(())  # what of it is still to be written
-        self.begun = False  # some of what is asked was handed to the system
-        self.unsent = True  # the last byte of what is asked is not yet with the system
-        self.since = 0.0  # when it was opened
+        self.connect_task: asyncio.Task[None] | None = None
+        self.accepted = False  # whether the server accepted the connection
+        # Status of an attempt if the connection is never established.
+        self.connect_failure = Status.CONNECT_FAILED
+        self.attempts_started = 0
+        self.write_buffer_full = False
+        self.unwritten: Iterator[bytes | memoryview] = iter(())  # the rest of the request
+        self.write_started = False  # whether some of the request was passed to the kernel
+        self.unsent = True  # whether the last byte of the request is not yet passed to the kernel
+        self.opened_at = 0.0  # on the event loop's clock
         self.idle_since = 0.0
 
     @abstractmethod
     def encode(self, exchange: Exchange) -> Iterator[bytes | memoryview]:
-        """What to write for an attempt, piece by piece, each made when it is written; the first raises
-        NoTimeLeftError where the time of the attempt is over."""
+        """Yields the pieces of the request of an attempt, each created when it is about to be written.
+
+        The first piece raises NoTimeLeftError if the attempt has no time left.
+        """
 
     @abstractmethod
     def read(self, data: bytes) -> None:
-        """Takes in what came while an attempt is out; ends it by finish or spoil."""
+        """Processes data received during an attempt; calls finish or protocol_error when the attempt ends."""
 
-    def ask(self, exchange: Exchange) -> None:
-        """Begins an attempt on a connection that is up."""
-        self.exchange, self.begun, self.unsent = exchange, False, True
-        self.carried += 1
-        self.pieces = self.encode(exchange)
-        self._write_on()
+    def send_request(self, exchange: Exchange) -> None:
+        """Starts an attempt on an established connection."""
+        self.exchange, self.write_started, self.unsent = exchange, False, True
+        self.attempts_started += 1
+        self.unwritten = self.encode(exchange)
+        self._write_pending()
 
-    def _write_on(self) -> None:
-        """Writes as much as the system takes. Guards memory: a long value is not copied ahead of that."""
+    def _write_pending(self) -> None:
+        """Writes until the write buffer is full, so that a long value is not copied into the buffer."""
         assert self.transport is not None
         try:
-            while not self.full:
-                piece = next(self.pieces, None)
+            while not self.write_buffer_full:
+                piece = next(self.unwritten, None)
                 if piece is None:
                     self.unsent = False
-                    self.pool.pools.written += 1
+                    self.pool.pools.attempts_written += 1
                     return
-                if not self.begun and not self._may_begin():
+                if not self.write_started and not self._may_start():
                     return
                 self.transport.write(piece)
-                self.begun = True
+                self.write_started = True
                 if self.transport.is_closing():
-                    return  # a write that failed at once handed nothing over: what it asked for never ran
+                    return  # the write failed at once, so the server received nothing and executed nothing
         except NoTimeLeftError:
-            self.hand_back()
+            self.cancel_unstarted()
         except Exception:
-            log.exception("an attempt could not be written")
-            self.finish(Ending(Status.MOOT), reusable=False)
-
-    def _may_begin(self) -> bool:
-        """Looked at after all else, right before the first byte. Guards against a process that stood still
-        since the attempt was decided on: its time may be over, and its client gone."""
-        if self.exchange is None or time.monotonic_ns() >= self.exchange.begin_by:
-            self.hand_back()
+            log.exception("failed to write an attempt")
+            self.finish(AttemptResult(Status.MOOT), reusable=False)
+
+    def _may_start(self) -> bool:
+        """Returns whether the first byte may be written; cancels the attempt if its time to start has passed.
+
+        The check is made right before the write, because the process may have been suspended since the
+        attempt was decided on.
+        """
+        if self.exchange is None or time.monotonic_ns() >= self.exchange.start_by:
+            self.cancel_unstarted()
             return False
-        return self.exchange.wanted()
+        return self.exchange.still_wanted()
+
+    def abort_attempt(self) -> bool:
+        """Aborts the attempt in flight; returns whether the server may have executed it.
 
-    def give_up(self) -> bool:
-        """Ends the attempt that is out; whether it may have run. Guards against second copies: the system
-        is told to close before this returns, and so before anybody may send another attempt."""
+        The socket is shut down before this returns, so that a retry never runs beside this attempt.
+        """
         self.exchange, unsent = None, self.unsent
         self.close()
         return not unsent
 
-    def hand_back(self) -> None:
-        """What was asked has not begun and is not to begin here: the decisions say what becomes of it."""
+    def cancel_unstarted(self) -> None:
+        """Cancels an attempt of which nothing was written; the balancer decides whether it is retried."""
         exchange, self.exchange = self.exchange, None
         self.close()
         if exchange is not None:
-            exchange.done(Ending(Status.MOOT))
+            exchange.on_done(AttemptResult(Status.MOOT))
 
     def close(self) -> None:
         self.pool.drop(self)
         if self.transport is None:
-            if self.dialling is not None:
-                self.dialling.cancel()
+            if self.connect_task is not None:
+                self.connect_task.cancel()
             return
         with contextlib.suppress(OSError):
             self.transport.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
@@ -138,13 +151,16 @@
 
     @property
     def connected(self) -> bool:
-        """Whether it came up for the attempt that it carries, or carried last."""
-        return self.taken and self.carried <= 1
+        """Whether the connection was established for its current or latest attempt."""
+        return self.accepted and self.attempts_started <= 1
 
     @property
-    def quiet(self) -> bool:
-        """Whether nothing has come that was not asked for. Guards against an end, or a second answer, that
-        the system holds and nobody has read yet: a request behind it is lost, or takes it for its own."""
+    def no_unread_input(self) -> bool:
+        """Whether the connection is open and the kernel holds no unread input for it.
+
+        Unread input is the end of the stream or an unexpected response. A request sent after it would be lost
+        or would be matched with that response.
+        """
         up = self.transport is not None and not self.transport.is_closing()
         return up and not self.unread.waits()
 
@@ -156,117 +172,124 @@
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
-    def finish(self, ending: Ending, reusable: bool = True) -> None:
-        """Ends the attempt; the connection is free before anybody hears of it."""
+    def finish(self, result: AttemptResult, reusable: bool = True) -> None:
+        """Ends the attempt. The connection is released first, so that the callback can reuse it."""
         exchange, self.exchange = self.exchange, None
         if reusable and not self.unsent:
-            self.resume()  # a long value may have stopped it
+            self.resume()  # reading may be paused by the stream of a long value
             self.pool.release(self)
         else:
             self.close()
         if exchange is not None:
-            exchange.done(ending)
+            exchange.on_done(result)
 
-    def spoil(self) -> None:
-        """What came can't be read: the attempt is reset and the connection of no further use."""
-        log.debug("%s: an answer of %s:%d can't be read", self._asked(), *self.pool.endpoint)
-        self.finish(Ending(Status.RESET), reusable=False)
+    def protocol_error(self) -> None:
+        """Ends the attempt with RESET and closes the connection, after an invalid response."""
+        log.debug(
+            "protocol error in a response: request %s, server %s:%d", self._request_id(), *self.pool.endpoint
+        )
+        self.finish(AttemptResult(Status.RESET), reusable=False)
 
-    def lost(self, problem: Exception | None = None) -> None:
-        """The connection is gone or never came up."""
+    def handle_loss(self, error: Exception | None = None) -> None:
+        """Ends the attempt after the connection was lost or could not be established."""
         status = Status.RESET
         if self.unsent:
-            # Guards against a network that breaks connections: a server that took this one can be reached.
-            status = Status.MOOT if self.taken else self.failure
-            if isinstance(problem, OSError) and status_of_failed_connect(problem) in NOT_BEGUN:
-                status = status_of_failed_connect(problem)  # this machine could not write it
-        log.debug("%s: the connection to %s:%d is lost", self._asked(), *self.pool.endpoint)
+            # A server that accepted the connection is reachable, even if the network broke it.
+            status = Status.MOOT if self.accepted else self.connect_failure
+            if isinstance(error, OSError) and status_of_failed_connect(error) in NOT_BEGUN:
+                status = status_of_failed_connect(error)  # the write failed on this machine
+        log.debug("connection lost: request %s, server %s:%d", self._request_id(), *self.pool.endpoint)
         self.pool.drop(self)
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
-            exchange.done(Ending(status))
+            exchange.on_done(AttemptResult(status))
 
-    def _asked(self) -> str:
-        return self.exchange.call.id.decode() if self.exchange is not None else "nothing asked"
+    def _request_id(self) -> str:
+        return self.exchange.call.id.decode() if self.exchange is not None else "none"
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.taken = self.transport.get_extra_info("peername") is not None
-        if not self.taken:
-            # asyncio takes EAGAIN for a connect that goes on, and the closed socket for one that is up. It
-            # has no peer, and the first write to it fails.
-            self.failure = Status.LOCAL_FAILURE
+        self.accepted = self.transport.get_extra_info("peername") is not None
+        if not self.accepted:
+            # After EAGAIN, asyncio treats the connect as pending and then the closed socket as connected.
+            # Such a socket has no peer, and the first write to it fails.
+            self.connect_failure = Status.LOCAL_FAILURE
         self.unread = Unread(self.transport.get_extra_info("socket"))
-        self.transport.set_write_buffer_limits(0)  # so that every byte that waits here is told
+        self.transport.set_write_buffer_limits(0)  # pause_writing is called as soon as one byte is buffered
         if self.exchange is None:
             self.close()
         else:
-            self.ask(self.exchange)
+            self.send_request(self.exchange)
 
     def pause_writing(self) -> None:
-        self.full = True
+        self.write_buffer_full = True
 
     def resume_writing(self) -> None:
-        self.full = False
+        self.write_buffer_full = False
         if self.unsent and self.exchange is not None:
-            self._write_on()
+            self._write_pending()
 
     def data_received(self, data: bytes) -> None:
         if self.exchange is None:
             rested = (asyncio.get_running_loop().time() - self.idle_since) * 1000
             log.info(
-                "%s:%d answered what nobody asked, %.1f ms after its answer", *self.pool.endpoint, rested
+                "unexpected data from server %s:%d; connection idle for %.1f ms", *self.pool.endpoint, rested
             )
             self.close()
             return
         try:
             self.read(data)
         except Exception:
-            log.exception("an answer could not be handled")
-            self.spoil()
+            log.exception("failed to process a response")
+            self.protocol_error()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.lost(exc)
+        self.handle_loss(exc)
 
 
 class Pool:
-    """The connections to one server. The newest idle one is used first, so that surplus ones age."""
+    """The connections to one server.
 
-    def __init__(self, pools: "Pools", endpoint: Endpoint, make: "Callable[[Pool], Connection]") -> None:
-        self.pools, self.endpoint, self.make = pools, endpoint, make
+    The connection that became idle last is used first, so that surplus connections stay idle and are closed.
+    """
+
+    def __init__(
+        self, pools: "Pools", endpoint: Endpoint, make_connection: "Callable[[Pool], Connection]"
+    ) -> None:
+        self.pools, self.endpoint, self.make_connection = pools, endpoint, make_connection
         self.idle: list[Connection] = []
-        self.all: set[Connection] = set()
+        self.connections: set[Connection] = set()
         self.retired = False
 
     def start(self, exchange: Exchange) -> bool:
-        """Begins an attempt; not where the router may open no more connections."""
-        connection = self._rested()
+        """Starts an attempt; returns False if no connection is reusable and none may be opened."""
+        connection = self._take_idle()
         if connection is not None:
             exchange.carrier = connection
-            connection.ask(exchange)
+            connection.send_request(exchange)
             return True
-        if not self.pools.room():
+        if not self.pools.make_room():
             return False
-        connection = self.make(self)
-        self.all.add(connection)
-        self.pools.opened += 1
+        connection = self.make_connection(self)
+        self.connections.add(connection)
+        self.pools.open_count += 1
         connection.exchange, exchange.carrier = exchange, connection
-        connection.since = asyncio.get_running_loop().time()
-        connection.dialling = asyncio.get_running_loop().create_task(self._dial(connection))
+        connection.opened_at = asyncio.get_running_loop().time()
+        connection.connect_task = asyncio.get_running_loop().create_task(self._dial(connection))
         return True
 
-    def _rested(self) -> Connection | None:
-        """Takes the newest idle connection on which nothing of an earlier answer can come any more."""
+    def _take_idle(self) -> Connection | None:
+        """Removes and returns the newest idle connection that is safe to reuse; None if there is none."""
         now = asyncio.get_running_loop().time()
-        before, after = now - REST, now - self.pools.reusable
+        before, after = now - MIN_IDLE_BEFORE_REUSE, now - self.pools.max_reuse_idle
         for at in range(len(self.idle) - 1, -1, -1):
             connection = self.idle[at]
             if connection.idle_since > before:
                 continue
             if connection.idle_since < after:
-                break  # the server may have closed it by the time that something is written: the sweep's
-            self._end_idling(connection)
-            if connection.quiet:
+                break  # the server may close it before the write; the sweep closes it
+            self._remove_idle(connection)
+            if connection.no_unread_input:
                 return connection
         return None
 
@@ -275,75 +298,84 @@
         try:
             async with asyncio.timeout(self.pools.dial_timeout):
                 await loop.create_connection(lambda: connection, *self.endpoint)
-        except (OSError, TimeoutError) as problem:
-            # Reset, not refused: it was accepted and then broke, before the system told us that it was up.
-            connection.taken = isinstance(problem, ConnectionResetError)
-            connection.failure = status_of_failed_connect(problem)
+        except (OSError, TimeoutError) as error:
+            # A reset means that the server accepted the connection and then broke it.
+            connection.accepted = isinstance(error, ConnectionResetError)
+            connection.connect_failure = status_of_failed_connect(error)
             if connection.transport is None:
-                connection.lost()
+                connection.handle_loss()
 
     def release(self, connection: Connection) -> None:
-        if self.retired or connection not in self.all:
+        if self.retired or connection not in self.connections:
             connection.close()
             return
         connection.idle_since = asyncio.get_running_loop().time()
         self.idle.append(connection)
         self.pools.idle[connection] = None
-        self.pools.plan_sweep()
+        self.pools.schedule_sweep()
 
     def drop(self, connection: Connection) -> None:
-        if connection in self.all:
-            self.all.remove(connection)
-            self.pools.opened -= 1
-        self._end_idling(connection)
+        if connection in self.connections:
+            self.connections.remove(connection)
+            self.pools.open_count -= 1
+        self._remove_idle(connection)
 
-    def _end_idling(self, connection: Connection) -> None:
+    def _remove_idle(self, connection: Connection) -> None:
         if connection in self.pools.idle:
             del self.pools.idle[connection]
             self.idle.remove(connection)
 
     def retire(self) -> None:
-        """No attempt is to begin: idle connections go now, and those that wait for one to come up; the others
-        go after their answer."""
+        """Stops new attempts: closes connections that are idle or have not written anything.
+
+        The others are closed after their response.
+        """
         self.retired = True
-        for connection in [one for one in self.all if not one.begun or one in self.idle]:
-            connection.hand_back()
+        for connection in [one for one in self.connections if not one.write_started or one in self.idle]:
+            connection.cancel_unstarted()
+
+    def close_opened_before(self, restarted_at: float) -> None:
+        """Closes the connections opened before a restart of the server.
 
-    def forget_before(self, time: float) -> None:
-        """The server has started anew at that time: what was open before leads nowhere."""
-        for connection in [one for one in self.all if one.since < time]:
+        restarted_at: event loop time of the restart, in seconds.
+        """
+        for connection in [one for one in self.connections if one.opened_at < restarted_at]:
             exchange = connection.exchange
             unsent = connection.unsent
             connection.exchange = None
             connection.close()
             if exchange is not None:
-                exchange.done(Ending(Status.CONNECT_FAILED if unsent else Status.RESET))
+                exchange.on_done(AttemptResult(Status.CONNECT_FAILED if unsent else Status.RESET))
 
 
 class Pools:
-    """All pools: their number of sockets, and the sweep that closes what has idled too long.
+    """All connection pools, with their common connection limit and the sweep of idle connections.
 
-    What a dial, an answer or a sweep costs here does not grow with the servers: there may be thousands."""
+    The cost of an operation does not depend on the number of servers.
+    """
 
-    def __init__(self, most: int, dial_timeout: float, keepalive: float) -> None:
-        self.most = most
-        self.limit_times(dial_timeout, keepalive)
+    def __init__(self, max_connections: int, dial_timeout: float, keepalive: float) -> None:
+        self.max_connections = max_connections
+        self.set_timeouts(dial_timeout, keepalive)
         self.pools: dict[str, Pool] = {}
-        self.opened = 0  # connections of all pools, up or coming up, of those that were replaced too
-        self.idle: OrderedDict[Connection, None] = OrderedDict()  # of all pools, the longest idle first
-        self.sweeping = False
-        self.written = 0  # attempts whose last byte is with the system
-
-    def limit_times(self, dial_timeout: float, keepalive: float) -> None:
-        self.dial_timeout, self.idle_most = dial_timeout, min(IDLE_MOST, keepalive * IDLE_PART)
-        self.reusable = keepalive - HELD_UP  # s for which one may idle that is then written to
-
-    def add(self, name: str, endpoint: Endpoint, make: Callable[[Pool], Connection]) -> Pool:
-        """The pool of a server; one at another endpoint takes the place of the old."""
+        # Connections of all pools, established or connecting, also of pools that were replaced.
+        self.open_count = 0
+        # Idle connections of all pools, longest idle first.
+        self.idle: OrderedDict[Connection, None] = OrderedDict()
+        self.sweep_scheduled = False
+        self.attempts_written = 0  # attempts written completely
+
+    def set_timeouts(self, dial_timeout: float, keepalive: float) -> None:
+        self.dial_timeout, self.max_idle = dial_timeout, min(MAX_IDLE_SECONDS, keepalive * KEEPALIVE_FRACTION)
+        # Seconds of idle time up to which a connection is reused.
+        self.max_reuse_idle = keepalive - MAX_PROCESS_STALL
+
+    def add(self, name: str, endpoint: Endpoint, make_connection: Callable[[Pool], Connection]) -> Pool:
+        """Returns the pool of a server; creates it, and replaces a pool that has another endpoint."""
         pool = self.pools.get(name)
         if pool is None or pool.endpoint != endpoint:
-            before, pool = pool, Pool(self, endpoint, make)
-            self.pools[name] = pool  # first: what the old one hands back may come here
+            before, pool = pool, Pool(self, endpoint, make_connection)
+            self.pools[name] = pool  # before retire(), whose cancelled attempts may be retried here
             if before is not None:
                 before.retire()
         return pool
@@ -353,9 +385,9 @@
         if pool is not None:
             pool.retire()
 
-    def room(self) -> bool:
-        """Whether one more connection may be opened; the longest idle one makes room for it."""
-        if self.opened < self.most:
+    def make_room(self) -> bool:
+        """Returns whether a connection may be opened; closes the longest idle one if the limit is reached."""
+        if self.open_count < self.max_connections:
             return True
         longest_idle = next(iter(self.idle), None)
         if longest_idle is None:
@@ -363,15 +395,15 @@
         longest_idle.close()
         return True
 
-    def plan_sweep(self) -> None:
-        if not self.sweeping:
-            self.sweeping = True
-            asyncio.get_running_loop().call_later(SWEEP, self._sweep)
+    def schedule_sweep(self) -> None:
+        if not self.sweep_scheduled:
+            self.sweep_scheduled = True
+            asyncio.get_running_loop().call_later(SWEEP_INTERVAL, self._sweep)
 
     def _sweep(self) -> None:
-        self.sweeping = False
-        before = asyncio.get_running_loop().time() - self.idle_most
+        self.sweep_scheduled = False
+        before = asyncio.get_running_loop().time() - self.max_idle
         while self.idle and (longest_idle := next(iter(self.idle))).idle_since < before:
             longest_idle.close()
         if self.idle:
-            self.plan_sweep()
+            self.schedule_sweep()
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -216,12 +216,12 @@
     pools = Pools(sockets, limits.dial_timeout / 1e9, limits.keepalive / 1e9)
     driver = Driver(Balancer(settings, 1), pools, limits.most_held, Figures())
     clients = Clients(driver, names, Places(sockets, max(4, sockets // 8), LET_IN, sockets))
-    directory = Directory(names, 1, pools, driver.tell)
+    directory = Directory(names, 1, pools, driver.notify)
     clients.can_serve = lambda: directory.can_serve
     listed = [entry("c0", peers[0].address), entry("o", peers[1].address, model="origin")]
     if entries is not None:
         listed = entries(*peers)
-    directory.take({"rev": 5, "all": True, "targets": listed}, cached=True)
+    directory.apply({"rev": 5, "all": True, "targets": listed}, cached=True)
     _, port = await clients.listen("127.0.0.1", 0)
     bench = Bench(*peers, driver, clients, directory, pools, port)
     try:
--- a/tests/test_begins.py
+++ b/tests/test_begins.py
@@ -31,7 +31,7 @@
 
 def change(bench: Bench, rev: int, **fields: Any) -> None:
     told = entry("c0", bench.cache.address, **fields)
-    bench.directory.take({"rev": rev, "all": False, "targets": [told]})
+    bench.directory.apply({"rev": rev, "all": False, "targets": [told]})
 
 
 @pytest.mark.parametrize(
@@ -57,7 +57,7 @@
             assert asyncio.get_running_loop().time() - begun <= DIAL + 0.1
             await asyncio.sleep(2 * DIAL)
             assert not bench.cache.got
-            assert all(pool.all == set() for name, pool in bench.pools.pools.items() if name != "o")
+            assert all(pool.connections == set() for name, pool in bench.pools.pools.items() if name != "o")
 
     play(monkeypatch, test)
 
@@ -72,11 +72,11 @@
             caller = await bench.caller()
             caller.get()
             await asyncio.sleep(0.5)
-            (first,) = [name for name, pool in bench.pools.pools.items() if pool.all]
+            (first,) = [name for name, pool in bench.pools.pools.items() if pool.connections]
             gone = entry(first, bench.cache.address, state="Terminating")
-            bench.directory.take({"rev": 6, "all": False, "targets": [gone]})
+            bench.directory.apply({"rev": 6, "all": False, "targets": [gone]})
             assert await caller.answer() == b"v"
-            (other,) = [name for name, pool in bench.pools.pools.items() if pool.all]
+            (other,) = [name for name, pool in bench.pools.pools.items() if pool.connections]
             assert other != first and len(bench.cache.got) == 1
 
     play(monkeypatch, test)
@@ -89,8 +89,8 @@
             caller = await bench.caller()
             caller.get()
             await asyncio.sleep(0.5)
-            bench.driver.tell(api.ByHand("c0", True, 1))
-            bench.directory.leave_out("c0", True)
+            bench.driver.notify(api.ByHand("c0", True, 1))
+            bench.directory.set_excluded("c0", True)
             answer = await caller.answer()
             assert answer == b"from origin" or str(answer).startswith("BUSY")
             await asyncio.sleep(2 * DIAL)
@@ -117,7 +117,7 @@
             await asyncio.sleep(late)
             caller.writer.close()
             await asyncio.sleep(2 * DIAL)
-            assert not bench.cache.got and not bench.origin.got and not bench.driver.held
+            assert not bench.cache.got and not bench.origin.got and not bench.driver.requests
             # It can be used again by who comes after.
             other = await bench.caller()
             other.get(name=b"i2")
@@ -161,8 +161,8 @@
             async def breaks_once(pool: Pool, connection: Connection) -> None:
                 if pool is bench.pools.pools["o"] and not broken:
                     broken.append(connection)
-                    connection.taken = True
-                    connection.lost()
+                    connection.accepted = True
+                    connection.handle_loss()
                     return
                 await dial(pool, connection)
 
@@ -214,6 +214,6 @@
                 caller.writer.close()
                 await asyncio.sleep(0.01)
                 assert monitor.bad == 0 and monitor.throttle is None
-            assert not bench.origin.got and not bench.driver.held
+            assert not bench.origin.got and not bench.driver.requests
 
     play(monkeypatch, test)
--- a/tests/test_broken_connections.py
+++ b/tests/test_broken_connections.py
@@ -91,7 +91,7 @@
                 answer = await caller.answer()
                 await asyncio.sleep(1.0)
                 assert injected.count() >= struck
-            assert not bench.driver.held and not bench.driver.balancer.jobs
+            assert not bench.driver.requests and not bench.driver.balancer.jobs
             assert quiet(caplog, lines)
             ended = list(statuses)
             if not lines:
@@ -252,6 +252,6 @@
             with SystemCallFaults(fault("recv", "EHOSTUNREACH", peer=bench.cache.address, from_call=3)):
                 caller.get()
                 assert await caller.answer() is None
-            assert len(bench.cache.got) == 1 and not bench.driver.held
+            assert len(bench.cache.got) == 1 and not bench.driver.requests
 
     play(monkeypatch, test)
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -106,7 +106,7 @@
                 assert tries <= 2 * 2 + 0.9 / 0.025 + 8
                 await asyncio.sleep(5.0)
                 assert faults.count() == tries
-            assert not bench.origin.got and not bench.cache.got and not bench.driver.held
+            assert not bench.origin.got and not bench.cache.got and not bench.driver.requests
 
     play(monkeypatch, test)
 
@@ -177,7 +177,7 @@
         monkeypatch.setattr("peers.Cache.start", _start_everywhere)
         async with router(entries=listed) as bench:
             callers = [await bench.caller() for _ in range(60)]
-            bench.pools.limit_times(20.0, 0.01)  # connections don't rest, so each attempt opens one
+            bench.pools.set_timeouts(20.0, 0.01)  # connections don't rest, so each attempt opens one
             with SystemCallFaults(fault("connect", "ENETUNREACH", peer="127.0.0.2:*")) as faults:
                 for n, caller in enumerate(callers):
                     caller.get(b"k%d" % n, b"i%d" % n)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -39,8 +39,8 @@
         entry("c0", "127.0.0.1:1", az="b", pod_group=3, capacity_hint=1.5, boot_ms=boot),
         entry("o", "h:2"),
     )
-    one.take(listing(1, *entries), cached=True)
-    one.take(listing(2, *entries))
+    one.apply(listing(1, *entries), cached=True)
+    one.apply(listing(2, *entries))
     member = told[0].entries[0]
     assert (member.server, member.zone, member.cell, member.weight) == ("c0", 1, 3, 1.5)
     assert abs(time.monotonic_ns() - 1_000_000_000 - member.since) < PATIENCE * 1e9
@@ -51,9 +51,9 @@
 
 async def test_an_older_version_changes_nothing() -> None:
     one, told = directory()
-    one.take(listing(5, entry("c0", "127.0.0.1:1")))
-    one.take(listing(4))
-    one.take(listing(5, entry("c0", "127.0.0.1:1", state="Gone"), whole=False))
+    one.apply(listing(5, entry("c0", "127.0.0.1:1")))
+    one.apply(listing(4))
+    one.apply(listing(5, entry("c0", "127.0.0.1:1", state="Gone"), whole=False))
     assert len(told) == 1 and one.rev == 5 and one.can_serve
 
 
@@ -68,17 +68,17 @@
         {"uid": "x6"},
         "x7",
     ]
-    one.take(listing(1, *odd, entry("c0", "127.0.0.1:1")))
+    one.apply(listing(1, *odd, entry("c0", "127.0.0.1:1")))
     assert [member.server for member in told[0].entries] == ["c0"]
     assert caplog.text.count("is skipped") == len(odd)
     answers: list[Any] = [None, [], {"targets": []}, {"rev": "1", "targets": []}, {"rev": 2}]
     for bad in answers:
         with pytest.raises(ListError):
-            one.take(bad)
+            one.apply(bad)
 
 
 async def test_a_changed_endpoint_or_start_drops_the_old_connections(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pool, "REST", 0.0)  # one connection for both requests
+    monkeypatch.setattr(pool, "MIN_IDLE_BEFORE_REUSE", 0.0)  # one connection for both requests
     async with router(lambda asked, line: hit() if asked[2] != b"hang" else None) as bench:
         caller = await bench.caller()
         caller.get()
@@ -87,14 +87,14 @@
         await soon(lambda: len(bench.cache.got) == 2)
         boot = time.time_ns() // 1_000_000 + 1
         change = entry("c0", bench.cache.address, boot_ms=boot)
-        bench.directory.take(listing(6, change, whole=False))
+        bench.directory.apply(listing(6, change, whole=False))
         # The old process is gone with what it held, which may have run.
         assert str(await caller.answer()) == "ERR failed"
         await soon(lambda: bench.cache.ended == 1)
         second = Cache(lambda asked, line: hit(b"second"))
         await second.start()
         old = bench.pools.pools["c0"]
-        bench.directory.take(listing(7, {**change, "endpoint": second.address}, whole=False))
+        bench.directory.apply(listing(7, {**change, "endpoint": second.address}, whole=False))
         assert bench.pools.pools["c0"] is not old and old.retired
         await second.stop()
 
@@ -105,7 +105,7 @@
         caller.get(name=b"i1")
         await soon(lambda: bench.cache.got)
         gone = entry("c0", bench.cache.address, state="Terminating")
-        bench.directory.take(listing(6, gone, whole=False))
+        bench.directory.apply(listing(6, gone, whole=False))
         other = await bench.caller()
         other.get(name=b"i2")
         assert str(await other.answer()).startswith("BUSY")
@@ -124,8 +124,8 @@
 async def test_the_watch_goes_on_and_asks_for_the_whole_list_only_where_changes_will_not_do(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(call_schedule, "HOLD", 0.1)
-    monkeypatch.setattr(call_schedule, "LATE", 0.3)
+    monkeypatch.setattr(call_schedule, "MAX_HOLD", 0.1)
+    monkeypatch.setattr(call_schedule, "MIN_WATCH_TIMEOUT", 0.3)
     c0, c1 = entry("c0", "127.0.0.1:1"), entry("c1", "127.0.0.1:1")
     script: list[bytes | None] = [
         whole_list(7, c0),
@@ -172,7 +172,7 @@
     one, told = directory()
     endpoints = [read_endpoint(web.address) for web in webs.values()]
     watch = Watch(endpoints, one, 1, must_ask=True)
-    watch.at = 0
+    watch.endpoint_index = 0
     watch.start()
     await soon(lambda: told and told[-1].kind is api.ListKind.FAILED)  # only once both have failed in a row
     assert one.rev == 8 and set(one.targets) == {"c0", "c1"}  # the second's older list changed nothing
@@ -181,7 +181,7 @@
         b"/api/targets?from=7&hold_ms=0",
         b"/api/targets?from=7&hold_ms=2500",
     ]
-    spread = {Watch(endpoints, one, seed, must_ask=True).at for seed in range(20)}
+    spread = {Watch(endpoints, one, seed, must_ask=True).endpoint_index for seed in range(20)}
     assert spread == {0, 1}
     watch.stop()
     for web in webs.values():
@@ -210,7 +210,7 @@
     web = Web(lambda asked, line: answers.pop(0) if answers else None)
     await web.start()
     one, told = directory()
-    one.take(listing(41, entry("c0", "127.0.0.1:1")), cached=True)
+    one.apply(listing(41, entry("c0", "127.0.0.1:1")), cached=True)
     host, _, port = web.address.partition(":")
     watch = Watch([(host, int(port))], one, 1, must_ask=True)
     for failures in (1, 2, 3):
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -7,7 +7,7 @@
 from applehub import interface as api
 from applehub.node import caches, origin
 from applehub.node.call import read_load
-from applehub.node.http1 import Answer
+from applehub.node.http1 import HttpResponse
 
 REPORT = b"backlog=3.5,errors_per_s=0.25,x0=0.691"
 LOAD = api.Load(queue=3.5, eps=0.25)
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize("report", BAD)
 def test_a_report_that_makes_no_sense_counts_as_none(report: object) -> None:
     assert read_load(report) is None
-    served = caches.ending_of([b"value", b"hit", report])
+    served = caches.result_of([b"value", b"hit", report])
     assert served is not None
     assert (served.status, served.value, served.load) == (api.Status.OK, b"value", None)
 
@@ -51,23 +51,23 @@
         (hiredis.ReplyError("BUSY " + REPORT.decode()), api.Status.FULL),
         (hiredis.ReplyError("ERR failed " + REPORT.decode()), api.Status.ERROR),
     ):
-        ending = caches.ending_of(answer)
-        assert ending is not None and (ending.status, ending.load) == (status, LOAD)
+        result = caches.result_of(answer)
+        assert result is not None and (result.status, result.load) == (status, LOAD)
 
 
 @pytest.mark.parametrize("text", ["BUSY", "BUSY backlog=", "ERR failed", "ERR failed later"])
 def test_an_error_line_without_a_report_is_what_it_was(text: str) -> None:
-    ending = caches.ending_of(hiredis.ReplyError(text))
+    result = caches.result_of(hiredis.ReplyError(text))
     status = api.Status.FULL if text.startswith("BUSY") else api.Status.ERROR
-    assert ending is not None and (ending.status, ending.load) == (status, None)
+    assert result is not None and (result.status, result.load) == (status, None)
 
 
 def test_an_answer_of_the_origin_may_carry_a_report() -> None:
     for status, ended in ((200, api.Status.OK), (500, api.Status.ERROR)):
         for report, load in ((REPORT, LOAD), (b"backlog=", None)):
-            ending = origin.ending_of(Answer(status, {b"x-load-report": report}, bytearray(b"v")))
-            assert (ending.status, ending.load) == (ended, load)
-    assert origin.ending_of(Answer(200, {})).load is None
+            result = origin.result_of(HttpResponse(status, {b"x-load-report": report}, bytearray(b"v")))
+            assert (result.status, result.load) == (ended, load)
+    assert origin.result_of(HttpResponse(200, {})).load is None
 
 
 def test_errors_that_a_report_tells_show_a_server_that_fails_others() -> None:
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -14,8 +14,8 @@
 from applehub import interface as api
 from applehub.node import pool as module
 from applehub.node.caches import CacheConnection
-from applehub.node.call import Call, Ending, Exchange
-from applehub.node.pool import REST, SWEEP, Connection, Pools
+from applehub.node.call import AttemptResult, Call, Exchange
+from applehub.node.pool import MIN_IDLE_BEFORE_REUSE, SWEEP_INTERVAL, Connection, Pools
 
 SERVERS = 12
 MOST = 4
@@ -62,7 +62,7 @@
         self.loop = asyncio.get_running_loop()
         self.dials: dict[Connection, asyncio.Future[None]] = {}
         self.seen: list[Connection] = []
-        self.endings: list[Ending] = []
+        self.results: list[AttemptResult] = []
         self.lines = socket.socketpair()
         self.clock = self.loop.time()
         monkeypatch.setattr(self.loop, "create_connection", self._connect)
@@ -85,8 +85,8 @@
 
     def start(self, name: str) -> bool:
         call = Call(b"C.GET", b"k", b"i", b"c=read", None, 0, "read", 0, None, False)
-        until = time.monotonic_ns() + 60_000_000_000
-        return self.pools.pools[name].start(Exchange(call, until, self.endings.append))
+        deadline = time.monotonic_ns() + 60_000_000_000
+        return self.pools.pools[name].start(Exchange(call, deadline, self.results.append))
 
     async def come_up(self, problem: OSError | None = None) -> None:
         """The oldest dial that is out ends."""
@@ -97,14 +97,14 @@
             await asyncio.sleep(0)
         up = self.dials[dialled]
         up.set_exception(problem) if problem is not None else up.set_result(None)
-        assert dialled.dialling is not None
-        await dialled.dialling
+        assert dialled.connect_task is not None
+        await dialled.connect_task
 
     def dialling(self) -> list[Connection]:
         return [one for one in self.held() if one.transport is None]
 
     def held(self) -> list[Connection]:
-        return [one for one in self.seen if one in one.pool.all]
+        return [one for one in self.seen if one in one.pool.connections]
 
     def answering(self) -> list[Connection]:
         """Connections with an attempt out that has been written."""
@@ -112,7 +112,7 @@
 
     def check(self) -> None:
         held = self.held()
-        assert self.pools.opened == len(held)
+        assert self.pools.open_count == len(held)
         idle = list(self.pools.idle)
         assert set(idle) == {one for one in held if one in one.pool.idle}
         assert sum(len(one.idle) for one in {one.pool for one in self.seen}) == len(idle)
@@ -141,7 +141,7 @@
     name = f"c{dice.randrange(SERVERS)}"
     some = one.answering()
     picked = dice.choice(some) if some else None
-    one.clock += dice.choice([0.0, REST / 2, 0.1])
+    one.clock += dice.choice([0.0, MIN_IDLE_BEFORE_REUSE / 2, 0.1])
     match dice.randrange(14):
         case 0 | 1 | 2 | 12 | 13:
             if name in one.pools.pools:
@@ -153,13 +153,13 @@
         case 6 | 7 if picked is not None:
             picked.data_received(HIT)
         case 8 if picked is not None:
-            way = dice.choice(["spoil", "lost", "give_up", "hand_back"])
+            way = dice.choice(["protocol_error", "handle_loss", "abort_attempt", "cancel_unstarted"])
             getattr(picked, way)()
         case 9 if name in one.pools.pools:
             if dice.random() < 0.5:
                 one.pools.pools[name].retire()
             else:
-                one.pools.pools[name].forget_before(one.clock)
+                one.pools.pools[name].close_opened_before(one.clock)
         case 10:
             one.add(name, dice.randrange(1, 4))  # at another endpoint it takes the place of the old
         case 11 if name in one.pools.pools:
@@ -172,21 +172,21 @@
     network: Callable[[int], Network], seed: int
 ) -> None:
     one, dice = network(MOST), random.Random(seed)
-    one.pools.limit_times(1e6, 1.0)
+    one.pools.set_timeouts(1e6, 1.0)
     most = 0
     for number in range(SERVERS):
         one.add(f"c{number}")
     for _ in range(STEPS):
         await _step(one, dice)
         one.check()
-        most = max(most, one.pools.opened)
+        most = max(most, one.pools.open_count)
     assert most == MOST  # the limit was reached, and never passed
     for name in list(one.pools.pools):
         one.pools.remove(name)
     assert not one.dialling()
     for connection in one.answering():
         connection.data_received(HIT)
-    assert one.pools.opened == 0 and not one.pools.idle
+    assert one.pools.open_count == 0 and not one.pools.idle
 
 
 @pytest.mark.parametrize("way", ["refused", "given up", "retired", "replaced", "removed", "started anew"])
@@ -195,13 +195,13 @@
 ) -> None:
     one = network(MOST)
     one.add("c0")
-    assert one.start("c0") and one.pools.opened == 1
+    assert one.start("c0") and one.pools.open_count == 1
     (connection,) = one.held()
     match way:
         case "refused":
             await one.come_up(ConnectionRefusedError())
         case "given up":
-            connection.give_up()
+            connection.abort_attempt()
         case "retired":
             one.pools.pools["c0"].retire()
         case "replaced":
@@ -209,8 +209,8 @@
         case "removed":
             one.pools.remove("c0")
         case "started anew":
-            one.pools.pools["c0"].forget_before(one.clock + 1)
-    assert one.pools.opened == 0
+            one.pools.pools["c0"].close_opened_before(one.clock + 1)
+    assert one.pools.open_count == 0
     one.check()
 
 
@@ -224,9 +224,9 @@
     await one.come_up()
     (connection,) = one.answering()
     one.pools.remove("c0")
-    assert one.pools.opened == 1 and not one.start("c1")
+    assert one.pools.open_count == 1 and not one.start("c1")
     connection.data_received(HIT)
-    assert one.pools.opened == 0 and one.start("c1")
+    assert one.pools.open_count == 0 and one.start("c1")
 
 
 def _events(work: Callable[[], object]) -> int:
@@ -256,7 +256,7 @@
         assert one.start(f"c{number}")
         await one.come_up()
     costs = [_events(lambda: one.start("c8"))]  # full, and none is idle
-    assert one.pools.opened == 4 and len(one.answering()) == 4
+    assert one.pools.open_count == 4 and len(one.answering()) == 4
     for connection in one.answering()[:2]:
         connection.data_received(HIT)
     costs += [
@@ -265,10 +265,10 @@
         _events(lambda: one.pools.remove("c7")),
         _events(lambda: one.add("c6", 2)),
     ]
-    assert one.pools.opened == 4 and len(one.pools.idle) == 1
-    one.clock += one.pools.idle_most + SWEEP
+    assert one.pools.open_count == 4 and len(one.pools.idle) == 1
+    one.clock += one.pools.max_idle + SWEEP_INTERVAL
     costs.append(_events(one.pools._sweep))
-    assert one.pools.opened == 3 and not one.pools.idle
+    assert one.pools.open_count == 3 and not one.pools.idle
     return iter(costs)
 
 
@@ -288,7 +288,7 @@
     for number in range(3):
         assert one.start(f"c{number}")
         await one.come_up()
-        (by_name[f"c{number}"],) = one.pools.pools[f"c{number}"].all
+        (by_name[f"c{number}"],) = one.pools.pools[f"c{number}"].connections
     for name in ("c1", "c2", "c0"):
         one.clock += 1
         by_name[name].data_received(HIT)
@@ -296,4 +296,4 @@
     assert one.start("c1")  # idle no more
     assert one.start("c3")
     assert by_name["c2"] not in one.held() and by_name["c0"] in one.held()
-    assert [ending.status for ending in one.endings] == [api.Status.OK] * 3
+    assert [result.status for result in one.results] == [api.Status.OK] * 3
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -16,7 +16,7 @@
 from applehub.settings import read_names
 
 SECOND = 1_000_000_000
-MILLI = 1_000_000
+NS_PER_MS = 1_000_000
 RAMP = 10  # s, of `support.settings`
 STEPS = [3, -3, 3_600, -3_600]  # s
 
@@ -46,7 +46,7 @@
 
     def boot_ms(self) -> int:
         """What the list service would write for a start at this moment."""
-        return (1_790_000_000 * SECOND + self.now + self.skew_there * SECOND) // MILLI
+        return (1_790_000_000 * SECOND + self.now + self.skew_there * SECOND) // NS_PER_MS
 
 
 class Told:
@@ -67,11 +67,11 @@
     def list(self, boots: dict[str, int], whole: bool = False, cached: bool = False) -> None:
         self.rev += 1
         targets = [entry(name, "127.0.0.1:1", boot_ms=boot) for name, boot in boots.items()]
-        self.directory.take({"rev": self.rev, "all": whole, "targets": targets}, cached)
+        self.directory.apply({"rev": self.rev, "all": whole, "targets": targets}, cached)
 
     def unchanged(self) -> None:
         """The list service answers that nothing has changed."""
-        self.directory.take({"rev": self.rev, "all": False, "targets": []})
+        self.directory.apply({"rev": self.rev, "all": False, "targets": []})
 
     def age(self, name: str) -> float:
         """Seconds for which the decisions hold that a server has been warming up."""
@@ -128,7 +128,7 @@
     told.list({"c0": boot}, whole=True)
     forgotten: list[float] = []
     pool = told.directory.pools.pools["c0"]
-    monkeypatch.setattr(pool, "forget_before", forgotten.append)
+    monkeypatch.setattr(pool, "close_opened_before", forgotten.append)
     clocks.step(where, seconds)
     clocks.wait(1)
     told.list({"c0": boot})
@@ -209,7 +209,7 @@
     told = Told(clocks, monkeypatch)
     told.list({"c0": clocks.boot_ms()}, whole=True)
     forgotten: list[float] = []
-    monkeypatch.setattr(told.directory.pools.pools["c0"], "forget_before", forgotten.append)
+    monkeypatch.setattr(told.directory.pools.pools["c0"], "close_opened_before", forgotten.append)
     clocks.wait(50)
     told.list({"c0": 0})
     assert forgotten == []
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -87,12 +87,12 @@
         told = {**info(), "registryMode": "on_request" if must_ask else "pushed"}
         settings = read_settings(told)
         self.driver = Driver(Balancer(settings, 1), Pools(64, 0.25, 60.0), 100, Figures())
-        self.directory = Directory(read_names(told), 1, self.driver.pools, self.driver.tell)
+        self.directory = Directory(read_names(told), 1, self.driver.pools, self.driver.notify)
         self.watch = Watch(list(endpoints), self.directory, 1, must_ask)
-        self.driver.watch = self.watch.start
-        self.directory.take({"rev": 1, "targets": [entry("c0", "127.0.0.1:1")]}, cached=True)
+        self.driver.start_watch = self.watch.start
+        self.directory.apply({"rev": 1, "targets": [entry("c0", "127.0.0.1:1")]}, cached=True)
         self.took = asyncio.Event()
-        self.directory.took = lambda answer, whole: self.took.set()
+        self.directory.on_update = lambda answer, whole: self.took.set()
         self.watch.start()
 
     async def heard(self, rev: int) -> float:
@@ -185,7 +185,7 @@
             address = await new.start()
             await asyncio.sleep(10 + late / 10)
             moved = loop.time()
-            told.watch.move([address])
+            told.watch.set_endpoints([address])
             assert await told.heard(2) - moved <= TOLD_ANEW
             told.watch.stop()
             for one in (old, new):
@@ -257,8 +257,8 @@
         service = Service()
         told = Told(True, await service.start())
         await asyncio.sleep(60)
-        assert len(service.asked) <= 60 / call_schedule.HOLD + 1
-        assert set(service.holds) == {call_schedule.HOLD}
+        assert len(service.asked) <= 60 / call_schedule.MAX_HOLD + 1
+        assert set(service.holds) == {call_schedule.MAX_HOLD}
         told.watch.stop()
         service.server.close()
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -18,7 +18,7 @@
 from applehub.node.discovery import Directory, ListError
 from applehub.node.driver import Driver
 from applehub.node.figures import Figures
-from applehub.node.http1 import Answer
+from applehub.node.http1 import HttpResponse
 from applehub.node.pool import Pools
 from applehub.node.watch import Watch
 from applehub.policy import Balancer
@@ -115,16 +115,16 @@
     def __init__(self, endpoint: tuple[str, int], must_ask: bool, seed: int = 1) -> None:
         told = {**info(), "registryMode": "on_request" if must_ask else "pushed"}
         self.driver = Driver(Balancer(read_settings(told), seed), Pools(64, 0.25, 60.0), 100, Figures())
-        self.directory = Directory(read_names(told), 1, self.driver.pools, self.driver.tell)
+        self.directory = Directory(read_names(told), 1, self.driver.pools, self.driver.notify)
         self.watch = Watch([endpoint], self.directory, seed, must_ask)
-        self.driver.watch = self.watch.start
+        self.driver.start_watch = self.watch.start
         self.took_at: dict[int, float] = {}  # when each version was first here
         self.took = asyncio.Event()
-        self.directory.took = self._took
-        self.directory.take({"rev": 1, "targets": [entry("c0", "127.0.0.1:1")]}, cached=True)
+        self.directory.on_update = self._took
+        self.directory.apply({"rev": 1, "targets": [entry("c0", "127.0.0.1:1")]}, cached=True)
         self.watch.start()
 
-    def _took(self, answer: Any, whole: bool) -> None:
+    def _took(self, answer: Any, full_list: bool) -> None:
         self.took_at.setdefault(answer["rev"], asyncio.get_running_loop().time())
         self.took.set()
 
@@ -206,7 +206,7 @@
             begun = asyncio.get_running_loop().time()
             last = max([await one.heard(2) for one in hollow])
             # 4.5 s of work; the rest is for pauses after refusals, in which the queue may run empty.
-            assert last - begun <= 4.5 + call_schedule.MOST_PAUSE
+            assert last - begun <= 4.5 + call_schedule.MAX_BACKOFF
             assert service.wasted <= count // 10
 
     play(monkeypatch, test)
@@ -239,10 +239,10 @@
         service.lost = True
         async with routers(service, 1, must_ask=True):
             await asyncio.sleep(120.0)
-            assert service.most_connections <= watch.MOST_CALLS
+            assert service.most_connections <= watch.MAX_CALLS
             assert 40 <= len(service.began) <= 120
             gaps = [later - earlier for earlier, later in zip(service.began, service.began[1:], strict=False)]
-            assert max(gaps[1:]) <= call_schedule.MOST_GAP  # so that its return is seen in time
+            assert max(gaps[1:]) <= call_schedule.OVERDUE_CALL_INTERVAL  # so that its return is seen in time
 
     play(monkeypatch, test)
 
@@ -253,7 +253,7 @@
         service.refuse_all()
         async with routers(service, 1, must_ask=False):
             await asyncio.sleep(60.0)
-            assert 30 <= service.refused <= 60 * watch.CALLS_A_SECOND + watch.BURST
+            assert 30 <= service.refused <= 60 * watch.CALLS_PER_SECOND + watch.CALL_BURST
 
     play(monkeypatch, test)
 
@@ -291,10 +291,10 @@
                 changed[service.rev] = at
                 await asyncio.sleep(apart)
             await router.heard(service.rev)
-            assert len(service.began) - before <= seconds / call_schedule.WATCH_GAP + 2
+            assert len(service.began) - before <= seconds / call_schedule.MIN_WATCH_INTERVAL + 2
             for rev, at in changed.items():
                 heard = min(took for known, took in router.took_at.items() if known >= rev)
-                assert heard - at <= call_schedule.WATCH_GAP + 1e-6
+                assert heard - at <= call_schedule.MIN_WATCH_INTERVAL + 1e-6
 
     play(monkeypatch, test)
 
@@ -303,7 +303,7 @@
     async def test() -> None:
         service = SlowDiscovery()
         async with routers(service, 1, must_ask=False) as (router,):
-            for wait in (3.0, 0.4, call_schedule.WATCH_GAP * 2):
+            for wait in (3.0, 0.4, call_schedule.MIN_WATCH_INTERVAL * 2):
                 await asyncio.sleep(wait)
                 changed = service.change()
                 assert await router.heard(service.rev) == changed
@@ -322,11 +322,11 @@
             await router.heard(service.rev)
             service.change()
             await router.heard(service.rev)  # the next call waits now
-            assert router.watch.resting is not None and not router.watch.calls
+            assert router.watch.idle_connection is not None and not router.watch.calls
             for writer in service.writers:
                 writer.transport.abort()
             changed = service.change()
-            assert await router.heard(service.rev) - changed <= call_schedule.WATCH_GAP + 1e-6
+            assert await router.heard(service.rev) - changed <= call_schedule.MIN_WATCH_INTERVAL + 1e-6
 
     play(monkeypatch, test)
 
@@ -343,14 +343,14 @@
                 for _ in range(2):
                     last.change()
                     await router.heard(last.rev)
-                assert router.watch.resting is not None
+                assert router.watch.idle_connection is not None
                 if last is old:
-                    router.watch.move([await new.start()])
+                    router.watch.set_endpoints([await new.start()])
                     await router.heard(new.rev)
             router.watch.stop()
             await asyncio.sleep(10.0)
             assert not old.connections and not new.connections
-            assert router.watch.resting is None
+            assert router.watch.idle_connection is None
             new.server.close()
 
     play(monkeypatch, test)
@@ -359,22 +359,22 @@
 def test_after_an_answer_that_makes_no_sense_only_a_whole_list_will_do() -> None:
     """The answer to a call beside it, which tells changes alone, may lack what the broken one held."""
     directory = Directory(read_names(info()), 1, Pools(64, 0.25, 60.0), lambda members: None)
-    directory.take({"rev": 1, "targets": [entry("c0", "127.0.0.1:1")]}, cached=True)
+    directory.apply({"rev": 1, "targets": [entry("c0", "127.0.0.1:1")]}, cached=True)
     watched = Watch([("127.0.0.1", 1)], directory, 1, must_ask=False)
     changes = json.dumps({"rev": 2, "all": False, "targets": []}).encode()
     with pytest.raises(ListError):
-        watched._take(Answer(200, {}, bytearray(b'{"rev": 2, "all": false}')), whole=False)
-    watched._take(Answer(200, {}, bytearray(changes)), whole=False)
-    assert watched.unread
-    watched._take(Answer(200, {}, bytearray(changes)), whole=True)
-    assert not watched.unread
+        watched._apply(HttpResponse(200, {}, bytearray(b'{"rev": 2, "all": false}')), full_list=False)
+    watched._apply(HttpResponse(200, {}, bytearray(changes)), full_list=False)
+    assert watched.needs_full_list
+    watched._apply(HttpResponse(200, {}, bytearray(changes)), full_list=True)
+    assert not watched.needs_full_list
 
 
 # The times alone
 
 
 def test_an_answer_time_is_bounded_and_follows_its_samples() -> None:
-    time = AnswerTime(first=2.0, least=0.5, most=4.0)
+    time = AnswerTime(initial=2.0, minimum=0.5, maximum=4.0)
     assert (time.mean, time.timeout) == (2.0, 2.0)
     time.observe(1.0)
     assert (time.mean, time.timeout) == (1.0, 3.0)  # RFC 6298: the mean and 4 times half of it
@@ -404,29 +404,31 @@
 @pytest.mark.parametrize("answer", [0.0, 1.0, 2.0, 2.5, 3.0, 4.0])
 def test_a_silent_watch_is_noticed_while_a_call_in_turn_can_still_be_answered_in_time(answer: float) -> None:
     schedule = CallSchedule(random.Random(1))
-    schedule.begin(0.0)
+    schedule.start(0.0)
     for _ in range(20):
-        schedule.answered(100.0, answer, 0.0, in_turn=True)
-        schedule.answered(100.0, schedule.hold, schedule.hold, in_turn=False)
-    assert schedule.hold == call_schedule.HOLD or answer > 2.0
+        schedule.answered(100.0, answer, 0.0, queued=True)
+        schedule.answered(100.0, schedule.hold, schedule.hold, queued=False)
+    assert schedule.hold == call_schedule.MAX_HOLD or answer > 2.0
     for _ in range(100):
-        noticed = schedule.watch_due(100.0, schedule.hold, False, schedule.spread())
-        assert noticed >= 100.0 + schedule.hold + call_schedule.LATE  # not while it may still be answered
+        noticed = schedule.watch_due(100.0, schedule.hold, False, schedule.jitter())
+        assert (
+            noticed >= 100.0 + schedule.hold + call_schedule.MIN_WATCH_TIMEOUT
+        )  # not while it may still be answered
         assert noticed + answer <= 100.0 + TOLD
 
 
 @pytest.mark.parametrize("answer", [0.0, 0.5, 1.4, 2.0, 3.0, 3.9])
 def test_two_calls_fit_into_the_deadline_and_some_call_is_answered_in_time(answer: float) -> None:
     schedule = CallSchedule(random.Random(1))
-    schedule.begin(0.0)
+    schedule.start(0.0)
     for _ in range(20):
-        schedule.answered(100.0, answer, 0.0, in_turn=True)
-        schedule.answered(100.0, schedule.hold + answer, schedule.hold, in_turn=False)
+        schedule.answered(100.0, answer, 0.0, queued=True)
+        schedule.answered(100.0, schedule.hold + answer, schedule.hold, queued=False)
     for _ in range(100):
-        second = schedule.watch_due(100.0, schedule.hold, False, schedule.spread())
-        third = schedule.call_due(second, schedule.spread())
+        second = schedule.watch_due(100.0, schedule.hold, False, schedule.jitter())
+        third = schedule.call_due(second, schedule.jitter())
         assert third - second <= TOLD - answer  # a change after the second call is answered by the third
-        assert second <= 100.0 + TOLD - max(answer, call_schedule.LEAST_ANSWER)
+        assert second <= 100.0 + TOLD - max(answer, call_schedule.MIN_ANSWER_TIME)
         if answer <= 0.7:
             assert third <= 100.0 + TOLD - answer  # the second may be lost
 
@@ -434,6 +436,6 @@
 def test_pauses_grow_and_are_drawn_from_the_whole_of_their_range() -> None:
     schedule = CallSchedule(random.Random(1))
     for failures, longest in ((1, 0.25), (2, 0.5), (3, 1.0), (4, 1.5), (60, 1.5)):
-        pauses = sorted(schedule.pause(failures) for _ in range(1000))
+        pauses = sorted(schedule.backoff(failures) for _ in range(1000))
         assert 0 <= pauses[0] < longest / 50 and longest * 0.98 < pauses[-1] <= longest
         assert abs(pauses[500] - longest / 2) < longest / 10
