--- a/applehub/node/pool.py
+++ b/applehub/node/pool.py
@@ -205,7 +205,7 @@
             exchange.on_done(AttemptResult(status))
 
     def _request_id(self) -> str:
-        return self.exchange.call.id.decode() if self.exchange is not None else "none"
+        return self.exchange.call.id.decode() if self.exchange is not None else "(none)"
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
--- a/applehub/node/watch.py
+++ b/applehub/node/watch.py
@@ -138,13 +138,13 @@
         # Scheduled for after this task has ended, because start() does nothing while it runs.
         loop.call_soon(self.directory.notify, api.Members(api.ListKind.FAILED, []))
 
-    async def _wait_for_calls(self, timeout: float) -> None:
+    async def _wait_for_calls(self, max_wait: float) -> None:
         """Waits until a call has ended, or for the given number of seconds."""
         tasks = [call.task for call in self.calls if call.task is not None]
         if tasks:
-            await asyncio.wait(tasks, timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(tasks, timeout=max_wait, return_when=asyncio.FIRST_COMPLETED)
         else:
-            await asyncio.sleep(timeout)
+            await asyncio.sleep(max_wait)
 
     def _next_call(self, now: float) -> None:
         """Starts the next call, unless the newest one is not late according to the current response times."""
