--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Loopback peers of the router under test: clients, cache servers, an origin and discovery, all scripted."""
+"""Scripted loopback peers of the router under test: clients, cache servers, an origin and discovery."""
 
 import asyncio
 import contextlib
@@ -17,13 +17,13 @@
 from applehub.node.resp import command
 from applehub.settings import read_ceilings, read_names, read_settings
 
-LET_IN = 16  # clients that a bench lets in during one turn of its loop
-PATIENCE = 20.0  # s; every wait of these tests is on an event, and this long at the most
+ACCEPTS_PER_ITERATION = 16  # clients that a bench accepts per event loop iteration
+WAIT_TIMEOUT = 20.0  # maximum seconds of a wait; every wait ends with an event
 Json = dict[str, Any]
 
 
 def info(**ceilings: Any) -> Json:
-    """Settings as a router is told them."""
+    """Returns router settings as JSON."""
     second = 1_000_000_000
     return {
         "azs": ["a", "b"],
@@ -50,22 +50,22 @@
     }
 
 
-async def soon(what: Callable[[], Any]) -> Any:
-    """Waits until something is so."""
-    async with asyncio.timeout(PATIENCE):
-        while not (value := what()):
+async def wait_until(condition: Callable[[], Any]) -> Any:
+    """Waits until a condition holds; returns its value."""
+    async with asyncio.timeout(WAIT_TIMEOUT):
+        while not (value := condition()):
             await asyncio.sleep(0.005)
         return value
 
 
 class Peer:
-    """A listener that keeps what came and answers as its script says; None: with nothing."""
+    """A listener that records what it receives and answers by a callback; no answer if that returns None."""
 
     def __init__(self, answer: Callable[[Any, asyncio.StreamWriter], bytes | None]) -> None:
         self.answer = answer
-        self.got: list[Any] = []
-        self.lines: list[asyncio.StreamWriter] = []
-        self.ended = 0  # connections that the router closed
+        self.received: list[Any] = []
+        self.writers: list[asyncio.StreamWriter] = []
+        self.closed_connections = 0  # number of connections that the router closed
         self.address = ""
         self.server: asyncio.Server | None = None
 
@@ -74,14 +74,14 @@
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.lines.append(writer)
+        self.writers.append(writer)
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-            while (asked := await self.read(reader)) is not None:
-                self.got.append(asked)
-                answer = self.answer(asked, writer)
+            while (request := await self.read(reader)) is not None:
+                self.received.append(request)
+                answer = self.answer(request, writer)
                 if answer is not None:
                     writer.write(answer)
-        self.ended += 1
+        self.closed_connections += 1
         writer.close()
 
     async def read(self, reader: asyncio.StreamReader) -> Any:
@@ -90,13 +90,13 @@
     async def stop(self) -> None:
         assert self.server is not None
         self.server.close()
-        for line in self.lines:
-            line.transport.abort()
+        for writer in self.writers:
+            writer.transport.abort()
         await self.server.wait_closed()
 
 
 class Cache(Peer):
-    """A cache server; `got` holds the commands as lists of bytes."""
+    """A cache server; `received` holds the commands as lists of bytes."""
 
     async def read(self, reader: asyncio.StreamReader) -> Any:
         count = await reader.readline()
@@ -110,7 +110,7 @@
 
 
 class Web(Peer):
-    """An HTTP server; `got` holds method, target, headers and body."""
+    """An HTTP server; `received` holds tuples of method, target, headers and body."""
 
     async def read(self, reader: asyncio.StreamReader) -> Any:
         line = await reader.readline()
@@ -156,8 +156,8 @@
         self.send(b"C.GET", key, name, info)
 
     async def answer(self) -> Any:
-        """The next answer; None once the router has closed."""
-        async with asyncio.timeout(PATIENCE):
+        """Returns the next answer; None once the router has closed the connection."""
+        async with asyncio.timeout(WAIT_TIMEOUT):
             while True:
                 answer = self.parser.gets()
                 if answer is not False:
@@ -197,25 +197,29 @@
 
 @contextlib.asynccontextmanager
 async def router(
-    cache: Callable[[Any, asyncio.StreamWriter], bytes | None] = lambda asked, line: hit(),
-    origin: Callable[[Any, asyncio.StreamWriter], bytes | None] = lambda asked, line: http(
+    cache: Callable[[Any, asyncio.StreamWriter], bytes | None] = lambda request, writer: hit(),
+    origin: Callable[[Any, asyncio.StreamWriter], bytes | None] = lambda request, writer: http(
         200, b"from origin"
     ),
     entries: Callable[[Cache, Web], list[Json]] | None = None,
     sockets: int = 64,
     **ceilings: Any,
 ) -> AsyncIterator[Bench]:
-    """One router with one cache server and one origin, wired as the program does it."""
+    """Runs a router with one cache server and one origin, connected as in the program."""
     from applehub.policy import Balancer
 
     peers = Cache(cache), Web(origin)
     for peer in peers:
         await peer.start()
-    told = info(**ceilings)
-    settings, limits, names = read_settings(told), read_ceilings(told), read_names(told)
+    settings_json = info(**ceilings)
+    settings, limits, names = (
+        read_settings(settings_json),
+        read_ceilings(settings_json),
+        read_names(settings_json),
+    )
     pools = Pools(sockets, limits.dial_timeout / 1e9, limits.keepalive / 1e9)
     driver = Driver(Balancer(settings, 1), pools, limits.most_held, Figures())
-    clients = Clients(driver, names, Places(sockets, max(4, sockets // 8), LET_IN, sockets))
+    clients = Clients(driver, names, Places(sockets, max(4, sockets // 8), ACCEPTS_PER_ITERATION, sockets))
     directory = Directory(names, 1, pools, driver.notify)
     clients.can_serve = lambda: directory.can_serve
     listed = [entry("c0", peers[0].address), entry("o", peers[1].address, model="origin")]
--- a/tests/test_begins.py
+++ b/tests/test_attempt_start.py
@@ -1,5 +1,8 @@
-"""Whether an attempt that waits for its connection still begins: its server may drain by then, its client be
-gone, its repeat's window be over. The connection comes up at a moment that the test holds."""
+"""Attempts that wait for their connection: whether they start once it is established.
+
+Meanwhile the server may start to drain, the client may disconnect, or the window for a retry may end. The
+tests control when the connection is established.
+"""
 
 import asyncio
 import time
@@ -12,61 +15,61 @@
 from applehub import interface as api
 from applehub.node.pool import Connection, Pool
 
-DIAL = 1.5  # s that a connection to a cache server may take to come up
+CONNECT_TIME = 1.5  # seconds that a connection to a server takes to be established
 
 
-def slow_dials(monkeypatch: pytest.MonkeyPatch, delay: float = DIAL) -> list[int]:
-    """From now on each connection to a server takes so long; gives the ports dialled, in order."""
-    dial = Pool._dial
-    dialled: list[int] = []
+def delay_connects(monkeypatch: pytest.MonkeyPatch, delay: float = CONNECT_TIME) -> list[int]:
+    """Delays all later connections to servers; returns the ports connected to, in order."""
+    connect = Pool._dial
+    connected_ports: list[int] = []
 
-    async def slowly(pool: Pool, connection: Connection) -> None:
-        dialled.append(pool.endpoint[1])
+    async def connect_slowly(pool: Pool, connection: Connection) -> None:
+        connected_ports.append(pool.endpoint[1])
         await asyncio.sleep(delay)
-        await dial(pool, connection)
+        await connect(pool, connection)
 
-    monkeypatch.setattr(Pool, "_dial", slowly)
-    return dialled
+    monkeypatch.setattr(Pool, "_dial", connect_slowly)
+    return connected_ports
 
 
-def change(bench: Bench, rev: int, **fields: Any) -> None:
-    told = entry("c0", bench.cache.address, **fields)
-    bench.directory.apply({"rev": rev, "all": False, "targets": [told]})
+def update_server(bench: Bench, rev: int, **fields: Any) -> None:
+    changed = entry("c0", bench.cache.address, **fields)
+    bench.directory.apply({"rev": rev, "all": False, "targets": [changed]})
 
 
 @pytest.mark.parametrize(
-    "how", [{"state": "Terminating"}, {"state": "Gone"}, {"endpoint": "127.0.0.1:1"}], ids=str
+    "changes", [{"state": "Terminating"}, {"state": "Gone"}, {"endpoint": "127.0.0.1:1"}], ids=str
 )
-@pytest.mark.parametrize("late", [0.0, 0.7, 1.49])
-def test_nothing_begins_at_a_server_that_drains_while_its_dial_lasts(
-    monkeypatch: pytest.MonkeyPatch, how: dict[str, str], late: float
+@pytest.mark.parametrize("delay", [0.0, 0.7, 1.49])
+def test_server_removed_during_connect_receives_no_attempt(
+    monkeypatch: pytest.MonkeyPatch, changes: dict[str, str], delay: float
 ) -> None:
-    """A drain told during a dial: the attempt was written when that came up, up to 1.5 s later."""
 
     async def test() -> None:
-        slow_dials(monkeypatch)
+        delay_connects(monkeypatch)
         async with router() as bench:
             caller = await bench.caller()
             caller.get()
-            await asyncio.sleep(late)
-            change(bench, 6, **how)
-            # Nothing ran: it is refused, or read from the origin, and never waits for that dial.
-            begun = asyncio.get_running_loop().time()
+            await asyncio.sleep(delay)
+            update_server(bench, 6, **changes)
+            # Nothing was executed, so the request is rejected or served by the origin, without waiting for
+            # the connection.
+            started_at = asyncio.get_running_loop().time()
             answer = await caller.answer()
             assert answer == b"from origin" or str(answer).startswith("BUSY")
-            assert asyncio.get_running_loop().time() - begun <= DIAL + 0.1
-            await asyncio.sleep(2 * DIAL)
-            assert not bench.cache.got
+            assert asyncio.get_running_loop().time() - started_at <= CONNECT_TIME + 0.1
+            await asyncio.sleep(2 * CONNECT_TIME)
+            assert not bench.cache.received
             assert all(pool.connections == set() for name, pool in bench.pools.pools.items() if name != "o")
 
     play(monkeypatch, test)
 
 
-def test_what_a_drain_hands_back_goes_where_the_new_list_leads(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The pools were told first: what they gave back was decided on by the list of before."""
+def test_attempt_cancelled_by_drain_goes_to_another_server(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Attempts that the pools cancel are decided on by the new list."""
 
     async def test() -> None:
-        slow_dials(monkeypatch)
+        delay_connects(monkeypatch)
         two = ["c0", "c1"]
         async with router(entries=lambda cache, _: [entry(name, cache.address) for name in two]) as bench:
             caller = await bench.caller()
@@ -77,14 +80,16 @@
             bench.directory.apply({"rev": 6, "all": False, "targets": [gone]})
             assert await caller.answer() == b"v"
             (other,) = [name for name, pool in bench.pools.pools.items() if pool.connections]
-            assert other != first and len(bench.cache.got) == 1
+            assert other != first and len(bench.cache.received) == 1
 
     play(monkeypatch, test)
 
 
-def test_nothing_begins_at_a_server_left_out_by_hand_meanwhile(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_server_excluded_by_operator_during_connect_receives_no_attempt(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
-        slow_dials(monkeypatch)
+        delay_connects(monkeypatch)
         async with router() as bench:
             caller = await bench.caller()
             caller.get()
@@ -93,32 +98,31 @@
             bench.directory.set_excluded("c0", True)
             answer = await caller.answer()
             assert answer == b"from origin" or str(answer).startswith("BUSY")
-            await asyncio.sleep(2 * DIAL)
-            assert not bench.cache.got
+            await asyncio.sleep(2 * CONNECT_TIME)
+            assert not bench.cache.received
 
     play(monkeypatch, test)
 
 
-@pytest.mark.parametrize("late", [0.0, 0.7, 1.49])
+@pytest.mark.parametrize("delay", [0.0, 0.7, 1.49])
 @pytest.mark.parametrize("write", [False, True])
-def test_nothing_begins_for_a_client_that_has_left_while_its_connection_comes_up(
-    monkeypatch: pytest.MonkeyPatch, write: bool, late: float
+def test_attempt_of_disconnected_client_is_not_written(
+    monkeypatch: pytest.MonkeyPatch, write: bool, delay: float
 ) -> None:
-    """Its attempt was written when the dial came up, up to 1.5 s after the client had gone."""
 
     async def test() -> None:
-        slow_dials(monkeypatch)
+        delay_connects(monkeypatch)
         async with router() as bench:
             caller = await bench.caller()
             if write:
                 caller.send(b"C.SET", b"k", b"i1", b"c=put,t=acme,d=9000,k=1", b"value")
             else:
                 caller.get()
-            await asyncio.sleep(late)
+            await asyncio.sleep(delay)
             caller.writer.close()
-            await asyncio.sleep(2 * DIAL)
-            assert not bench.cache.got and not bench.origin.got and not bench.driver.requests
-            # It can be used again by who comes after.
+            await asyncio.sleep(2 * CONNECT_TIME)
+            assert not bench.cache.received and not bench.origin.received and not bench.driver.requests
+            # The next client's request is served.
             other = await bench.caller()
             other.get(name=b"i2")
             assert await other.answer() == b"v"
@@ -127,35 +131,33 @@
 
 
 @pytest.mark.parametrize("window", [1.0, 2.0])
-def test_a_repeat_does_not_begin_once_the_window_of_its_first_attempt_is_over(
-    monkeypatch: pytest.MonkeyPatch, window: float
-) -> None:
-    """The decision was made within the window and its dial outlasted it: the write ran twice."""
+def test_retry_is_not_started_after_its_window(monkeypatch: pytest.MonkeyPatch, window: float) -> None:
+    """A retry is not started if its connection is established after the window."""
 
     async def test() -> None:
-        async with router(origin=lambda asked, line: line.transport.abort()) as bench:
+        async with router(origin=lambda request, writer: writer.transport.abort()) as bench:
             settings = bench.driver.balancer.settings
             settings.classes[1].window = int(window * 1e9)
             caller = await bench.caller()
-            begun = time.monotonic_ns()
+            started_at = time.monotonic_ns()
             caller.send(b"C.SET", b"k", b"i1", b"c=put,t=acme,d=9000,k=1", b"value")
             await asyncio.sleep(0.01)
-            assert len(bench.origin.got) == 1
-            dialled = slow_dials(monkeypatch)
+            assert len(bench.origin.received) == 1
+            connected_ports = delay_connects(monkeypatch)
             answer = await caller.answer()
-            assert dialled and str(answer) in ("ERR failed", "BUSY")
-            assert len(bench.origin.got) == (1 if window < DIAL else 2)
-            assert time.monotonic_ns() - begun < 9e9
+            assert connected_ports and str(answer) in ("ERR failed", "BUSY")
+            assert len(bench.origin.received) == (1 if window < CONNECT_TIME else 2)
+            assert time.monotonic_ns() - started_at < 9e9
 
     play(monkeypatch, test)
 
 
-def test_an_origin_read_whose_connection_broke_before_it_was_written_is_read_again(
+def test_origin_read_is_retried_if_connection_breaks_before_write(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        async with router(lambda asked, line: MISS) as bench:
-            dial = Pool._dial
+        async with router(lambda request, writer: MISS) as bench:
+            connect = Pool._dial
             broken: list[Connection] = []
 
             async def breaks_once(pool: Pool, connection: Connection) -> None:
@@ -164,46 +166,46 @@
                     connection.accepted = True
                     connection.handle_loss()
                     return
-                await dial(pool, connection)
+                await connect(pool, connection)
 
             monkeypatch.setattr(Pool, "_dial", breaks_once)
             caller = await bench.caller()
             caller.get()
             assert await caller.answer() == b"from origin"
-            assert len(broken) == 1 and len(bench.origin.got) == 1
+            assert len(broken) == 1 and len(bench.origin.received) == 1
 
     play(monkeypatch, test)
 
 
-def test_an_attempt_that_has_begun_is_finished_though_its_server_drains(
+def test_started_attempt_completes_while_server_drains(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        async with router(lambda asked, line: None) as bench:
+        async with router(lambda request, writer: None) as bench:
             caller = await bench.caller()
             caller.get()
             await asyncio.sleep(0.01)
-            change(bench, 6, state="Terminating")
+            update_server(bench, 6, state="Terminating")
             await asyncio.sleep(1.0)
-            bench.cache.lines[0].write(hit())
+            bench.cache.writers[0].write(hit())
             assert await caller.answer() == b"v"
 
     play(monkeypatch, test)
 
 
-def test_departures_during_a_slow_dial_to_the_origin_say_nothing_of_its_health(
+def test_disconnects_during_slow_origin_connect_do_not_start_throttle(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each counted as a read that the origin failed, and a burst of them turned the throttle on."""
+    """Requests cancelled by their clients do not count as failures of the origin."""
 
     async def test() -> None:
-        async with router(lambda asked, line: MISS) as bench:
-            dial = Pool._dial
+        async with router(lambda request, writer: MISS) as bench:
+            connect = Pool._dial
 
             async def slow_origin(pool: Pool, connection: Connection) -> None:
                 if pool is bench.pools.pools["o"]:
-                    await asyncio.sleep(DIAL)
-                await dial(pool, connection)
+                    await asyncio.sleep(CONNECT_TIME)
+                await connect(pool, connection)
 
             monkeypatch.setattr(Pool, "_dial", slow_origin)
             monitor = bench.driver.balancer.monitor
@@ -214,6 +216,6 @@
                 caller.writer.close()
                 await asyncio.sleep(0.01)
                 assert monitor.bad == 0 and monitor.throttle is None
-            assert not bench.origin.got and not bench.driver.requests
+            assert not bench.origin.received and not bench.driver.requests
 
     play(monkeypatch, test)
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -1,5 +1,8 @@
-"""Connections that this machine can't open, by each system call and error: on real sockets, with a clock that
-the test holds. No server is to blame, and what was asked is served as soon as the machine is well."""
+"""Connections that cannot be opened because of this machine, by system call and error.
+
+The tests use real sockets and a simulated clock. No server is blamed, and requests are served as soon as the
+machine has recovered.
+"""
 
 import asyncio
 from typing import Any, cast
@@ -12,7 +15,7 @@
 from applehub.lab.fleet.system_call_faults import SystemCall, SystemCallFault, SystemCallFaults
 from applehub.policy.servers import Server
 
-LOCAL = [
+LOCAL_ERRORS = [
     ("socket", "EMFILE"),
     ("socket", "ENFILE"),
     ("socket", "ENOBUFS"),
@@ -21,22 +24,22 @@
     ("connect", "ENOBUFS"),
     ("connect", "EAGAIN"),
 ]
-NO_WAY = [
+NO_ROUTE_ERRORS = [
     ("connect", "ENETUNREACH"),
     ("connect", "ENETDOWN"),
     ("connect", "EHOSTUNREACH"),
     ("getsockopt", "EHOSTUNREACH"),
 ]
-LASTS = 0.3  # s that the machine is short of something
+FAULT_DURATION = 0.3  # seconds that the fault lasts
 CALLERS = 300
-SOON = 0.06  # s: the longest wait between two tries, and the time of an answer
+MAX_RECOVERY_TIME = 0.06  # seconds; the longest backoff plus the time of an answer
 
 
 def server(bench: Bench, name: str = "c0") -> Server:
     return bench.driver.balancer.roster.servers[name]
 
 
-def blamed(bench: Bench) -> list[str]:
+def servers_with_failures(bench: Bench) -> list[str]:
     servers = bench.driver.balancer.roster.servers
     return [name for name, one in servers.items() if one.fails or one.breaks or one.refusals or one.silences]
 
@@ -45,89 +48,100 @@
     return SystemCallFault(cast(SystemCall, call), error, **when)
 
 
-async def ask_all(bench: Bench, callers: list[Caller], what: bytes = b"get") -> None:
-    """Each of them asks for a key of its own, a few at once: more of them would be refused as a burst."""
+async def send_requests(bench: Bench, callers: list[Caller], operation: bytes = b"get") -> None:
+    """Sends one request per client, each with its own key.
+
+    The requests are sent in small groups, because a burst would be rejected.
+    """
     for n, caller in enumerate(callers):
         if n % 4 == 0:
             await asyncio.sleep(0.001)
-        if what == b"get":
+        if operation == b"get":
             caller.get(b"k%d" % n, b"i%d" % n)
         else:
-            caller.send(b"C.SET", b"k%d" % n, b"i%d" % n, b"c=%b,t=acme,d=9000,k=1" % what, b"value")
+            caller.send(b"C.SET", b"k%d" % n, b"i%d" % n, b"c=%b,t=acme,d=9000,k=1" % operation, b"value")
     await asyncio.sleep(0.01)
 
 
-@pytest.mark.parametrize(("call", "error"), LOCAL + NO_WAY)
-@pytest.mark.parametrize("what", [b"get", b"put", b"once"])
-def test_a_healthy_server_is_served_again_at_once(
-    monkeypatch: pytest.MonkeyPatch, call: str, error: str, what: bytes
+@pytest.mark.parametrize(("call", "error"), LOCAL_ERRORS + NO_ROUTE_ERRORS)
+@pytest.mark.parametrize("operation", [b"get", b"put", b"once"])
+def test_healthy_server_is_used_at_once_after_local_failure(
+    monkeypatch: pytest.MonkeyPatch, call: str, error: str, operation: bytes
 ) -> None:
-    """Connects that failed here counted as the server's refusals: it was served again 2.3 s later."""
+    """Connects that fail on this machine do not count as failures of the server."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
         async with router() as bench:
             callers = [await bench.caller() for _ in range(7)]
             with SystemCallFaults(fault(call, error)) as faults:
-                await ask_all(bench, callers[:6], what)
-                await asyncio.sleep(LASTS)
-                assert faults.count() >= 6 and not bench.cache.got and not bench.origin.got
-                assert not blamed(bench) and not any(pool.idle for pool in bench.pools.pools.values())
-            well = loop.time()
+                await send_requests(bench, callers[:6], operation)
+                await asyncio.sleep(FAULT_DURATION)
+                assert faults.count() >= 6 and not bench.cache.received and not bench.origin.received
+                assert not servers_with_failures(bench) and not any(
+                    pool.idle for pool in bench.pools.pools.values()
+                )
+            recovered_at = loop.time()
             callers[6].get(b"new", b"new")
             assert await callers[6].answer() == b"v"
-            assert loop.time() - well < SOON
-            want = b"v" if what == b"get" else b"from origin"
-            assert [await caller.answer() for caller in callers[:6]] == [want] * 6
-            assert loop.time() - well < 2 * SOON
-            assert not blamed(bench)
+            assert loop.time() - recovered_at < MAX_RECOVERY_TIME
+            expected = b"v" if operation == b"get" else b"from origin"
+            assert [await caller.answer() for caller in callers[:6]] == [expected] * 6
+            assert loop.time() - recovered_at < 2 * MAX_RECOVERY_TIME
+            assert not servers_with_failures(bench)
 
     play(monkeypatch, test)
 
 
-@pytest.mark.parametrize(("call", "error"), [LOCAL[4], NO_WAY[0]])
-def test_an_answer_that_is_refused_says_that_nothing_ran(
+@pytest.mark.parametrize(("call", "error"), [LOCAL_ERRORS[4], NO_ROUTE_ERRORS[0]])
+def test_request_is_rejected_in_time_while_local_failure_lasts(
     monkeypatch: pytest.MonkeyPatch, call: str, error: str
 ) -> None:
-    """The machine stays as it is, so the request is refused in its time, once."""
+    """While the fault lasts, a request is rejected once, within its deadline."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
         async with router() as bench:
             caller, other = await bench.caller(), await bench.caller()
             with SystemCallFaults(fault(call, error)) as faults:
-                begun = loop.time()
+                started_at = loop.time()
                 caller.send(b"C.SET", b"k", b"i1", b"c=once,t=acme,d=900,k=1", b"value")
                 other.get(name=b"i2", info=b"c=read,t=acme,d=900")
                 for one in (caller, other):
                     assert str(await one.answer()).startswith("BUSY")
-                assert loop.time() - begun < 0.9
-                tries = faults.count()
-                assert tries <= 2 * 2 + 0.9 / 0.025 + 8
+                assert loop.time() - started_at < 0.9
+                connects = faults.count()
+                assert connects <= 2 * 2 + 0.9 / 0.025 + 8
                 await asyncio.sleep(5.0)
-                assert faults.count() == tries
-            assert not bench.origin.got and not bench.cache.got and not bench.driver.requests
+                assert faults.count() == connects
+            assert not bench.origin.received and not bench.cache.received and not bench.driver.requests
 
     play(monkeypatch, test)
 
 
 @pytest.mark.parametrize("peer", ["quick", "slow", "refuses"])
-@pytest.mark.parametrize(("call", "error"), [LOCAL[0], LOCAL[4], LOCAL[6], NO_WAY[0]])
-def test_hundreds_of_callers_make_few_tries_together(
+@pytest.mark.parametrize(
+    ("call", "error"), [LOCAL_ERRORS[0], LOCAL_ERRORS[4], LOCAL_ERRORS[6], NO_ROUTE_ERRORS[0]]
+)
+def test_waiting_requests_share_few_connects(
     monkeypatch: pytest.MonkeyPatch, call: str, error: str, peer: str
 ) -> None:
-    """The server answers at once; or is slow and turns some away, so that as many are served as of a burst on
-    a machine that is well; or refuses connections for a while, which is its own trouble."""
+    """Many waiting requests share few connection attempts, whatever state the server is in after the fault.
+
+    quick: the server answers at once.
+    slow: it rejects some requests, so that as many are served as in a burst without the fault.
+    refuses: it refuses connections for a while, which counts as its own failure.
+    """
     answered = 0
 
-    def slow(asked: Any, line: asyncio.StreamWriter) -> None:
+    def slow(request: Any, writer: asyncio.StreamWriter) -> None:
         nonlocal answered
         answered += 1
         answer = b"-BUSY\r\n" if answered % 10 == 0 else hit()
-        asyncio.get_running_loop().call_later(0.05, line.write, answer)
+        asyncio.get_running_loop().call_later(0.05, writer.write, answer)
 
-    async def answers(bench: Bench, callers: list[Caller]) -> int:
-        """How many are served; the others are refused."""
+    async def count_served(bench: Bench, callers: list[Caller]) -> int:
+        """Returns how many requests are served; all others are rejected."""
         async with asyncio.timeout(2.0):
             all_answers = [await caller.answer() for caller in callers]
         served = sum(one in (b"v", b"from origin") for one in all_answers)
@@ -136,40 +150,40 @@
         return served
 
     async def test() -> None:
-        answer = slow if peer == "slow" else (lambda asked, line: hit())
+        answer = slow if peer == "slow" else (lambda request, writer: hit())
         async with router(answer, sockets=2048) as bench:
             callers = [await bench.caller() for _ in range(CALLERS)]
-            await ask_all(bench, callers)
-            well = await answers(bench, callers)
+            await send_requests(bench, callers)
+            baseline = await count_served(bench, callers)
         async with router(answer, sockets=2048) as bench:
             callers = [await bench.caller() for _ in range(CALLERS)]
             with SystemCallFaults(fault(call, error)) as faults:
-                await ask_all(bench, callers)
+                await send_requests(bench, callers)
                 first = faults.count()
                 assert CALLERS <= first <= 3 * CALLERS
-                await asyncio.sleep(LASTS)
+                await asyncio.sleep(FAULT_DURATION)
                 assert faults.count() - first <= 30
-                refused = fault("connect", "ECONNREFUSED", peer=bench.cache.address, for_s=0.2)
-                faults.replace(*([refused] if peer == "refuses" else []))
-                served = await answers(bench, callers)
+                refusal = fault("connect", "ECONNREFUSED", peer=bench.cache.address, for_s=0.2)
+                faults.replace(*([refusal] if peer == "refuses" else []))
+                served = await count_served(bench, callers)
                 assert faults.count("connect", "ECONNREFUSED") <= 16
-            assert served >= {"quick": CALLERS, "slow": well, "refuses": 0}[peer]
-            assert blamed(bench) == (["c0"] if peer == "refuses" else [])
-            assert len(bench.cache.got) <= 1.2 * CALLERS
+            assert served >= {"quick": CALLERS, "slow": baseline, "refuses": 0}[peer]
+            assert servers_with_failures(bench) == (["c0"] if peer == "refuses" else [])
+            assert len(bench.cache.received) <= 1.2 * CALLERS
 
     play(monkeypatch, test)
 
 
-def test_a_server_to_which_no_way_leads_alone_is_left_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Connections to the others come up meanwhile; each request for it goes to another at once."""
+def test_single_unreachable_server_is_avoided(monkeypatch: pytest.MonkeyPatch) -> None:
+    """If only one server is unreachable, each of its requests is sent to another server at once."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        origin = Web(lambda asked, line: http(200, b"other"))
+        origin = Web(lambda request, writer: http(200, b"other"))
         await origin.start()
 
         def listed(cache: Any, web: Any) -> list[dict[str, Any]]:
-            # Each under an address of its own, so that a fault can strike one.
+            # Each server has its own address, so that a fault can affect one of them.
             port = cache.address.rpartition(":")[2]
             caches = [entry(f"c{n}", f"127.0.0.{n + 1}:{port}") for n in range(4)]
             return [*caches, entry("o", web.address, model="origin")]
@@ -177,19 +191,19 @@
         monkeypatch.setattr("peers.Cache.start", _start_everywhere)
         async with router(entries=listed) as bench:
             callers = [await bench.caller() for _ in range(60)]
-            bench.pools.set_timeouts(20.0, 0.01)  # connections don't rest, so each attempt opens one
+            bench.pools.set_timeouts(20.0, 0.01)  # idle connections are not reused, so each attempt opens one
             with SystemCallFaults(fault("connect", "ENETUNREACH", peer="127.0.0.2:*")) as faults:
                 for n, caller in enumerate(callers):
                     caller.get(b"k%d" % n, b"i%d" % n)
-                    begun = loop.time()
+                    started_at = loop.time()
                     assert await caller.answer() == b"v"
-                    assert loop.time() - begun < SOON
+                    assert loop.time() - started_at < MAX_RECOVERY_TIME
                     await asyncio.sleep(0.02)
                     for pool in bench.pools.pools.values():
                         for one in list(pool.idle):
                             one.close()
                 assert 3 <= faults.count() <= 4
-            assert blamed(bench) == ["c1"]
+            assert servers_with_failures(bench) == ["c1"]
         await origin.stop()
 
     play(monkeypatch, test)
@@ -200,25 +214,25 @@
     peer.address = f"127.0.0.1:{peer.server.sockets[0].getsockname()[1]}"
 
 
-def test_a_connection_that_came_up_is_told_with_the_first_attempt_alone(
+def test_new_connection_is_reported_with_first_attempt_only(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
         async with router() as bench:
-            told: list[tuple[api.Status, bool]] = []
+            outcomes: list[tuple[api.Status, bool]] = []
             handle = bench.driver.balancer.handle
 
-            def watching(now: int, event: api.Event) -> list[api.Action]:
+            def recording_handle(now: int, event: api.Event) -> list[api.Action]:
                 if isinstance(event, api.Outcome):
-                    told.append((event.status, event.connected))
+                    outcomes.append((event.status, event.connected))
                 return handle(now, event)
 
-            monkeypatch.setattr(bench.driver.balancer, "handle", watching)
+            monkeypatch.setattr(bench.driver.balancer, "handle", recording_handle)
             caller = await bench.caller()
             for n in range(3):
                 caller.get(name=b"i%d" % n)
                 assert await caller.answer() == b"v"
                 await asyncio.sleep(0.1)
-            assert told == [(api.Status.OK, True), (api.Status.OK, False), (api.Status.OK, False)]
+            assert outcomes == [(api.Status.OK, True), (api.Status.OK, False), (api.Status.OK, False)]
 
     play(monkeypatch, test)
--- /dev/null
+++ b/tests/test_list_propagation.py
@@ -0,0 +1,271 @@
+"""A change of the list reaches a router within 6 s, or within 4 s after SIGHUP, whatever calls fail."""
+
+import asyncio
+import contextlib
+import json
+from typing import Any
+from urllib.parse import parse_qs, urlsplit
+
+import pytest
+from peers import entry, http, info
+from virtual import play
+
+from applehub.node import call_schedule
+from applehub.node.discovery import Directory
+from applehub.node.driver import Driver
+from applehub.node.figures import Figures
+from applehub.node.pool import Pools
+from applehub.node.watch import Watch
+from applehub.policy import Balancer
+from applehub.settings import read_names, read_settings
+
+CHANGE_DEADLINE, RELOAD_DEADLINE = 6.0, 4.0  # seconds from a change, and from SIGHUP
+ANSWERING, SILENT, TRICKLING, DOWN, CUT_OFF = "answers", "silent", "trickling", "503", "cut off"
+
+
+class FaultyDiscovery:
+    """Discovery that holds long polls and can misbehave.
+
+    behaviours: what each call does, in order; the last one stays.
+    """
+
+    def __init__(self) -> None:
+        self.rev, self.behaviours = 1, [ANSWERING]
+        self.call_times: list[float] = []
+        self.holds: list[float] = []
+        self.change_event, self.call_event = asyncio.Event(), asyncio.Event()
+
+    async def start(self) -> tuple[str, int]:
+        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+        host, port = self.server.sockets[0].getsockname()[:2]
+        return host, port
+
+    def change(self) -> None:
+        self.rev += 1
+        self.change_event.set()
+        self.change_event = asyncio.Event()
+
+    def _next_behaviour(self) -> str:
+        return self.behaviours.pop(0) if len(self.behaviours) > 1 else self.behaviours[0]
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        with contextlib.suppress(OSError, asyncio.IncompleteReadError):
+            while head := await reader.readuntil(b"\r\n\r\n"):
+                query = parse_qs(urlsplit(head.split()[1].decode()).query)
+                since, hold = int(query.get("from", ["-1"])[0]), int(query.get("hold_ms", ["0"])[0]) / 1000
+                self.call_times.append(asyncio.get_running_loop().time())
+                self.holds.append(hold)
+                self.call_event.set()
+                if await self._answer(writer, self._next_behaviour(), since, hold):
+                    break
+        writer.transport.abort()
+
+    async def _answer(self, writer: asyncio.StreamWriter, behaviour: str, since: int, hold: float) -> bool:
+        """Answers a call; returns whether the connection ends."""
+        if behaviour == ANSWERING and since == self.rev:
+            with contextlib.suppress(TimeoutError):
+                await asyncio.wait_for(self.change_event.wait(), hold)
+        update = {"rev": self.rev, "all": since < 0, "targets": [entry("c0", f"127.0.0.1:{self.rev}")]}
+        response = http(200, json.dumps(update).encode())
+        if behaviour == ANSWERING:
+            writer.write(response)
+        elif behaviour == SILENT:
+            await asyncio.Event().wait()
+        elif behaviour == TRICKLING:
+            for at in range(len(response) - 1):
+                if writer.transport.is_closing():
+                    return True
+                writer.write(response[at : at + 1])
+                await asyncio.sleep(0.3)
+        elif behaviour == DOWN:
+            writer.write(http(503))
+        return behaviour == CUT_OFF
+
+
+class WatchHarness:
+    """A watch with its directory and balancer."""
+
+    def __init__(self, must_ask: bool, *endpoints: tuple[str, int]) -> None:
+        settings_json = {**info(), "registryMode": "on_request" if must_ask else "pushed"}
+        settings = read_settings(settings_json)
+        self.driver = Driver(Balancer(settings, 1), Pools(64, 0.25, 60.0), 100, Figures())
+        self.directory = Directory(read_names(settings_json), 1, self.driver.pools, self.driver.notify)
+        self.watch = Watch(list(endpoints), self.directory, 1, must_ask)
+        self.driver.start_watch = self.watch.start
+        self.directory.apply({"rev": 1, "targets": [entry("c0", "127.0.0.1:1")]}, cached=True)
+        self.applied = asyncio.Event()
+        self.directory.on_update = lambda answer, whole: self.applied.set()
+        self.watch.start()
+
+    async def wait_for_version(self, rev: int) -> float:
+        """Waits until a version is applied; returns the time."""
+        async with asyncio.timeout(60):
+            while self.directory.rev < rev:
+                self.applied.clear()
+                await self.applied.wait()
+        return asyncio.get_running_loop().time()
+
+
+async def wait_for_calls(service: FaultyDiscovery, calls: int) -> None:
+    async with asyncio.timeout(60):
+        while len(service.call_times) < calls:
+            service.call_event.clear()
+            await service.call_event.wait()
+
+
+@pytest.mark.parametrize("must_ask", [False, True])
+@pytest.mark.parametrize(
+    "behaviours",
+    [
+        [SILENT, ANSWERING],
+        [SILENT, SILENT, ANSWERING],
+        [SILENT, DOWN, DOWN, ANSWERING],
+        [SILENT, CUT_OFF, ANSWERING],
+        [TRICKLING, ANSWERING],
+        [TRICKLING, TRICKLING, ANSWERING],
+        [CUT_OFF, SILENT, ANSWERING],
+        [DOWN, SILENT, ANSWERING],
+        [ANSWERING, SILENT, ANSWERING],
+    ],
+    ids=" then ".join,
+)
+def test_change_after_failed_call_arrives_in_time(
+    monkeypatch: pytest.MonkeyPatch, behaviours: list[str], must_ask: bool
+) -> None:
+    async def test() -> None:
+        service = FaultyDiscovery()
+        service.behaviours = list(behaviours)
+        harness = WatchHarness(must_ask, await service.start())
+        await wait_for_calls(service, 1 + (behaviours[0] == ANSWERING))
+        changed_at = asyncio.get_running_loop().time()
+        service.rev += 1  # a silent watch does not receive it
+        if behaviours[0] == ANSWERING:
+            service.change()
+        assert await harness.wait_for_version(service.rev) - changed_at <= CHANGE_DEADLINE
+        harness.watch.stop()
+        service.server.close()
+
+    play(monkeypatch, test)
+
+
+@pytest.mark.parametrize("must_ask", [False, True])
+@pytest.mark.parametrize("outage", [DOWN, CUT_OFF, SILENT, TRICKLING])
+@pytest.mark.parametrize("after", [[ANSWERING], [SILENT, ANSWERING]], ids=" then ".join)
+def test_change_during_outage_arrives_in_time_after_recovery(
+    monkeypatch: pytest.MonkeyPatch, outage: str, after: list[str], must_ask: bool
+) -> None:
+    """Discovery recovers at various moments between the failed calls."""
+
+    async def test() -> None:
+        loop = asyncio.get_running_loop()
+        for delay in range(0, 40, 5):
+            service = FaultyDiscovery()
+            service.behaviours = [outage]
+            harness = WatchHarness(must_ask, await service.start())
+            await asyncio.sleep(20 + delay / 10)
+            service.rev += 1
+            service.behaviours, recovered_at = list(after), loop.time()
+            assert await harness.wait_for_version(2) - recovered_at <= CHANGE_DEADLINE
+            harness.watch.stop()
+            service.server.close()
+
+    play(monkeypatch, test)
+
+
+@pytest.mark.parametrize("must_ask", [False, True])
+@pytest.mark.parametrize("before", [ANSWERING, SILENT, DOWN])
+@pytest.mark.parametrize(
+    "after",
+    [[ANSWERING], [SILENT, ANSWERING], [TRICKLING, ANSWERING], [CUT_OFF, ANSWERING]],
+    ids=" then ".join,
+)
+def test_list_of_new_address_arrives_in_time_after_reload(
+    monkeypatch: pytest.MonkeyPatch, before: str, after: list[str], must_ask: bool
+) -> None:
+    async def test() -> None:
+        loop = asyncio.get_running_loop()
+        for delay in range(0, 40, 7):
+            old, new = FaultyDiscovery(), FaultyDiscovery()
+            old.behaviours, new.behaviours, new.rev = [before], list(after), 2
+            harness = WatchHarness(must_ask, await old.start())
+            address = await new.start()
+            await asyncio.sleep(10 + delay / 10)
+            moved_at = loop.time()
+            harness.watch.set_endpoints([address])
+            assert await harness.wait_for_version(2) - moved_at <= RELOAD_DEADLINE
+            harness.watch.stop()
+            for one in (old, new):
+                one.server.close()
+
+    play(monkeypatch, test)
+
+
+@pytest.mark.parametrize("must_ask", [False, True])
+def test_connect_that_never_completes_is_replaced_in_time(
+    monkeypatch: pytest.MonkeyPatch, must_ask: bool
+) -> None:
+    async def test() -> None:
+        loop = asyncio.get_running_loop()
+        service = FaultyDiscovery()
+        address = await service.start()
+        connect, connect_count = loop.create_connection, 0
+
+        async def first_never(*args: Any, **more: Any) -> Any:
+            nonlocal connect_count
+            connect_count += 1
+            if connect_count <= 2:
+                await asyncio.Event().wait()
+            return await connect(*args, **more)
+
+        monkeypatch.setattr(loop, "create_connection", first_never)
+        started_at = loop.time()
+        harness = WatchHarness(must_ask, address)
+        service.rev += 1
+        assert await harness.wait_for_version(2) - started_at <= CHANGE_DEADLINE
+        assert connect_count == 3
+        harness.watch.stop()
+        service.server.close()
+
+    play(monkeypatch, test)
+
+
+@pytest.mark.parametrize("must_ask", [False, True])
+def test_all_addresses_share_one_deadline(monkeypatch: pytest.MonkeyPatch, must_ask: bool) -> None:
+    async def test() -> None:
+        services = [FaultyDiscovery() for _ in range(3)]
+        harness = WatchHarness(must_ask, *[await one.start() for one in services])
+        first = await first_called(*services)
+        changed_at = asyncio.get_running_loop().time()
+        for one in services:
+            one.rev += 1
+            one.behaviours = [SILENT]
+        working = services[(first - 1) % 3]  # the last one that is tried
+        working.behaviours = [ANSWERING]
+        assert await harness.wait_for_version(2) - changed_at <= CHANGE_DEADLINE
+        harness.watch.stop()
+        for one in services:
+            one.server.close()
+
+    async def first_called(*services: FaultyDiscovery) -> int:
+        calls = [asyncio.create_task(wait_for_calls(one, 1)) for one in services]
+        done, waiting = await asyncio.wait(calls, return_when=asyncio.FIRST_COMPLETED)
+        for one in waiting:
+            one.cancel()
+        return calls.index(done.pop())
+
+    play(monkeypatch, test)
+
+
+def test_unchanged_list_is_polled_once_per_hold(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Discovery serves all routers, so a watch without changes makes no more than one call per hold."""
+
+    async def test() -> None:
+        service = FaultyDiscovery()
+        harness = WatchHarness(True, await service.start())
+        await asyncio.sleep(60)
+        assert len(service.call_times) <= 60 / call_schedule.MAX_HOLD + 1
+        assert set(service.holds) == {call_schedule.MAX_HOLD}
+        harness.watch.stop()
+        service.server.close()
+
+    play(monkeypatch, test)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Load reports on the sockets: what can't be read counts as none, and its answer still counts."""
+"""Load reports in servers' responses. An invalid report is ignored; the response itself still counts."""
 
 import hiredis
 import pytest
@@ -11,7 +11,7 @@
 
 REPORT = b"backlog=3.5,errors_per_s=0.25,x0=0.691"
 LOAD = api.Load(queue=3.5, eps=0.25)
-BAD = [
+INVALID_REPORTS = [
     None,
     7,
     b"",
@@ -30,21 +30,21 @@
 ]
 
 
-def test_a_report_tells_the_fields_that_are_known() -> None:
+def test_known_fields_of_report_are_parsed() -> None:
     assert read_load(REPORT) == LOAD
     assert read_load("x0=0.5") is None
     assert read_load(b"backlog=0,soon=1") == api.Load(queue=0)
 
 
-@pytest.mark.parametrize("report", BAD)
-def test_a_report_that_makes_no_sense_counts_as_none(report: object) -> None:
+@pytest.mark.parametrize("report", INVALID_REPORTS)
+def test_invalid_report_is_ignored(report: object) -> None:
     assert read_load(report) is None
     served = caches.result_of([b"value", b"hit", report])
     assert served is not None
     assert (served.status, served.value, served.load) == (api.Status.OK, b"value", None)
 
 
-def test_each_answer_of_a_cache_may_carry_a_report() -> None:
+def test_every_cache_reply_may_carry_report() -> None:
     for answer, status in (
         ([b"value", b"hit", REPORT], api.Status.OK),
         ([None, b"miss", REPORT], api.Status.MISS),
@@ -56,13 +56,13 @@
 
 
 @pytest.mark.parametrize("text", ["BUSY", "BUSY backlog=", "ERR failed", "ERR failed later"])
-def test_an_error_line_without_a_report_is_what_it_was(text: str) -> None:
+def test_error_line_without_report_keeps_its_status(text: str) -> None:
     result = caches.result_of(hiredis.ReplyError(text))
     status = api.Status.FULL if text.startswith("BUSY") else api.Status.ERROR
     assert result is not None and (result.status, result.load) == (status, None)
 
 
-def test_an_answer_of_the_origin_may_carry_a_report() -> None:
+def test_origin_response_may_carry_report() -> None:
     for status, ended in ((200, api.Status.OK), (500, api.Status.ERROR)):
         for report, load in ((REPORT, LOAD), (b"backlog=", None)):
             result = origin.result_of(HttpResponse(status, {b"x-load-report": report}, bytearray(b"v")))
@@ -70,8 +70,8 @@
     assert origin.result_of(HttpResponse(200, {})).load is None
 
 
-def test_errors_that_a_report_tells_show_a_server_that_fails_others() -> None:
-    """A router that asks a server every other second learns of its errors from any answer of it."""
+def test_reported_errors_reveal_server_failing_other_routers() -> None:
+    """Reported errors reveal a server that fails other routers' requests to a router that seldom uses it."""
     router = Router(settings(balancers=40))
     for n in range(40):
         name, _ = router.ask(f"other{n}")
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,5 +1,4 @@
-"""Starts of cache servers, told in Unix time, while wall clocks are stepped: slow start neither ends early
-nor lasts for an hour."""
+"""Start times of cache servers while wall clocks are stepped: slow start has its usual duration."""
 
 import time
 from dataclasses import dataclass
@@ -15,25 +14,25 @@
 from applehub.node.start_times import MAX_UNLISTED, ClockReading, StartTimes
 from applehub.settings import read_names
 
-SECOND = 1_000_000_000
+NS_PER_S = 1_000_000_000
 NS_PER_MS = 1_000_000
-RAMP = 10  # s, of `support.settings`
-STEPS = [3, -3, 3_600, -3_600]  # s
+SLOW_START_DURATION = 10  # seconds, as in `support.settings`
+CLOCK_STEPS = [3, -3, 3_600, -3_600]  # seconds
 
 
 @dataclass
 class Clocks:
-    """The clocks of a router and of the list service's machine, stepped by hand.
+    """The clocks of a router and of the list service's machine.
 
-    skew_here, skew_there: by how much each wall clock is ahead of real time (s).
+    skew_here, skew_there: seconds by which each wall clock is ahead of real time.
     """
 
-    now: int = 100 * SECOND  # real time, and the monotonic clock here
+    now: int = 100 * NS_PER_S  # ns; real time, which the router's monotonic clock shows
     skew_here: int = 0
     skew_there: int = 0
 
     def wait(self, seconds: float) -> None:
-        self.now += int(seconds * SECOND)
+        self.now += int(seconds * NS_PER_S)
 
     def step(self, where: str, seconds: int) -> None:
         if where in ("here", "both"):
@@ -42,15 +41,15 @@
             self.skew_there += seconds
 
     def wall(self) -> int:
-        return 1_790_000_000 * SECOND + self.now + self.skew_here * SECOND
+        return 1_790_000_000 * NS_PER_S + self.now + self.skew_here * NS_PER_S
 
     def boot_ms(self) -> int:
-        """What the list service would write for a start at this moment."""
-        return (1_790_000_000 * SECOND + self.now + self.skew_there * SECOND) // NS_PER_MS
+        """Returns the start time (Unix time) that the list service would write for a start at this moment."""
+        return (1_790_000_000 * NS_PER_S + self.now + self.skew_there * NS_PER_S) // NS_PER_MS
 
 
-class Told:
-    """A directory and the decisions that it feeds."""
+class DirectoryHarness:
+    """A directory and the balancer that it notifies."""
 
     def __init__(self, clocks: Clocks, monkeypatch: pytest.MonkeyPatch) -> None:
         self.clocks = clocks
@@ -64,18 +63,18 @@
         self.router.now = self.clocks.now
         self.router.tell(event)
 
-    def list(self, boots: dict[str, int], whole: bool = False, cached: bool = False) -> None:
+    def apply_list(self, boots: dict[str, int], whole: bool = False, cached: bool = False) -> None:
         self.rev += 1
         targets = [entry(name, "127.0.0.1:1", boot_ms=boot) for name, boot in boots.items()]
         self.directory.apply({"rev": self.rev, "all": whole, "targets": targets}, cached)
 
-    def unchanged(self) -> None:
-        """The list service answers that nothing has changed."""
+    def apply_unchanged(self) -> None:
+        """Applies a response without changes."""
         self.directory.apply({"rev": self.rev, "all": False, "targets": []})
 
     def age(self, name: str) -> float:
-        """Seconds for which the decisions hold that a server has been warming up."""
-        return (self.clocks.now - self.router.balancer.roster.servers[name].cold_since) / SECOND
+        """Returns the seconds since the start of a server, as the balancer has it."""
+        return (self.clocks.now - self.router.balancer.roster.servers[name].cold_since) / NS_PER_S
 
     def warmth(self, name: str) -> float:
         self.router.balancer.turn.now = self.clocks.now
@@ -83,20 +82,22 @@
         return roster.warmth(roster.servers[name])
 
 
-@pytest.mark.parametrize("seconds", STEPS)
+@pytest.mark.parametrize("seconds", CLOCK_STEPS)
 @pytest.mark.parametrize("where", ["here", "there", "both"])
 @pytest.mark.parametrize("before_start", [True, False], ids=["step, start", "start, step"])
 @pytest.mark.parametrize("known", [True, False], ids=["known server", "new server"])
-def test_a_start_between_two_lists_is_dated_between_them_whatever_wall_clocks_do(
+def test_start_between_lists_is_dated_between_them_despite_clock_steps(
     monkeypatch: pytest.MonkeyPatch, seconds: int, where: str, before_start: bool, known: bool
 ) -> None:
-    """Set up: a list; a clock is stepped and a server starts anew, in either order; the next list tells it.
-    Expected: the start lies between the two lists, and the server is warm after its ramp and not earlier."""
+    """A clock is stepped and a server restarts, in either order, between two lists.
+
+    The start is dated between the lists, so that slow start lasts exactly as long as configured.
+    """
     clocks = Clocks()
-    told = Told(clocks, monkeypatch)
-    told.list({"c0": clocks.boot_ms() - 500_000, **({"c1": 0} if known else {})}, whole=True)
+    harness = DirectoryHarness(clocks, monkeypatch)
+    harness.apply_list({"c0": clocks.boot_ms() - 500_000, **({"c1": 0} if known else {})}, whole=True)
     clocks.wait(30)
-    told.unchanged()
+    harness.apply_unchanged()
     clocks.wait(0.5)
     if before_start:
         clocks.step(where, seconds)
@@ -104,124 +105,119 @@
     if not before_start:
         clocks.step(where, seconds)
     clocks.wait(0.5)
-    told.list({"c1": started})
-    assert 0 <= told.age("c1") < 1
-    assert 0 < told.warmth("c1") < 0.4
-    clocks.wait(RAMP - 1)
-    assert told.warmth("c1") < 1
+    harness.apply_list({"c1": started})
+    assert 0 <= harness.age("c1") < 1
+    assert 0 < harness.warmth("c1") < 0.4
+    clocks.wait(SLOW_START_DURATION - 1)
+    assert harness.warmth("c1") < 1
     clocks.wait(1)
-    assert told.warmth("c1") == 1
-    assert told.warmth("c0") == 1  # the step tells nothing of servers that were known
+    assert harness.warmth("c1") == 1
+    assert harness.warmth("c0") == 1  # servers that were listed before are not affected by the step
 
 
-@pytest.mark.parametrize("seconds", STEPS)
+@pytest.mark.parametrize("seconds", CLOCK_STEPS)
 @pytest.mark.parametrize("where", ["here", "there", "both"])
-def test_a_start_keeps_its_time_over_later_lists_whatever_wall_clocks_do(
+def test_relisted_start_keeps_its_time_despite_clock_steps(
     monkeypatch: pytest.MonkeyPatch, seconds: int, where: str
 ) -> None:
-    """Set up: a server started 4 s before the first list; the clock is stepped; the same start is listed
-    again, changed, dropped and listed anew. Expected: one start, and connections that are up stay."""
+    """A start that is listed again after a clock step is the same start, and its connections stay open."""
     clocks = Clocks()
-    told = Told(clocks, monkeypatch)
+    harness = DirectoryHarness(clocks, monkeypatch)
     boot = clocks.boot_ms()
     clocks.wait(4)
-    told.list({"c0": boot}, whole=True)
-    forgotten: list[float] = []
-    pool = told.directory.pools.pools["c0"]
-    monkeypatch.setattr(pool, "close_opened_before", forgotten.append)
+    harness.apply_list({"c0": boot}, whole=True)
+    close_times: list[float] = []
+    pool = harness.directory.pools.pools["c0"]
+    monkeypatch.setattr(pool, "close_opened_before", close_times.append)
     clocks.step(where, seconds)
     clocks.wait(1)
-    told.list({"c0": boot})
-    told.list({"c0": boot}, whole=True)
-    assert forgotten == [] and told.age("c0") == 5
-    told.list({}, whole=True)
+    harness.apply_list({"c0": boot})
+    harness.apply_list({"c0": boot}, whole=True)
+    assert close_times == [] and harness.age("c0") == 5
+    harness.apply_list({}, whole=True)
     clocks.wait(1)
-    told.list({"c0": boot})
-    assert told.age("c0") == 6
+    harness.apply_list({"c0": boot})
+    assert harness.age("c0") == 6
 
 
-def test_where_clocks_agree_a_start_has_its_exact_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_start_is_exact_if_clocks_agree(monkeypatch: pytest.MonkeyPatch) -> None:
     clocks = Clocks()
-    told = Told(clocks, monkeypatch)
+    harness = DirectoryHarness(clocks, monkeypatch)
     clocks.wait(20)
-    told.list({"c0": clocks.boot_ms() - 7_000}, whole=True)  # in the first list of the process
-    assert told.age("c0") == 7
+    harness.apply_list({"c0": clocks.boot_ms() - 7_000}, whole=True)  # in the first list
+    assert harness.age("c0") == 7
     clocks.wait(1)
     started = clocks.boot_ms()
     clocks.wait(0.25)
-    told.list({"c0": started})
-    assert told.age("c0") == 0.25
+    harness.apply_list({"c0": started})
+    assert harness.age("c0") == 0.25
 
 
-@pytest.mark.parametrize("seconds", STEPS)
-def test_a_list_that_the_process_was_handed_does_not_bound_a_start(
-    monkeypatch: pytest.MonkeyPatch, seconds: int
-) -> None:
-    """A cached list may be days old: a start that the first answer adds to it may be older than the process.
-    Both clocks were stepped before, so that the wall clock tells its age."""
+@pytest.mark.parametrize("seconds", CLOCK_STEPS)
+def test_cached_list_does_not_limit_start(monkeypatch: pytest.MonkeyPatch, seconds: int) -> None:
+    """A start may be older than the process if the only earlier list is a cached one of unknown age."""
     clocks = Clocks()
-    told = Told(clocks, monkeypatch)
+    harness = DirectoryHarness(clocks, monkeypatch)
     clocks.step("both", seconds)
     started = clocks.boot_ms()
     clocks.wait(40)
-    told.list({"c0": 0}, cached=True)
+    harness.apply_list({"c0": 0}, cached=True)
     clocks.wait(1)
-    told.list({"c0": started})
-    assert told.age("c0") == 41 and told.warmth("c0") == 1
+    harness.apply_list({"c0": started})
+    assert harness.age("c0") == 41 and harness.warmth("c0") == 1
 
 
 @pytest.mark.parametrize(("where", "seconds"), [("here", -3_600), ("there", 3_600), ("here", -3)])
-def test_a_start_in_the_future_of_a_process_with_no_list_before_counts_as_now(
+def test_future_start_in_first_list_counts_as_now(
     monkeypatch: pytest.MonkeyPatch, where: str, seconds: int
 ) -> None:
     clocks = Clocks()
-    told = Told(clocks, monkeypatch)
+    harness = DirectoryHarness(clocks, monkeypatch)
     clocks.step(where, seconds)
     started = clocks.boot_ms()
     clocks.wait(1)
-    told.list({"c0": started}, cached=True)
-    assert told.age("c0") == 0
-    clocks.wait(RAMP)
-    told.unchanged()
-    assert told.warmth("c0") == 1
+    harness.apply_list({"c0": started}, cached=True)
+    assert harness.age("c0") == 0
+    clocks.wait(SLOW_START_DURATION)
+    harness.apply_unchanged()
+    assert harness.warmth("c0") == 1
 
 
-def test_a_start_that_is_told_as_older_than_the_one_known_counts_as_now(
+def test_restart_with_earlier_unix_time_counts_as_now(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Set up: a cached list; the list service's clock goes back by an hour; the server starts anew, which the
-    first answer tells. No answer bounds the start, but the clock was evidently stepped."""
+    """A restart with an earlier Unix time than the known start shows that a clock was stepped."""
     clocks = Clocks()
-    told = Told(clocks, monkeypatch)
-    told.list({"c0": clocks.boot_ms() - 60_000}, cached=True)
+    harness = DirectoryHarness(clocks, monkeypatch)
+    harness.apply_list({"c0": clocks.boot_ms() - 60_000}, cached=True)
     clocks.step("there", -3_600)
     clocks.wait(5)
     started = clocks.boot_ms()
     clocks.wait(1)
-    told.list({"c0": started})
-    assert told.age("c0") == 0
+    harness.apply_list({"c0": started})
+    assert harness.age("c0") == 0
 
 
-def test_a_new_start_drops_the_connections_opened_before_it_and_long_ago_does_not(
+def test_new_start_closes_older_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clocks = Clocks()
-    told = Told(clocks, monkeypatch)
-    told.list({"c0": clocks.boot_ms()}, whole=True)
-    forgotten: list[float] = []
-    monkeypatch.setattr(told.directory.pools.pools["c0"], "close_opened_before", forgotten.append)
+    harness = DirectoryHarness(clocks, monkeypatch)
+    harness.apply_list({"c0": clocks.boot_ms()}, whole=True)
+    close_times: list[float] = []
+    monkeypatch.setattr(harness.directory.pools.pools["c0"], "close_opened_before", close_times.append)
     clocks.wait(50)
-    told.list({"c0": 0})
-    assert forgotten == []
-    clocks.step("here", 3_600)  # by the new clock the start was an hour ago
+    harness.apply_list({"c0": 0})
+    assert close_times == []
+    clocks.step("here", 3_600)  # by the stepped clock the next start was an hour ago
     started = clocks.boot_ms()
     clocks.wait(1)
-    told.list({"c0": started})
-    assert forgotten == [pytest.approx(150, abs=1e-6)]  # the answer before, not an hour ago
+    harness.apply_list({"c0": started})
+    assert close_times == [pytest.approx(150, abs=1e-6)]  # the time of the previous response
 
 
-def test_starts_of_servers_that_left_are_remembered_up_to_a_bound() -> None:
-    starts, now = StartTimes(), ClockReading(100 * SECOND, 100 * SECOND)
+def test_starts_of_unlisted_servers_are_limited() -> None:
+    starts, now = StartTimes(), ClockReading(100 * NS_PER_S, 100 * NS_PER_S)
     listed: dict[str, Any] = {f"kept{number}": None for number in range(10)}
     for name in (*listed, *(f"gone{number}" for number in range(MAX_UNLISTED))):
         starts.since(name, 99_000, now)
