--- a/applehub/node/call_schedule.py
+++ b/applehub/node/call_schedule.py
@@ -10,7 +10,7 @@
 
 import random
 
-from applehub.node.answer_time import AnswerTime
+from applehub.node.response_time import ResponseTime
 
 MAX_HOLD = 2.5  # maximum seconds for which discovery may hold a long poll
 MIN_HOLD = 0.5  # minimum seconds for which discovery may hold a long poll
@@ -22,11 +22,11 @@
 # Seconds within which the list must arrive after a reload that changed discovery's address.
 RELOAD_DEADLINE = 4.0
 APPLY_MARGIN = 0.3  # seconds of the deadline that are reserved for applying the list
-INITIAL_ANSWER_TIME = 2.0  # seconds assumed for a queued call before the first response
-MAX_ANSWER_TIME = 4.0  # upper bound of the expected response time, in seconds
+INITIAL_RESPONSE_TIME = 2.0  # seconds assumed for a queued call before the first response
+MAX_RESPONSE_TIME = 4.0  # upper bound of the expected response time, in seconds
 # Lower bound of the expected response time, in seconds, and the time left for the last call before a
 # deadline.
-MIN_ANSWER_TIME = 0.5
+MIN_RESPONSE_TIME = 0.5
 # Minimum seconds between the starts of two calls of a continued watch. It batches rapid changes, because a
 # call costs discovery about as much for one change as for many.
 MIN_WATCH_INTERVAL = 0.05
@@ -69,14 +69,14 @@
 class CallSchedule:
     """Times of the calls of one watch."""
 
-    def __init__(self, source: random.Random, addresses: int = 1) -> None:
-        self.random, self.addresses = source, addresses
+    def __init__(self, rng: random.Random, address_count: int = 1) -> None:
+        self.random, self.address_count = rng, address_count
         self.deadline: float | None = None  # time by which a change since the last response must arrive
-        self._reset_answer_times()
+        self._reset_response_times()
 
-    def _reset_answer_times(self) -> None:
-        self.queued_time = AnswerTime(INITIAL_ANSWER_TIME, MIN_ANSWER_TIME, MAX_ANSWER_TIME)
-        self.watch_time = AnswerTime(MIN_WATCH_TIMEOUT, MIN_WATCH_TIMEOUT, MAX_ANSWER_TIME)
+    def _reset_response_times(self) -> None:
+        self.queued_time = ResponseTime(INITIAL_RESPONSE_TIME, MIN_RESPONSE_TIME, MAX_RESPONSE_TIME)
+        self.watch_time = ResponseTime(MIN_WATCH_TIMEOUT, MIN_WATCH_TIMEOUT, MAX_RESPONSE_TIME)
         self.overloaded = False  # whether a call was rejected since the last response
 
     def start(self, now: float) -> None:
@@ -84,11 +84,11 @@
         if self.deadline is None:
             self.deadline = now + CHANGE_DEADLINE
 
-    def endpoints_changed(self, now: float, addresses: int) -> None:
+    def endpoints_changed(self, now: float, address_count: int) -> None:
         """Records that discovery has other addresses; resets the observed response times."""
-        self.addresses = addresses
+        self.address_count = address_count
         self.deadline = now + RELOAD_DEADLINE
-        self._reset_answer_times()
+        self._reset_response_times()
 
     def answered(self, now: float, elapsed: float, hold: float, queued: bool) -> None:
         """Records the response to a call.
@@ -123,8 +123,8 @@
     def watch_due(self, started_at: float, hold: float, queued: bool, jitter: float) -> float:
         """Returns when another call is started beside a watch that is unanswered."""
         if queued:
-            answer = max(self.queued_time.timeout, INITIAL_ANSWER_TIME)
-            return started_at + min(hold + answer, CHANGE_DEADLINE - APPLY_MARGIN - MIN_CALL_INTERVAL)
+            response_time = max(self.queued_time.timeout, INITIAL_RESPONSE_TIME)
+            return started_at + min(hold + response_time, CHANGE_DEADLINE - APPLY_MARGIN - MIN_CALL_INTERVAL)
         return started_at + min(hold + self.watch_time.timeout * jitter, self._max_interval_for_deadline())
 
     def call_due(self, started_at: float, jitter: float) -> float:
@@ -135,12 +135,12 @@
         goes to another service and is made sooner.
         """
         time_left = (self.deadline or started_at) - started_at
-        if self.addresses > 1:
+        if self.address_count > 1:
             interval = MIN_CALL_INTERVAL / jitter
         elif self.overloaded:
             interval = OVERLOAD_CALL_INTERVAL / jitter
         elif time_left >= MIN_CALL_INTERVAL:
-            interval = max(time_left - MIN_ANSWER_TIME, MIN_CALL_INTERVAL)
+            interval = max(time_left - MIN_RESPONSE_TIME, MIN_CALL_INTERVAL)
         else:
             interval = OVERDUE_CALL_INTERVAL / jitter
         return started_at + min(interval, OVERLOAD_CALL_INTERVAL, self._max_interval_for_deadline())
--- a/applehub/node/discovery.py
+++ b/applehub/node/discovery.py
@@ -50,7 +50,7 @@
         self.targets: dict[str, Target] = {}
         self.excluded: set[str] = set()  # excluded by an operator override
         # receives each applied list, and whether it is complete
-        self.on_update: Callable[[Json, bool], None] = lambda answer, is_full: None
+        self.on_update: Callable[[Json, bool], None] = lambda update, is_full: None
         self.start_times = StartTimes()
 
     @property
@@ -58,7 +58,7 @@
         return any(self.is_cache(name) and self._accepts_attempts(one) for name, one in self.targets.items())
 
     @property
-    def size(self) -> int:
+    def cache_count(self) -> int:
         """Number of listed cache servers."""
         return sum(map(self.is_cache, self.targets))
 
@@ -71,17 +71,17 @@
         if name in self.targets:
             self._update_pool(self.targets[name])
 
-    def apply(self, answer: Any, cached: bool = False) -> bool:
+    def apply(self, update: Any, cached: bool = False) -> bool:
         """Applies a list or changes of it; returns False, with no effect, for an older version.
 
-        answer: decoded JSON, as discovery sends it.
+        update: decoded JSON, as discovery sends it.
         cached: the list does not come from discovery, so it is complete and of unknown age.
 
-        Raises ListError if the answer as a whole is invalid.
+        Raises ListError if the update as a whole is invalid.
         """
-        if not isinstance(answer, dict) or not isinstance(answer.get("targets"), list):
+        if not isinstance(update, dict) or not isinstance(update.get("targets"), list):
             raise ListError("expected an object with a list `targets`")
-        rev, is_full = answer.get("rev"), answer.get("all") is True or cached
+        rev, is_full = update.get("rev"), update.get("all") is True or cached
         if type(rev) is not int:
             raise ListError(f"rev: expected an integer, got {rev!r}")
         now = ClockReading(time.monotonic_ns(), time.time_ns())
@@ -91,14 +91,14 @@
             self.start_times.confirm(now)
             return True
         self.rev = rev
-        entries = [target for one in answer["targets"] if (target := self._read_entry(one, now)) is not None]
+        entries = [target for one in update["targets"] if (target := self._read_entry(one, now)) is not None]
         if not cached:
             self.start_times.confirm(now)
-        named = {target.member.server for target in entries}
-        removed = [name for name in self.targets if name not in named] if is_full else []
+        listed = {target.member.server for target in entries}
+        removed = [name for name in self.targets if name not in listed] if is_full else []
         if not is_full and not entries:
             return True
-        before = {name: self.targets[name] for name in named if name in self.targets}
+        previous = {name: self.targets[name] for name in listed if name in self.targets}
         for target in entries:
             self._add(target)
         kind = api.ListKind.FULL if is_full else api.ListKind.DELTA
@@ -107,10 +107,10 @@
         for name in removed:
             self._remove(name)
         for target in entries:
-            self._finish_update(target, before.get(target.member.server))
+            self._finish_update(target, previous.get(target.member.server))
         self.start_times.forget_unlisted(self.targets, len(self.targets))
         if not cached:
-            self.on_update(answer, is_full)
+            self.on_update(update, is_full)
         return True
 
     def _read_entry(self, entry: Any, now: ClockReading) -> Target | None:
@@ -146,13 +146,13 @@
             pool.retired = pool.retired and not self._accepts_attempts(target)
             self.targets[name] = target
 
-    def _finish_update(self, target: Target, before: Target | None) -> None:
+    def _finish_update(self, target: Target, previous: Target | None) -> None:
         """Closes connections that became useless, after the balancer was notified."""
         name = target.member.server
         if target.member.state is api.State.GONE:
             self._remove(name)
             return
-        if before is not None and target.boot_ms > 0 and target.boot_ms != before.boot_ms:
+        if previous is not None and target.boot_ms > 0 and target.boot_ms != previous.boot_ms:
             self.pools.pools[name].close_opened_before(target.member.since / NS_PER_S)
         self._update_pool(target)
 
--- a/applehub/node/driver.py
+++ b/applehub/node/driver.py
@@ -87,11 +87,11 @@
         self._events: deque[api.Event] = deque()
         self._handling = False
 
-    def accept(self, call: Call, reply: Reply, arrived: int) -> PendingRequest | None:
+    def accept(self, call: Call, reply: Reply, received_at: int) -> PendingRequest | None:
         """Accepts a request; returns None if it was answered at once.
 
         reply: receives exactly one answer.
-        arrived: monotonic ns at which the last byte of the request was received; the client's deadline counts
+        received_at: monotonic ns at which the last byte of the request was received; the client's deadline counts
         from it.
         """
         request_id = call.id.decode()
@@ -100,7 +100,7 @@
             reply.fill(resp.error("this id is in use"))
             return None
         spec = self.balancer.settings.classes[call.class_index]
-        answer_by = arrived + (spec.deadline if call.wait_ms is None else call.wait_ms * NS_PER_MS)
+        answer_by = received_at + (spec.deadline if call.wait_ms is None else call.wait_ms * NS_PER_MS)
         answer_by = min(answer_by, self.answer_all_by or answer_by)
         time_left = answer_by - ANSWER_MARGIN - time.monotonic_ns()
         over_limit = call.value is resp.DROPPED or len(self.requests) >= self.max_requests
@@ -366,8 +366,8 @@
             )
         )
 
-    def _answer(self, request: PendingRequest, answer: bytes, how: Answered) -> None:
-        self.figures.answered(request.call.class_name, how)
+    def _answer(self, request: PendingRequest, answer: bytes, outcome: Answered) -> None:
+        self.figures.answered(request.call.class_name, outcome)
         log.debug("request %s answered: %.16r", request.id, answer)
         self._close(request)
         request.reply.fill(answer)
--- a/applehub/node/http1.py
+++ b/applehub/node/http1.py
@@ -95,9 +95,9 @@
     def _append_body(self, response: HttpResponse, data: bytes) -> None:
         """Adds a piece to a body that is buffered completely; raises HttpError if the body is too large."""
         response.body += data
-        buffered, announced = len(response.body), b"content-length" in response.headers
+        buffered, has_length = len(response.body), b"content-length" in response.headers
         if buffered > self.max_body and (
-            announced or response.status != 200 or not self.may_buffer_long(buffered)
+            has_length or response.status != 200 or not self.may_buffer_long(buffered)
         ):
             raise HttpError("response body is too large")
 
--- a/applehub/node/peering.py
+++ b/applehub/node/peering.py
@@ -37,7 +37,7 @@
     period: float  # seconds between two probes
 
 
-def read_peers(source: object, endpoint: Callable[[object], Endpoint]) -> PeersConfig:
+def read_peers(source: object, parse_endpoint: Callable[[object], Endpoint]) -> PeersConfig:
     """Reads the configuration key `peers`. Raises SettingError.
 
     endpoint: parses an address; raises ValueError.
@@ -54,9 +54,9 @@
             f"peers.period_ms: expected {PERIOD_RANGE_MS[0]} to {PERIOD_RANGE_MS[1]}, got {period}"
         )
     try:
-        listen = endpoint(setting(source, "peers.listen", str))
+        listen = parse_endpoint(setting(source, "peers.listen", str))
         socket.inet_aton(listen[0])
-        addresses = {str(name): endpoint(address) for name, address in routers.items()}
+        addresses = {str(name): parse_endpoint(address) for name, address in routers.items()}
     except (ValueError, OSError) as error:
         if isinstance(error, SettingError):
             raise
@@ -86,9 +86,9 @@
         incarnation = int.from_bytes(os.urandom(8)) | 1
         host, port = config.listen
         local_peer = Peer(incarnation, 0, PeerState.ALIVE, socket.inet_aton(host), port, name)
-        others = [one for one in config.routers if one != name]
+        other_names = [one for one in config.routers if one != name]
         self.adapter = PolicyAdapter(
-            GossipAgent(local_peer, config.fleet, others, incarnation, int(config.period * 1e9))
+            GossipAgent(local_peer, config.fleet, other_names, incarnation, int(config.period * 1e9))
         )
         self.transport: asyncio.DatagramTransport | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -137,11 +137,11 @@
     def _send(self, outgoing: list[Outgoing]) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        for to, data in outgoing:
-            name = to.name if isinstance(to, Peer) else to
+        for destination, data in outgoing:
+            name = destination.name if isinstance(destination, Peer) else destination
             address = self.config.routers.get(name)
-            if address is None and isinstance(to, Peer):
-                address = socket.inet_ntoa(to.host), to.port
+            if address is None and isinstance(destination, Peer):
+                address = socket.inet_ntoa(destination.host), destination.port
             if address is not None:
                 self.transport.sendto(data, address)
 
@@ -173,7 +173,7 @@
             "sent": agent.sent,
             "taken": agent.accepted,
             "bytes": agent.bytes_sent,
-            **{f"dropped.{why}": count for why, count in sorted(agent.dropped.items())},
+            **{f"dropped.{reason}": count for reason, count in sorted(agent.dropped.items())},
         }
         return [f"peers.{name}={value}" for name, value in values.items()]
 
--- a/applehub/node/pool.py
+++ b/applehub/node/pool.py
@@ -161,8 +161,8 @@
         Unread input is the end of the stream or an unexpected response. A request sent after it would be lost
         or would be matched with that response.
         """
-        up = self.transport is not None and not self.transport.is_closing()
-        return up and not self.unread.waits()
+        is_open = self.transport is not None and not self.transport.is_closing()
+        return is_open and not self.unread.waits()
 
     def pause(self) -> None:
         if self.transport is not None:
@@ -231,9 +231,9 @@
 
     def data_received(self, data: bytes) -> None:
         if self.exchange is None:
-            rested = (asyncio.get_running_loop().time() - self.idle_since) * 1000
+            idle_ms = (asyncio.get_running_loop().time() - self.idle_since) * 1000
             log.info(
-                "unexpected data from server %s:%d; connection idle for %.1f ms", *self.pool.endpoint, rested
+                "unexpected data from server %s:%d; connection idle for %.1f ms", *self.pool.endpoint, idle_ms
             )
             self.close()
             return
@@ -281,12 +281,12 @@
     def _take_idle(self) -> Connection | None:
         """Removes and returns the newest idle connection that is safe to reuse; None if there is none."""
         now = asyncio.get_running_loop().time()
-        before, after = now - MIN_IDLE_BEFORE_REUSE, now - self.pools.max_reuse_idle
-        for at in range(len(self.idle) - 1, -1, -1):
-            connection = self.idle[at]
-            if connection.idle_since > before:
+        idle_before, idle_after = now - MIN_IDLE_BEFORE_REUSE, now - self.pools.max_reuse_idle
+        for index in range(len(self.idle) - 1, -1, -1):
+            connection = self.idle[index]
+            if connection.idle_since > idle_before:
                 continue
-            if connection.idle_since < after:
+            if connection.idle_since < idle_after:
                 break  # the server may close it before the write; the sweep closes it
             self._remove_idle(connection)
             if connection.no_unread_input:
@@ -374,10 +374,10 @@
         """Returns the pool of a server; creates it, and replaces a pool that has another endpoint."""
         pool = self.pools.get(name)
         if pool is None or pool.endpoint != endpoint:
-            before, pool = pool, Pool(self, endpoint, make_connection)
+            replaced, pool = pool, Pool(self, endpoint, make_connection)
             self.pools[name] = pool  # before retire(), whose cancelled attempts may be retried here
-            if before is not None:
-                before.retire()
+            if replaced is not None:
+                replaced.retire()
         return pool
 
     def remove(self, name: str) -> None:
@@ -402,8 +402,8 @@
 
     def _sweep(self) -> None:
         self.sweep_scheduled = False
-        before = asyncio.get_running_loop().time() - self.max_idle
-        while self.idle and (longest_idle := next(iter(self.idle))).idle_since < before:
+        idle_before = asyncio.get_running_loop().time() - self.max_idle
+        while self.idle and (longest_idle := next(iter(self.idle))).idle_since < idle_before:
             longest_idle.close()
         if self.idle:
             self.schedule_sweep()
--- a/applehub/node/answer_time.py
+++ b/applehub/node/response_time.py
@@ -1,16 +1,16 @@
-"""Estimates how long a service takes to answer."""
+"""Estimates the response time of a service."""
 
 MEAN_WEIGHT = 1 / 8  # weight of a new sample in the mean, RFC 6298 section 2
 DEVIATION_WEIGHT = 1 / 4  # weight of a new sample in the mean deviation
 DEVIATIONS = 4  # number of mean deviations that a timeout lies above the mean
 
 
-class AnswerTime:
-    """Moving mean and mean deviation of answer times, as RFC 6298 computes them for round-trip times.
+class ResponseTime:
+    """Moving mean and mean deviation of response times, as RFC 6298 computes them for round-trip times.
 
-    All times are in seconds. `mean` is the expected answer time and `timeout` the time after which an answer
-    is late; both are limited to the range from `minimum` to `maximum`. Until the first sample both are
-    `initial`.
+    All times are in seconds. `mean` is the expected response time and `timeout` the time after which a
+    response is late; both are limited to the range from `minimum` to `maximum`. Until the first sample both
+    are `initial`.
     """
 
     __slots__ = ("_deviation", "_mean", "initial", "maximum", "minimum")
@@ -21,7 +21,7 @@
         self._deviation = 0.0
 
     def observe(self, sample: float) -> None:
-        """Adds a sample of the answer time."""
+        """Adds a sample."""
         if self._mean is None:
             self._mean, self._deviation = sample, sample / 2
             return
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -72,9 +72,9 @@
     assert [member.server for member in events[0].entries] == ["c0"]
     assert caplog.text.count("is skipped") == len(invalid_entries)
     answers: list[Any] = [None, [], {"targets": []}, {"rev": "1", "targets": []}, {"rev": 2}]
-    for bad in answers:
+    for answer in answers:
         with pytest.raises(ListError):
-            directory.apply(bad)
+            directory.apply(answer)
 
 
 async def test_changed_endpoint_or_start_closes_old_connections(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -147,7 +147,7 @@
     targets = [request[1] for request in web.received[:9]]
     full, after = b"/api/targets", b"/api/targets?from=%d&hold_ms=%d"
     # After a failed call, missing changes are requested without waiting.
-    changes = [after % of for of in ((7, 100), (8, 100), (8, 0), (9, 100), (9, 0), (9, 0))]
+    changes = [after % arguments for arguments in ((7, 100), (8, 100), (8, 0), (9, 100), (9, 0), (9, 0))]
     assert targets == [full, *changes, full, after % (10, 100)]
     assert [event.kind for event in events] == [
         api.ListKind.FULL,
@@ -163,10 +163,10 @@
     c0, c1 = entry("c0", "127.0.0.1:1"), entry("c1", "127.0.0.1:1")
     answers = {"first": [http_list(7, c0)], "second": [http_list(6, c1), http_list(8, c1, whole=False)]}
 
-    def serving(of: list[bytes]) -> Web:
-        return Web(lambda request, writer: of.pop(0) if of else http(503))
+    def serving(responses: list[bytes]) -> Web:
+        return Web(lambda request, writer: responses.pop(0) if responses else http(503))
 
-    webs = {name: serving(of) for name, of in answers.items()}
+    webs = {name: serving(responses) for name, responses in answers.items()}
     for web in webs.values():
         await web.start()
     directory, events = make_directory()
@@ -182,8 +182,8 @@
         b"/api/targets?from=7&hold_ms=0",
         b"/api/targets?from=7&hold_ms=2500",
     ]
-    spread = {Watch(endpoints, directory, seed, must_ask=True).endpoint_index for seed in range(20)}
-    assert spread == {0, 1}
+    start_indexes = {Watch(endpoints, directory, seed, must_ask=True).endpoint_index for seed in range(20)}
+    assert start_indexes == {0, 1}
     watch.stop()
     for web in webs.values():
         await web.stop()
@@ -260,27 +260,27 @@
     ],
 )
 async def test_invalid_configuration_exits_with_one_line(tmp_path: Path, changes: Any) -> None:
-    running = await start_program(configuration(tmp_path, **changes))
-    _, lines = await asyncio.wait_for(running.communicate(), WAIT_TIMEOUT)
-    assert running.returncode == 2
+    process = await start_program(configuration(tmp_path, **changes))
+    _, lines = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT)
+    assert process.returncode == 2
     assert lines.startswith(b"applehub: ") and lines.count(b"\n") == 1
 
 
 async def test_port_in_use_exits_with_one_line(tmp_path: Path) -> None:
     occupied = Web(lambda request, writer: None)
     await occupied.start()
-    running = await start_program(configuration(tmp_path, listen=occupied.address))
-    _, lines = await asyncio.wait_for(running.communicate(), WAIT_TIMEOUT)
-    assert running.returncode == 2
+    process = await start_program(configuration(tmp_path, listen=occupied.address))
+    _, lines = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT)
+    assert process.returncode == 2
     assert lines.startswith(b"applehub: can't listen") and lines.count(b"\n") == 1
     await occupied.stop()
 
 
 async def test_missing_configuration_exits_with_one_line(tmp_path: Path) -> None:
     for env in ({"BALANCER_CONFIG": ""}, {"BALANCER_CONFIG": str(tmp_path / "none")}):
-        running = await start_program({**os.environ, **env})
-        _, lines = await asyncio.wait_for(running.communicate(), WAIT_TIMEOUT)
-        assert running.returncode == 2
+        process = await start_program({**os.environ, **env})
+        _, lines = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT)
+        assert process.returncode == 2
         assert lines.startswith(b"applehub: ") and lines.count(b"\n") == 1
 
 
@@ -296,22 +296,22 @@
     new = Web(lambda request, writer: None)
     await old.start()
     await new.start()
-    running = await start_program(configuration(tmp_path, discovery=old.address))
-    assert running.stderr is not None
+    process = await start_program(configuration(tmp_path, discovery=old.address))
+    assert process.stderr is not None
     await wait_until(lambda: old.received)
     (tmp_path / "config.json").write_text("no configuration")
-    running.send_signal(signal.SIGHUP)
+    process.send_signal(signal.SIGHUP)
     async with asyncio.timeout(WAIT_TIMEOUT):
-        while line := await running.stderr.readline():
+        while line := await process.stderr.readline():
             if b"the configuration is of no use" in line:
                 break
     configuration(tmp_path, discovery=new.address)
-    running.send_signal(signal.SIGHUP)
-    drain = asyncio.create_task(running.stderr.read())
-    await wait_until(lambda: new.received or running.returncode is not None)
+    process.send_signal(signal.SIGHUP)
+    drain = asyncio.create_task(process.stderr.read())
+    await wait_until(lambda: new.received or process.returncode is not None)
     assert new.received[0][:2] == (b"GET", b"/api/targets?from=1&hold_ms=0")
-    running.send_signal(signal.SIGTERM)
-    assert await asyncio.wait_for(running.wait(), WAIT_TIMEOUT) == 0
+    process.send_signal(signal.SIGTERM)
+    assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT) == 0
     await drain
     for web in (old, new):
         await web.stop()
@@ -321,16 +321,16 @@
     cache = Cache(lambda request, writer: None if request[2] == b"slow" else hit())
     await cache.start()
     known = listing(3, entry("c0", cache.address))
-    running = await start_program(configuration(tmp_path, known=known))
-    assert running.stderr is not None
+    process = await start_program(configuration(tmp_path, known=known))
+    assert process.stderr is not None
     address = None
     async with asyncio.timeout(WAIT_TIMEOUT):
         while address is None:
-            line = await running.stderr.readline()
+            line = await process.stderr.readline()
             assert line
             if b"listening on " in line:
                 address = line.decode().rsplit(" ", 1)[1].strip().rsplit(":", 1)
-    drain = asyncio.create_task(running.stderr.read())
+    drain = asyncio.create_task(process.stderr.read())
     caller = Caller(*await asyncio.open_connection(address[0], int(address[1])))
     slow = Caller(*await asyncio.open_connection(address[0], int(address[1])))
     caller.send(b"PING")
@@ -338,9 +338,9 @@
     slow.get(name=b"slow")
     await wait_until(lambda: cache.received)
     started_at = time.monotonic()
-    running.send_signal(signal.SIGTERM)
+    process.send_signal(signal.SIGTERM)
     for other in (signal.SIGHUP, signal.SIGTERM):  # further signals are ignored during shutdown
-        running.send_signal(other)
+        process.send_signal(other)
     late = Caller(*await asyncio.open_connection(address[0], int(address[1])))
     late.get(name=b"late")
     assert await late.answer() == b"v"
@@ -348,7 +348,7 @@
     assert await caller.answer() == b"v"
     assert str(await slow.answer()) == "ERR failed"
     assert [await one.answer() for one in (caller, slow, late)] == [None] * 3
-    assert await asyncio.wait_for(running.wait(), WAIT_TIMEOUT) == 0
+    assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT) == 0
     assert time.monotonic() - started_at >= 0.5
     await drain
     await cache.stop()
--- a/tests/test_list_propagation.py
+++ b/tests/test_list_propagation.py
@@ -210,14 +210,14 @@
         address = await service.start()
         connect, connect_count = loop.create_connection, 0
 
-        async def first_never(*args: Any, **more: Any) -> Any:
+        async def never_connect_first(*args: Any, **kwargs: Any) -> Any:
             nonlocal connect_count
             connect_count += 1
             if connect_count <= 2:
                 await asyncio.Event().wait()
-            return await connect(*args, **more)
+            return await connect(*args, **kwargs)
 
-        monkeypatch.setattr(loop, "create_connection", first_never)
+        monkeypatch.setattr(loop, "create_connection", never_connect_first)
         started_at = loop.time()
         harness = WatchHarness(must_ask, address)
         service.rev += 1
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -139,8 +139,8 @@
 async def _random_step(network: Network, rng: random.Random) -> None:
     """Applies one random operation or event."""
     name = f"c{rng.randrange(SERVERS)}"
-    some = network.in_flight()
-    chosen = rng.choice(some) if some else None
+    candidates = network.in_flight()
+    chosen = rng.choice(candidates) if candidates else None
     network.clock += rng.choice([0.0, MIN_IDLE_BEFORE_REUSE / 2, 0.1])
     match rng.randrange(14):
         case 0 | 1 | 2 | 12 | 13:
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -56,16 +56,16 @@
         monkeypatch.setattr(time, "time_ns", clocks.wall)
         monkeypatch.setattr(time, "monotonic_ns", lambda: clocks.now)
         self.router = Router(settings(), members=[])
-        self.directory = Directory(read_names(info()), 1, Pools(64, 0.25, 60.0), self._tell)
+        self.directory = Directory(read_names(info()), 1, Pools(64, 0.25, 60.0), self._notify)
         self.rev = 1
 
-    def _tell(self, event: api.Members) -> None:
+    def _notify(self, event: api.Members) -> None:
         self.router.now = self.clocks.now
         self.router.tell(event)
 
-    def apply_list(self, boots: dict[str, int], whole: bool = False, cached: bool = False) -> None:
+    def apply_list(self, boot_times: dict[str, int], whole: bool = False, cached: bool = False) -> None:
         self.rev += 1
-        targets = [entry(name, "127.0.0.1:1", boot_ms=boot) for name, boot in boots.items()]
+        targets = [entry(name, "127.0.0.1:1", boot_ms=boot) for name, boot in boot_times.items()]
         self.directory.apply({"rev": self.rev, "all": whole, "targets": targets}, cached)
 
     def apply_unchanged(self) -> None:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -13,13 +13,13 @@
 from virtual import play
 
 from applehub.node import call_schedule, watch
-from applehub.node.answer_time import AnswerTime
 from applehub.node.call_schedule import CallBudget, CallSchedule
 from applehub.node.discovery import Directory, ListError
 from applehub.node.driver import Driver
 from applehub.node.figures import Figures
 from applehub.node.http1 import HttpResponse
 from applehub.node.pool import Pools
+from applehub.node.response_time import ResponseTime
 from applehub.node.watch import Watch
 from applehub.policy import Balancer
 from applehub.settings import read_names, read_settings
@@ -128,8 +128,8 @@
         self.directory.apply({"rev": 1, "targets": [entry("c0", "127.0.0.1:1")]}, cached=True)
         self.watch.start()
 
-    def _record_update(self, answer: Any, full_list: bool) -> None:
-        self.applied_at.setdefault(answer["rev"], asyncio.get_running_loop().time())
+    def _record_update(self, update: Any, full_list: bool) -> None:
+        self.applied_at.setdefault(update["rev"], asyncio.get_running_loop().time())
         self.applied.set()
 
     async def wait_for_version(self, rev: int) -> float:
@@ -290,15 +290,15 @@
     """Rapid changes are batched, because each call costs discovery as much as one for many changes."""
 
     async def test() -> None:
-        service, seconds, apart = SlowDiscovery(), 5.0, 0.004
+        service, seconds, interval = SlowDiscovery(), 5.0, 0.004
         async with routers(service, 1, must_ask=False) as (router,):
             await asyncio.sleep(3.0)
             before = len(service.call_times)
             changed = {}
-            for _ in range(round(seconds / apart)):
+            for _ in range(round(seconds / interval)):
                 at = service.change()
                 changed[service.rev] = at
-                await asyncio.sleep(apart)
+                await asyncio.sleep(interval)
             await router.wait_for_version(service.rev)
             assert len(service.call_times) - before <= seconds / call_schedule.MIN_WATCH_INTERVAL + 2
             for rev, at in changed.items():
@@ -384,8 +384,8 @@
     assert not watch_under_test.needs_full_list
 
 
-def test_answer_time_is_bounded_and_follows_samples() -> None:
-    time = AnswerTime(initial=2.0, minimum=0.5, maximum=4.0)
+def test_response_time_is_bounded_and_follows_samples() -> None:
+    time = ResponseTime(initial=2.0, minimum=0.5, maximum=4.0)
     assert (time.mean, time.timeout) == (2.0, 2.0)
     time.observe(1.0)
     assert (time.mean, time.timeout) == (1.0, 3.0)  # RFC 6298: the mean plus 4 times half of it
@@ -412,35 +412,35 @@
     assert budget.wait(200.0) == 0 and budget.tokens == 3
 
 
-@pytest.mark.parametrize("answer", [0.0, 1.0, 2.0, 2.5, 3.0, 4.0])
-def test_lost_watch_is_detected_in_time_for_queued_call(answer: float) -> None:
+@pytest.mark.parametrize("response_time", [0.0, 1.0, 2.0, 2.5, 3.0, 4.0])
+def test_lost_watch_is_detected_in_time_for_queued_call(response_time: float) -> None:
     schedule = CallSchedule(random.Random(1))
     schedule.start(0.0)
     for _ in range(20):
-        schedule.answered(100.0, answer, 0.0, queued=True)
+        schedule.answered(100.0, response_time, 0.0, queued=True)
         schedule.answered(100.0, schedule.hold, schedule.hold, queued=False)
-    assert schedule.hold == call_schedule.MAX_HOLD or answer > 2.0
+    assert schedule.hold == call_schedule.MAX_HOLD or response_time > 2.0
     for _ in range(100):
         detected_at = schedule.watch_due(100.0, schedule.hold, False, schedule.jitter())
         # Not while a response may still come.
         assert detected_at >= 100.0 + schedule.hold + call_schedule.MIN_WATCH_TIMEOUT
-        assert detected_at + answer <= 100.0 + CHANGE_DEADLINE
+        assert detected_at + response_time <= 100.0 + CHANGE_DEADLINE
 
 
-@pytest.mark.parametrize("answer", [0.0, 0.5, 1.4, 2.0, 3.0, 3.9])
-def test_two_calls_fit_into_deadline(answer: float) -> None:
+@pytest.mark.parametrize("response_time", [0.0, 0.5, 1.4, 2.0, 3.0, 3.9])
+def test_two_calls_fit_into_deadline(response_time: float) -> None:
     schedule = CallSchedule(random.Random(1))
     schedule.start(0.0)
     for _ in range(20):
-        schedule.answered(100.0, answer, 0.0, queued=True)
-        schedule.answered(100.0, schedule.hold + answer, schedule.hold, queued=False)
+        schedule.answered(100.0, response_time, 0.0, queued=True)
+        schedule.answered(100.0, schedule.hold + response_time, schedule.hold, queued=False)
     for _ in range(100):
         second = schedule.watch_due(100.0, schedule.hold, False, schedule.jitter())
         third = schedule.call_due(second, schedule.jitter())
-        assert third - second <= CHANGE_DEADLINE - answer  # the third call receives a change after the second
-        assert second <= 100.0 + CHANGE_DEADLINE - max(answer, call_schedule.MIN_ANSWER_TIME)
-        if answer <= 0.7:
-            assert third <= 100.0 + CHANGE_DEADLINE - answer  # even if the second is lost
+        assert third - second <= CHANGE_DEADLINE - response_time  # the third call receives later changes
+        assert second <= 100.0 + CHANGE_DEADLINE - max(response_time, call_schedule.MIN_RESPONSE_TIME)
+        if response_time <= 0.7:
+            assert third <= 100.0 + CHANGE_DEADLINE - response_time  # even if the second is lost
 
 
 def test_backoff_grows_and_uses_its_full_range() -> None:
