--- a/applehub/node/discovery.py
+++ b/applehub/node/discovery.py
@@ -50,7 +50,7 @@
         self.targets: dict[str, Target] = {}
         self.excluded: set[str] = set()  # excluded by an operator override
         # receives each applied list, and whether it is complete
-        self.on_update: Callable[[Json, bool], None] = lambda update, is_full: None
+        self.on_update: Callable[[Json, bool], None] = lambda answer, is_full: None
         self.start_times = StartTimes()
 
     @property
@@ -71,17 +71,17 @@
         if name in self.targets:
             self._update_pool(self.targets[name])
 
-    def apply(self, update: Any, cached: bool = False) -> bool:
+    def apply(self, answer: Any, cached: bool = False) -> bool:
         """Applies a list or changes of it; returns False, with no effect, for an older version.
 
-        update: decoded JSON, as discovery sends it.
+        answer: decoded JSON, as discovery sends it.
         cached: the list does not come from discovery, so it is complete and of unknown age.
 
-        Raises ListError if the update as a whole is invalid.
+        Raises ListError if the answer as a whole is invalid.
         """
-        if not isinstance(update, dict) or not isinstance(update.get("targets"), list):
+        if not isinstance(answer, dict) or not isinstance(answer.get("targets"), list):
             raise ListError("expected an object with a list `targets`")
-        rev, is_full = update.get("rev"), update.get("all") is True or cached
+        rev, is_full = answer.get("rev"), answer.get("all") is True or cached
         if type(rev) is not int:
             raise ListError(f"rev: expected an integer, got {rev!r}")
         now = ClockReading(time.monotonic_ns(), time.time_ns())
@@ -91,7 +91,7 @@
             self.start_times.confirm(now)
             return True
         self.rev = rev
-        entries = [target for one in update["targets"] if (target := self._read_entry(one, now)) is not None]
+        entries = [target for one in answer["targets"] if (target := self._read_entry(one, now)) is not None]
         if not cached:
             self.start_times.confirm(now)
         listed = {target.member.server for target in entries}
@@ -110,7 +110,7 @@
             self._finish_update(target, previous.get(target.member.server))
         self.start_times.forget_unlisted(self.targets, len(self.targets))
         if not cached:
-            self.on_update(update, is_full)
+            self.on_update(answer, is_full)
         return True
 
     def _read_entry(self, entry: Any, now: ClockReading) -> Target | None:
--- a/applehub/node/driver.py
+++ b/applehub/node/driver.py
@@ -91,8 +91,8 @@
         """Accepts a request; returns None if it was answered at once.
 
         reply: receives exactly one answer.
-        received_at: monotonic ns at which the last byte of the request was received; the client's deadline counts
-        from it.
+        received_at: monotonic ns at which the last byte of the request was received, from which the client's
+        deadline counts.
         """
         request_id = call.id.decode()
         if request_id in self.requests:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -82,8 +82,8 @@
     _, (send,) = router.ask("k")
     assert isinstance(send, api.Send)
     server = router.balancer.roster.servers[send.server]
-    asked = router.balancer.roster.flow.per_second(router.now) * 40 / 4
-    router.end(send, api.Status.MISS, load=api.Load(queue=0, eps=0.8 * asked))
+    request_rate = router.balancer.roster.flow.per_second(router.now) * 40 / 4
+    router.end(send, api.Status.MISS, load=api.Load(queue=0, eps=0.8 * request_rate))
     assert server.errors == pytest.approx(0.4, rel=0.1)
     router.balancer.roster.observe(
         server, api.Outcome("", 0, send.server, api.Status.MISS, False, 0, load=api.Load(eps=0.0))
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -63,10 +63,10 @@
         self.router.now = self.clocks.now
         self.router.tell(event)
 
-    def apply_list(self, boot_times: dict[str, int], whole: bool = False, cached: bool = False) -> None:
+    def apply_list(self, boot_times: dict[str, int], full: bool = False, cached: bool = False) -> None:
         self.rev += 1
         targets = [entry(name, "127.0.0.1:1", boot_ms=boot) for name, boot in boot_times.items()]
-        self.directory.apply({"rev": self.rev, "all": whole, "targets": targets}, cached)
+        self.directory.apply({"rev": self.rev, "all": full, "targets": targets}, cached)
 
     def apply_unchanged(self) -> None:
         """Applies a response without changes."""
@@ -95,7 +95,7 @@
     """
     clocks = Clocks()
     harness = DirectoryHarness(clocks, monkeypatch)
-    harness.apply_list({"c0": clocks.boot_ms() - 500_000, **({"c1": 0} if known else {})}, whole=True)
+    harness.apply_list({"c0": clocks.boot_ms() - 500_000, **({"c1": 0} if known else {})}, full=True)
     clocks.wait(30)
     harness.apply_unchanged()
     clocks.wait(0.5)
@@ -125,16 +125,16 @@
     harness = DirectoryHarness(clocks, monkeypatch)
     boot = clocks.boot_ms()
     clocks.wait(4)
-    harness.apply_list({"c0": boot}, whole=True)
+    harness.apply_list({"c0": boot}, full=True)
     close_times: list[float] = []
     pool = harness.directory.pools.pools["c0"]
     monkeypatch.setattr(pool, "close_opened_before", close_times.append)
     clocks.step(where, seconds)
     clocks.wait(1)
     harness.apply_list({"c0": boot})
-    harness.apply_list({"c0": boot}, whole=True)
+    harness.apply_list({"c0": boot}, full=True)
     assert close_times == [] and harness.age("c0") == 5
-    harness.apply_list({}, whole=True)
+    harness.apply_list({}, full=True)
     clocks.wait(1)
     harness.apply_list({"c0": boot})
     assert harness.age("c0") == 6
@@ -144,7 +144,7 @@
     clocks = Clocks()
     harness = DirectoryHarness(clocks, monkeypatch)
     clocks.wait(20)
-    harness.apply_list({"c0": clocks.boot_ms() - 7_000}, whole=True)  # in the first list
+    harness.apply_list({"c0": clocks.boot_ms() - 7_000}, full=True)  # in the first list
     assert harness.age("c0") == 7
     clocks.wait(1)
     started = clocks.boot_ms()
@@ -203,7 +203,7 @@
 ) -> None:
     clocks = Clocks()
     harness = DirectoryHarness(clocks, monkeypatch)
-    harness.apply_list({"c0": clocks.boot_ms()}, whole=True)
+    harness.apply_list({"c0": clocks.boot_ms()}, full=True)
     close_times: list[float] = []
     monkeypatch.setattr(harness.directory.pools.pools["c0"], "close_opened_before", close_times.append)
     clocks.wait(50)
