--- a/tests/test_attempt_start.py
+++ b/tests/test_attempt_start.py
@@ -44,7 +44,6 @@
 def test_server_removed_during_connect_receives_no_attempt(
     monkeypatch: pytest.MonkeyPatch, changes: dict[str, str], delay: float
 ) -> None:
-
     async def test() -> None:
         delay_connects(monkeypatch)
         async with router() as bench:
@@ -109,7 +108,6 @@
 def test_attempt_of_disconnected_client_is_not_written(
     monkeypatch: pytest.MonkeyPatch, write: bool, delay: float
 ) -> None:
-
     async def test() -> None:
         delay_connects(monkeypatch)
         async with router() as bench:
