--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Load reports on the sockets: what can't be read counts as none, and its answer still counts."""
+"""Load reports in servers' responses. An invalid report is ignored; the response itself still counts."""
 
 import hiredis
 import pytest
@@ -7,11 +7,11 @@
 from applehub import interface as api
 from applehub.node import caches, origin
 from applehub.node.call import read_load
-from applehub.node.http1 import Answer
+from applehub.node.http1 import HttpResponse
 
 REPORT = b"backlog=3.5,errors_per_s=0.25,x0=0.691"
 LOAD = api.Load(queue=3.5, eps=0.25)
-BAD = [
+INVALID_REPORTS = [
     None,
     7,
     b"",
@@ -30,48 +30,48 @@
 ]
 
 
-def test_a_report_tells_the_fields_that_are_known() -> None:
+def test_known_fields_of_report_are_parsed() -> None:
     assert read_load(REPORT) == LOAD
     assert read_load("x0=0.5") is None
     assert read_load(b"backlog=0,soon=1") == api.Load(queue=0)
 
 
-@pytest.mark.parametrize("report", BAD)
-def test_a_report_that_makes_no_sense_counts_as_none(report: object) -> None:
+@pytest.mark.parametrize("report", INVALID_REPORTS)
+def test_invalid_report_is_ignored(report: object) -> None:
     assert read_load(report) is None
-    served = caches.ending_of([b"value", b"hit", report])
+    served = caches.result_of([b"value", b"hit", report])
     assert served is not None
     assert (served.status, served.value, served.load) == (api.Status.OK, b"value", None)
 
 
-def test_each_answer_of_a_cache_may_carry_a_report() -> None:
+def test_every_cache_reply_may_carry_report() -> None:
     for answer, status in (
         ([b"value", b"hit", REPORT], api.Status.OK),
         ([None, b"miss", REPORT], api.Status.MISS),
         (hiredis.ReplyError("BUSY " + REPORT.decode()), api.Status.FULL),
         (hiredis.ReplyError("ERR failed " + REPORT.decode()), api.Status.ERROR),
     ):
-        ending = caches.ending_of(answer)
-        assert ending is not None and (ending.status, ending.load) == (status, LOAD)
+        result = caches.result_of(answer)
+        assert result is not None and (result.status, result.load) == (status, LOAD)
 
 
 @pytest.mark.parametrize("text", ["BUSY", "BUSY backlog=", "ERR failed", "ERR failed later"])
-def test_an_error_line_without_a_report_is_what_it_was(text: str) -> None:
-    ending = caches.ending_of(hiredis.ReplyError(text))
+def test_error_line_without_report_keeps_its_status(text: str) -> None:
+    result = caches.result_of(hiredis.ReplyError(text))
     status = api.Status.FULL if text.startswith("BUSY") else api.Status.ERROR
-    assert ending is not None and (ending.status, ending.load) == (status, None)
+    assert result is not None and (result.status, result.load) == (status, None)
 
 
-def test_an_answer_of_the_origin_may_carry_a_report() -> None:
+def test_origin_response_may_carry_report() -> None:
     for status, ended in ((200, api.Status.OK), (500, api.Status.ERROR)):
         for report, load in ((REPORT, LOAD), (b"backlog=", None)):
-            ending = origin.ending_of(Answer(status, {b"x-load-report": report}, bytearray(b"v")))
-            assert (ending.status, ending.load) == (ended, load)
-    assert origin.ending_of(Answer(200, {})).load is None
+            result = origin.result_of(HttpResponse(status, {b"x-load-report": report}, bytearray(b"v")))
+            assert (result.status, result.load) == (ended, load)
+    assert origin.result_of(HttpResponse(200, {})).load is None
 
 
-def test_errors_that_a_report_tells_show_a_server_that_fails_others() -> None:
-    """A router that asks a server every other second learns of its errors from any answer of it."""
+def test_reported_errors_reveal_server_failing_other_routers() -> None:
+    """Reported errors reveal a server that fails other routers' requests to a router that seldom uses it."""
     router = Router(settings(balancers=40))
     for n in range(40):
         name, _ = router.ask(f"other{n}")
@@ -82,8 +82,8 @@
     _, (send,) = router.ask("k")
     assert isinstance(send, api.Send)
     server = router.balancer.roster.servers[send.server]
-    asked = router.balancer.roster.flow.per_second(router.now) * 40 / 4
-    router.end(send, api.Status.MISS, load=api.Load(queue=0, eps=0.8 * asked))
+    request_rate = router.balancer.roster.flow.per_second(router.now) * 40 / 4
+    router.end(send, api.Status.MISS, load=api.Load(queue=0, eps=0.8 * request_rate))
     assert server.errors == pytest.approx(0.4, rel=0.1)
     router.balancer.roster.observe(
         server, api.Outcome("", 0, send.server, api.Status.MISS, False, 0, load=api.Load(eps=0.0))
