--- a/applehub/checked.py
+++ b/applehub/checked.py
@@ -1,7 +1,7 @@
-"""TOML files that are checked by pydantic models, for the programs beside the router.
+"""Loading of TOML files that are validated by pydantic models, for the programs other than the router.
 
-All faults of a file are reported at once, one line each, with the file, the key and what was expected.
-Nothing that `run` loads imports this module: pydantic slows the start.
+All errors of a file are reported together, one line each, with the file, the key and what was expected.
+Modules that `run` loads must not import this module, because importing pydantic delays the start.
 """
 
 import tomllib
@@ -11,39 +11,39 @@
 from pydantic import BaseModel, ConfigDict, ValidationError
 
 Model = TypeVar("Model", bound=BaseModel)
-RawTable = dict[str, object]  # a TOML table by its keys, not checked yet
+RawTable = dict[str, object]  # TOML table before validation
 
 
 class Table(BaseModel):
-    """A table of a file, as a model whose fields are its keys: an unknown key is a fault."""
+    """Base model of a TOML table. Its fields are the table's keys; unknown keys are errors."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, allow_inf_nan=False)
 
 
-def describe_faults(file: str, error: ValidationError) -> str:
-    """Returns a line for each fault that a model found in a file."""
+def format_validation_errors(file: str, error: ValidationError) -> str:
+    """Returns one line for each validation error of a file."""
     lines = []
-    for fault in error.errors():
-        key = ".".join(str(step) for step in fault["loc"]) or "the whole"
-        # Without the value where there is none, and where the model's own check names it.
-        got = "" if fault["type"] in {"missing", "value_error"} else f", got {fault['input']!r}"
-        lines.append(f"{file}: {key}: {fault['msg']}{got}")
+    for detail in error.errors():
+        key = ".".join(str(step) for step in detail["loc"]) or "the whole file"
+        # The value is omitted if it is missing, or if the message of a model validator names it already.
+        received = "" if detail["type"] in {"missing", "value_error"} else f", got {detail['input']!r}"
+        lines.append(f"{file}: {key}: {detail['msg']}{received}")
     return "\n".join(lines)
 
 
-def read_toml(path: Path, failure: type[ValueError]) -> RawTable:
-    """Returns what a file holds, not checked yet. Raises `failure` if it cannot be read or is not TOML."""
+def read_toml(path: Path, error_class: type[ValueError]) -> RawTable:
+    """Returns the parsed file before validation. Raises `error_class` if it is unreadable or not TOML."""
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as problem:
-        raise failure(f"{path}: {problem.strerror or problem}") from problem
+        raise error_class(f"{path}: {problem.strerror or problem}") from problem
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
-        raise failure(f"{path}: not TOML: {problem}") from problem
+        raise error_class(f"{path}: not TOML: {problem}") from problem
 
 
-def validate(file: str, model: type[Model], raw: RawTable, failure: type[ValueError]) -> Model:
-    """Returns the content of a file as a model. Raises `failure`, which names every fault of the file."""
+def validate(file: str, model: type[Model], raw: RawTable, error_class: type[ValueError]) -> Model:
+    """Returns the validated model of a file. Raises `error_class` with one line for each error."""
     try:
         return model.model_validate(raw)
     except ValidationError as error:
-        raise failure(describe_faults(file, error)) from error
+        raise error_class(format_validation_errors(file, error)) from error
--- a/applehub/durable/__init__.py
+++ b/applehub/durable/__init__.py
@@ -1,5 +1,5 @@
-"""State that outlives a process: a value is on disk complete or not at all, and checked when it is read.
+"""Durable storage of single values, replaced atomically and verified by a checksum when read.
 
-`folder` holds the few operations on files that a store needs, `frame` the form of a file, `store` one value
-in two generations.
+`folder` has the file operations that a store needs, `frame` the file format, and `store` the store itself,
+which keeps the last two generations of a value.
 """
--- a/applehub/durable/folder.py
+++ b/applehub/durable/folder.py
@@ -1,4 +1,4 @@
-"""A folder on disk: the few operations that a store needs, and what each guarantees over a loss of power."""
+"""File operations of a store in one folder, with their durability guarantees."""
 
 import errno
 import fcntl
@@ -8,41 +8,41 @@
 
 
 class Disk(Protocol):
-    """What a store needs of a folder. Names are of files in the folder; every method may raise OSError."""
+    """Folder operations that a store uses. Names are file names; every method may raise OSError."""
 
     def read(self, name: str) -> bytes | None:
-        """Returns the content of a file; None if there is no such file."""
+        """Returns the content of a file, or None if it does not exist."""
 
     def write(self, name: str, data: bytes) -> None:
-        """Replaces the content of a file, which is created if needed; nothing is synchronised."""
+        """Writes a file, creating it if needed, without synchronising it to the disk."""
 
     def sync(self, name: str) -> None:
-        """Has a file's content outlive a loss of power from now on; its name need not."""
+        """Makes a file's content durable, but not its directory entry."""
 
     def rename(self, name: str, to: str) -> None:
-        """Renames a file in one step; a file that had the new name is replaced."""
+        """Renames a file atomically, replacing any file that has the new name."""
 
     def sync_names(self) -> None:
-        """Has the names of all files outlive a loss of power from now on."""
+        """Makes the directory entries of all files durable."""
 
     def lock(self, name: str) -> bool:
-        """Locks a file for this process, until it ends or unlocks it; False if another process has it."""
+        """Locks a file until this process unlocks it or ends. Returns False if another process holds it."""
 
     def unlock(self, name: str) -> None:
-        """Releases a lock; without one, does nothing."""
+        """Releases a lock, if it is held."""
 
 
 class Folder:
-    """A folder of the file system, created if it is missing."""
+    """A `Disk` in the file system."""
 
     def __init__(self, path: str | Path) -> None:
-        """Raises OSError if the folder is missing and cannot be created."""
+        """Creates the folder if it is missing. Raises OSError."""
         self.path = Path(path)
         self._locks: dict[str, BinaryIO] = {}
         self.path.mkdir(mode=0o700, parents=True, exist_ok=True)
 
     def read(self, name: str) -> bytes | None:
-        """Returns the content of a file; None if there is no such file."""
+        """Returns the content of a file, or None if it does not exist."""
         try:
             with open(self.path / name, "rb") as file:
                 return file.read()
@@ -50,24 +50,24 @@
             return None
 
     def write(self, name: str, data: bytes) -> None:
-        """Replaces the content of a file, which is created if needed; nothing is synchronised."""
+        """Writes a file, creating it if needed, without synchronising it to the disk."""
         with open(self.path / name, "wb") as file:
             file.write(data)
 
     def sync(self, name: str) -> None:
-        """Has a file's content outlive a loss of power from now on; its name need not."""
+        """Makes a file's content durable, but not its directory entry."""
         _sync(self.path / name)
 
     def rename(self, name: str, to: str) -> None:
-        """Renames a file in one step; a file that had the new name is replaced."""
+        """Renames a file atomically, replacing any file that has the new name."""
         (self.path / name).replace(self.path / to)
 
     def sync_names(self) -> None:
-        """Has the names of all files outlive a loss of power from now on."""
+        """Makes the directory entries of all files durable."""
         _sync(self.path)
 
     def lock(self, name: str) -> bool:
-        """Locks a file for this process, until it ends or unlocks it; False if another process has it."""
+        """Locks a file until this process unlocks it or ends. Returns False if another process holds it."""
         file = open(self.path / name, "ab")  # noqa: SIM115 (closed by `unlock`)
         try:
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -80,14 +80,14 @@
         return True
 
     def unlock(self, name: str) -> None:
-        """Releases a lock; without one, does nothing."""
+        """Releases a lock, if it is held."""
         file = self._locks.pop(name, None)
         if file is not None:
             file.close()
 
 
 def _sync(path: Path) -> None:
-    """Synchronises a file or a folder. Raises OSError if the disk refuses."""
+    """Calls fsync on a file or folder. Raises OSError."""
     descriptor = os.open(path, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/applehub/durable/store.py
+++ b/applehub/durable/store.py
@@ -1,8 +1,8 @@
-"""One value on disk, in two generations: after a crash or a loss of power the store holds the value that was
-acknowledged last, or the one that was being saved, and never a part of one.
+"""Crash-safe store of one value on disk: after a crash or power loss it holds either the value that was saved
+last or the value that was being saved, never a partial one.
 
-The generations lie in two files. A save writes a third file, synchronises it, and renames it over the older
-of the two; so whatever becomes of a save, the newest complete file stays.
+Two files hold the last two generations of the value. A save writes a third file, synchronises it, and renames
+it over the older of the two, so that an interrupted save leaves the newest complete file intact.
 """
 
 from dataclasses import dataclass, field
@@ -10,80 +10,80 @@
 from applehub.durable.folder import Disk
 from applehub.durable.frame import DamagedFrameError, Frame, decode
 
-MAX_VALUE_SIZE = 64 << 20  # bytes: a value is held in memory as a whole, and a longer one is a mistake
+MAX_VALUE_SIZE = 64 << 20  # bytes
 
 
 class StoreError(Exception):
-    """A store cannot be opened, or a value cannot be saved in it; its value is what it was."""
+    """A store can't be opened, or a value can't be saved. The stored value is unchanged."""
 
 
 class StoreLockedError(StoreError):
     """Another process has the store open."""
 
     def __init__(self, name: str) -> None:
-        """Name is that of the store."""
-        super().__init__(f"{name}: another process holds it")
+        """Takes the name of the store."""
+        super().__init__(f"{name}: another process has the store open")
 
 
 class StoreClosedError(StoreError):
-    """The store is not open, and so takes no value."""
+    """A value can't be saved because the store is not open."""
 
     def __init__(self, name: str) -> None:
-        """Name is that of the store."""
+        """Takes the name of the store."""
         super().__init__(f"{name}: not open for writing")
 
 
 class ValueTooLongError(StoreError):
-    """The value has more than MAX_VALUE_SIZE bytes."""
+    """A value is longer than MAX_VALUE_SIZE."""
 
     def __init__(self, name: str, size: int) -> None:
-        """Name is that of the store, size that of the value."""
-        super().__init__(f"{name}: {size} bytes, {MAX_VALUE_SIZE} at most")
+        """Takes the name of the store and the size of the value in bytes."""
+        super().__init__(f"{name}: expected at most {MAX_VALUE_SIZE} bytes, got {size}")
 
 
 @dataclass(slots=True)
-class Loaded:
-    """What a store holds.
+class LoadResult:
+    """The result of loading a store.
 
-    value: None if there is none. generation: the value's number, 0 if there is none. passed_over: for each
-    file that cannot be used, a line with its name, an offset and the reason.
+    `value` is None and `generation` 0 if the store has no readable value. `skipped_files` has a line for each
+    unusable file, with its name, a byte offset and the reason.
     """
 
     value: bytes | None = None
     generation: int = 0
-    passed_over: list[str] = field(default_factory=list)
+    skipped_files: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class _Files:
-    """What the two files of a store hold, by index: frames of a known format, and of a newer program's."""
+    """Frames of a store's two files, by file index."""
 
-    known: dict[int, Frame] = field(default_factory=dict)
-    newer: dict[int, Frame] = field(default_factory=dict)
+    known: dict[int, Frame] = field(default_factory=dict)  # in a format that this program reads
+    newer: dict[int, Frame] = field(default_factory=dict)  # in a format of a newer program
 
 
 class Store:
-    """A named value in a folder, which one process at a time has open for writing.
+    """A named value in a folder, open for writing in at most one process.
 
-    A file that a newer program wrote, with a later version of the value's format, is not read; the latest
-    such file is never written over, so that this program can be followed by the newer one again.
+    Files with a higher format version, written by a newer program, are not read. The latest of them is never
+    overwritten, so that the newer program finds its value again after a downgrade.
     """
 
     def __init__(self, disk: Disk, name: str, format_version: int) -> None:
-        """Name is what the store's files are called; nothing is read or locked yet."""
+        """Creates a closed store. `name` is the prefix of its file names."""
         self.disk = disk
         self.name = name
         self.format_version = format_version
         self.files = (f"{name}.0", f"{name}.1")
         self.is_open = False
-        self._generation = 0  # the highest in any file, of whatever format
+        self._generation = 0  # highest generation in any file, in any format
         self._next_file = 0  # index of the file that the next save replaces
-        self._keeps_newer = False  # the other file is a newer program's, and stays
+        self._protects_newer_format = False  # the other file has a newer format and must not be overwritten
 
-    def open(self) -> Loaded:
-        """Locks the store for this process, and returns what it holds.
+    def open(self) -> LoadResult:
+        """Locks the store for this process and loads it.
 
-        Raises StoreLockedError if another process has it open, and OSError if the disk refuses: then it stays
+        Raises StoreLockedError if another process has the store open, or OSError. The store then stays
         closed.
         """
         if not self.is_open:
@@ -93,13 +93,13 @@
         try:
             return self.load()
         except OSError:
-            self.close()  # a save must know the generations, and which file to replace
+            self.close()  # a save needs the loaded generations to choose the file that it replaces
             raise
 
-    def load(self) -> Loaded:
-        """Returns what the store holds: the highest complete generation. Raises OSError."""
-        contents = [self.disk.read(file) for file in self.files]  # all, before anything is noted of them
-        loaded = Loaded()
+    def load(self) -> LoadResult:
+        """Loads the value with the highest generation among the complete files. Raises OSError."""
+        contents = [self.disk.read(file) for file in self.files]  # all are read before any state changes
+        loaded = LoadResult()
         files = self._decode(contents, loaded)
         newest = _newest(files.known)
         if newest is not None:
@@ -107,15 +107,15 @@
             loaded.generation = files.known[newest].generation
         frames = [*files.known.values(), *files.newer.values()]
         self._generation = max([self._generation, *(frame.generation for frame in frames)])
-        kept = _newest(files.newer)
-        self._keeps_newer = kept is not None
-        if kept is None:
-            kept = newest
-        self._next_file = 0 if kept is None else 1 - kept
+        protected = _newest(files.newer)
+        self._protects_newer_format = protected is not None
+        if protected is None:
+            protected = newest
+        self._next_file = 0 if protected is None else 1 - protected
         return loaded
 
-    def _decode(self, contents: list[bytes | None], loaded: Loaded) -> _Files:
-        """Decodes the files that are there; notes in `loaded` why files are passed over."""
+    def _decode(self, contents: list[bytes | None], loaded: LoadResult) -> _Files:
+        """Decodes the existing files, and adds the unusable ones to `loaded.skipped_files`."""
         files = _Files()
         for index, (name, content) in enumerate(zip(self.files, contents, strict=True)):
             if content is None:
@@ -123,22 +123,22 @@
             try:
                 frame = decode(content)
             except DamagedFrameError as problem:
-                loaded.passed_over.append(f"{name}: {problem}")
+                loaded.skipped_files.append(f"{name}: {problem}")
                 continue
             if frame.format_version <= self.format_version:
                 files.known[index] = frame
             else:
                 files.newer[index] = frame
                 versions = f"format {frame.format_version}, known is {self.format_version}"
-                loaded.passed_over.append(f"{name}: byte 4: {versions}")
+                loaded.skipped_files.append(f"{name}: byte 4: {versions}")
         return files
 
     def save(self, value: bytes) -> None:
-        """Saves a value; on return it outlives a loss of power.
+        """Saves a value durably.
 
-        Raises StoreClosedError or ValueTooLongError: the value before stays. Raises OSError if the disk
-        refuses: `load` then returns the value before or, if only the folder's synchronisation was refused,
-        this one; after a loss of power either.
+        Raises StoreClosedError or ValueTooLongError, which leave the previous value in place. After an
+        OSError, `load` returns the previous value, or the new one if only synchronising the folder failed;
+        after a power loss it may return either.
         """
         if not self.is_open:
             raise StoreClosedError(self.name)
@@ -150,12 +150,12 @@
         self.disk.sync(replacement)
         self.disk.rename(replacement, self.files[self._next_file])
         self._generation = generation
-        if not self._keeps_newer:
+        if not self._protects_newer_format:
             self._next_file = 1 - self._next_file
         self.disk.sync_names()
 
     def close(self) -> None:
-        """Releases the store; without being open, does nothing."""
+        """Closes the store and releases its lock, if it is open."""
         if self.is_open:
             self.is_open = False
             self.disk.unlock(self._lock_file)
@@ -166,5 +166,5 @@
 
 
 def _newest(frames: dict[int, Frame]) -> int | None:
-    """Returns the index of the frame with the highest generation; None if there is none."""
+    """Returns the index of the frame with the highest generation, or None if there are no frames."""
     return max(frames, key=lambda index: frames[index].generation, default=None)
--- a/applehub/events.py
+++ b/applehub/events.py
@@ -1,8 +1,8 @@
-"""Events of the programs beside the router: JSON lines with one schema and one vocabulary.
+"""Structured event log of the programs other than the router: JSON lines with one schema.
 
-A line holds `mono` (CLOCK_MONOTONIC in ns, which all processes of a machine share), `wall` (Unix time in ns,
-as the process sees it), `process`, `incarnation` (how many times the process was started), `event`, perhaps
-`request`, and the fields of the event's kind. Neither `run` nor `sim` imports this module.
+Each line has the fields `mono` (CLOCK_MONOTONIC in nanoseconds, shared by all processes of a machine), `wall`
+(Unix time in nanoseconds), `process`, `incarnation` (number of times the process was started), `event`,
+optionally `request`, and the fields of the event's kind. Neither `run` nor `sim` imports this module.
 """
 
 import os
@@ -16,57 +16,57 @@
 
 import orjson
 
-MOST_HELD = 1 << 20  # bytes: some 5,000 lines
-BLOCK = 1 << 16  # bytes that are read at once
+MAX_BUFFERED_BYTES = 1 << 20  # of lines that are not written yet
+READ_BLOCK_BYTES = 1 << 16
 
 
 class EventKind(StrEnum):
-    """Kinds of events. The comments name their fields, beside those of every line."""
+    """Kinds of events. Each comment lists the fields that the kind adds to those of every line."""
 
     STARTED = "started"  # pid
     READY = "ready"  # address
-    EXITED = "exited"  # code; planned: whether the proving ground ended it
-    RESOURCE_SAMPLE = "sample"  # cpu_s, memory_mb, descriptors: of a process, since its start
-    FAULT_BEGUN = "fault"  # fault: its number; kind, processes, edges: what it affects
+    EXITED = "exited"  # code; planned: whether the fleet test ended the process
+    RESOURCE_SAMPLE = "sample"  # cpu_s, memory_mb, descriptors of the process since its start
+    FAULT_BEGUN = "fault"  # fault: its number; kind; processes, edges: what is affected
     FAULT_ENDED = "healed"  # fault
-    FAULT_NOT_BEGUN = "undone"  # fault, why: it could not be injected; of: the process that did not start
-    REQUEST_SENT = "asked"  # request, router, cls, key, wait_ms: written to a router completely
-    REQUEST_ANSWERED = "answered"  # request, router, how: served, refused or failed; ms
-    CLOSED_UNANSWERED = "closed"  # request, router: the connection ended without a complete answer
-    REQUEST_TIMED_OUT = "gave_up"  # request, router: no answer within its deadline and the slack
-    ANSWER_UNEXPECTED = "extra"  # request, router: an answer to no open request
-    CLIENT_LEFT = "left"  # request, router: the client closed its connection before an answer
-    CONNECT_FAILED = "unreached"  # request, router: the connection was not established
-    ATTEMPT_BEGUN = "attempt"  # request, router, server, cls: a server read it completely
+    FAULT_NOT_BEGUN = "undone"  # fault, why: injection failed; of: the process that did not start
+    REQUEST_SENT = "asked"  # request, router, cls, key, wait_ms: completely written to a router
+    REQUEST_ANSWERED = "answered"  # request, router, how: served, refused or failed; ms: latency
+    CLOSED_UNANSWERED = "closed"  # request, router: connection closed before a complete answer
+    REQUEST_TIMED_OUT = "gave_up"  # request, router: no answer within the deadline and its margin
+    ANSWER_UNEXPECTED = "extra"  # request, router: answer that matches no open request
+    CLIENT_LEFT = "left"  # request, router: client closed its connection before the answer
+    CONNECT_FAILED = "unreached"  # request, router: connection could not be established
+    ATTEMPT_BEGUN = "attempt"  # request, router, server, cls: a server read the complete request
     ATTEMPT_ENDED = "ended"  # request, router, server, how
-    SERVER_OVERLOADED = "fell"  # server: it got more than its slow start permits
-    LIST_CHANGED = "listed"  # version, server, state: a change of the endpoint list
-    LIST_POLLED = "list_asked"  # router, since: the version that the caller has, or none
-    LIST_SENT = "told"  # router, version, states: the list was written to the router
+    SERVER_OVERLOADED = "fell"  # server: received more requests than its slow start permits
+    LIST_CHANGED = "listed"  # version, server, state: the endpoint list changed
+    LIST_POLLED = "list_asked"  # router, since: version that the router has, or none
+    LIST_SENT = "told"  # router, version, states: the list was sent to the router
     LEADERSHIP_WON = "leads"  # term: a replica of the list service became leader
-    LEADERSHIP_LOST = "follows"  # term: it is leader no longer
-    EXPIRY_PAUSED = "brake"  # on: whether so many leases expired at once that no entry is removed
-    CONFIG_RELOADED = "reloaded"  # taken: whether the file was applied; why not
-    STORE_DAMAGED = "damaged"  # why: stored data can't be used
-    CHANGE_ACKNOWLEDGED = "acked"  # server, entry, version: a change that the list service acknowledged
-    ENTRIES_HELD = "held"  # of, servers: the versions of all entries at the leader, in the end
-    PEER_FIGURES = "peers"  # router, figures: what it has received from the other routers
-    PEERS_AGREED = "agreed"  # routers: each of this many that run knows exactly these
-    RELEASE_MODE = "release"  # mode, why: the mode of a release from now on
+    LEADERSHIP_LOST = "follows"  # term: the replica is no longer leader
+    EXPIRY_PAUSED = "brake"  # on: whether removals are paused because too many leases expired at once
+    CONFIG_RELOADED = "reloaded"  # taken: whether the file was applied; why: reason if it was not
+    STORE_DAMAGED = "damaged"  # why: stored data is unusable
+    CHANGE_ACKNOWLEDGED = "acked"  # server, entry, version: the list service acknowledged a change
+    ENTRIES_HELD = "held"  # of, servers: versions of all entries at the leader at the end of a run
+    PEER_FIGURES = "peers"  # router, figures: statistics that it received from other routers
+    PEERS_AGREED = "agreed"  # routers: number of running routers, each of which knows all of them
+    RELEASE_MODE = "release"  # mode, why: a release entered this mode
     ORDER_SENT = "ordered"  # unit, number, step, version: an order was sent to an agent
-    ORDER_OUTCOME = "stepped"  # unit, number, good, why: the outcome of an order
-    ORDER_REFUSED = "turned_down"  # unit, number, why: an agent refused an order
-    VERSION_REJECTED = "condemned"  # why: a gate found the new version bad
-    FLEET_UNHEALTHY = "unwell"  # why: no unit is begun meanwhile; empty: units are begun again
-    STAFF_REQUEST = "wished"  # what: the request of staff that a controller carried out
+    ORDER_OUTCOME = "stepped"  # unit, number, good, why: outcome of an order
+    ORDER_REFUSED = "turned_down"  # unit, number, why: an agent rejected an order
+    VERSION_REJECTED = "condemned"  # why: a gate rejected the new version
+    FLEET_UNHEALTHY = "unwell"  # why: upgrades of further units are paused; empty: resumed
+    STAFF_REQUEST = "wished"  # what: staff request that a controller executed
     LOCK_CHANGED = "lock"  # held, fence: whether this controller may send orders
-    STEP_EXECUTED = "moved"  # unit, step, version, number, why: a host executed a step, or failed to
-    OPERATOR_CALL = "call"  # router, words, answer: a call of an operator at the console
+    STEP_EXECUTED = "moved"  # unit, step, version, number, why: a host executed a step or failed to
+    OPERATOR_CALL = "call"  # router, words, answer: an operator's console command
 
 
 @dataclass(frozen=True, slots=True)
 class EventRecord:
-    """One event as it was read. fields: those of its kind."""
+    """One decoded event. `fields` holds the fields of its kind."""
 
     mono: int
     wall: int
@@ -77,7 +77,7 @@
     fields: dict[str, Any]
 
     def to_text(self, since: int = 0) -> str:
-        """For people: ms since a reading of CLOCK_MONOTONIC in ns, the process, the event and its fields."""
+        """Returns a readable line with the time in ms since `since`, a CLOCK_MONOTONIC reading in ns."""
         fields = " ".join(f"{name}={value}" for name, value in self.fields.items())
         process = f"{self.process}#{self.incarnation}" if self.incarnation else self.process
         elapsed_ms = (self.mono - since) / 1e6
@@ -85,37 +85,37 @@
 
 
 class EventFormatError(ValueError):
-    """A line is not of the schema."""
+    """A line does not match the event schema."""
 
 
 class EventWriter:
-    """Writes one process's events. Each line is handed to the system at once, so that SIGKILL loses none.
+    """Writes the events of one process, each with its own `write` call so that SIGKILL loses none.
 
-    A file that refuses (ENOSPC, EIO) ends no program: lines are held, up to MOST_HELD bytes, and written
-    before the next ones; those past that are dropped and counted.
+    Write errors (ENOSPC, EIO) are not raised: up to MAX_BUFFERED_BYTES of lines are buffered and written
+    before later lines. Lines beyond that are dropped and counted in `dropped`.
     """
 
     def __init__(self, target: Path | BinaryIO, process: str, incarnation: int) -> None:
-        """target: a file that no other process writes, or a stream. Raises OSError if it can't be opened."""
-        self.dropped = 0  # lines
+        """Opens `target`, a stream or the path of a file with no other writer. Raises OSError."""
+        self.dropped = 0
         self._process = process
         self._incarnation = incarnation
-        self._held = bytearray()  # not written yet; it may begin in the middle of a line
+        self._buffer = bytearray()  # unwritten lines; the first may be partial
         self._write: Callable[[bytes], int | None]
         self._close: Callable[[], None]
         if isinstance(target, Path):
-            _cut_half_line(target)
+            _truncate_partial_line(target)
             descriptor = os.open(target, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o666)
             self._write = partial(os.write, descriptor)
             self._close = partial(os.close, descriptor)
         else:
             target.flush()
-            raw = getattr(target, "raw", target)  # a buffer would hold lines beside those held here
+            raw = getattr(target, "raw", target)  # bypasses the stream's own buffer
             self._write = raw.write
             self._close = target.close
 
     def write(self, event: EventKind, **fields: object) -> None:
-        """Writes a line, or holds it until the file takes it."""
+        """Writes an event, or buffers it if the file can't be written."""
         line = orjson.dumps(
             {
                 "process": self._process,
@@ -126,31 +126,31 @@
                 "wall": time.time_ns(),
             }
         )
-        if len(self._held) + len(line) >= MOST_HELD:
+        if len(self._buffer) + len(line) >= MAX_BUFFERED_BYTES:
             self.dropped += 1
         else:
-            self._held += line + b"\n"
+            self._buffer += line + b"\n"
         self.flush()
 
     def flush(self) -> None:
-        """Writes what is held, as far as the file takes it."""
+        """Writes as many buffered lines as the file accepts."""
         try:
-            while self._held:
-                written = self._write(bytes(self._held))
+            while self._buffer:
+                written = self._write(bytes(self._buffer))
                 if not written:
-                    return  # a stream that does not block, and is full
-                del self._held[:written]
+                    return  # a non-blocking stream that is full
+                del self._buffer[:written]
         except OSError:
-            return  # held, and written before the next line
+            return  # the lines stay buffered and are written before the next one
 
     def close(self) -> None:
-        """Closes the file; lines that it refuses now are lost."""
+        """Closes the file. Lines that can't be written by now are lost."""
         self.flush()
         self._close()
 
 
 def parse_event(line: bytes) -> EventRecord:
-    """Decodes a line. Raises EventFormatError."""
+    """Decodes a line. Raises EventFormatError if it does not match the schema."""
     try:
         fields = orjson.loads(line)
         return EventRecord(
@@ -167,10 +167,9 @@
 
 
 def complete_lines(path: Path, since: int = 0) -> list[bytes]:
-    """The complete lines of a file from an offset in bytes on, each with its end.
+    """Returns the complete lines of a file from byte offset `since` on, including their line ends.
 
-    The file is read at once. Reading line by line beside the writer would give the first part of a line, and
-    then its rest as another line.
+    The file is read in one call, because reading it line by line during a write could split a line in two.
     """
     with path.open("rb") as file:
         file.seek(since)
@@ -179,15 +178,15 @@
 
 
 def read_events(path: Path) -> Iterator[EventRecord]:
-    """All events of a file, in order, without a last line that was cut off with its process.
+    """Yields the events of a file in order, without an incomplete last line.
 
-    Raises OSError, EventFormatError.
+    Raises OSError or EventFormatError.
     """
     return map(parse_event, complete_lines(path))
 
 
-def _cut_half_line(path: Path) -> None:
-    """Cuts off a last line in whose middle a writer was killed; else the next would be joined to it."""
+def _truncate_partial_line(path: Path) -> None:
+    """Removes an incomplete last line, left by a killed writer, so that the next line is not joined to it."""
     try:
         file = path.open("r+b")
     except FileNotFoundError:
@@ -195,7 +194,7 @@
     with file:
         end = position = file.seek(0, os.SEEK_END)
         while position:
-            start = max(0, position - BLOCK)
+            start = max(0, position - READ_BLOCK_BYTES)
             file.seek(start)
             newline = file.read(position - start).rfind(b"\n")
             position = start + newline + 1
--- a/applehub/release/__init__.py
+++ b/applehub/release/__init__.py
@@ -1,1 +1,1 @@
-"""Staged releases: a plan, a pure machine that carries it out, halts and returns, and its model."""
+"""Staged releases of cache servers, routers and their configuration, with health gates and rollback."""
--- a/applehub/release/__main__.py
+++ b/applehub/release/__main__.py
@@ -1,6 +1,6 @@
-"""Commands of a release: `python -m applehub.release`.
+"""Command line of staged releases: `python -m applehub.release`.
 
-Exit status 2: a plan or a folder can't be used; 3: the release is halted.
+Exits with status 2 if a plan or folder is unusable, and 3 if the release is halted.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 from applehub.durable.store import StoreError
 from applehub.events import EventFormatError, read_events
-from applehub.release.backoff import when_disk_permits
+from applehub.release.backoff import retry_disk_errors
 from applehub.release.controller import Controller
 from applehub.release.errors import ReleaseError
 from applehub.release.plan import Plan, load_plan
@@ -27,20 +27,24 @@
 from applehub.release.staff_requests import RequestKind
 from applehub.release.state_machine import ACTIVE_MODES, ReleaseMode, ReleaseRecord
 
-UNUSABLE = 2  # exit status
-HALTED = 3  # exit status
+EXIT_UNUSABLE = 2  # a plan or folder is unusable
+EXIT_HALTED = 3
 MAX_PORT = 65_535
-STATUS_S = 1.0  # between two outputs of `status --watch`
-STATE = click.option(
-    "--state", "folder", required=True, type=click.Path(file_okay=False, path_type=Path), help="Its folder."
+STATUS_INTERVAL_S = 1.0  # of `status --watch`
+STATE_OPTION = click.option(
+    "--state",
+    "folder",
+    required=True,
+    type=click.Path(file_okay=False, path_type=Path),
+    help="Folder of the release.",
 )
-AGAIN = click.option("--again", is_flag=True, help="Tries a version once more that was returned.")
-JSON = click.option("--json", "as_json", is_flag=True, help="As JSON.")
+AGAIN_OPTION = click.option("--again", is_flag=True, help="Allow a version that was rolled back before.")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 Parameters = ParamSpec("Parameters")
 
 
-def guarded(command: Callable[Parameters, None]) -> Callable[Parameters, None]:
-    """Has a command that raises an error of the program end with status 2 and a line for each fault."""
+def reports_errors(command: Callable[Parameters, None]) -> Callable[Parameters, None]:
+    """Wraps a command so that expected errors are printed, one line each, and end it with status 2."""
 
     @wraps(command)
     def wrapped(*arguments: Parameters.args, **options: Parameters.kwargs) -> None:
@@ -48,22 +52,22 @@
             command(*arguments, **options)
         except (ReleaseError, StoreError, EventFormatError, OSError) as error:
             click.echo(str(error), err=True)
-            sys.exit(UNUSABLE)
+            sys.exit(EXIT_UNUSABLE)
 
     return wrapped
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """Staged releases of cache servers, of the program and of its configuration."""
+    """Staged releases of cache servers, routers and their configuration."""
 
 
 @main.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@JSON
-@guarded
+@JSON_OPTION
+@reports_errors
 def plan(file: Path, as_json: bool) -> None:
-    """Checks plan FILE and shows its stages."""
+    """Validate the plan FILE and print its stages."""
     loaded = load_plan(file)
     stages = list(zip(loaded.stages, loaded.unit_names_by_stage(), strict=True))
     if as_json:
@@ -78,44 +82,50 @@
 
 @main.command("rehearse")
 @click.argument("file", type=click.Path(path_type=Path))
-@STATE
-@click.option("--pace", type=click.FloatRange(1, 10_000), default=60.0, help="Times faster [60].")
-@click.option("--step-s", type=click.FloatRange(0, 600), default=5.0, show_default=True, help="Of the plan.")
-@click.option("--broken", multiple=True, help="A unit on which the new version never comes up.")
-@AGAIN
-@guarded
-def rehearse_plan(  # noqa: PLR0913, PLR0917 (click passes each option by its name)
+@STATE_OPTION
+@click.option("--pace", type=click.FloatRange(1, 10_000), default=60.0, help="Speed-up of time [60].")
+@click.option(
+    "--step-s",
+    type=click.FloatRange(0, 600),
+    default=5.0,
+    show_default=True,
+    help="Duration of a step in plan time.",
+)
+@click.option("--broken", multiple=True, help="Unit on which the new version fails to start.")
+@AGAIN_OPTION
+@reports_errors
+def rehearse_plan(  # noqa: PLR0913, PLR0917 (click passes each option as a parameter)
     file: Path, folder: Path, pace: float, step_s: float, broken: tuple[str, ...], again: bool
 ) -> None:
-    """Carries plan FILE out on pretend machines; goes on where it was cut off, also by SIGKILL."""
+    """Run the plan FILE on simulated units, continuing an interrupted rehearsal."""
     options = RehearsalOptions(pace, step_s, frozenset(broken), again)
-    _end(rehearse(folder, load_plan(file), options).record)
+    _show_and_exit(rehearse(folder, load_plan(file), options).record)
 
 
 @main.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@STATE
-@AGAIN
-@click.option("--metrics", type=click.IntRange(0, MAX_PORT), help="Port of 127.0.0.1 for a scraper.")
-@guarded
+@STATE_OPTION
+@AGAIN_OPTION
+@click.option("--metrics", type=click.IntRange(0, MAX_PORT), help="Port on 127.0.0.1 for Prometheus metrics.")
+@reports_errors
 def start(file: Path, folder: Path, again: bool, metrics: int | None) -> None:
-    """Carries plan FILE out through its units' agents; goes on where it was cut off, also by SIGKILL."""
+    """Run the plan FILE through the agents of its units, continuing an interrupted release."""
     loaded = load_plan(file)
-    controller = when_disk_permits(lambda: _open_controller(folder, loaded, again))
+    controller = retry_disk_errors(lambda: _open_controller(folder, loaded, again))
     with controller.folder:
         if metrics is not None:
             start_http_server(metrics, "127.0.0.1", controller.metrics.registry)
         asyncio.run(controller.run())
-        _end(controller.record)
+        _show_and_exit(controller.record)
 
 
 @main.command()
-@STATE
-@click.option("--watch", is_flag=True, help="Again each second, until the release has ended or is halted.")
-@JSON
-@guarded
+@STATE_OPTION
+@click.option("--watch", is_flag=True, help="Repeat each second until the release has ended or is halted.")
+@JSON_OPTION
+@reports_errors
 def status(folder: Path, watch: bool, as_json: bool) -> None:
-    """Shows how a release stands."""
+    """Print the status of a release."""
     while True:
         stored = load_release(folder)
         if as_json:
@@ -124,41 +134,41 @@
             _show(stored.record)
         if not watch or stored.record.mode not in ACTIVE_MODES:
             return
-        time.sleep(STATUS_S)
+        time.sleep(STATUS_INTERVAL_S)
 
 
 @main.command()
-@STATE
-@guarded
+@STATE_OPTION
+@reports_errors
 def history(folder: Path) -> None:
-    """Prints what happened, a line each."""
+    """Print the events of a release."""
     for record in read_events(folder / EVENTS_FILE):
         click.echo(record.to_text())
 
 
 @main.command()
-@STATE
+@STATE_OPTION
 @click.option("--why", default="by staff", show_default=True)
-@guarded
+@reports_errors
 def halt(folder: Path, why: str) -> None:
-    """Lets nothing new begin; what is on its way is finished."""
-    _request(folder, RequestKind.HALT, why)
+    """Halt a release. Units in progress are completed, and no others are upgraded."""
+    _submit(folder, RequestKind.HALT, why)
 
 
 @main.command()
-@STATE
-@guarded
+@STATE_OPTION
+@reports_errors
 def resume(folder: Path) -> None:
-    """Lets a halted release go on; `start` or `rehearse` carries it on."""
-    _request(folder, RequestKind.RESUME)
+    """Resume a halted release. Run `start` or `rehearse` to continue it."""
+    _submit(folder, RequestKind.RESUME)
 
 
 @main.command()
-@STATE
-@guarded
+@STATE_OPTION
+@reports_errors
 def back(folder: Path) -> None:
-    """Turns a release round, to the old version; `start` or `rehearse` carries it on."""
-    _request(folder, RequestKind.BACK)
+    """Roll a release back to the old version. Run `start` or `rehearse` to continue it."""
+    _submit(folder, RequestKind.BACK)
 
 
 def _open_controller(path: Path, plan: Plan, again: bool) -> Controller:
@@ -171,22 +181,22 @@
         raise
 
 
-def _request(folder: Path, kind: RequestKind, reason: str = "") -> None:
+def _submit(folder: Path, kind: RequestKind, reason: str = "") -> None:
     try:
-        done = submit_request(folder, kind, reason)
+        executed = submit_request(folder, kind, reason)
     except OSError as error:
-        text = f"{kind}: not kept for sure: {error}; `status` tells, or ask again"
+        text = f"{kind}: not kept for sure: {error}; check `status` or submit the request again"
         raise OSError(text) from error
-    if done:
+    if executed:
         _show(load_release(folder).record)
     else:
-        click.echo(f"{kind}: left to the controller that is at work")
+        click.echo(f"{kind}: submitted to the running controller")
 
 
-def _end(record: ReleaseRecord) -> None:
-    """Shows a release that runs no further, and ends the program."""
+def _show_and_exit(record: ReleaseRecord) -> None:
+    """Prints a release that has ended or is halted, and exits."""
     _show(record)
-    sys.exit(HALTED if record.mode is ReleaseMode.HALTED else 0)
+    sys.exit(EXIT_HALTED if record.mode is ReleaseMode.HALTED else 0)
 
 
 def _show(record: ReleaseRecord) -> None:
--- a/applehub/release/agent.py
+++ b/applehub/release/agent.py
@@ -1,10 +1,12 @@
-"""Agent: executes a controller's orders on the units beside it, and reports how they do, over HTTP.
+"""Agent: executes a controller's orders on the units of its host and reports their status over HTTP.
 
-`POST /v1/orders` takes an order ({release, fence, unit, step, version, number}). 202: it is being executed;
-200: it is known already; 409: it is refused; 400: it can't be decoded; 503: the disk refuses it, so it is
-not begun. `GET /v1/units` reports for each unit the latest order, its outcome and the unit's metrics. An
-order is on the disk before it is executed, and its outcome before it is reported. An order that was being
-executed when the agent ended is executed again, so a host's steps must be idempotent.
+`POST /v1/orders` takes an order ({release, fence, unit, step, version, number}) and responds with 202 if it
+starts executing it, 200 if the order is known already, 400 if it can't be decoded, 409 if it is rejected, and
+503 if it can't be stored and is therefore not executed. `GET /v1/units` reports the latest order, its outcome
+and the metrics of each unit.
+
+An order is stored before it is executed, and its outcome before it is reported. An order that was interrupted
+by the end of the agent is executed again, so the steps of a host must be idempotent.
 """
 
 import asyncio
@@ -23,34 +25,34 @@
 from applehub.release.messages import AgentStatus, LoadReport, OrderMessage, UnitStatus
 from applehub.release.state_machine import Order
 
-FORMAT_VERSION = 1  # of what the agent's store holds
-REPORT_TIMEOUT_S = 1.0  # for a unit to report its metrics
-MAX_REQUEST = 1 << 16  # bytes
-SHUTDOWN_S = 0.5  # for answers under way when the agent stops
+FORMAT_VERSION = 1  # of the agent's store
+REPORT_TIMEOUT_S = 1.0  # for a unit's metrics
+MAX_REQUEST_BYTES = 1 << 16
+SHUTDOWN_TIMEOUT_S = 0.5  # for requests in flight when the agent stops
 log = logging.getLogger("applehub.release")
 
 
 class UnitHost(Protocol):
-    """What runs an agent's units. Each step may be requested again after it was done, or half done."""
+    """Runs the units of an agent. Steps must be idempotent, as a complete or partial one may be repeated."""
 
     units: list[str]
 
     async def execute(self, order: Order) -> str:
-        """Executes a step; what went wrong, empty if nothing did."""
+        """Executes a step. Returns the reason for a failure, or an empty string."""
 
     async def load_report(self, unit: str) -> LoadReport | None:
-        """The unit's metrics, see gates.py; None: it does not answer."""
+        """Returns the unit's metrics (see gates.py), or None if it does not respond."""
 
 
 class Agent:
-    """An agent with its memory and its address."""
+    """An agent's HTTP server and its stored orders."""
 
     def __init__(
         self, host: UnitHost, store: Store, sleep: Callable[[float], Awaitable[None]] = asyncio.sleep
     ) -> None:
-        """sleep: waits between attempts at a disk that refuses.
+        """Loads the stored orders. `sleep` is awaited between attempts to store an outcome.
 
-        Raises StoreError where another agent holds the store, StoredStateError, OSError.
+        Raises StoreError if another agent has the store open, StoredStateError or OSError.
         """
         self.executions: set[asyncio.Task[None]] = set()
         self._host = host
@@ -61,24 +63,24 @@
             content = store.open().value
             self.memory = AgentMemory() if content is None else AgentMemory.decode(content)
         except BaseException:
-            store.close()  # otherwise it stays held, and this process can't open it once more
+            store.close()  # releases the lock, so that this process can open the store again
             raise
 
     async def start(self, host: str, port: int) -> str:
-        """Listens, and executes unfinished orders again; the address. Raises OSError."""
-        app = web.Application(client_max_size=MAX_REQUEST)
+        """Starts listening and executes unfinished orders again. Returns the address. Raises OSError."""
+        app = web.Application(client_max_size=MAX_REQUEST_BYTES)
         app.router.add_post("/v1/orders", self._post_order)
         app.router.add_get("/v1/units", self._get_units)
-        self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN_S)
+        self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
         await self._runner.setup()
         await web.TCPSite(self._runner, host, port).start()
         for order in self.memory.unfinished():
-            self._begin(order)
+            self._start_execution(order)
         name, number = self._runner.addresses[0][:2]
         return f"{name}:{number}"
 
     async def stop(self) -> None:
-        """Stops listening and executing; unfinished orders stay in the memory."""
+        """Stops listening and cancels executions. Unfinished orders remain stored."""
         executions = list(self.executions)
         for execution in executions:
             execution.cancel()
@@ -88,7 +90,7 @@
         self._store.close()
 
     def _save(self, memory: AgentMemory) -> None:
-        """Replaces the memory. Raises StoreError, OSError: then it stays as it was."""
+        """Stores the new memory and then makes it current. Raises StoreError or OSError."""
         self._store.save(memory.encode())
         self.memory = memory
 
@@ -99,7 +101,7 @@
             return self._refusal(HTTPStatus.BAD_REQUEST, str(error))
         order = message.order
         if order.unit not in self._host.units:
-            return self._refusal(HTTPStatus.BAD_REQUEST, f"expected an order: no unit {order.unit!r} here")
+            return self._refusal(HTTPStatus.BAD_REQUEST, f"expected a unit of this agent, got {order.unit!r}")
         memory = self.memory.copy()
         try:
             new = memory.accept(message.release_id, message.fence, order)
@@ -108,17 +110,19 @@
         except OrderRefusedError as error:
             return self._refusal(HTTPStatus.CONFLICT, str(error))
         except (StoreError, OSError) as error:
-            log.warning("%s: %s is not begun, since it can't be stored: %r", order.unit, order.step, error)
+            log.warning(
+                "%s: order to %s not executed because it can't be stored: %r", order.unit, order.step, error
+            )
             return self._refusal(
-                HTTPStatus.SERVICE_UNAVAILABLE, f"not begun, since it can't be stored: {error}"
+                HTTPStatus.SERVICE_UNAVAILABLE, f"order not executed because it can't be stored: {error}"
             )
         if new:
-            self._begin(order)
+            self._start_execution(order)
         return _json_response(
             HTTPStatus.ACCEPTED if new else HTTPStatus.OK, orjson.dumps({"number": order.number})
         )
 
-    def _begin(self, order: Order) -> None:
+    def _start_execution(self, order: Order) -> None:
         execution = asyncio.get_running_loop().create_task(self._execute(order))
         self.executions.add(execution)
         execution.add_done_callback(self.executions.discard)
@@ -126,8 +130,8 @@
     async def _execute(self, order: Order) -> None:
         try:
             failure = await self._host.execute(order)
-        except Exception as error:  # whatever a host raises is the order's outcome
-            log.exception("%s: %s failed", order.unit, order.step)
+        except Exception as error:  # any error of the host is the order's outcome
+            log.exception("%s: step %s failed", order.unit, order.step)
             failure = f"{type(error).__name__}: {error}"
         backoff = Backoff()
         while True:
@@ -137,8 +141,10 @@
                 self._save(memory)
             except (StoreError, OSError) as error:
                 if not backoff.failures:
-                    log.warning("%s: the outcome of %s can't be stored: %r", order.unit, order.step, error)
-                await self._sleep(backoff.failed(0.0))
+                    log.warning(
+                        "%s: outcome of step %s can't be stored, retrying: %r", order.unit, order.step, error
+                    )
+                await self._sleep(backoff.record_failure(0.0))
             else:
                 return
 
--- a/applehub/release/agent_client.py
+++ b/applehub/release/agent_client.py
@@ -1,4 +1,4 @@
-"""The controller's side of the HTTP interface of agents."""
+"""HTTP client of a controller for its agents."""
 
 import asyncio
 import errno
@@ -12,9 +12,9 @@
 from applehub.release.errors import LocalFailureError, MessageError
 from applehub.release.messages import AgentStatus, LoadReport, OrderMessage, OrderOutcome, Refusal
 
-REQUEST_TIMEOUT = aiohttp.ClientTimeout(total=2.0)  # s
+REQUEST_TIMEOUT = aiohttp.ClientTimeout(total=2.0)
 REQUEST_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, MessageError)
-# Errors that say nothing of an agent: this machine lacks a resource, or has no network.
+# Errors of this machine, which lacks a resource or a network; they don't indicate a fault of an agent.
 LOCAL_ERRORS = frozenset(
     (
         errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.ENETUNREACH,
@@ -26,9 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetStatus:
-    """What all agents report at one poll.
+    """The status of all units at one poll.
 
-    reports: by unit; None where it or its agent did not answer, no entry where this machine could not ask.
+    `reports` maps unit names to load reports, or to None if the unit or its agent did not respond. Units that
+    could not be polled because of an error of this machine have no entry.
     """
 
     outcomes: Mapping[str, OrderOutcome] = field(default_factory=dict)
@@ -37,15 +38,15 @@
 
 
 class AgentClient:
-    """The agents of one release."""
+    """Client of the agents of one release."""
 
     def __init__(self, session: aiohttp.ClientSession, agents: Mapping[str, str]) -> None:
-        """agents: the address of each unit's agent."""
+        """Takes the address of each unit's agent."""
         self.session = session
         self._agents = agents
 
     async def poll(self) -> FleetStatus:
-        """Asks all agents at once."""
+        """Polls all agents concurrently."""
         addresses = list(dict.fromkeys(self._agents.values()))
         async with asyncio.TaskGroup() as tasks:
             polls = {address: tasks.create_task(self._poll_agent(address)) for address in addresses}
@@ -63,9 +64,9 @@
         return FleetStatus(outcomes, reports, sum(status is None for status in statuses.values()))
 
     async def send(self, message: OrderMessage) -> str:
-        """Sends an order; why the agent does not accept it, empty if it does.
+        """Sends an order. Returns the reason if the agent rejects it, and an empty string otherwise.
 
-        An order that does not arrive is not an error: the state machine sends it again.
+        Connection errors are only logged, because the state machine sends the order again.
         """
         order = message.order
         headers = {"Content-Type": "application/json"}
@@ -75,11 +76,11 @@
                 if response.status >= HTTPStatus.BAD_REQUEST:
                     return Refusal.decode(await response.read()).error or f"status {response.status}"
         except REQUEST_ERRORS as error:
-            log.info("%s: %s did not arrive: %r", order.unit, order.step, error)
+            log.info("%s: order to %s could not be delivered: %r", order.unit, order.step, error)
         return ""
 
     async def _poll_agent(self, address: str) -> AgentStatus | LocalFailureError | None:
-        """What an agent reports; None: it does not answer."""
+        """Returns an agent's status, None if it does not respond, or the error of this machine."""
         try:
             async with self.session.get(f"http://{address}/v1/units") as response:
                 return AgentStatus.decode(await response.read())
--- a/applehub/release/agent_memory.py
+++ b/applehub/release/agent_memory.py
@@ -1,9 +1,8 @@
-"""What an agent remembers of its orders, and which orders it accepts. Pure.
+"""Latest orders of an agent's units, and the rules by which new orders are accepted. Free of I/O.
 
-An order belongs to a release, has a number that grows within it, and a fence: the number of its
-controller's lock, which grows from holder to holder. An order of a lower fence is an earlier holder's and
-is refused. The same order again is answered with its outcome. So no step is executed twice, and none for a
-controller that was replaced.
+Each order has the id of its release, a number that increases within the release, and the fencing token
+(`fence`) of its controller's lock, which increases with each lock holder. Orders with a lower fence come from
+a replaced controller and are rejected. A repeated order is not executed again; its outcome is reported.
 """
 
 from collections.abc import Mapping
@@ -17,8 +16,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RememberedOrder:
-    """The latest order of a unit. succeeded: None while it is executed."""
+class OrderRecord:
+    """The latest order of a unit. `succeeded` is None until the order has been executed."""
 
     release_id: str
     fence: int
@@ -28,84 +27,89 @@
 
     @property
     def outcome(self) -> OrderOutcome:
-        """As it is reported to controllers."""
+        """The outcome as reported to controllers."""
         return OrderOutcome(self.release_id, self.order.number, self.succeeded, self.error)
 
 
 @dataclass(slots=True)
 class AgentMemory:
-    """The orders of all units of one agent."""
+    """The latest orders of one agent's units."""
 
-    latest: dict[str, RememberedOrder] = field(default_factory=dict)  # by unit
-    fence: int = 0  # the highest of any controller
+    latest: dict[str, OrderRecord] = field(default_factory=dict)  # by unit
+    fence: int = 0  # highest received
 
     def accept(self, release_id: str, fence: int, order: Order) -> bool:
-        """Takes an order up; whether it is new and to be executed. Raises OrderRefusedError."""
+        """Records an order. Returns whether it is new and must be executed. Raises OrderRefusedError."""
         if fence < self.fence:
-            raise OrderRefusedError(f"fence {fence}: another controller has {self.fence}")
-        before = self.latest.get(order.unit)
-        if before is not None and (before.release_id, before.order.number) == (release_id, order.number):
-            self.latest[order.unit] = replace(before, fence=fence)
+            raise OrderRefusedError(f"expected fence {self.fence} or higher, got {fence}")
+        previous = self.latest.get(order.unit)
+        if previous is not None and (previous.release_id, previous.order.number) == (
+            release_id,
+            order.number,
+        ):
+            self.latest[order.unit] = replace(previous, fence=fence)
             self.fence = fence
             return False
-        if before is not None:
-            _refuse_unless_newer(before, release_id, fence, order)
+        if previous is not None:
+            _refuse_unless_newer(previous, release_id, fence, order)
         self.fence = fence
-        self.latest[order.unit] = RememberedOrder(release_id, fence, order)
+        self.latest[order.unit] = OrderRecord(release_id, fence, order)
         return True
 
     def record_outcome(self, unit: str, error: str) -> None:
-        """The unit's order was executed. error: what went wrong; empty: nothing."""
+        """Records the outcome of a unit's latest order. `error` is empty if it succeeded."""
         self.latest[unit] = replace(self.latest[unit], succeeded=not error, error=error)
 
     def unfinished(self) -> list[Order]:
-        """Orders without an outcome. They are executed again when the agent starts."""
+        """Returns the orders without an outcome, which are executed again when the agent starts."""
         return [latest.order for latest in self.latest.values() if latest.succeeded is None]
 
     def copy(self) -> "AgentMemory":
-        """An independent copy, which can replace this one as a whole."""
+        """Returns an independent copy."""
         return AgentMemory(dict(self.latest), self.fence)
 
     def encode(self) -> bytes:
-        """As JSON, in the stored form of the first version."""
+        """Returns the orders as JSON, in the format of the first release of the program."""
         latest = {
             unit: {
-                "id": remembered.release_id,
-                "fence": remembered.fence,
-                "number": remembered.order.number,
-                "step": remembered.order.step,
-                "version": remembered.order.version,
-                "good": remembered.succeeded,
-                "why": remembered.error,
+                "id": record.release_id,
+                "fence": record.fence,
+                "number": record.order.number,
+                "step": record.order.step,
+                "version": record.order.version,
+                "good": record.succeeded,
+                "why": record.error,
             }
-            for unit, remembered in self.latest.items()
+            for unit, record in self.latest.items()
         }
         return orjson.dumps({"last": latest, "fence": self.fence})
 
     @classmethod
     def decode(cls, content: bytes) -> "AgentMemory":
-        """From JSON. Raises StoredStateError."""
+        """Decodes the result of `encode`. Raises StoredStateError."""
         try:
             fields = orjson.loads(content)
             latest = {str(unit): _decoded(str(unit), stored) for unit, stored in fields["last"].items()}
             return cls(latest, int(fields["fence"]))
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            raise StoredStateError(f"an agent's orders can't be decoded: {error!r}") from error
+            raise StoredStateError(f"stored orders of an agent can't be decoded: {error!r}") from error
 
 
-def _refuse_unless_newer(before: RememberedOrder, release_id: str, fence: int, order: Order) -> None:
-    if before.succeeded is None:
-        raise OrderRefusedError(f"{order.unit}: {before.order.step} is under way")
-    newer = (fence, order.number) > (before.fence, before.order.number)
-    if not newer or (before.release_id == release_id and order.number < before.order.number):
-        raise OrderRefusedError(f"{order.unit}: number {order.number} is an older order's")
+def _refuse_unless_newer(previous: OrderRecord, release_id: str, fence: int, order: Order) -> None:
+    if previous.succeeded is None:
+        raise OrderRefusedError(f"{order.unit}: step {previous.order.step} is in progress")
+    newer = (fence, order.number) > (previous.fence, previous.order.number)
+    if not newer or (previous.release_id == release_id and order.number < previous.order.number):
+        raise OrderRefusedError(
+            f"{order.unit}: order number {order.number} is not newer than {previous.order.number}"
+        )
 
 
-def _decoded(unit: str, stored: Mapping[str, object]) -> RememberedOrder:
+def _decoded(unit: str, stored: Mapping[str, object]) -> OrderRecord:
     number, fence, succeeded = stored["number"], stored["fence"], stored.get("good")
     if not isinstance(number, int) or not isinstance(fence, int):
-        raise TypeError(f"{unit}: number {number!r}, fence {fence!r}")
+        raise TypeError(f"{unit}: expected integers, got number {number!r} and fence {fence!r}")
     if succeeded is not None and not isinstance(succeeded, bool):
-        raise TypeError(f"{unit}: good {succeeded!r}")
+        raise TypeError(f"{unit}: expected a boolean for good, got {succeeded!r}")
     order = Order(unit, Step(str(stored["step"])), str(stored["version"]), number)
-    return RememberedOrder(str(stored["id"]), fence, order, succeeded, str(stored.get("why", "")))
+    return OrderRecord(str(stored["id"]), fence, order, succeeded, str(stored.get("why", "")))
--- a/applehub/release/backoff.py
+++ b/applehub/release/backoff.py
@@ -1,4 +1,4 @@
-"""How long to wait before something that was refused is tried again."""
+"""Exponential backoff, and retries of disk operations that fail with transient errors."""
 
 import errno
 import logging
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-FIRST_S = 0.1
-MOST_S = 5.0  # a disk that takes writes again is noticed within this
+INITIAL_DELAY_S = 0.1
+MAX_DELAY_S = 5.0
 
-# What a disk or a machine refuses for a while. A folder that is not there, or not allowed, is none of these.
-PASSING = frozenset(
+# Errors that may pass without intervention, unlike a missing folder or a lack of permission.
+TRANSIENT_ERRORS = frozenset(
     (
         errno.EAGAIN, errno.EDQUOT, errno.EINTR, errno.EIO, errno.EMFILE, errno.ENFILE, errno.ENOBUFS,
         errno.ENOMEM, errno.ENOSPC,
@@ -23,36 +23,36 @@
 
 @dataclass(slots=True)
 class Backoff:
-    """Attempts at one thing: each wait is twice the one before, up to MOST_S."""
+    """Delays between attempts, which double with each failure up to MAX_DELAY_S."""
 
-    failures: int = 0  # in a row
-    next_at: float = 0.0  # reading of the caller's clock
+    failures: int = 0  # consecutive
+    next_at: float = 0.0  # time of the next attempt, by the caller's clock
 
     def due(self, now: float) -> bool:
-        """Whether it may be tried."""
+        """Returns whether the next attempt may be made."""
         return not self.failures or now >= self.next_at
 
-    def failed(self, now: float) -> float:
-        """It was tried and refused; gives the seconds until it is due again."""
-        wait = min(MOST_S, FIRST_S * (1 << min(self.failures, 10)))
+    def record_failure(self, now: float) -> float:
+        """Records a failed attempt. Returns the delay in seconds until the next one."""
+        delay = min(MAX_DELAY_S, INITIAL_DELAY_S * (1 << min(self.failures, 10)))
         self.failures += 1
-        self.next_at = now + wait
-        return wait
+        self.next_at = now + delay
+        return delay
 
-    def succeeded(self) -> None:
-        """It was tried and went well."""
+    def reset(self) -> None:
+        """Records a successful attempt."""
         self.failures = 0
 
 
-def when_disk_permits(call: Callable[[], Result], sleep: Callable[[float], None] = time.sleep) -> Result:
-    """What a call gives, once the disk does not refuse it for a passing reason. Raises all else."""
+def retry_disk_errors(call: Callable[[], Result], sleep: Callable[[float], None] = time.sleep) -> Result:
+    """Calls a function until it raises no transient disk error, and returns its result."""
     backoff = Backoff()
     while True:
         try:
             return call()
         except OSError as problem:
-            if problem.errno not in PASSING:
+            if problem.errno not in TRANSIENT_ERRORS:
                 raise
             if not backoff.failures:
-                log.warning("the folder can't be opened, which is tried again: %r", problem)
-            sleep(backoff.failed(0.0))
+                log.warning("disk operation failed, retrying: %r", problem)
+            sleep(backoff.record_failure(0.0))
--- a/applehub/release/clock.py
+++ b/applehub/release/clock.py
@@ -1,9 +1,9 @@
-"""The clock by which a release measures its waits, and what makes two of its readings comparable.
+"""Clocks that measure the durations of a release.
 
-Every wait is a span of CLOCK_BOOTTIME: it never steps, and it runs on while the machine is suspended, as the
-list service's clock does. Its zero is the start of the machine, so a reading means something to a later
-process only within the same start and the same time namespace (time_namespaces(7)); `SystemClock.identity`
-names both.
+Durations are measured by CLOCK_BOOTTIME, which is monotonic and includes the time in which the machine is
+suspended, as the list service's clock does. It counts from the start of the machine, so readings of two
+processes are comparable only within one boot and one time namespace (time_namespaces(7)). `Clock.identity`
+identifies both.
 """
 
 import time
@@ -15,54 +15,54 @@
 
 
 class Clock(Protocol):
-    """Seconds that never step, beside Unix time for people and for records of versions before."""
+    """A monotonic clock, and the wall clock for display and for records of older versions."""
 
     @property
     def identity(self) -> str:
-        """Equal for two clocks whose readings may be compared; empty: comparable with none."""
+        """Equal for clocks whose readings are comparable. Empty if comparable with no other clock."""
 
     def now(self) -> float:
-        """Seconds since some moment; never steps."""
+        """Returns monotonic seconds since an unspecified moment."""
 
     def unix_time(self) -> float:
-        """Seconds since 1970 as the machine has them; may step either way at any moment."""
+        """Returns Unix time in seconds, which may step forwards and backwards."""
 
 
 class SystemClock:
-    """The machine's own clocks."""
+    """The clocks of this machine."""
 
     def __init__(self) -> None:
-        """Reads the machine's identity once."""
+        """Reads the identity of the boot and the time namespace."""
         self.identity = _identity()
 
     def now(self) -> float:
-        """Seconds since the machine's start."""
+        """Returns seconds since the start of the machine."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def unix_time(self) -> float:
-        """Seconds since 1970; not for spans."""
+        """Returns Unix time in seconds."""
         return time.time()
 
 
 class ScaledClock:
-    """Another clock, whose seconds pass `factor` times as fast."""
+    """A clock that runs `factor` times as fast as another one."""
 
     def __init__(self, clock: Clock, factor: float) -> None:
-        """factor: scaled seconds in a second of the clock."""
+        """Wraps `clock`. `factor` is the number of scaled seconds in one of its seconds."""
         self._clock, self._factor = clock, factor
         self.identity = clock.identity and f"{clock.identity} times {factor:g}"
 
     def now(self) -> float:
-        """Scaled seconds."""
+        """Returns scaled monotonic seconds."""
         return self._clock.now() * self._factor
 
     def unix_time(self) -> float:
-        """Unscaled."""
+        """Returns the Unix time of the wrapped clock, which is not scaled."""
         return self._clock.unix_time()
 
 
 def _identity() -> str:
-    """The boot id with the time namespace; empty where the system does not give them."""
+    """Returns the boot id and the time namespace, or an empty string if they are not available."""
     try:
         return f"{BOOT_ID.read_text().strip()} {TIME_NAMESPACE.readlink()}"
     except OSError:
--- a/applehub/release/errors.py
+++ b/applehub/release/errors.py
@@ -1,12 +1,12 @@
-"""Errors of a release. They form one tree, so that a command reports any of them the same way."""
+"""Exceptions of the release package."""
 
 
 class ReleaseError(Exception):
-    """Base of all errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class PlanError(ReleaseError, ValueError):
-    """A plan can't be carried out. The text has a line for each fault."""
+    """A plan is invalid or can't be executed. The message has one line for each error."""
 
 
 class StoredStateError(ReleaseError, ValueError):
@@ -18,8 +18,8 @@
 
 
 class OrderRefusedError(ReleaseError):
-    """An agent does not accept an order. The text says why."""
+    """An agent rejects an order. The message has the reason."""
 
 
 class LocalFailureError(ReleaseError):
-    """A request could not be made because this machine lacks a resource or a network."""
+    """A request could not be sent because this machine lacks a resource or a network."""
--- a/applehub/release/evidence.py
+++ b/applehub/release/evidence.py
@@ -1,20 +1,20 @@
-"""Sequential test of whether one version fails more often than another at the same time, pure.
-
-Under equal failure rates the failures of a moment divide among the versions as their requests do. The
-likelihood of the observed split under a rate of the new version that is `ratio` times the old one's,
-divided by its likelihood under equal rates, is a martingale. A mean over several ratios is one too, and
-exceeds 1 / alpha by chance with probability alpha at most, however often it is evaluated (Ville's
-inequality; Robbins 1970). Faults that both versions suffer together, such as a congested origin, do not
-move it.
-
-A difference that does not justify a halt: the old version is credited with `negligible_rate` failures a
-request that it never had. Their count is not random, and log x <= x - 1 keeps the mean from growing all the
-same.
-
-Units differ: each is compared with how it failed relative to the others while it had the old version (its
-weight, drawn towards 1 while little was observed). Failures come in bursts: the evidence is divided by the
-dispersion of the old version's own units (Pearson's chi-squared by its degrees of freedom, as in
-quasi-likelihood: Wedderburn 1974).
+"""Sequential test of whether the new version fails more often than the old one over the same period.
+
+If both versions have equal failure rates, the failures of a poll are split between them in proportion to
+their requests. The likelihood ratio of the observed split, for a failure rate of the new version that is
+`ratio` times that of the old one against equal rates, is a martingale, and so is its mean over several
+ratios. The mean exceeds 1 / alpha by chance with a probability of at most alpha, however often it is
+evaluated (Ville's inequality; Robbins 1970). Failures that affect both versions, such as those of a congested
+origin, don't change it.
+
+Small differences must not halt a release, so `negligible_rate` failures per request are added to those of the
+old version. As the added count is not random and log x <= x - 1, the mean still does not grow under equal
+rates.
+
+Units differ in their failure rates, so the requests of each are weighted by its failure rate relative to the
+others under the old version, shrunk towards 1 while there are few observations. As failures come in bursts,
+the log-likelihoods are divided by the dispersion among the units of the old version (Pearson's chi-squared by
+its degrees of freedom, as in quasi-likelihood; Wedderburn 1974).
 """
 
 import math
@@ -23,13 +23,13 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-RATE_RATIOS = (1.25, 1.5, 2.0, 4.0, 16.0)  # new version's failure rate by the old one's, under test
-PRIOR_FAILURES = 10.0  # expected failures of a unit at which its own count has half of its weight
-MAX_LOG = 600.0  # bound of a logarithm whose exponential is still a float
+RATE_RATIOS = (1.25, 1.5, 2.0, 4.0, 16.0)  # tested ratios of the new version's failure rate to the old one's
+PRIOR_FAILURES = 10.0  # expected failures at which a unit's observed count has half of the weight
+MAX_LOG = 600.0  # bound that keeps math.exp from overflowing
 
 
 class FailureKind(StrEnum):
-    """The counts of a load report that are compared."""
+    """Failure counters of a load report that the test compares."""
 
     FAILED = "failed"
     REFUSED = "refused"
@@ -38,58 +38,59 @@
 
 
 class RequestCounts(NamedTuple):
-    """What one unit did between two polls."""
+    """Requests and failures of one unit between two polls."""
 
     requests: int
     failures: int
 
 
 class UnitBaseline(NamedTuple):
-    """Failures of a unit while it had the old version."""
+    """Failures of a unit under the old version."""
 
-    expected: float  # by the rate of all units of the old version
+    expected: float  # by the failure rate of all units of the old version
     observed: int
 
 
 @dataclass(slots=True)
 class EvidenceState:
-    """What the test has accumulated."""
+    """Accumulated state of a test."""
 
     log_likelihoods: list[float] = field(default_factory=lambda: [0.0] * len(RATE_RATIOS))
-    chi_squared: float = 0.0  # squared distances of the old version's units from their common rate
+    chi_squared: float = 0.0  # of the old version's units, against their common failure rate
     degrees_of_freedom: int = 0
     baselines: dict[str, UnitBaseline] = field(default_factory=dict)  # by unit
 
     def copy(self) -> "EvidenceState":
-        """An independent copy."""
+        """Returns an independent copy."""
         return replace(self, log_likelihoods=list(self.log_likelihoods), baselines=dict(self.baselines))
 
 
 @dataclass(frozen=True, slots=True)
 class GateState:
-    """What the gates have accumulated, and a following controller continues with."""
+    """Accumulated state of the gates, stored so that a restarted controller continues with it."""
 
-    watched_s: float = 0.0  # time spent polling the old version, over all controllers
+    watched_s: float = 0.0  # time in which the old version was polled, over all controllers
     evidence: Mapping[FailureKind, EvidenceState] = field(default_factory=dict)
 
 
 class FailureEvidence:
-    """The test for one kind of failure, new version against old."""
+    """Sequential test for one kind of failure."""
 
     def __init__(self, negligible_rate: float, alpha: float, state: EvidenceState | None = None) -> None:
-        """negligible_rate: additional failures a request that do not justify a halt.
+        """Starts a test, or continues the one of `state`.
 
-        alpha: probability that equal versions are ever told apart. state: of an earlier controller.
+        `negligible_rate` is the number of additional failures per request that don't justify a halt. `alpha`
+        is the maximum probability that a version of equal quality is ever judged worse.
         """
         self.negligible_rate = negligible_rate
         self.alpha = alpha
         self.state = EvidenceState() if state is None else state.copy()
 
     def add(self, new: Mapping[str, RequestCounts], old: Mapping[str, RequestCounts]) -> None:
-        """Adds one poll: the counts of the units of each version, by name."""
+        """Adds the counts of one poll, by unit name."""
         old_requests = sum(counts.requests for counts in old.values())
         if not old_requests:
-            return  # nothing to compare with
+            return  # no requests to compare with
         weighted = {
             name: counts.requests * self.weight(name) for name, counts in (*new.items(), *old.items())
         }
@@ -103,7 +104,7 @@
             self._update_baselines(old, weighted, common_rate, old_failures / old_requests)
 
     def weight(self, name: str) -> float:
-        """How much more often than the others a unit failed while all had the old version."""
+        """Returns the failure rate of a unit relative to the other units under the old version."""
         baseline = self.state.baselines.get(name, UnitBaseline(0.0, 0))
         return (baseline.observed + PRIOR_FAILURES) / (baseline.expected + PRIOR_FAILURES)
 
@@ -118,7 +119,7 @@
     def _update_baselines(
         self, old: Mapping[str, RequestCounts], weighted: Mapping[str, float], common_rate: float, rate: float
     ) -> None:
-        """common_rate: failures a weighted request; rate: failures a request."""
+        """Takes the failures per weighted request (`common_rate`) and per request (`rate`)."""
         state = self.state
         for name, counts in old.items():
             if not counts.requests:
@@ -133,19 +134,19 @@
 
     @property
     def dispersion(self) -> float:
-        """How much wider than by chance the failures of the old version's units spread; 1: not at all."""
+        """Variance of the failures among the old version's units relative to chance, at least 1."""
         if not self.state.degrees_of_freedom:
             return 1.0
         return max(1.0, self.state.chi_squared / self.state.degrees_of_freedom)
 
     @property
     def likelihood_ratio(self) -> float:
-        """How many times likelier the observations are if the new version is worse."""
+        """Likelihood of the observations if the new version is worse, relative to equal failure rates."""
         dispersion = self.dispersion
         logs = self.state.log_likelihoods
         return sum(math.exp(min(MAX_LOG, log / dispersion)) for log in logs) / len(logs)
 
     @property
     def is_worse(self) -> bool:
-        """Whether the new version is taken for worse."""
+        """Whether the new version is judged to be worse."""
         return self.likelihood_ratio >= 1 / self.alpha
--- a/applehub/release/lock.py
+++ b/applehub/release/lock.py
@@ -1,31 +1,29 @@
-"""The controllers' lock at the list service: at most one controller sends orders, over all folders and
-machines.
-"""
+"""Lease-based lock at the list service that admits at most one controller over all folders and machines."""
 
 from http import HTTPStatus
 
 import aiohttp
 
-NAME = "release"  # one for the fleet: two releases at once would be two causes for one effect
+LOCK_NAME = "release"  # one for the fleet, as effects of concurrent releases can't be told apart
 LEASE_S = 8.0
-RENEW_BELOW_S = LEASE_S * 2 / 3  # of the lease left
-TRUSTED_PART = 0.9  # of the lease, since the service's clock may run faster
+RENEW_BELOW_S = LEASE_S * 2 / 3  # remaining lease at which it is renewed
+SAFE_LEASE_FRACTION = 0.9  # margin for a faster clock of the list service
 REQUEST_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, ValueError)
 
 
 class ControllerLock:
-    """The lock as one controller holds it. Where no list service is named it is always held, with fence 0."""
+    """The lock of one controller. Without addresses it is always held, with fence 0."""
 
     def __init__(self, session: aiohttp.ClientSession, addresses: list[str], holder: str) -> None:
-        """addresses: of the list service's replicas. holder: by which the service knows this controller."""
-        self.fence = 0  # grows from holder to holder
+        """Takes the addresses of the list service's replicas and the id of this lock holder."""
+        self.fence = 0  # fencing token, which increases with each holder
         self._session = session
         self._addresses = list(addresses)
         self._holder = holder
         self._held_until = 0.0
 
     async def acquire(self, now: float) -> bool:
-        """Acquires or renews the lock; whether it is held. now: reading of the clock that never steps."""
+        """Acquires or renews the lock. Returns whether it is held at `now`, in monotonic seconds."""
         if not self._addresses or self._held_until - now > RENEW_BELOW_S:
             return True
         for address in list(self._addresses):
@@ -34,14 +32,14 @@
         return self.held_at(now)
 
     def held_at(self, now: float) -> bool:
-        """Whether the lease covers a moment."""
+        """Returns whether the lease is valid at `now`, in monotonic seconds."""
         return not self._addresses or self._held_until > now
 
     async def release(self) -> None:
-        """Gives the lock up, so that the next controller does not wait for the lease to end."""
+        """Releases the lock, so that the next controller need not wait until the lease expires."""
         for address in self._addresses:
             try:
-                url = f"http://{address}/v1/locks/{NAME}?holder={self._holder}"
+                url = f"http://{address}/v1/locks/{LOCK_NAME}?holder={self._holder}"
                 async with self._session.delete(url) as response:
                     if response.status == HTTPStatus.OK:
                         return
@@ -49,10 +47,10 @@
                 continue
 
     async def _request(self, address: str, now: float) -> bool:
-        """Asks one replica; whether it decided. The lease counts from before it was asked."""
+        """Requests the lock from one replica. Returns whether it decided. The lease counts from `now`."""
         body = {"holder": self._holder, "lease_ms": int(LEASE_S * 1000)}
         try:
-            async with self._session.put(f"http://{address}/v1/locks/{NAME}", json=body) as response:
+            async with self._session.put(f"http://{address}/v1/locks/{LOCK_NAME}", json=body) as response:
                 status = response.status
                 fields = await response.json()
                 fence = int(fields["fence"]) if status == HTTPStatus.OK else 0
@@ -60,7 +58,7 @@
             return False
         if status == HTTPStatus.OK:
             self.fence = fence
-            self._held_until = now + LEASE_S * TRUSTED_PART
+            self._held_until = now + LEASE_S * SAFE_LEASE_FRACTION
             self._addresses.remove(address)
-            self._addresses.insert(0, address)  # the leader, asked first from now on
+            self._addresses.insert(0, address)  # the leader is tried first from now on
         return status in (HTTPStatus.OK, HTTPStatus.CONFLICT)
--- a/applehub/release/messages.py
+++ b/applehub/release/messages.py
@@ -1,6 +1,6 @@
-"""Messages between a controller and its agents, decoded where their bytes are read.
+"""Messages between a controller and its agents.
 
-`POST /v1/orders` carries an `OrderMessage`; `GET /v1/units` is answered with an `AgentStatus`. Both are JSON.
+`POST /v1/orders` carries an `OrderMessage`, and `GET /v1/units` returns an `AgentStatus`, both as JSON.
 """
 
 from collections.abc import Mapping
@@ -11,19 +11,19 @@
 from applehub.release.errors import MessageError
 from applehub.release.state_machine import Order, Step
 
-INCARNATION = "life"  # the key of a load report that changes at each start of a unit
+INCARNATION = "life"  # key of the metric that changes at each start of a unit
 
 
 @dataclass(frozen=True, slots=True)
 class OrderMessage:
-    """An order with the release that it belongs to and the fence of the controller that sends it."""
+    """An order with the id of its release and the fencing token of its controller."""
 
     release_id: str
     fence: int
     order: Order
 
     def encode(self) -> bytes:
-        """As JSON."""
+        """Returns the message as JSON."""
         order = self.order
         return orjson.dumps(
             {
@@ -38,7 +38,7 @@
 
     @classmethod
     def decode(cls, content: bytes) -> "OrderMessage":
-        """From JSON. Raises MessageError."""
+        """Decodes a message from JSON. Raises MessageError."""
         try:
             fields = orjson.loads(content)
             order = Order(
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderOutcome:
-    """The latest order of a unit and what became of it. succeeded: None while it is executed."""
+    """The outcome of a unit's latest order. `succeeded` is None until the order has been executed."""
 
     release_id: str
     number: int
@@ -61,23 +61,23 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """The metrics that a unit reports, see gates.py. A value is missing where the unit does not have it."""
+    """The metrics that a unit reports (see gates.py). Metrics that the unit does not have are absent."""
 
     metrics: Mapping[str, float]
 
     @property
     def incarnation(self) -> float | None:
-        """Differs from one start of the unit to the next; None: not reported."""
+        """Value that changes at each start of the unit, or None if it is not reported."""
         return self.metrics.get(INCARNATION)
 
     def value(self, name: str) -> float:
-        """A metric; 0 where it is not reported."""
+        """Returns a metric, or 0 if it is not reported."""
         return self.metrics.get(name, 0.0)
 
 
 @dataclass(frozen=True, slots=True)
 class UnitStatus:
-    """What an agent reports of a unit. report: None where the unit does not answer its agent."""
+    """The status of one unit. `report` is None if the unit does not respond to its agent."""
 
     outcome: OrderOutcome | None
     report: LoadReport | None
@@ -85,13 +85,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentStatus:
-    """What an agent reports of all its units."""
+    """The status of all units of an agent."""
 
     fence: int
     units: Mapping[str, UnitStatus]
 
     def encode(self) -> bytes:
-        """As JSON."""
+        """Returns the message as JSON."""
         units = {
             name: {
                 "order": _encoded_outcome(status.outcome),
@@ -103,7 +103,7 @@
 
     @classmethod
     def decode(cls, content: bytes) -> "AgentStatus":
-        """From JSON. Raises MessageError."""
+        """Decodes a message from JSON. Raises MessageError."""
         try:
             fields = orjson.loads(content)
             units = {
@@ -117,17 +117,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why an agent did not accept an order."""
+    """The reason for which an agent rejected an order."""
 
     error: str
 
     @classmethod
     def decode(cls, content: bytes) -> "Refusal":
-        """From JSON. Raises MessageError."""
+        """Decodes a message from JSON. Raises MessageError."""
         try:
             return cls(str(orjson.loads(content).get("error", "")))
         except (ValueError, AttributeError) as error:
-            raise MessageError(f"expected a refusal: {error}") from error
+            raise MessageError(f"expected a JSON object with an error: {error}") from error
 
 
 def _encoded_outcome(outcome: OrderOutcome | None) -> dict[str, object]:
@@ -146,10 +146,10 @@
         return None
     succeeded = fields["good"]
     if succeeded is not None and not isinstance(succeeded, bool):
-        raise TypeError(f"good: {succeeded!r}")
+        raise TypeError(f"expected a boolean for good, got {succeeded!r}")
     number = fields["number"]
     if not isinstance(number, int):
-        raise TypeError(f"number: {number!r}")
+        raise TypeError(f"expected an integer for number, got {number!r}")
     return OrderOutcome(str(fields["release"]), number, succeeded, str(fields["why"]))
 
 
--- a/applehub/release/metrics.py
+++ b/applehub/release/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a controller, for a Prometheus scraper."""
+"""Prometheus metrics of a controller."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
@@ -7,10 +7,10 @@
 
 
 class ControllerMetrics:
-    """The metrics, in a registry of their own."""
+    """The metrics of one controller, in their own registry."""
 
     def __init__(self) -> None:
-        """All at 0."""
+        """Creates all metrics with the value 0."""
         self.registry = CollectorRegistry()
         self.orders = Counter("release_orders", "Orders sent, by step", ["step"], registry=self.registry)
         self.silent_agents = Gauge(
@@ -23,15 +23,15 @@
         )
         self._units = Gauge("release_units", "Units by version", ["version"], registry=self.registry)
         self._in_progress = Gauge("release_units_out", "Units on their way", registry=self.registry)
-        self._odds = Gauge(
+        self._likelihood_ratio = Gauge(
             "release_odds", "Likelihood that the new version is worse", ["failure"], registry=self.registry
         )
 
     def update(self, record: ReleaseRecord, gates: HealthGates) -> None:
-        """Takes the gauges over from a release's state."""
+        """Sets the gauges from the state of a release."""
         for version in (record.old_version, record.new_version):
             count = sum(unit.version == version for unit in record.units.values())
             self._units.labels(version).set(count)
         self._in_progress.set(len(set(record.units_in_progress()) - set(record.stuck_units)))
         for kind, evidence in gates.evidence.items():
-            self._odds.labels(kind).set(evidence.likelihood_ratio)
+            self._likelihood_ratio.labels(kind).set(evidence.likelihood_ratio)
--- a/applehub/release/model_checker.py
+++ b/applehub/release/model_checker.py
@@ -1,14 +1,14 @@
-"""Model checker of the controller and its agents: every order of steps, crashes, failures, records that the
-disk refuses, and messages that are lost, late or duplicated, to a given depth.
+"""Model checker of the controller and its agents. It explores all interleavings of steps, crashes, failed
+steps, failed saves, and lost, late or duplicated messages, to a given depth.
 
-Time is abstract: whatever waits for a span is due at each tick.
+Time is abstract: every timer is due at each tick.
 """
 
 from collections import deque
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from applehub.release.agent_memory import AgentMemory, RememberedOrder
+from applehub.release.agent_memory import AgentMemory, OrderRecord
 from applehub.release.errors import OrderRefusedError
 from applehub.release.model_state import (
     RELEASE_ID,
@@ -30,44 +30,44 @@
 
 OLD_VERSION = "old"
 NEW_VERSION = "new"
-DUE = 1.0  # a time at which whatever waits is due
-MAX_CLOSING_ROUNDS = 60  # by far more than a release of a few units takes
+DUE = 1.0  # a time at which every timer is due
+MAX_TERMINATION_ROUNDS = 60  # rounds without faults within which a release must end
 MAX_STATES = 1 << 20
 ControllerEvent = Callable[[ReleaseStateMachine], list[Order]]
-Transition = tuple[str, ModelState]  # with its name
+Transition = tuple[str, ModelState]  # name and following state
 
 
 @dataclass(frozen=True, slots=True)
 class ModelRules:
-    """The program under test; a mutant replaces a part of it."""
+    """The rules under test. Mutation tests replace one of them."""
 
     machine: Callable[[ReleaseRecord], ReleaseStateMachine] = ReleaseStateMachine
-    fencing: bool = True  # agents refuse orders
-    waits_for_disk: bool = True  # an order is sent once its record is stored
-    after_crash: Callable[[ReleaseRecord], None] = lambda _: None  # changes the stored record
+    fencing: bool = True  # whether agents reject orders by their fence and number
+    waits_for_disk: bool = True  # whether orders are sent only after their record is stored
+    after_crash: Callable[[ReleaseRecord], None] = lambda _: None  # modifies the stored record
 
 
 class ModelChecker:
-    """Explores all states of a release of a few units."""
+    """Explores the reachable states of a release of a few units."""
 
     def __init__(
         self, rules: ModelRules, budget: FaultBudget, zones: str = "aab", rollback_on_halt: bool = False
     ) -> None:
-        """zones: the zone of each unit, a letter each. The first unit is a stage of its own."""
-        self.violations: list[str] = []  # each with the transitions that lead to it
+        """Takes the zone of each unit as one letter of `zones`. The first unit is a stage of its own."""
+        self.violations: list[str] = []  # each with the path of transitions that leads to it
         self.states = 0
-        self.deepest = 0
+        self.max_depth = 0
         self._rules = rules
         self._initial = _initial_state(zones, budget, rollback_on_halt)
 
     def explore(self, depth: int, max_states: int = MAX_STATES) -> None:
-        """Searches breadth first until the first violation, so that the fewest transitions lead to it."""
+        """Searches breadth first until the first violation, which therefore has a shortest path."""
         seen = {self._initial.key()}
         queue = deque([(self._initial, 0, "")])
         while queue and not self.violations and self.states < max_states:
             state, transitions, path = queue.popleft()
             self.states += 1
-            self.deepest = transitions
+            self.max_depth = transitions
             violation = self._violation(state)
             if violation:
                 self.violations.append(f"{violation}, after:{path}")
@@ -85,7 +85,7 @@
         yield from self._order_transitions(state)
         yield from self._answer_transitions(state)
         yield from self._controller_event(state, "tick", lambda machine: machine.tick(DUE))
-        yield from self._controller_event(state, "no room", lambda machine: machine.tick(DUE, True, 0))
+        yield from self._controller_event(state, "no capacity", lambda machine: machine.tick(DUE, True, 0))
         if state.budget.crashes:
             yield "crash", self._crashed(state.copy())
         if state.budget.halts and state.record.mode in (ReleaseMode.RUNNING, ReleaseMode.ROLLING_BACK):
@@ -103,20 +103,20 @@
             name = f"{order.number}({order.unit})"
             yield f"{order.step}#{name}", self._delivered(state.copy(), sent, False)
             if state.budget.failed_steps:
-                yield f"fails#{name}", self._delivered(state.copy(), sent, True)
+                yield f"fail#{name}", self._delivered(state.copy(), sent, True)
             lost = state.copy()
             lost.orders.discard(sent)
-            yield f"loses#{name}", lost
+            yield f"lose#{name}", lost
 
     def _answer_transitions(self, state: ModelState) -> Iterator[Transition]:
         for answer in sorted(state.answers):
-            yield from self._controller_event(state, f"hears#{answer[1]}", _answered(answer))
+            yield from self._controller_event(state, f"receive#{answer[1]}", _outcome_event(answer))
             lost = state.copy()
             lost.answers.discard(answer)
-            yield f"loses answer#{answer[1]}", lost
+            yield f"lose answer#{answer[1]}", lost
 
     def _controller_event(self, state: ModelState, name: str, event: ControllerEvent) -> Iterator[Transition]:
-        """An event at the controller. The disk stores the record, or refuses it."""
+        """Yields the states after a controller event, with a successful and with a failed save."""
         yield name, self._applied(state.copy(), event, stored=True)
         if state.budget.refused_saves:
             after = state.copy()
@@ -124,7 +124,7 @@
             yield f"{name} refused", self._applied(after, event, stored=False)
 
     def _crashed(self, state: ModelState) -> ModelState:
-        """The controller ends, and another takes its lock and continues with the stored record."""
+        """Replaces the controller by one that takes over its lock and the stored record."""
         state.budget.crashes -= 1
         state.fence += 1
         state.record = copy_record(state.stored)
@@ -133,7 +133,7 @@
         return self._applied(state, lambda machine: machine.resend_pending(DUE), stored=True)
 
     def _delivered(self, state: ModelState, sent: tuple[Order, int], fails: bool) -> ModelState:
-        """An agent receives an order, which stays so that it may be received again."""
+        """Delivers an order to its agent. The order stays in flight, so that it may be delivered again."""
         order, fence = sent
         memory = state.memories[order.unit]
         try:
@@ -141,7 +141,7 @@
         except OrderRefusedError:
             if self._rules.fencing:
                 return state
-            memory.latest[order.unit] = RememberedOrder(RELEASE_ID, fence, order)
+            memory.latest[order.unit] = OrderRecord(RELEASE_ID, fence, order)
             new = True
         if new:
             state.budget.failed_steps -= fails
@@ -154,15 +154,15 @@
         return state
 
     def _applied(self, state: ModelState, event: ControllerEvent, stored: bool) -> ModelState:
-        """The controller applies an event, stores its record, and sends its orders if that went well."""
+        """Applies a controller event, stores the record if `stored`, and sends the permitted orders."""
         record = state.record
         halted = record.mode is ReleaseMode.HALTED
         in_progress = set(record.units_in_progress())
         orders = event(self._rules.machine(record))
         still_halted = halted and record.mode is ReleaseMode.HALTED
         if still_halted and not {order.unit for order in orders} <= in_progress and not state.violation:
-            state.violation = "a unit begins while the release is halted"
-        _forget_times(record)
+            state.violation = "a unit is started while the release is halted"
+        _reset_times(record)
         pending = {unit.order_number for unit in record.units.values()}
         state.unsent = {order for order in state.unsent.union(orders) if order.number in pending}
         if stored:
@@ -178,20 +178,20 @@
         return state.violation or _limit_violation(state) or self._termination_violation(state)
 
     def _termination_violation(self, state: ModelState) -> str:
-        """Without further faults a release ends, and no unit is left between two versions."""
+        """Checks that without further faults the release ends with no unit in progress."""
         after = state.copy()
         after.budget.failed_steps = 0
-        for _ in range(MAX_CLOSING_ROUNDS):
+        for _ in range(MAX_TERMINATION_ROUNDS):
             for sent in sorted(after.orders, key=_by_number):
                 self._delivered(after, sent, False)
             for answer in sorted(after.answers):
-                self._applied(after, _answered(answer), stored=True)
+                self._applied(after, _outcome_event(answer), stored=True)
             after.orders.clear()
             after.answers.clear()
             if after.record.finished():
                 return ""
             self._applied(after, lambda machine: machine.tick(DUE), stored=True)
-        return f"never ends: {after.record.mode}"
+        return f"release does not end: mode {after.record.mode}"
 
 
 def _initial_state(zones: str, budget: FaultBudget, rollback_on_halt: bool) -> ModelState:
@@ -219,24 +219,24 @@
 
 
 def _limit_violation(state: ModelState) -> str:
-    """Limits on units out of service, and what the modes say of the units."""
+    """Checks the limits on units out of service, and the units' versions after the end of the release."""
     record = state.record
     out = state.out_of_service()
     if len({record.units[name].zone for name in out}) > 1:
-        return f"out in two zones: {out}"
+        return f"units out of service in two zones: {out}"
     if len(out) > record.max_unavailable:
-        return f"out at once: {out}"
+        return f"too many units out of service: {out}"
     if record.mode in ENDED_MODES:
         version = record.new_version if record.mode is ReleaseMode.DONE else record.old_version
         others = [name for name, unit in state.units.items() if unit.version != version]
         wrong = sorted({*others, *out})
         if wrong:
-            return f"{record.mode}, and not so: {wrong}"
+            return f"mode {record.mode}, but units at another version or out of service: {wrong}"
     return ""
 
 
-def _forget_times(record: ReleaseRecord) -> None:
-    """Has whatever waits be due at the next tick, so that time makes no difference between states."""
+def _reset_times(record: ReleaseRecord) -> None:
+    """Resets times, so that states which differ only in them are equal and every timer is due."""
     for unit in record.units.values():
         unit.sent_at = 0.0
     if record.watch_started is not None:
@@ -247,12 +247,12 @@
     return sent[0].number, sent[1]
 
 
-def _answered(answer: Answer) -> ControllerEvent:
+def _outcome_event(answer: Answer) -> ControllerEvent:
     return lambda machine: machine.handle_outcome(DUE, *answer)
 
 
 def _halt(machine: ReleaseStateMachine) -> list[Order]:
-    machine.reject_version("a gate")  # without rollback_on_halt it is what staff request, too
+    machine.reject_version("a gate")  # equals a halt by staff if rollback_on_halt is not set
     return []
 
 
--- a/applehub/release/model_state.py
+++ b/applehub/release/model_state.py
@@ -1,4 +1,4 @@
-"""A state of the model: the controller, its disk, the agents with their units, and the messages under way."""
+"""State of the model checker: the controller, its disk, the agents and units, and the messages in flight."""
 
 from dataclasses import asdict, dataclass, field, replace
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class FaultBudget:
-    """How often each fault, and each request of staff, may still happen."""
+    """How often each fault and each staff request may still occur."""
 
     failed_steps: int = 0
     crashes: int = 0
@@ -25,21 +25,21 @@
 
 @dataclass(slots=True)
 class ModelState:
-    """One state. Messages stay until they are lost, so that they may be delivered again."""
+    """One state. Delivered messages stay in flight until they are lost, so that they may be duplicated."""
 
-    record: ReleaseRecord  # as the controller has it
-    stored: ReleaseRecord  # as it is on the disk
+    record: ReleaseRecord  # in the memory of the controller
+    stored: ReleaseRecord  # on the disk
     units: dict[str, SimulatedUnit]
-    memories: dict[str, AgentMemory]  # each unit has an agent of its own
+    memories: dict[str, AgentMemory]  # each unit has its own agent
     budget: FaultBudget
-    orders: set[tuple[Order, int]] = field(default_factory=set)  # with the fence of the controller
-    unsent: set[Order] = field(default_factory=set)  # until the disk takes the record
+    orders: set[tuple[Order, int]] = field(default_factory=set)  # in flight, with the fence of the controller
+    unsent: set[Order] = field(default_factory=set)  # waiting for the record to be stored
     answers: set[Answer] = field(default_factory=set)
     fence: int = 1
     violation: str = ""
 
     def copy(self) -> "ModelState":
-        """An independent copy."""
+        """Returns an independent copy."""
         return replace(
             self,
             record=copy_record(self.record),
@@ -53,7 +53,7 @@
         )
 
     def key(self) -> bytes:
-        """Equal for equal states."""
+        """Returns bytes that are equal for equal states."""
         orders = sorted(
             (order.number, fence, order.unit, order.step, order.version) for order, fence in self.orders
         )
@@ -63,18 +63,18 @@
         }
         stored = None if self.stored == self.record else asdict(self.stored)
         unsent = sorted(order.number for order in self.unsent)
-        whole = (
+        contents = (
             asdict(self.record), stored, units, orders, unsent, sorted(self.answers), asdict(self.budget),
             self.fence, self.violation,
         )  # fmt: skip
-        return orjson.dumps(whole, option=orjson.OPT_SORT_KEYS)
+        return orjson.dumps(contents, option=orjson.OPT_SORT_KEYS)
 
     def out_of_service(self) -> list[str]:
-        """Names of the units that serve nobody."""
+        """Returns the names of the units that are out of service."""
         return [name for name, unit in self.units.items() if unit.out_of_service]
 
 
 def copy_record(record: ReleaseRecord) -> ReleaseRecord:
-    """A copy that is independent in all that the state machine changes."""
+    """Returns a copy that shares no part that the state machine modifies."""
     units = {name: replace(unit) for name, unit in record.units.items()}
     return replace(record, stuck_units=list(record.stuck_units), units=units)
--- a/applehub/release/plan.py
+++ b/applehub/release/plan.py
@@ -1,5 +1,6 @@
-"""The plan of a release: what is released, in which stages, within which limits. Field names are the file's
-keys.
+"""The plan file of a release: what is released, in which stages and within which limits.
+
+The field names of the models are the keys of the file.
 """
 
 from collections import Counter
@@ -25,52 +26,60 @@
 
     name: Name
     zone: Name
-    agent: Address | None = None  # of the agent that executes steps there; `rehearse` needs none
+    agent: Address | None = None  # of the unit's agent; not needed by `rehearse`
 
 
 class Stage(Table):
-    """Units that are upgraded together: a number of them, or a part of the rest, in some zones or in all."""
+    """A group of units, given by their number or as a fraction of the units not in earlier stages."""
 
     name: Name
-    zones: list[Name] = Field(default=[])  # empty: all, one after another
+    zones: list[Name] = Field(default=[])  # empty: all zones, one after another
     count: Count | None = None
     part: Annotated[float, Field(gt=0, le=1)] | None = None
-    watch_s: Seconds = 60.0  # after its last unit, before the next stage
+    watch_s: Seconds = 60.0  # between the last upgrade of this stage and the next stage
 
     @model_validator(mode="after")
-    def _one_size(self) -> "Stage":
+    def _check_size(self) -> "Stage":
         if (self.count is None) == (self.part is None):
-            raise ValueError("expected either count or part")
+            raise ValueError("expected exactly one of count and part")
         return self
 
 
 class Limits(Table):
-    """How many units may be out of service at once, and how a step that fails is retried."""
+    """Limits on units out of service, and on attempts at a step."""
 
     out_at_once: Count = 1
-    tries: Annotated[int, Field(ge=1, le=10)] = 2  # attempts at a step before its unit is returned
-    step_s: Annotated[float, Field(gt=0, le=3600)] = 60.0  # without an outcome: the order is sent again
+    tries: Annotated[int, Field(ge=1, le=10)] = 2  # attempts at a step before the unit is rolled back
+    step_s: Annotated[float, Field(gt=0, le=3600)] = (
+        60.0  # without an outcome, after which the order is sent again
+    )
 
 
 class GateSettings(Table):
-    """How the new version is compared with the old one while both serve."""
+    """Settings of the health gates, which compare the two versions while both are in service."""
 
     look_s: Annotated[float, Field(ge=0.05, le=60)] = 1.0  # between polls
     alpha: Annotated[float, Field(gt=0, le=0.1)] = (
-        0.01  # part of the releases of an equal version that is halted
+        0.01  # maximum probability that a version of equal quality is halted
+    )
+    least: Annotated[float, Field(gt=0, lt=1)] = (
+        0.005  # additional failures per request that don't justify a halt
+    )
+    silent_s: Positive = 10.0  # without a report of a unit of the new version, which then halts
+    before_s: Seconds = 300.0  # of polling the old version before the first upgrade
+    settle_s: Seconds = 0.0  # after a unit enters service, until its misses and costs count
+    cost: Annotated[float, Field(gt=1)] = (
+        2.0  # maximum ratio of CPU time, work and memory to the old version's
+    )
+    cost_s: Positive = 10.0  # for which `cost` must be exceeded without interruption
+    unwell: Fraction = 0.2  # failed fraction of the old version's recent requests that pauses upgrades
+    busy: Annotated[float, Field(gt=0, le=1)] = (
+        0.8  # maximum fraction of the remaining units' capacity in use
     )
-    least: Annotated[float, Field(gt=0, lt=1)] = 0.005  # additional failures a request that justify no halt
-    silent_s: Positive = 10.0  # a unit of the new version that reports nothing for so long is bad
-    before_s: Seconds = 300.0  # polling of the old version, before the first unit: the baseline of each unit
-    settle_s: Seconds = 0.0  # after a unit entered service, until its misses and costs count
-    cost: Annotated[float, Field(gt=1)] = 2.0  # times the old version's processor time and memory
-    cost_s: Positive = 10.0  # for so long, without interruption
-    unwell: Fraction = 0.2  # part of the old version's recent requests that fail: no unit is begun
-    busy: Annotated[float, Field(gt=0, le=1)] = 0.8  # part of the other units' capacity that may be in use
 
 
 class Plan(Table):
-    """A whole plan."""
+    """A complete plan."""
 
     name: Name
     what: ReleaseKind
@@ -78,23 +87,23 @@
     new: Name
     limits: Limits = Limits()
     gates: GateSettings = GateSettings()
-    lists: list[Address] = Field(default=[])  # the list service's staff addresses, for the controllers' lock
-    back_on_halt: bool = False  # a version found bad is rolled back without staff
+    lists: list[Address] = Field(default=[])  # staff addresses of the list service, for the lock
+    back_on_halt: bool = False  # rolls a rejected version back automatically
     stages: Annotated[list[Stage], Field(min_length=1)]
     fleet: Annotated[list[PlannedUnit], Field(min_length=1)]
 
     @model_validator(mode="after")
-    def _consistent(self) -> "Plan":
-        faults = [*self._duplicates(), *self._unknown_zones()]
+    def _check_consistency(self) -> "Plan":
+        errors = [*self._duplicates(), *self._unknown_zones()]
         if self.old == self.new:
-            faults.append("new: expected another version than old")
-        left = {unit.name for unit in self.fleet} - {
+            errors.append("new: expected another version than old")
+        remaining = {unit.name for unit in self.fleet} - {
             name for stage in self.unit_names_by_stage() for name in stage
         }
-        if not faults and left:
-            faults.append(f"stages: {len(left)} units are in none, {min(left)} among them")
-        if faults:
-            raise ValueError("; ".join(faults))
+        if not errors and remaining:
+            errors.append(f"stages: {len(remaining)} units are in none, {min(remaining)} among them")
+        if errors:
+            raise ValueError("; ".join(errors))
         return self
 
     def _duplicates(self) -> list[str]:
@@ -111,19 +120,19 @@
         ]
 
     def unit_names_by_stage(self) -> list[list[str]]:
-        """The units of each stage, zone after zone, in the order of their names."""
-        left = sorted(self.fleet, key=lambda unit: (unit.zone, unit.name))
+        """Returns the unit names of each stage, sorted by zone and name."""
+        remaining = sorted(self.fleet, key=lambda unit: (unit.zone, unit.name))
         stages = []
         for stage in self.stages:
-            candidates = [unit for unit in left if not stage.zones or unit.zone in stage.zones]
+            candidates = [unit for unit in remaining if not stage.zones or unit.zone in stage.zones]
             count = stage.count if stage.count is not None else round((stage.part or 1) * len(candidates))
-            taken = candidates[: max(1, count)]
-            names = {unit.name for unit in taken}
-            left = [unit for unit in left if unit.name not in names]
-            stages.append([unit.name for unit in taken])
+            selected = candidates[: max(1, count)]
+            names = {unit.name for unit in selected}
+            remaining = [unit for unit in remaining if unit.name not in names]
+            stages.append([unit.name for unit in selected])
         return stages
 
 
 def load_plan(path: Path) -> Plan:
-    """Reads the file of a plan. Raises PlanError with every fault of it."""
+    """Reads and validates a plan file. Raises PlanError with all errors of the file."""
     return validate(str(path), Plan, read_toml(path, PlanError), PlanError)
--- a/applehub/release/release_folder.py
+++ b/applehub/release/release_folder.py
@@ -1,4 +1,4 @@
-"""The folder of a release: its record and its events. One process holds it to change it; any may read it."""
+"""The folder of a release, with its record and events. It has one writer at a time, and any readers."""
 
 import time
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 from typing import Self, TypeVar
 
 from applehub.durable.folder import Folder
-from applehub.durable.store import Loaded, Store, StoreError
+from applehub.durable.store import LoadResult, Store, StoreError
 from applehub.events import EventKind, EventWriter
 from applehub.release.clock import Clock, SystemClock
 from applehub.release.errors import PlanError, StoredStateError
@@ -23,14 +23,14 @@
 )
 from applehub.release.stored_record import RecordCodec
 
-FORMAT_VERSION = 1  # of what the stores of this package hold
+FORMAT_VERSION = 1  # of the release's stores
 RECORD_STORE = "release"
 EVENTS_FILE = "events.jsonl"
 State = TypeVar("State")
 
 
 def new_record(plan: Plan) -> ReleaseRecord:
-    """The record of a release that has not begun."""
+    """Returns the initial record of a release."""
     return ReleaseRecord(
         release_id=f"{plan.name}-{time.time_ns():x}",
         kind=plan.what,
@@ -46,36 +46,37 @@
     )
 
 
-def decode_loaded(loaded: Loaded, decode: Callable[[bytes], State]) -> State | None:
-    """What a store holds; None where it is empty. Raises what `decode` raises."""
+def decode_loaded(loaded: LoadResult, decode: Callable[[bytes], State]) -> State | None:
+    """Decodes a loaded value, or returns None if the store is empty. Raises the errors of `decode`."""
     return None if loaded.value is None else decode(loaded.value)
 
 
 @dataclass(frozen=True, slots=True)
 class StoredRelease:
-    """A release as it is on the disk."""
+    """A stored release, decoded and as JSON."""
 
     record: ReleaseRecord
     json: bytes
 
 
 def load_release(path: Path, clock: Clock | None = None) -> StoredRelease:
-    """Reads a release beside the process that holds it. Raises StoredStateError where there is none,
-    OSError.
+    """Reads a stored release without locking its folder.
+
+    Raises StoredStateError if there is none, or OSError.
     """
     loaded = Store(Folder(str(path)), RECORD_STORE, FORMAT_VERSION).load()
     codec = RecordCodec(SystemClock() if clock is None else clock)
     record = decode_loaded(loaded, codec.decode)
     if record is None or loaded.value is None:
-        raise StoredStateError(f"{path}: no release was begun here")
+        raise StoredStateError(f"{path}: folder contains no release")
     return StoredRelease(record, loaded.value)
 
 
 class ReleaseFolder:
-    """A release's folder, held to change it. A context manager that lets go."""
+    """A release's folder, locked for writing. A context manager that closes it."""
 
     def __init__(self, path: Path, clock: Clock | None = None) -> None:
-        """Raises StoreError where another process holds it, StoredStateError, OSError."""
+        """Locks and loads the folder. Raises StoreError if it is locked, StoredStateError or OSError."""
         self.path = path
         self.clock = SystemClock() if clock is None else clock
         self.disk = Folder(str(path))
@@ -85,70 +86,72 @@
             self._record = decode_loaded(self._store.open(), self._codec.decode)
             self.events = EventWriter(path / EVENTS_FILE, "release", 0)
         except BaseException:
-            self._store.close()  # otherwise it stays held, and this process can't open it once more
+            self._store.close()  # releases the lock, so that this process can open the store again
             raise
         self._stored = b"" if self._record is None else self._codec.encode(self._record)
-        self._announced_mode: ReleaseMode | None = None if self._record is None else self._record.mode
+        self._logged_mode: ReleaseMode | None = None if self._record is None else self._record.mode
 
     def __enter__(self) -> Self:
-        """Holds the folder until the end of the context."""
+        """Returns the folder."""
         return self
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """Lets go."""
+        """Closes the folder."""
         self.close()
 
     @property
     def record(self) -> ReleaseRecord:
-        """The release's record, to be changed in place. Raises StoredStateError where none was begun."""
+        """The release's record, to be modified in place. Raises StoredStateError if there is none."""
         if self._record is None:
-            raise StoredStateError(f"{self.path}: no release was begun here")
+            raise StoredStateError(f"{self.path}: folder contains no release")
         return self._record
 
     def begin(self, plan: Plan, again: bool) -> bool:
-        """Begins a plan or continues it; whether it begins. again: a returned version may be tried once more.
+        """Begins the release of a plan, or continues it. Returns whether it begins.
 
-        Raises PlanError.
+        `again` permits a version that was rolled back before. Raises PlanError if another release has not
+        ended, or if the version was rolled back and `again` is not set.
         """
-        before = self._record
-        if before is not None and before.mode not in ENDED_MODES:
-            if (before.old_version, before.new_version) != (plan.old, plan.new):
-                raise PlanError(f"{before.new_version} is being released here, and has not come to its end")
+        previous = self._record
+        if previous is not None and previous.mode not in ENDED_MODES:
+            if (previous.old_version, previous.new_version) != (plan.old, plan.new):
+                raise PlanError(f"the release of {previous.new_version} in this folder has not ended")
             return False
-        if before is not None and before.new_version == plan.new:
-            if before.mode is ReleaseMode.DONE:
+        if previous is not None and previous.new_version == plan.new:
+            if previous.mode is ReleaseMode.DONE:
                 return False
             if not again:
-                reason = before.reason or "by staff"
-                raise PlanError(f"{plan.new} was returned: {reason}; --again tries it anew")
+                reason = previous.reason or "by staff"
+                raise PlanError(f"{plan.new} was rolled back: {reason}; use --again to release it again")
         self._record = new_record(plan)
-        if before is not None:
-            self._record.last_order_number = before.last_order_number  # agents refuse a lower one
+        if previous is not None:
+            self._record.last_order_number = previous.last_order_number  # agents reject lower numbers
         return True
 
     def save(self) -> None:
-        """Stores the record if it has changed, and announces a new mode. Raises StoreError, OSError."""
+        """Stores the record if it has changed, and logs a new mode. Raises StoreError or OSError."""
         record = self.record
         content = self._codec.encode(record)
         if content != self._stored:
             self._store.save(content)
             self._stored = content
-        if record.mode is not self._announced_mode:
-            self._announced_mode = record.mode
+        if record.mode is not self._logged_mode:
+            self._logged_mode = record.mode
             self.events.write(EventKind.RELEASE_MODE, mode=record.mode, why=record.reason)
 
     def close(self) -> None:
-        """Lets go of the folder; what was not saved is not stored."""
+        """Closes the folder without saving."""
         self._store.close()
         self.events.close()
 
 
 def submit_request(path: Path, kind: RequestKind, reason: str) -> bool:
-    """Carries out a staff request, or leaves it to the controller that holds the folder; whether it is done.
+    """Executes a staff request, or stores it for the controller that has the folder open.
 
-    Raises StoreError, StoredStateError; OSError: it may have been stored or not.
+    Returns whether it was executed. Raises StoreError or StoredStateError. After an OSError the request may
+    or may not have been stored.
     """
     requests = StaffRequests(path)
     try:
@@ -157,7 +160,7 @@
         requests.add(kind, reason)
         return False
     with folder:
-        apply_new(folder.record, requests)  # requests that a controller which ended left come first
+        apply_new(folder.record, requests)  # earlier requests that no controller has executed
         ACTIONS[kind](ReleaseStateMachine(folder.record), reason)
         folder.save()
     return True
--- a/applehub/release/simulated_unit.py
+++ b/applehub/release/simulated_unit.py
@@ -1,4 +1,4 @@
-"""A unit that exists in memory alone, for rehearsals and for the model. Pure."""
+"""Simulated units for rehearsals and the model checker."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class SimulatedUnit:
-    """The truth about a unit, and the last order that was executed on it."""
+    """The state of a simulated unit and the last order that was executed on it."""
 
     version: str
     out_of_service: bool = False
@@ -17,12 +17,12 @@
     succeeded: bool = True
 
     def execute(self, order: Order, fails: bool) -> str:
-        """Executes an order, or fails to; why the unit should not have been given it, empty if it should."""
+        """Executes or fails an order. Returns why it was invalid, or an empty string."""
         self.last_number = order.number
         self.succeeded = not fails
         expects_out = order.step in (Step.REPLACE, Step.ADMIT)
         misplaced = order.step is not Step.UPGRADE and self.out_of_service is not expects_out
-        problem = f"{order.step} while out={self.out_of_service}" if misplaced else ""
+        problem = f"step {order.step} while out of service is {self.out_of_service}" if misplaced else ""
         if not fails:
             match order.step:
                 case Step.DRAIN:
@@ -34,7 +34,7 @@
         return problem
 
     def to_json(self) -> Mapping[str, object]:
-        """In the stored form of the first version."""
+        """Returns the fields of the stored form."""
         return {
             "version": self.version,
             "out": self.out_of_service,
@@ -44,5 +44,5 @@
 
     @classmethod
     def from_json(cls, fields: Mapping[str, Any]) -> "SimulatedUnit":
-        """From the stored form. Raises KeyError, TypeError, ValueError."""
+        """Decodes the stored form. Raises KeyError, TypeError or ValueError."""
         return cls(str(fields["version"]), bool(fields["out"]), int(fields["last"]), bool(fields["good"]))
--- a/applehub/release/staff_requests.py
+++ b/applehub/release/staff_requests.py
@@ -1,8 +1,9 @@
-"""Requests of staff to a release whose folder a controller holds, stored until they are carried out.
+"""Staff requests to a running release, stored until its controller executes them.
 
-The store holds the latest request in the form of the first version, `what` and `why`, and in `earlier` those
-before it, since a controller may have ended before it carried them out. The number of a request is the
-generation of the store that first held it; the record has the number of the last one carried out.
+The store has the latest request in the keys `what` and `why`, which the first release of the program reads,
+and the previous ones in `earlier`, as a controller may have ended before it executed them. The number of a
+request is the store's generation at which it was added; the record has the number of the last executed
+request.
 """
 
 from collections.abc import Callable, Mapping
@@ -13,15 +14,15 @@
 import orjson
 
 from applehub.durable.folder import Folder
-from applehub.durable.store import Loaded, Store
+from applehub.durable.store import LoadResult, Store
 from applehub.release.state_machine import ReleaseRecord, ReleaseStateMachine
 
 FORMAT_VERSION = 1
-MAX_EARLIER = 16  # requests that are held beside the latest; staff submit them by hand
+MAX_EARLIER = 16  # requests that are stored besides the latest one
 
 
 class RequestKind(StrEnum):
-    """What staff may request."""
+    """Kinds of staff requests."""
 
     HALT = "halt"
     RESUME = "resume"
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StaffRequest:
-    """One request. number: higher than that of any earlier one."""
+    """One request. Its number is higher than those of all earlier requests."""
 
     number: int
     kind: RequestKind
@@ -45,20 +46,21 @@
 
 
 class StaffRequests:
-    """The requests in a release's folder."""
+    """The staff requests in a release's folder."""
 
     def __init__(self, path: Path) -> None:
-        """path: of the folder, which is made where it is missing. Raises OSError."""
+        """Takes the path of the folder, and creates it if it is missing. Raises OSError."""
         self._store = Store(Folder(str(path)), "wish", FORMAT_VERSION)
 
     def latest_number(self) -> int:
-        """The number of the latest request; 0: there was none. Raises OSError."""
+        """Returns the number of the latest request, or 0 if there is none. Raises OSError."""
         return self._store.load().generation
 
     def add(self, kind: RequestKind, reason: str) -> None:
         """Stores a request.
 
-        Raises StoreError where another process adds one; OSError: it may have been stored or not.
+        Raises StoreError if another process is adding one. After an OSError the request may or may not have
+        been stored.
         """
         try:
             loaded = self._store.open()
@@ -71,14 +73,15 @@
             self._store.close()
 
     def after(self, number: int) -> list[StaffRequest]:
-        """The requests of higher numbers, in their order. Raises OSError."""
+        """Returns the requests with higher numbers, in order. Raises OSError."""
         return [request for request in _decoded(self._store.load()) if request.number > number]
 
 
 def apply_new(record: ReleaseRecord, requests: StaffRequests) -> list[StaffRequest]:
-    """Carries out the requests that the record has not seen; returns them. Raises OSError: then none.
+    """Executes the requests that follow the record's last one and returns them.
 
-    A record without a number (a new one, or one of an older controller) skips the requests that exist.
+    If the record has no number, as in a new record or one of an older controller, existing requests are
+    skipped. Raises OSError, in which case none is executed.
     """
     if record.last_request is None:
         record.last_request = requests.latest_number()
@@ -89,15 +92,19 @@
     return found
 
 
-def _decoded(loaded: Loaded) -> list[StaffRequest]:
-    """All requests that a store holds, in their order; none where they can't be decoded."""
+def _decoded(loaded: LoadResult) -> list[StaffRequest]:
+    """Returns all stored requests in order, or none if they can't be decoded."""
     if loaded.value is None:
         return []
     try:
         fields = orjson.loads(loaded.value)
         earlier = [
-            StaffRequest(int(one["number"]), RequestKind(one["what"]), str(one["why"]))
-            for one in fields.get("earlier", [])
+            StaffRequest(
+                int(stored["number"]),
+                RequestKind(stored["what"]),
+                str(stored["why"]),
+            )
+            for stored in fields.get("earlier", [])
         ]
         latest = StaffRequest(loaded.generation, RequestKind(fields["what"]), str(fields["why"]))
     except (ValueError, KeyError, TypeError, AttributeError):
--- a/applehub/release/state_machine.py
+++ b/applehub/release/state_machine.py
@@ -1,13 +1,14 @@
-"""State machine of a release, pure: events in, orders to agents out. Its whole state is one record.
+"""State machine of a release. It is free of I/O: it takes events and returns orders, and its complete state
+is one record.
 
-The host stores the record before it sends an order, and sends the pending orders again at each start. An
-agent executes an order once by its number, answers a number that it knows with the outcome, and refuses a
-lower one. So neither a crash between any two steps nor a duplicated or late message executes a step twice.
-Each `now` is a reading of a clock that never steps, in seconds (see clock.py).
+The caller stores the record before it sends the returned orders, and sends pending orders again after a
+restart. Agents execute each order number once, report the outcome of a known number, and reject lower
+numbers. So no crash and no duplicated or late message causes a step to be executed twice. Each `now` is in
+seconds of a monotonic clock (see clock.py).
 
-A unit whose upgrade has begun is completed, also while the release is halted. A unit that can't be
-completed is returned to the old version. A rollback takes the same steps with the versions swapped, in
-reverse order and without watching.
+A unit in progress is completed even while the release is halted. If that fails, the unit is rolled back to
+the old version. A rollback has the same steps with the versions swapped, in reverse order and without
+watching the stages.
 """
 
 from collections.abc import Mapping
@@ -18,7 +19,7 @@
 
 
 class ReleaseKind(StrEnum):
-    """What is released."""
+    """The kind of component that is released."""
 
     SERVERS = "servers"
     ROUTERS = "routers"
@@ -26,7 +27,7 @@
 
 
 class Step(StrEnum):
-    """One step of taking a unit from one version to another."""
+    """One step of the upgrade of a unit."""
 
     DRAIN = "drain"
     REPLACE = "replace"
@@ -43,7 +44,7 @@
 
 
 class ReleaseMode(StrEnum):
-    """The state of a release."""
+    """The mode of a release."""
 
     RUNNING = "running"
     HALTED = "halted"
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """A step for an agent to execute. number: higher than that of any earlier order, over all units."""
+    """A step for an agent to execute. Its number is higher than those of all earlier orders to any unit."""
 
     unit: str
     step: Step
@@ -68,26 +69,26 @@
 
 @dataclass(slots=True)
 class UnitState:
-    """One unit as the controller knows it."""
+    """The state of one unit as known to the controller."""
 
     zone: str
     version: str
-    target_version: str = ""  # empty: the unit is in service and stays at its version
+    target_version: str = ""  # empty if the unit is in service and not being upgraded
     step_index: int = 0
-    order_number: int = 0  # of the order without an outcome; 0: none
+    order_number: int = 0  # of the pending order; 0 if there is none
     attempts: int = 0
     sent_at: float = 0.0
 
 
 @dataclass(slots=True)
 class ReleaseRecord:
-    """All that a controller has to know after a crash."""
+    """The complete state of a release, from which a restarted controller continues."""
 
-    release_id: str  # distinguishes the orders of this release from those of others
+    release_id: str  # distinguishes orders of different releases
     kind: ReleaseKind
     old_version: str
     new_version: str
-    stages: list[list[str]]  # names of units
+    stages: list[list[str]]  # unit names
     stage_watch_s: list[float]
     max_unavailable: int
     max_attempts: int
@@ -99,36 +100,36 @@
     watch_started: float | None = None  # of the current stage
     last_order_number: int = 0
     reason: str = ""
-    stuck_units: list[str] = field(default_factory=list)  # neither completed nor returned
+    stuck_units: list[str] = field(default_factory=list)  # units whose rollback failed
     gate_state: GateState = field(default_factory=GateState)
-    last_request: int | None = None  # number of the last staff request carried out; none: not recorded
+    last_request: int | None = None  # number of the last executed staff request; None if not recorded
 
     def units_in_progress(self) -> list[str]:
-        """Names of the units between two versions."""
+        """Returns the names of the units that are being upgraded or rolled back."""
         return [name for name, unit in self.units.items() if unit.target_version]
 
     def finished(self) -> bool:
-        """Whether the release has ended, or is halted and no unit in progress can be completed."""
+        """Returns whether the release has ended, or is halted with no unit in progress but stuck ones."""
         return self.mode not in ACTIVE_MODES and set(self.units_in_progress()) <= set(self.stuck_units)
 
 
 class ReleaseStateMachine:
-    """Applies events to a record. Each call returns the orders to be sent once the record is stored."""
+    """Applies events to a record, and returns the orders to be sent once the record is stored."""
 
     def __init__(self, record: ReleaseRecord) -> None:
-        """record: changed in place."""
+        """Takes the record, which is modified in place."""
         self.record = record
 
-    # Requests of staff and of the gates
+    # Requests of staff and gates
 
     def halt(self, reason: str) -> None:
-        """Begins no further unit."""
+        """Halts the release: units in progress are completed, and no others are started."""
         if self.record.mode in ACTIVE_MODES:
             self.record.mode = ReleaseMode.HALTED
             self.record.reason = reason
 
     def reject_version(self, reason: str) -> None:
-        """Halts because the new version is bad, and rolls back where the plan says so."""
+        """Halts the release because the new version failed, and rolls back if the plan says so."""
         self.halt(reason)
         if self.record.rollback_on_halt and self.record.mode is ReleaseMode.HALTED:
             self.roll_back()
@@ -141,7 +142,7 @@
             self.record.stuck_units.clear()
 
     def roll_back(self) -> None:
-        """Returns all units to the old version."""
+        """Rolls all units back to the old version."""
         if self.record.mode is not ReleaseMode.RETURNED:
             self.record.mode = ReleaseMode.ROLLING_BACK
             self.record.stuck_units.clear()
@@ -149,19 +150,19 @@
     # Events
 
     def handle_outcome(self, now: float, name: str, number: int, succeeded: bool) -> list[Order]:
-        """An agent reports the outcome of an order."""
+        """Handles the outcome of an order that an agent reported."""
         unit = self.record.units[name]
         if unit.order_number != number or not number:
-            return []  # of an earlier order, or reported twice
+            return []  # outcome of an earlier order, or a duplicate
         unit.order_number = 0
         return self._handle_success(now, name) if succeeded else self._handle_failure(now, name)
 
     def tick(self, now: float, healthy: bool = True, capacity: int | None = None) -> list[Order]:
-        """Time has passed.
+        """Advances the release and sends overdue orders again.
 
-        healthy: whether the fleet is; otherwise only a rollback begins units. capacity: how many more units
-        may be taken out at the present load, None if unknown; a rollback takes one all the same, since the
-        version that is rolled back may itself be the reason for the lack of capacity.
+        If the fleet is not `healthy`, only a rollback starts further units. `capacity` is the number of units
+        that the present load permits to take out of service, None if unknown. A rollback always takes one,
+        because the new version may cause the lack of capacity.
         """
         record = self.record
         orders = []
@@ -176,7 +177,7 @@
         return orders
 
     def resend_pending(self, now: float) -> list[Order]:
-        """The orders without an outcome, to be sent again when a controller starts."""
+        """Returns the pending orders, to be sent again when a controller starts."""
         orders = []
         for name, unit in self.record.units.items():
             if unit.order_number:
@@ -205,7 +206,7 @@
         reason = f"{name}: {STEPS[record.kind][unit.step_index]} failed {unit.attempts} times"
         if unit.target_version == record.old_version:
             self.halt(reason)
-            record.stuck_units.append(name)  # stays out of service until staff decide
+            record.stuck_units.append(name)  # remains out of service until staff resume or roll back
             return []
         self.reject_version(reason)
         self._retarget(unit, record.old_version)
@@ -217,7 +218,7 @@
             waiting = [name for name in record.stages[record.stage] if self._needs(name, record.new_version)]
             if waiting or record.units_in_progress():
                 record.watch_started = None
-                return self._begin_units(now, waiting, record.new_version, capacity)
+                return self._start_units(now, waiting, record.new_version, capacity)
             if record.watch_started is None:
                 record.watch_started = now
             if now - record.watch_started < record.stage_watch_s[record.stage]:
@@ -239,29 +240,30 @@
             record.watch_started = None
             return []
         at_least = None if capacity is None else max(capacity, 0 if in_progress else 1)
-        return self._begin_units(now, waiting, record.old_version, at_least)
+        return self._start_units(now, waiting, record.old_version, at_least)
 
     def _needs(self, name: str, version: str) -> bool:
         unit = self.record.units[name]
         return unit.version != version or unit.target_version != ""
 
-    def _begin_units(self, now: float, waiting: list[str], version: str, capacity: int | None) -> list[Order]:
-        """Begins as many units as the limits allow: one zone at a time, and max_unavailable in progress."""
+    def _start_units(self, now: float, waiting: list[str], version: str, capacity: int | None) -> list[Order]:
+        """Starts as many units as the limits permit: one zone at a time, and max_unavailable in progress."""
         record = self.record
         orders: list[Order] = []
-        begun = 0
+        started = 0
         for name in waiting:
             unit = record.units[name]
             in_progress = record.units_in_progress()
             zones = {record.units[other].zone for other in in_progress}
             if unit.target_version:
-                if not unit.order_number and name not in record.stuck_units:  # was stuck until staff decided
+                # A unit that was stuck until staff resumed or rolled back.
+                if not unit.order_number and name not in record.stuck_units:
                     self._retarget(unit, version)
                     orders += self._next_order(now, name)
                 continue
             permitted = len(in_progress) < record.max_unavailable and zones <= {unit.zone}
-            if permitted and (capacity is None or begun < capacity):
-                begun += 1
+            if permitted and (capacity is None or started < capacity):
+                started += 1
                 unit.target_version = version
                 unit.step_index = 0
                 unit.attempts = 0
@@ -270,7 +272,7 @@
 
     @staticmethod
     def _retarget(unit: UnitState, version: str) -> None:
-        """Points a unit in progress to a version. If it was installed already, the unit is replaced again."""
+        """Changes the target version of a unit in progress, which then repeats the steps after the first."""
         if unit.target_version != version:
             unit.step_index = min(unit.step_index, 1)
         unit.target_version = version
--- a/applehub/release/stored_record.py
+++ b/applehub/release/stored_record.py
@@ -1,15 +1,13 @@
-"""The stored form of a release's record: JSON as the first version wrote it, readable by older and newer
-controllers.
-
-The first version stored the moments of waits in Unix time (`watched`, and `sent` of each unit), and accepts
-no unknown key, except in `evidence`. So these keys stay, for older controllers and for people, and
-additions go to `evidence`: `clock`, by which a controller that follows on the same machine continues the
-watch of a stage, and `request_taken`. An older controller drops both when it writes.
-
-Where the stored reading can't be compared with the clock (another start of the machine, another machine, a
-record of an older controller), the watch of the stage begins anew: longer than the plan wants, never
-shorter. `sent` is not read back: a controller sends the pending orders again at its start and counts from
-there.
+"""JSON encoding of a release's record, compatible with older controllers in both directions.
+
+Older controllers store Unix times (`watched`, and `sent` of each unit), and reject unknown keys except in
+`evidence`. These keys are therefore kept, and additions are stored in `evidence`: `clock`, a clock reading
+from which a restarted controller on the same machine continues the watch of a stage, and `request_taken`.
+Older controllers drop both when they write the record.
+
+If the stored reading is not comparable with the clock (after a reboot, on another machine, or in a record of
+an older controller), the watch of the stage restarts, so that it may take longer than planned but never less.
+`sent` is not decoded, because a controller sends pending orders again when it starts.
 """
 
 from collections.abc import Mapping
@@ -23,17 +21,17 @@
 from applehub.release.evidence import EvidenceState, FailureKind, GateState, UnitBaseline
 from applehub.release.state_machine import ReleaseKind, ReleaseMode, ReleaseRecord, UnitState
 
-NOT_WATCHED = -1.0  # stored where no watch has begun
+NOT_WATCHED = -1.0  # stored if the watch of the stage has not begun
 Json = Mapping[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class _StoredReading:
-    """A reading of the clock with what it takes to compare it, in `evidence`."""
+    """A clock reading with the identity of its clock, as stored in `evidence`."""
 
     identity: str  # of the clock
     reading: float
-    unix_time: float  # equal to `watched`, unless an older controller has written since
+    unix_time: float  # equals `watched` unless an older controller has written the record since
 
     def encode(self) -> Json:
         return {"identity": self.identity, "watched": self.reading, "unix": self.unix_time}
@@ -44,17 +42,17 @@
 
 
 class RecordCodec:
-    """Encodes and decodes records by one clock."""
+    """Encodes and decodes records whose times are readings of one clock."""
 
     def __init__(self, clock: Clock) -> None:
-        """clock: by which the records' moments are measured."""
+        """Takes the clock of the records' times."""
         self._clock = clock
         self._unix_times: dict[
             float, float
-        ] = {}  # by reading, fixed: a step of the wall clock changes no record
+        ] = {}  # by reading; cached, so that steps of the wall clock don't change stored records
 
     def encode(self, record: ReleaseRecord) -> bytes:
-        """As JSON."""
+        """Returns the record as JSON."""
         readings = {unit.sent_at for unit in record.units.values()}
         if record.watch_started is not None:
             readings.add(record.watch_started)
@@ -83,11 +81,11 @@
         )
 
     def decode(self, content: bytes) -> ReleaseRecord:
-        """From JSON. Raises StoredStateError."""
+        """Decodes a record from JSON. Raises StoredStateError."""
         try:
             return self._decoded(orjson.loads(content))
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            raise StoredStateError(f"a release's record can't be decoded: {error!r}") from error
+            raise StoredStateError(f"stored record of a release can't be decoded: {error!r}") from error
 
     def _decoded(self, fields: Json) -> ReleaseRecord:
         evidence = fields.get("evidence", {})
@@ -141,7 +139,7 @@
         return NOT_WATCHED if record.watch_started is None else self._unix_times[record.watch_started]
 
     def _watch_started(self, unix_time: float, clock: Json | None) -> float | None:
-        """The reading at which the watch of the stage began; None: it has to begin anew."""
+        """Returns the reading at which the watch of the stage began, or None if it must restart."""
         if unix_time < 0 or clock is None:
             return None
         stored = _StoredReading.decode(clock)
@@ -153,7 +151,7 @@
         return stored.reading
 
     def _unix_time_of(self, reading: float) -> float:
-        """Unix time of a reading, the same each time; 0 stands for none."""
+        """Returns the Unix time of a reading, the same at each call, or 0 if the reading is 0."""
         if not reading:
             return 0.0
         if reading in self._unix_times:
@@ -177,7 +175,7 @@
         "logs": state.log_likelihoods,
         "chi": state.chi_squared,
         "freedom": state.degrees_of_freedom,
-        "known": {name: [one.expected, one.observed] for name, one in state.baselines.items()},
+        "known": {name: [baseline.expected, baseline.observed] for name, baseline in state.baselines.items()},
     }
 
 
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -11,7 +11,7 @@
 from applehub import interface as api
 from applehub.durable.folder import Folder
 from applehub.durable.frame import HEADER_SIZE, Frame
-from applehub.durable.store import Loaded, Store, StoreError
+from applehub.durable.store import LoadResult, Store, StoreError
 from applehub.lab.powerloss import RecordedDisk, search
 from applehub.node import persisted_statistics
 from applehub.node.persisted_list import PersistedList
@@ -42,7 +42,7 @@
 
 
 class OlderFirst(Store):
-    def load(self) -> Loaded:
+    def load(self) -> LoadResult:
         loaded = super().load()
         files = [self.disk.read(file) for file in self.files]
         whole = [content for content in files if content and len(content) >= HEADER_SIZE]
@@ -52,7 +52,7 @@
 
 
 class NoLock(Store):
-    def open(self) -> Loaded:
+    def open(self) -> LoadResult:
         self.is_open = True
         return self.load()
 
@@ -113,7 +113,7 @@
     disk.write("x.0", newer)
     store = made(disk)
     loaded = store.open()
-    assert loaded.value is None and "format 2" in loaded.passed_over[0]
+    assert loaded.value is None and "format 2" in loaded.skipped_files[0]
     store.save(b"one")
     store.save(b"two")
     assert disk.read("x.0") == newer and store.load().value == b"two"
@@ -138,7 +138,7 @@
 def test_a_foreign_file_is_named_with_its_offset_and_a_second_writer_refused(tmp_path: Path) -> None:
     (tmp_path / "x.0").write_bytes(b"not ours, and long enough to be one")
     store = Store(Folder(str(tmp_path)), "x", 1)
-    assert "x.0: byte 0" in store.open().passed_over[0]
+    assert "x.0: byte 0" in store.open().skipped_files[0]
     with pytest.raises(StoreError, match="another process"):
         Store(Folder(str(tmp_path)), "x", 1).open()
     store.close()
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -51,7 +51,7 @@
     """All transitions of the model to a depth of 8, with one failed step and one crash: no violation."""
     model = ModelChecker(ModelRules(), FaultBudget(1, 1), rollback_on_halt=back_on_halt)
     model.explore(depth=8)
-    assert model.violations == [] and model.states > 1_500 and model.deepest == 8
+    assert model.violations == [] and model.states > 1_500 and model.max_depth == 8
 
 
 @pytest.mark.parametrize("back_on_halt", [False, True])
@@ -59,7 +59,7 @@
     """At each event the disk may refuse the record, once; it is stored later, or the controller crashes."""
     model = ModelChecker(ModelRules(), FaultBudget(1, 1, 1), rollback_on_halt=back_on_halt)
     model.explore(depth=7)
-    assert model.violations == [] and model.states > 4_000 and model.deepest == 7
+    assert model.violations == [] and model.states > 4_000 and model.max_depth == 7
 
 
 def test_orders_that_go_out_before_their_record_is_kept_are_found() -> None:
@@ -72,11 +72,11 @@
 class TwoZones(ReleaseStateMachine):
     """A mutant: begins units as if all were in one zone."""
 
-    def _begin_units(self, now: float, waiting: list[str], version: str, capacity: int | None) -> list[Order]:
+    def _start_units(self, now: float, waiting: list[str], version: str, capacity: int | None) -> list[Order]:
         zones = {name: unit.zone for name, unit in self.record.units.items()}
         for unit in self.record.units.values():
             unit.zone = "all"
-        orders = super()._begin_units(now, waiting, version, capacity)
+        orders = super()._start_units(now, waiting, version, capacity)
         for name, zone in zones.items():
             self.record.units[name].zone = zone
         return orders
--- a/tests/test_release_disk.py
+++ b/tests/test_release_disk.py
@@ -25,7 +25,7 @@
 from applehub.release.__main__ import main
 from applehub.release.agent import Agent
 from applehub.release.agent_memory import AgentMemory
-from applehub.release.backoff import when_disk_permits
+from applehub.release.backoff import retry_disk_errors
 from applehub.release.controller import Controller
 from applehub.release.release_folder import FORMAT_VERSION, ReleaseFolder, load_release, submit_request
 from applehub.release.staff_requests import RequestKind, StaffRequest, StaffRequests, apply_new
@@ -240,7 +240,7 @@
     folder.save()
     folder.close()
     with SystemCallFaults(SystemCallFault(call, "EIO", from_call=2, times=7, path=str(tmp_path))):
-        folder = when_disk_permits(lambda: ReleaseFolder(tmp_path), waits.append)
+        folder = retry_disk_errors(lambda: ReleaseFolder(tmp_path), waits.append)
     assert folder.record.new_version == "1.8" and len(waits) >= 6 and waits[:3] == [0.1, 0.2, 0.4]
     assert max(waits) <= 5.0
     folder.close()
@@ -250,7 +250,7 @@
     """A file in the folder's place: an error at once."""
     (tmp_path / "file").touch()
     with pytest.raises(FileExistsError):
-        when_disk_permits(lambda: ReleaseFolder(tmp_path / "file"), lambda _: pytest.fail("it waits"))
+        retry_disk_errors(lambda: ReleaseFolder(tmp_path / "file"), lambda _: pytest.fail("it waits"))
 
 
 # Agents
