--- a/applehub/durable/store.py
+++ b/applehub/durable/store.py
@@ -129,7 +129,7 @@
                 files.known[index] = frame
             else:
                 files.newer[index] = frame
-                versions = f"format {frame.format_version}, known is {self.format_version}"
+                versions = f"format {frame.format_version} is newer than {self.format_version}"
                 loaded.skipped_files.append(f"{name}: byte 4: {versions}")
         return files
 
--- a/applehub/events.py
+++ b/applehub/events.py
@@ -25,7 +25,7 @@
 
     STARTED = "started"  # pid
     READY = "ready"  # address
-    EXITED = "exited"  # code; planned: whether the fleet test ended the process
+    EXITED = "exited"  # code; planned: whether the test harness ended the process
     RESOURCE_SAMPLE = "sample"  # cpu_s, memory_mb, descriptors of the process since its start
     FAULT_BEGUN = "fault"  # fault: its number; kind; processes, edges: what is affected
     FAULT_ENDED = "healed"  # fault
--- a/applehub/release/__main__.py
+++ b/applehub/release/__main__.py
@@ -75,7 +75,9 @@
         click.echo(orjson.dumps(shown).decode())
         return
     limit = loaded.limits.out_at_once
-    click.echo(f"{loaded.name}: {loaded.what} from {loaded.old} to {loaded.new}, {limit} out at once")
+    click.echo(
+        f"{loaded.name}: {loaded.what} from {loaded.old} to {loaded.new}, at most {limit} out of service at once"
+    )
     for stage, names in stages:
         click.echo(f"  {stage.name}: {', '.join(names)}; watched {stage.watch_s:g} s")
 
@@ -131,7 +133,7 @@
         if as_json:
             click.echo(stored.json.decode())
         else:
-            _show(stored.record)
+            _print_record(stored.record)
         if not watch or stored.record.mode not in ACTIVE_MODES:
             return
         time.sleep(STATUS_INTERVAL_S)
@@ -188,18 +190,18 @@
         text = f"{kind}: not kept for sure: {error}; check `status` or submit the request again"
         raise OSError(text) from error
     if executed:
-        _show(load_release(folder).record)
+        _print_record(load_release(folder).record)
     else:
         click.echo(f"{kind}: submitted to the running controller")
 
 
 def _show_and_exit(record: ReleaseRecord) -> None:
     """Prints a release that has ended or is halted, and exits."""
-    _show(record)
+    _print_record(record)
     sys.exit(EXIT_HALTED if record.mode is ReleaseMode.HALTED else 0)
 
 
-def _show(record: ReleaseRecord) -> None:
+def _print_record(record: ReleaseRecord) -> None:
     versions = Counter(unit.version for unit in record.units.values())
     reason = f", {record.reason}" if record.reason else ""
     click.echo(f"{record.old_version} to {record.new_version}: {record.mode}{reason}")
--- a/applehub/release/agent.py
+++ b/applehub/release/agent.py
@@ -111,7 +111,10 @@
             return self._refusal(HTTPStatus.CONFLICT, str(error))
         except (StoreError, OSError) as error:
             log.warning(
-                "%s: order to %s not executed because it can't be stored: %r", order.unit, order.step, error
+                "order not executed because it can't be stored: unit %s, step %s, error %r",
+                order.unit,
+                order.step,
+                error,
             )
             return self._refusal(
                 HTTPStatus.SERVICE_UNAVAILABLE, f"order not executed because it can't be stored: {error}"
@@ -131,7 +134,7 @@
         try:
             failure = await self._host.execute(order)
         except Exception as error:  # any error of the host is the order's outcome
-            log.exception("%s: step %s failed", order.unit, order.step)
+            log.exception("step failed: unit %s, step %s", order.unit, order.step)
             failure = f"{type(error).__name__}: {error}"
         backoff = Backoff()
         while True:
@@ -142,7 +145,10 @@
             except (StoreError, OSError) as error:
                 if not backoff.failures:
                     log.warning(
-                        "%s: outcome of step %s can't be stored, retrying: %r", order.unit, order.step, error
+                        "outcome can't be stored, retrying: unit %s, step %s, error %r",
+                        order.unit,
+                        order.step,
+                        error,
                     )
                 await self._sleep(backoff.record_failure(0.0))
             else:
--- a/applehub/release/agent_client.py
+++ b/applehub/release/agent_client.py
@@ -76,7 +76,7 @@
                 if response.status >= HTTPStatus.BAD_REQUEST:
                     return Refusal.decode(await response.read()).error or f"status {response.status}"
         except REQUEST_ERRORS as error:
-            log.info("%s: order to %s could not be delivered: %r", order.unit, order.step, error)
+            log.info("order not delivered: unit %s, step %s, error %r", order.unit, order.step, error)
         return ""
 
     async def _poll_agent(self, address: str) -> AgentStatus | LocalFailureError | None:
--- a/applehub/release/agent_memory.py
+++ b/applehub/release/agent_memory.py
@@ -101,7 +101,7 @@
     newer = (fence, order.number) > (previous.fence, previous.order.number)
     if not newer or (previous.release_id == release_id and order.number < previous.order.number):
         raise OrderRefusedError(
-            f"{order.unit}: order number {order.number} is not newer than {previous.order.number}"
+            f"{order.unit}: order number {order.number} is lower than that of the latest order"
         )
 
 
--- a/applehub/release/backoff.py
+++ b/applehub/release/backoff.py
@@ -54,5 +54,5 @@
             if problem.errno not in TRANSIENT_ERRORS:
                 raise
             if not backoff.failures:
-                log.warning("disk operation failed, retrying: %r", problem)
+                log.warning("disk operation failed, retrying: error %r", problem)
             sleep(backoff.record_failure(0.0))
--- a/applehub/release/controller.py
+++ b/applehub/release/controller.py
@@ -135,7 +135,7 @@
             for request in apply_new(self.record, self._requests):
                 self.folder.events.write(EventKind.STAFF_REQUEST, what=request.kind)
         except OSError as error:
-            log.info("staff requests can't be read, retrying at the next poll: %r", error)
+            log.info("staff requests can't be read, retrying at the next poll: error %r", error)
 
     def _update_hold(self, verdict: Verdict) -> None:
         if bool(verdict.hold_reason) is not bool(self.hold_reason):
@@ -160,11 +160,11 @@
             self.folder.save()
         except (OSError, StoreError) as error:
             if not backoff.failures:
-                log.warning("record can't be stored, orders are suspended: %r", error)
+                log.warning("record can't be stored, orders are suspended: error %r", error)
             backoff.record_failure(now)
         else:
             if backoff.failures:
-                log.warning("record stored again, failed attempts: %d", backoff.failures)
+                log.warning("record stored again: failed attempts %d", backoff.failures)
             backoff.reset()
         self.metrics.refused_saves.set(backoff.failures)
         return not backoff.failures
--- a/applehub/release/gates.py
+++ b/applehub/release/gates.py
@@ -38,9 +38,7 @@
 
     halt_reason: str = ""  # why the new version is rejected; empty if it is not
     hold_reason: str = ""  # why no further unit may be upgraded; empty if one may
-    capacity: int | None = (
-        None  # how many more units the present load permits out of service; None if not reported
-    )
+    capacity: int | None = None  # further units that the load permits out of service; None if unknown
 
 
 @dataclass(slots=True)
@@ -80,9 +78,7 @@
         }
         self._observed: dict[str, _UnitObservation] = {}
         self._recent: list[RequestCounts] = []  # of the old version, one entry for each poll
-        self._expensive_since: dict[
-            str, float
-        ] = {}  # by cost, the time since which the new version has exceeded its limit
+        self._expensive_since: dict[str, float] = {}  # start of exceeding the limit, by cost
         self._polled_at: float | None = None
 
     def state(self) -> GateState:
@@ -127,9 +123,7 @@
                 observed.in_service_since = now
             report = reports.get(name)
             if report is None:
-                if (
-                    name not in reports or unit.target_version
-                ):  # units in progress are covered by the timeouts of steps
+                if name not in reports or unit.target_version:  # steps have their own timeout
                     observed.last_report_at = now
                 continue
             previous = observed.report
--- a/applehub/release/plan.py
+++ b/applehub/release/plan.py
@@ -50,32 +50,24 @@
 
     out_at_once: Count = 1
     tries: Annotated[int, Field(ge=1, le=10)] = 2  # attempts at a step before the unit is rolled back
-    step_s: Annotated[float, Field(gt=0, le=3600)] = (
-        60.0  # without an outcome, after which the order is sent again
-    )
+    step_s: Annotated[float, Field(gt=0, le=3600)] = 60.0  # until an order without an outcome is sent again
 
 
 class GateSettings(Table):
     """Settings of the health gates, which compare the two versions while both are in service."""
 
     look_s: Annotated[float, Field(ge=0.05, le=60)] = 1.0  # between polls
-    alpha: Annotated[float, Field(gt=0, le=0.1)] = (
-        0.01  # maximum probability that a version of equal quality is halted
-    )
-    least: Annotated[float, Field(gt=0, lt=1)] = (
-        0.005  # additional failures per request that don't justify a halt
-    )
-    silent_s: Positive = 10.0  # without a report of a unit of the new version, which then halts
+    alpha: Annotated[float, Field(gt=0, le=0.1)] = 0.01  # maximum probability of halting an equal version
+    least: Annotated[float, Field(gt=0, lt=1)] = 0.005  # tolerated additional failures per request
+    silent_s: Positive = 10.0  # without a report of a unit of the new version, until a halt
     before_s: Seconds = 300.0  # of polling the old version before the first upgrade
     settle_s: Seconds = 0.0  # after a unit enters service, until its misses and costs count
     cost: Annotated[float, Field(gt=1)] = (
-        2.0  # maximum ratio of CPU time, work and memory to the old version's
+        2.0  # maximum ratio of the CPU time, work and memory of the versions
     )
     cost_s: Positive = 10.0  # for which `cost` must be exceeded without interruption
     unwell: Fraction = 0.2  # failed fraction of the old version's recent requests that pauses upgrades
-    busy: Annotated[float, Field(gt=0, le=1)] = (
-        0.8  # maximum fraction of the remaining units' capacity in use
-    )
+    busy: Annotated[float, Field(gt=0, le=1)] = 0.8  # maximum load of the remaining units, as a fraction
 
 
 class Plan(Table):
--- a/applehub/release/stored_record.py
+++ b/applehub/release/stored_record.py
@@ -47,9 +47,8 @@
     def __init__(self, clock: Clock) -> None:
         """Takes the clock of the records' times."""
         self._clock = clock
-        self._unix_times: dict[
-            float, float
-        ] = {}  # by reading; cached, so that steps of the wall clock don't change stored records
+        # Cached by reading, so that steps of the wall clock don't change stored records.
+        self._unix_times: dict[float, float] = {}
 
     def encode(self, record: ReleaseRecord) -> bytes:
         """Returns the record as JSON."""
