--- a/applehub/release/__main__.py
+++ b/applehub/release/__main__.py
@@ -76,7 +76,7 @@
         return
     limit = loaded.limits.out_at_once
     click.echo(
-        f"{loaded.name}: {loaded.what} from {loaded.old} to {loaded.new}, at most {limit} out of service at once"
+        f"{loaded.name}: {loaded.what} from {loaded.old} to {loaded.new}, at most {limit} out of service"
     )
     for stage, names in stages:
         click.echo(f"  {stage.name}: {', '.join(names)}; watched {stage.watch_s:g} s")
--- a/applehub/release/agent_memory.py
+++ b/applehub/release/agent_memory.py
@@ -69,7 +69,7 @@
         return AgentMemory(dict(self.latest), self.fence)
 
     def encode(self) -> bytes:
-        """Returns the orders as JSON, in the format of the first release of the program."""
+        """Returns the orders as JSON, in a format that older agents can read."""
         latest = {
             unit: {
                 "id": record.release_id,
@@ -101,7 +101,7 @@
     newer = (fence, order.number) > (previous.fence, previous.order.number)
     if not newer or (previous.release_id == release_id and order.number < previous.order.number):
         raise OrderRefusedError(
-            f"{order.unit}: order number {order.number} is lower than that of the latest order"
+            f"{order.unit}: order number {order.number} is not higher than that of the latest order"
         )
 
 
--- a/applehub/release/staff_requests.py
+++ b/applehub/release/staff_requests.py
@@ -1,6 +1,6 @@
 """Staff requests to a running release, stored until its controller executes them.
 
-The store has the latest request in the keys `what` and `why`, which the first release of the program reads,
+The store has the latest request in the keys `what` and `why`, which older controllers read,
 and the previous ones in `earlier`, as a controller may have ended before it executed them. The number of a
 request is the store's generation at which it was added; the record has the number of the last executed
 request.
--- a/tests/release_support.py
+++ b/tests/release_support.py
@@ -1,4 +1,4 @@
-"""What tests of releases share: a clock that tests move, machines that obey, agents on loopback."""
+"""Helpers of the release tests: a settable clock, and fake hosts, agents and lock services on loopback."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -18,12 +18,12 @@
 from applehub.release.release_folder import ReleaseFolder
 from applehub.release.state_machine import Order
 
-WALL_STEPS = (-3600.0, -3.0, 3.0, 3600.0)  # s that the wall clock is stepped by
+WALL_STEPS_S = (-3600.0, -3.0, 3.0, 3600.0)
 
 
 @dataclass
-class SteppedClock:
-    """Its wall clock is stepped by tests, the other one only runs."""
+class FakeClock:
+    """A monotonic clock with a separately settable wall clock."""
 
     identity: str = "boot-1"
     reading: float = 5_000.0
@@ -36,28 +36,28 @@
         return self.reading + self.offset
 
 
-class ObedientMachine:
-    """Carries out every order at once, and counts how often each was carried out."""
+class FakeUnitHost:
+    """Executes every order immediately and records it."""
 
     def __init__(self, units: list[str]) -> None:
         self.units = units
-        self.carried: list[Order] = []
-        self.fails: set[str] = set()
-        self.check: Callable[[Order], None] = lambda order: None  # called before an order is carried out
+        self.executed: list[Order] = []
+        self.failing_units: set[str] = set()
+        self.before_execute: Callable[[Order], None] = lambda order: None
         self.reports = {name: LoadReport({"life": 1.0}) for name in units}
 
     async def execute(self, order: Order) -> str:
-        self.check(order)
-        self.carried.append(order)
-        return "it failed" if order.unit in self.fails else ""
+        self.before_execute(order)
+        self.executed.append(order)
+        return "failed" if order.unit in self.failing_units else ""
 
     async def load_report(self, unit: str) -> LoadReport | None:
         return self.reports.get(unit)
 
 
-def make_plan(units: int = 2, **more: Any) -> Plan:
-    """A plan without agents: the units u0, u1, ..., all in one zone and in one stage, watched for 20 s."""
-    gates = {"look_s": 0.05, "before_s": 0.0, **more.pop("gates", {})}
+def make_plan(units: int = 2, **overrides: Any) -> Plan:
+    """Returns a plan without agents: units u0, u1, ... in one zone and one stage, watched for 20 s."""
+    gates = {"look_s": 0.05, "before_s": 0.0, **overrides.pop("gates", {})}
     return Plan.model_validate(
         {
             "name": "cache-1.8",
@@ -67,17 +67,17 @@
             "stages": [{"name": "all", "part": 1.0, "watch_s": 20}],
             "fleet": [{"name": f"u{number}", "zone": "a"} for number in range(units)],
             "gates": gates,
-            **more,
+            **overrides,
         }
     )
 
 
 @asynccontextmanager
 async def running_agent(
-    machine: ObedientMachine, folder: Path, sleep: Callable[[float], Awaitable[None]] = asyncio.sleep
+    host: FakeUnitHost, folder: Path, sleep: Callable[[float], Awaitable[None]] = asyncio.sleep
 ) -> AsyncIterator[tuple[Agent, str]]:
-    """An agent on loopback, and its address."""
-    agent = Agent(machine, Store(Folder(str(folder)), "orders", FORMAT_VERSION), sleep)
+    """Runs an agent on loopback; yields it and its address."""
+    agent = Agent(host, Store(Folder(str(folder)), "orders", FORMAT_VERSION), sleep)
     try:
         yield agent, await agent.start("127.0.0.1", 0)
     finally:
@@ -85,26 +85,26 @@
 
 
 @dataclass
-class ListService:
-    """A list service's lock, as a controller sees it."""
+class FakeListService:
+    """The lock endpoint of a list service."""
 
     fence: int = 7
-    refuses: bool = False
-    taken: int = 0
+    rejects: bool = False
+    acquisitions: int = 0
     bodies: list[dict[str, Any]] = field(default_factory=list)
 
     async def put(self, request: web.Request) -> web.Response:
         self.bodies.append(await request.json())
-        if self.refuses:
+        if self.rejects:
             return web.json_response({"error": "busy"}, status=503)
-        self.taken += 1
+        self.acquisitions += 1
         return web.json_response({"fence": self.fence})
 
 
 @asynccontextmanager
-async def running_list_service() -> AsyncIterator[tuple[ListService, str]]:
-    """The service on loopback, and its address."""
-    service, app = ListService(), web.Application()
+async def running_list_service() -> AsyncIterator[tuple[FakeListService, str]]:
+    """Runs the service on loopback; yields it and its address."""
+    service, app = FakeListService(), web.Application()
     app.router.add_put("/v1/locks/release", service.put)
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
     await runner.setup()
@@ -116,8 +116,10 @@
 
 
 @asynccontextmanager
-async def controlling(path: Path, plan: Plan, clock: SteppedClock, agent: str) -> AsyncIterator[Controller]:
-    """A controller of a plan whose units all have one agent. Tests call its `poll_once`."""
+async def running_controller(
+    path: Path, plan: Plan, clock: FakeClock, agent: str
+) -> AsyncIterator[Controller]:
+    """Yields a connected controller whose units share one agent. Tests call its `poll_once`."""
     units = [unit.model_copy(update={"agent": agent}) for unit in plan.fleet]
     plan = plan.model_copy(update={"fleet": units})
     with ReleaseFolder(path, clock) as folder:
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -1,4 +1,4 @@
-"""Stores: right after any loss of power, over crashes of real processes, on sick disks."""
+"""Tests of stores across power loss, process crashes, disk errors and format upgrades."""
 
 import asyncio
 import subprocess
@@ -20,57 +20,59 @@
 VALUES = [b"first", b"a" * 1500, b"b" * 700, b"", b"c" * 1100, bytes(range(256)) * 8]
 
 
-def made(disk: RecordedDisk) -> Store:
+def make_store(disk: RecordedDisk) -> Store:
     return Store(disk, "x", 1)
 
 
-def test_a_start_is_right_from_every_state_that_a_loss_of_power_leaves() -> None:
-    verdict = search(VALUES, made)
+def test_store_recovers_from_every_power_loss_state() -> None:
+    verdict = search(VALUES, make_store)
     assert verdict.wrong == [] and verdict.states > 100_000
 
 
-class NoSync(Store):
+class StoreWithoutSync(Store):
     def save(self, value: bytes) -> None:
         self.disk.sync = lambda name: None  # type: ignore[method-assign]
         super().save(value)
 
 
-class NoFolderSync(Store):
+class StoreWithoutFolderSync(Store):
     def save(self, value: bytes) -> None:
         self.disk.sync_names = lambda: None  # type: ignore[method-assign]
         super().save(value)
 
 
-class OlderFirst(Store):
+class StoreLoadingOlderGeneration(Store):
     def load(self) -> LoadResult:
         loaded = super().load()
         files = [self.disk.read(file) for file in self.files]
-        whole = [content for content in files if content and len(content) >= HEADER_SIZE]
-        if len(whole) == 2:
-            loaded.value = min(whole, key=lambda content: content[6:14])[HEADER_SIZE:]
+        complete = [content for content in files if content and len(content) >= HEADER_SIZE]
+        if len(complete) == 2:
+            loaded.value = min(complete, key=lambda content: content[6:14])[HEADER_SIZE:]
         return loaded
 
 
-class NoLock(Store):
+class StoreWithoutLock(Store):
     def open(self) -> LoadResult:
         self.is_open = True
         return self.load()
 
 
-@pytest.mark.parametrize("mutant", [NoSync, NoFolderSync, OlderFirst, NoLock])
-def test_each_mutant_is_found(mutant: type[Store]) -> None:
-    assert search(VALUES[:3], lambda disk: mutant(disk, "x", 1), flip_step=7).wrong
+@pytest.mark.parametrize(
+    "faulty_store", [StoreWithoutSync, StoreWithoutFolderSync, StoreLoadingOlderGeneration, StoreWithoutLock]
+)
+def test_search_detects_each_faulty_store(faulty_store: type[Store]) -> None:
+    assert search(VALUES[:3], lambda disk: faulty_store(disk, "x", 1), flip_step=7).wrong
 
 
-def test_a_checksum_that_leaves_out_the_head_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_search_detects_checksum_that_omits_header(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("applehub.durable.frame.crc32", lambda data, start=0: len(data) and data[-1])
-    assert search(VALUES[:3], made).wrong
+    assert search(VALUES[:3], make_store).wrong
 
 
 @pytest.mark.parametrize("operation", ["write", "sync", "rename", "sync_names"])
-def test_a_disk_that_refuses_is_told_and_loses_nothing(operation: str) -> None:
+def test_disk_error_is_raised_and_loses_no_value(operation: str) -> None:
     disk = RecordedDisk()
-    store = made(disk)
+    store = make_store(disk)
     store.open()
     store.save(b"kept")
     disk.fails = operation
@@ -79,39 +81,38 @@
     disk.fails = ""
     assert store.load().value in (b"kept", b"refused")
     for state in disk.states():
-        assert made(state).load().value in (b"kept", b"refused")
+        assert make_store(state).load().value in (b"kept", b"refused")
     store.save(b"after")
-    assert made(disk).load().value == b"after"
+    assert make_store(disk).load().value == b"after"
 
 
-def test_a_store_that_could_not_be_read_is_not_open_and_takes_no_value() -> None:
-    """Set up: a store of three generations whose opening fails at a read. Expected: nothing can be saved over
-    them before it was opened, and what is saved then is what the next start finds."""
+def test_store_that_failed_to_load_rejects_saves() -> None:
+    """A save without loaded generations could overwrite the newest value."""
     disk = RecordedDisk()
-    store = made(disk)
+    store = make_store(disk)
     store.open()
     for value in VALUES[:3]:
         store.save(value)
     store.close()
-    after = made(disk)
+    reopened = make_store(disk)
     disk.fails = "read"
     with pytest.raises(OSError, match="read"):
-        after.open()
+        reopened.open()
     disk.fails = ""
     with pytest.raises(StoreError, match="not open"):
-        after.save(b"too early")
-    assert made(disk).open().value == VALUES[2]  # and another process may hold it
+        reopened.save(b"too early")
+    assert make_store(disk).open().value == VALUES[2]  # the lock was released by the failed open
     disk.locked.clear()
-    after.open()
-    after.save(b"after")
-    assert made(disk).load().value == b"after"
+    reopened.open()
+    reopened.save(b"after")
+    assert make_store(disk).load().value == b"after"
 
 
-def test_what_a_newer_program_keeps_stays_beside_what_an_older_one_writes() -> None:
+def test_value_of_newer_format_is_not_overwritten() -> None:
     disk = RecordedDisk()
     newer = Frame(2, 7, b"of the newer").encode()
     disk.write("x.0", newer)
-    store = made(disk)
+    store = make_store(disk)
     loaded = store.open()
     assert loaded.value is None and "format 2" in loaded.skipped_files[0]
     store.save(b"one")
@@ -120,22 +121,22 @@
 
 
 @pytest.mark.parametrize("generations", [(7, 8), (8, 7)])
-def test_of_two_values_of_a_newer_program_the_later_stays(generations: tuple[int, int]) -> None:
-    """Set up: both files are of a newer format. Expected: an older program goes on beside the later one."""
+def test_later_of_two_values_of_newer_format_is_not_overwritten(generations: tuple[int, int]) -> None:
+    """Both files have a newer format, and the older program replaces only the earlier one."""
     disk = RecordedDisk()
     contents = [Frame(2, generation, b"%d" % generation).encode() for generation in generations]
-    for place, content in enumerate(contents):
-        disk.write(f"x.{place}", content)
-    store = made(disk)
+    for index, content in enumerate(contents):
+        disk.write(f"x.{index}", content)
+    store = make_store(disk)
     assert store.open().value is None
     for value in (b"one", b"two"):
         store.save(value)
     later = generations.index(8)
     assert disk.read(f"x.{later}") == contents[later]
-    assert made(disk).load().value == b"two"
+    assert make_store(disk).load().value == b"two"
 
 
-def test_a_foreign_file_is_named_with_its_offset_and_a_second_writer_refused(tmp_path: Path) -> None:
+def test_foreign_file_is_reported_and_second_writer_is_rejected(tmp_path: Path) -> None:
     (tmp_path / "x.0").write_bytes(b"not ours, and long enough to be one")
     store = Store(Folder(str(tmp_path)), "x", 1)
     assert "x.0: byte 0" in store.open().skipped_files[0]
@@ -158,42 +159,42 @@
 """
 
 
-def test_what_a_killed_process_said_yes_to_is_there_at_the_next_start(tmp_path: Path) -> None:
-    said = 0
-    for life in range(8):
+def test_value_acknowledged_by_killed_process_is_loaded(tmp_path: Path) -> None:
+    acknowledged = 0
+    for incarnation in range(8):
         process = subprocess.Popen(
             [sys.executable, "-c", WRITER, str(tmp_path)], stdout=subprocess.PIPE, text=True
         )
         assert process.stdout is not None
-        for _ in range(1 + 5 * life):
-            said = int(process.stdout.readline())
+        for _ in range(1 + 5 * incarnation):
+            acknowledged = int(process.stdout.readline())
         process.kill()
-        rest = process.stdout.read().split()
+        remaining_output = process.stdout.read().split()
         process.wait()
-        said = int(rest[-1]) if rest else said
+        acknowledged = int(remaining_output[-1]) if remaining_output else acknowledged
         loaded = Store(Folder(str(tmp_path)), "count", 1).load()
-        assert loaded.value in (b"%06d" % said * 300, b"%06d" % (said + 1) * 300)
-    assert said >= 8
+        assert loaded.value in (b"%06d" % acknowledged * 300, b"%06d" % (acknowledged + 1) * 300)
+    assert acknowledged >= 8
 
 
-async def test_a_router_starts_from_the_newer_of_the_kept_list_and_the_one_it_is_told(tmp_path: Path) -> None:
+async def test_router_starts_from_newer_of_persisted_and_configured_list(tmp_path: Path) -> None:
     def entries(*states: str) -> list[dict[str, object]]:
         return [{"uid": f"c{number}", "state": state} for number, state in enumerate(states)]
 
-    told = {"rev": 4, "all": True, "targets": entries("Ready", "Ready", "Ready")}
+    configured = {"rev": 4, "all": True, "targets": entries("Ready", "Ready", "Ready")}
     first = PersistedList(str(tmp_path))
-    assert first.load(told) == told
+    assert first.load(configured) == configured
     first.update({"rev": 6, "targets": entries("Ready", "Terminating", "Gone")}, False)
     first.close()
     second = PersistedList(str(tmp_path))
-    assert second.load(told) == {**told, "targets": entries("Ready", "Terminating")}
-    assert second.load({**told, "rev": 9})["targets"] == told["targets"]
+    assert second.load(configured) == {**configured, "targets": entries("Ready", "Terminating")}
+    assert second.load({**configured, "rev": 9})["targets"] == configured["targets"]
     for file in tmp_path.glob("list.?"):
         file.write_bytes(file.read_bytes()[:-1])
-    assert PersistedList(str(tmp_path)).load(told) == told
+    assert PersistedList(str(tmp_path)).load(configured) == configured
 
 
-async def test_a_list_is_saved_beside_the_loop_and_again_once_the_folder_is_let_go(tmp_path: Path) -> None:
+async def test_list_save_is_retried_until_store_is_unlocked(tmp_path: Path) -> None:
     other = Store(Folder(str(tmp_path)), "list", 1)
     other.open()
     kept = PersistedList(str(tmp_path))
@@ -209,7 +210,7 @@
     kept.close()
 
 
-async def test_what_was_learnt_is_taken_up_unless_its_age_is_unknown(
+async def test_statistics_are_loaded_unless_their_age_is_unknown(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     seen = {"c0": api.Seen(2e6, 1e6, 1.5, 0.25)}
@@ -217,12 +218,12 @@
     assert kept.load() is None
     kept.close()
     wall, now = time.time_ns(), time.monotonic_ns()
-    for step in (0, 3, -3, 3_600, -3_600):  # s of the wall clock, from which no age is taken
+    for step in (0, 3, -3, 3_600, -3_600):  # steps of the wall clock in s, which must not change the age
         monkeypatch.setattr(time, "time_ns", lambda step=step: wall + step * 1_000_000_000)
         monkeypatch.setattr(time, "monotonic_ns", lambda: now + 7_000_000_000)
         found = PersistedStatistics(str(tmp_path), kept.learnt).load()
         assert found is not None and found.servers == seen and 7_000 <= found.age // 1_000_000 < 8_000
-    monkeypatch.setattr(time, "monotonic_ns", lambda: now - 7_000_000_000)  # that of another machine
+    monkeypatch.setattr(time, "monotonic_ns", lambda: now - 7_000_000_000)  # as on another machine
     assert PersistedStatistics(str(tmp_path), kept.learnt).load() is None
     monkeypatch.undo()
     for identifier in ("", "of the time before a restart"):
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""The writer of events: on files that refuse, that take half a line, and that a killed writer left."""
+"""Tests of the event log with write errors, partial writes and files of killed writers."""
 
 from io import BytesIO
 from pathlib import Path
@@ -10,13 +10,13 @@
 
 
 def addresses(path: Path) -> list[str]:
-    """The addresses of a file's READY events."""
-    return [one.fields["address"] for one in read_events(path)]
+    """Returns the addresses of the READY events of a file."""
+    return [record.fields["address"] for record in read_events(path)]
 
 
 @pytest.mark.parametrize("error", ["ENOSPC", "EIO"])
-def test_lines_that_a_file_refuses_are_written_once_it_takes_them(tmp_path: Path, error: str) -> None:
-    """The file takes 7 bytes of a line, refuses for three lines, and then takes 5 bytes at a time."""
+def test_lines_are_buffered_during_write_errors_and_written_later(tmp_path: Path, error: str) -> None:
+    """The file accepts 7 bytes of a line, then fails three writes, then accepts 5 bytes at a time."""
     path = tmp_path / "events.jsonl"
     with SystemCallFaults(SystemCallFault("write", error, times=0, path=str(path))) as faults:
         writer = EventWriter(path, "me", 1)
@@ -34,9 +34,9 @@
     assert addresses(path) == list("abcde") and writer.dropped == 0
 
 
-def test_what_a_file_refuses_for_long_is_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A full file and 100 lines: the first are held and written later, the others are dropped and counted."""
-    monkeypatch.setattr("applehub.events.MOST_HELD", 1_000)
+def test_buffer_is_bounded_during_long_write_errors(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The first lines are buffered and written later, and the others are dropped and counted."""
+    monkeypatch.setattr("applehub.events.MAX_BUFFERED_BYTES", 1_000)
     path = tmp_path / "events.jsonl"
     with SystemCallFaults(SystemCallFault("write", "ENOSPC", path=str(path))) as faults:
         writer = EventWriter(path, "me", 1)
@@ -44,16 +44,14 @@
             writer.write(EventKind.READY, address=str(number))
         faults.replace()
         writer.close()
-    kept = addresses(path)
-    assert kept == [str(number) for number in range(len(kept))] and 0 < len(kept) < 20
-    assert writer.dropped == 100 - len(kept)
+    written = addresses(path)
+    assert written == [str(number) for number in range(len(written))] and 0 < len(written) < 20
+    assert writer.dropped == 100 - len(written)
 
 
 @pytest.mark.parametrize("length", [0, 1, 70_000, 200_000])
-def test_a_writer_that_follows_a_killed_one_does_not_join_its_line_to_half_a_line(
-    tmp_path: Path, length: int
-) -> None:
-    """A file that ends in half a line, of up to several blocks: it is cut off, and the next line is whole."""
+def test_new_writer_truncates_partial_line_of_killed_writer(tmp_path: Path, length: int) -> None:
+    """The partial last line spans up to several read blocks."""
     path = tmp_path / "events.jsonl"
     writer = EventWriter(path, "me", 1)
     writer.write(EventKind.READY, address="a")
@@ -66,8 +64,8 @@
     assert addresses(path) == ["a", "b"]
 
 
-def test_a_file_that_holds_half_a_line_alone_is_begun_anew(tmp_path: Path) -> None:
-    """A file without a whole line: nothing of it stays."""
+def test_file_with_only_a_partial_line_is_emptied(tmp_path: Path) -> None:
+    """The file has no complete line, so that nothing of it remains."""
     path = tmp_path / "events.jsonl"
     path.write_bytes(b'{"mono":1')
     writer = EventWriter(path, "me", 1)
@@ -76,15 +74,15 @@
     assert addresses(path) == ["a"]
 
 
-def test_a_stream_gets_each_line_at_once() -> None:
-    """A stream in memory: the line is there after `write`."""
+def test_line_is_written_to_stream_immediately() -> None:
+    """The line is complete in the stream when `write` returns."""
     stream = BytesIO()
     EventWriter(stream, "me", 1).write(EventKind.READY, address="a")
     assert stream.getvalue().endswith(b"}\n") and b'"address":"a"' in stream.getvalue()
 
 
-def test_events_that_the_version_before_wrote_are_read() -> None:
-    """A file of the release controller of 0447801, of one event."""
+def test_events_of_previous_version_are_read() -> None:
+    """The file was written by the release controller of commit 0447801."""
     path = Path(__file__).parent / "stored" / "release_0447801" / "in_flight" / "events.jsonl"
     (record,) = read_events(path)
     assert (record.process, record.incarnation, record.event) == ("release", 0, EventKind.RELEASE_MODE)
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -1,4 +1,4 @@
-"""Releases: the controller as a model, its mutants, plans of no use, and a controller that is killed."""
+"""Tests of releases: model checking, plan validation, health gates, and killed controllers."""
 
 import json
 import os
@@ -40,37 +40,37 @@
 
 @pytest.fixture
 def plan(tmp_path: Path) -> Path:
-    """The file of a plan: five units in two zones, a canary and the rest."""
+    """Returns the path of a plan with five units in two zones, released as a canary and the rest."""
     file = tmp_path / "plan.toml"
     file.write_text(PLAN)
     return file
 
 
 @pytest.mark.parametrize("back_on_halt", [False, True])
-def test_every_order_of_steps_crashes_and_lost_messages_keeps_the_rules(back_on_halt: bool) -> None:
-    """All transitions of the model to a depth of 8, with one failed step and one crash: no violation."""
+def test_model_has_no_violation_with_crashes_and_failed_steps(back_on_halt: bool) -> None:
+    """Explores all transitions to a depth of 8, with at most one failed step and one crash."""
     model = ModelChecker(ModelRules(), FaultBudget(1, 1), rollback_on_halt=back_on_halt)
     model.explore(depth=8)
     assert model.violations == [] and model.states > 1_500 and model.max_depth == 8
 
 
 @pytest.mark.parametrize("back_on_halt", [False, True])
-def test_a_disk_that_refuses_a_record_anywhere_keeps_the_rules(back_on_halt: bool) -> None:
-    """At each event the disk may refuse the record, once; it is stored later, or the controller crashes."""
+def test_model_has_no_violation_with_failed_saves(back_on_halt: bool) -> None:
+    """One save may fail at any event, before it is retried or the controller crashes."""
     model = ModelChecker(ModelRules(), FaultBudget(1, 1, 1), rollback_on_halt=back_on_halt)
     model.explore(depth=7)
     assert model.violations == [] and model.states > 4_000 and model.max_depth == 7
 
 
-def test_orders_that_go_out_before_their_record_is_kept_are_found() -> None:
-    """A controller that sends orders of a refused record: the checker finds a violation."""
+def test_model_checker_detects_orders_sent_before_their_record_is_stored() -> None:
+    """The faulty controller sends orders although saving their record failed."""
     model = ModelChecker(ModelRules(waits_for_disk=False), FaultBudget(1, 1, 1))
     model.explore(depth=14, max_states=9_000)
     assert model.violations, model.states
 
 
-class TwoZones(ReleaseStateMachine):
-    """A mutant: begins units as if all were in one zone."""
+class IgnoresZones(ReleaseStateMachine):
+    """Faulty state machine that starts units as if all were in one zone."""
 
     def _start_units(self, now: float, waiting: list[str], version: str, capacity: int | None) -> list[Order]:
         zones = {name: unit.zone for name, unit in self.record.units.items()}
@@ -82,8 +82,8 @@
         return orders
 
 
-class BeginsHalted(ReleaseStateMachine):
-    """A mutant: begins units while the release is halted."""
+class StartsUnitsWhileHalted(ReleaseStateMachine):
+    """Faulty state machine that starts units while the release is halted."""
 
     def tick(self, now: float, healthy: bool = True, capacity: int | None = None) -> list[Order]:
         halted = self.record.mode is ReleaseMode.HALTED
@@ -93,8 +93,8 @@
         return orders
 
 
-class Forgets(ReleaseStateMachine):
-    """A mutant: a controller that starts forgets the orders without an outcome."""
+class ForgetsPendingOrders(ReleaseStateMachine):
+    """Faulty state machine that drops pending orders when a controller starts."""
 
     def resend_pending(self, now: float) -> list[Order]:
         for unit in self.record.units.values():
@@ -102,31 +102,31 @@
         return []
 
 
-def restarts_numbers(record: ReleaseRecord) -> None:
-    """A mutant: a crash has the numbers of orders begin anew."""
+def reset_order_numbers(record: ReleaseRecord) -> None:
+    """Models a fault in which order numbers restart after a crash."""
     record.last_order_number = 0
 
 
 @pytest.mark.parametrize(
-    ("mutant", "crashes"),
+    ("rules", "crashes"),
     [
-        (ModelRules(TwoZones), 0),  # far down: searched without what does not lead there
-        (ModelRules(BeginsHalted), 1),
-        (ModelRules(Forgets), 1),
+        (ModelRules(IgnoresZones), 0),  # its violation is too deep for a search with crashes
+        (ModelRules(StartsUnitsWhileHalted), 1),
+        (ModelRules(ForgetsPendingOrders), 1),
         (ModelRules(fencing=False), 1),
-        (ModelRules(after_crash=restarts_numbers), 1),
+        (ModelRules(after_crash=reset_order_numbers), 1),
     ],
-    ids=["two zones", "begins while halted", "forgets what is out", "no fencing", "numbers begin anew"],
+    ids=["ignores zones", "starts while halted", "forgets pending", "no fencing", "numbers restart"],
 )
-def test_each_mutant_is_found(mutant: ModelRules, crashes: int) -> None:
-    """A state machine, or agents, with one fault: the checker finds a violation."""
-    model = ModelChecker(mutant, FaultBudget(crashes, crashes))
+def test_model_checker_detects_each_faulty_rule(rules: ModelRules, crashes: int) -> None:
+    """The state machine or the agents have one fault."""
+    model = ModelChecker(rules, FaultBudget(crashes, crashes))
     model.explore(depth=14, max_states=9_000)
     assert model.violations, model.states
 
 
-def test_a_plan_of_no_use_tells_every_fault_of_it(plan: Path) -> None:
-    """Unknown keys, duplicates, units in no stage: each fault is named, and the command ends with 2."""
+def test_invalid_plan_is_rejected_with_all_errors(plan: Path) -> None:
+    """Covers an unknown key, equal versions, a duplicate unit and units without a stage."""
     plan.write_text("more = 1\n" + PLAN)
     with pytest.raises(PlanError, match="more"):
         load_plan(plan)
@@ -139,43 +139,52 @@
     assert CliRunner().invoke(main, ["plan", str(plan)]).exit_code == 2
 
 
-def call(*words: str) -> tuple[int, str]:
-    """Runs a command of `python -m applehub.release`; its exit status and output."""
-    done = CliRunner().invoke(main, list(words))
-    return done.exit_code, done.output
+def run_command(*arguments: str) -> tuple[int, str]:
+    """Runs `python -m applehub.release` in this process. Returns the exit status and the output."""
+    result = CliRunner().invoke(main, list(arguments))
+    return result.exit_code, result.output
 
 
-def test_a_version_that_never_comes_up_is_halted_and_returned(plan: Path, tmp_path: Path) -> None:
-    """A unit whose new version fails: halted with 3, rolled back by staff, tried again with --again alone."""
+def test_version_that_fails_to_start_is_halted_and_rolled_back(plan: Path, tmp_path: Path) -> None:
+    """After the rollback the version is rejected unless --again is given."""
     state = ["--state", str(tmp_path / "state")]
-    code, said = call("rehearse", str(plan), *state, "--pace", "5000", "--broken", "c2")
-    assert code == 3 and "c2: admit failed 2 times" in said and "on the way" not in said
-    assert call("back", *state)[0] == 0
-    code, said = call("rehearse", str(plan), *state, "--pace", "5000")
-    assert code == 0 and "returned" in said and "5 at 1.7" in said
-    assert call("rehearse", str(plan), *state)[0] == 2  # not again without being told
-    code, said = call("rehearse", str(plan), *state, "--pace", "5000", "--again")
-    assert code == 0 and "5 at 1.8" in said
-
-
-def test_a_controller_killed_between_any_two_steps_does_none_twice(plan: Path, tmp_path: Path) -> None:
-    """A rehearsal killed at 12 of its events, then completed: each step has a number of its own."""
+    exit_code, output = run_command("rehearse", str(plan), *state, "--pace", "5000", "--broken", "c2")
+    assert exit_code == 3 and "c2: admit failed 2 times" in output and "on the way" not in output
+    assert run_command("back", *state)[0] == 0
+    exit_code, output = run_command("rehearse", str(plan), *state, "--pace", "5000")
+    assert exit_code == 0 and "returned" in output and "5 at 1.7" in output
+    assert run_command("rehearse", str(plan), *state)[0] == 2  # rejected without --again
+    exit_code, output = run_command("rehearse", str(plan), *state, "--pace", "5000", "--again")
+    assert exit_code == 0 and "5 at 1.8" in output
+
+
+def test_killed_controller_repeats_no_step(plan: Path, tmp_path: Path) -> None:
+    """A rehearsal is killed 12 times and then completed."""
     state = tmp_path / "state"
-    words = [sys.executable, "-m", "applehub.release", "rehearse", str(plan), "--state", str(state), "--pace"]
+    command = [
+        sys.executable,
+        "-m",
+        "applehub.release",
+        "rehearse",
+        str(plan),
+        "--state",
+        str(state),
+        "--pace",
+    ]
     events = state / "events.jsonl"
     for _ in range(12):
         before = events.stat().st_size if events.exists() else 0
-        process = subprocess.Popen([*words, "200"], stdout=subprocess.DEVNULL)
+        process = subprocess.Popen([*command, "200"], stdout=subprocess.DEVNULL)
         while process.poll() is None and (not events.exists() or events.stat().st_size == before):
             pass
         process.kill()
         process.wait()
-    assert subprocess.run([*words, "2000"], stdout=subprocess.DEVNULL).returncode == 0
+    assert subprocess.run([*command, "2000"], stdout=subprocess.DEVNULL).returncode == 0
     assert_each_step_was_ordered_once(state)
 
 
-REFUSED_CALLS: list[tuple[SystemCall, str, int]] = [
-    ("write", "ENOSPC", 1),  # of the first record of all
+FAILING_CALLS: list[tuple[SystemCall, str, int]] = [
+    ("write", "ENOSPC", 1),  # fails the first save of the release
     ("open", "EMFILE", 3),
     ("fsync", "EIO", 2),
     ("rename", "EIO", 3),
@@ -183,129 +192,138 @@
 ]
 
 
-def test_a_process_killed_while_its_disk_refuses_its_record_does_no_step_twice(
-    plan: Path, tmp_path: Path
-) -> None:
-    """Each process stores a few records, then half of one; its disk refuses from there on until it is killed.
-    The last one meets a disk that refuses four times, and ends the release."""
+def test_controller_killed_during_disk_errors_repeats_no_step(plan: Path, tmp_path: Path) -> None:
+    """Each process is killed after a partial write and repeated disk errors. The last one has four errors and
+    completes the release."""
     state = tmp_path / "state"
-    words = [sys.executable, "-m", "applehub.lab.fleet.system_call_faults", "applehub.release", "rehearse"]
-    words += [str(plan), "--state", str(state), "--pace", "2000"]
-    for number, (call_, error, stored) in enumerate(REFUSED_CALLS):
+    command = [sys.executable, "-m", "applehub.lab.fleet.system_call_faults", "applehub.release", "rehearse"]
+    command += [str(plan), "--state", str(state), "--pace", "2000"]
+    for number, (call_, error, stored) in enumerate(FAILING_CALLS):
         record = tmp_path / f"injected-{number}"
         prefix = f"{state}/release.new"
         faults = [SystemCallFault("write", short=100, from_call=stored, times=1, path=prefix)]
         faults += [SystemCallFault(call_, error, from_call=stored, path=prefix)]
         process = subprocess.Popen(
-            words, env={**os.environ, **in_environment(faults, record)}, stdout=subprocess.DEVNULL
+            command, env={**os.environ, **in_environment(faults, record)}, stdout=subprocess.DEVNULL
         )
-        while recorded(record)[call_, error] < 4:  # more than one save makes: it has tried again
+        while recorded(record)[call_, error] < 4:  # more calls than one save makes, so that it was retried
             assert process.poll() is None
         process.kill()
         process.wait()
     faults = [SystemCallFault("fsync", "EIO", from_call=2, times=4, path=str(state))]
     environment = {**os.environ, **in_environment(faults, tmp_path / "last")}
-    assert subprocess.run(words, env=environment, stdout=subprocess.DEVNULL).returncode == 0
+    assert subprocess.run(command, env=environment, stdout=subprocess.DEVNULL).returncode == 0
     assert recorded(tmp_path / "last")["fsync", "EIO"] == 4
     assert_each_step_was_ordered_once(state)
 
 
 def assert_each_step_was_ordered_once(state: Path) -> None:
-    """The release is done, and each of its 15 steps had a number of its own."""
-    record = json.loads(call("status", "--state", str(state), "--json")[1])
+    """Asserts that the release is done and that each of its 15 steps has one order number."""
+    record = json.loads(run_command("status", "--state", str(state), "--json")[1])
     assert record["mode"] == "done" and {unit["version"] for unit in record["units"].values()} == {"1.8"}
     steps: dict[int, set[str]] = {}
-    for one in read_events(state / "events.jsonl"):
-        if one.event is EventKind.ORDER_SENT:
-            steps.setdefault(one.fields["number"], set()).add(f"{one.fields['unit']} {one.fields['step']}")
-    assert all(len(meant) == 1 for meant in steps.values()) and len(steps) == 15
+    for event in read_events(state / "events.jsonl"):
+        if event.event is EventKind.ORDER_SENT:
+            steps.setdefault(event.fields["number"], set()).add(
+                f"{event.fields['unit']} {event.fields['step']}"
+            )
+    assert all(len(names) == 1 for names in steps.values()) and len(steps) == 15
 
 
-def test_a_version_that_fails_oftener_is_told_from_one_that_is_as_good() -> None:
-    """4 new units of 20, 20 requests each a look; of both versions 1 in 100 fails, and at some looks half."""
+def test_version_with_higher_failure_rate_is_detected() -> None:
+    """Of 20 units 4 have the new version. Failures that both versions share at some polls are no evidence."""
 
-    def looks(draw: random.Random, more: float) -> int:
+    def polls_until_detection(generator: random.Random, additional_rate: float) -> int:
         evidence = FailureEvidence(0.005, 0.0025)
-        for look in range(400):
-            all_fail = 0.5 if look % 40 == 7 else 0.0
+        for poll in range(400):
+            shared_rate = 0.5 if poll % 40 == 7 else 0.0
             counts = {
                 f"u{number}": RequestCounts(
-                    20, sum(draw.random() < 0.01 + all_fail + more * (number < 4) for _ in range(20))
+                    20,
+                    sum(
+                        generator.random() < 0.01 + shared_rate + additional_rate * (number < 4)
+                        for _ in range(20)
+                    ),
                 )
                 for number in range(20)
             }
-            new = {name: one for name, one in counts.items() if name in ("u0", "u1", "u2", "u3")}
-            evidence.add(new, {name: one for name, one in counts.items() if name not in new})
+            new = {name: count for name, count in counts.items() if name in ("u0", "u1", "u2", "u3")}
+            evidence.add(new, {name: count for name, count in counts.items() if name not in new})
             if evidence.is_worse:
-                return look
+                return poll
         return 400
 
-    assert all(looks(random.Random(seed), 0.0) == 400 for seed in range(12))
-    assert all(looks(random.Random(seed), 0.03) < 100 for seed in range(12))
+    assert all(polls_until_detection(random.Random(seed), 0.0) == 400 for seed in range(12))
+    assert all(polls_until_detection(random.Random(seed), 0.03) < 100 for seed in range(12))
 
 
-def gate(plan: Path) -> tuple[HealthGates, ReleaseRecord]:
-    """Gates over five units, c0 of the new version, with no wait for a baseline."""
+def make_gates(plan: Path) -> tuple[HealthGates, ReleaseRecord]:
+    """Returns gates without a baseline period and their record, in which c0 has the new version."""
     record = new_record(load_plan(plan))
     record.units["c0"].version = "1.8"
     return HealthGates(GateSettings(before_s=0.0), record), record
 
 
-def report(poll: int, **more: float) -> LoadReport:
-    """What a unit reports at a poll: 100 requests since the one before, and what is given beside."""
+def make_report(poll: int, **overrides: float) -> LoadReport:
+    """Returns the load report of a unit at a poll, with 100 requests per poll."""
     metrics = {"requests": 100.0 * poll, "failed": 0.0, "cpu_s": 0.1 * poll, "busy": 0.3}
-    return LoadReport({"life": 1, **metrics, **more})
+    return LoadReport({"life": 1, **metrics, **overrides})
 
 
-def test_silence_missing_metrics_and_costs_halt_what_the_old_version_does_not_share(plan: Path) -> None:
-    """A new unit that is silent, lacks metrics or costs more halts; what all units suffer holds at most."""
-    gates, record = gate(plan)
-    whole: dict[str, LoadReport | None] = {name: report(1) for name in record.units}
-    assert gates.evaluate(1.0, whole) == Verdict("", "", 3)
-    assert gates.evaluate(13.0, {**whole, "c0": None}).halt_reason == "c0: tells nothing for 10 s"
-    nobody = gates.evaluate(40.0, dict.fromkeys(record.units))
-    assert not nobody.halt_reason and "tell nothing" in nobody.hold_reason  # it is not the version
+def test_new_version_is_halted_by_silence_missing_metrics_and_costs(plan: Path) -> None:
+    """Faults that units of both versions share pause the release but don't halt it."""
+    gates, record = make_gates(plan)
+    all_reports: dict[str, LoadReport | None] = {name: make_report(1) for name in record.units}
+    assert gates.evaluate(1.0, all_reports) == Verdict("", "", 3)
+    assert gates.evaluate(13.0, {**all_reports, "c0": None}).halt_reason == "c0: tells nothing for 10 s"
+    all_silent = gates.evaluate(40.0, dict.fromkeys(record.units))
+    assert not all_silent.halt_reason and "tell nothing" in all_silent.hold_reason
 
-    gates, _ = gate(plan)
-    verdict = gates.evaluate(1.0, {**whole, "c0": LoadReport({"life": 1})})
+    gates, _ = make_gates(plan)
+    verdict = gates.evaluate(1.0, {**all_reports, "c0": LoadReport({"life": 1})})
     assert verdict.halt_reason.startswith("c0: does not tell busy, cpu_s")
 
-    gates, record = gate(plan)
+    gates, record = make_gates(plan)
     for poll in range(1, 14):
-        expensive = {name: report(poll, cpu_s=(0.5 if name == "c0" else 0.1) * poll) for name in record.units}
+        expensive = {
+            name: make_report(poll, cpu_s=(0.5 if name == "c0" else 0.1) * poll) for name in record.units
+        }
         verdict = gates.evaluate(float(poll), expensive)
     assert verdict.halt_reason.startswith("processor time: 0.005 against 0.001")
 
-    gates, record = gate(plan)
+    gates, record = make_gates(plan)
     for poll in range(1, 4):
-        failing = {name: report(poll, failed=30.0 * poll, busy=0.7) for name in record.units}
+        failing = {name: make_report(poll, failed=30.0 * poll, busy=0.7) for name in record.units}
         verdict = gates.evaluate(float(poll), failing)
     assert not verdict.halt_reason and "30% of the old" in verdict.hold_reason and verdict.capacity == 0
-    again = gates.evaluate(4.0, {name: report(0, life=2) for name in record.units})  # restarted, at no count
-    assert not again.halt_reason
+    # All units restarted, with counters at 0.
+    after_restart = gates.evaluate(4.0, {name: make_report(0, life=2) for name in record.units})
+    assert not after_restart.halt_reason
 
 
-def test_a_controller_that_was_killed_goes_on_watching_where_it_was(plan: Path) -> None:
-    """Three controllers one after another, of two polls each: the record adds up the time watched."""
+def test_baseline_time_is_summed_over_restarted_controllers(plan: Path) -> None:
+    """Three consecutive controllers poll twice each, and share the baseline time through the record."""
     record = new_record(load_plan(plan))
     codec = RecordCodec(SystemClock())
-    held = []
-    for life in range(3):  # each of two polls, a second apart, and killed
+    hold_reasons = []
+    for incarnation in range(3):
         gates = HealthGates(GateSettings(before_s=2.0), record)
         for poll in (1, 2):
-            verdict = gates.evaluate(10.0 * life + poll, {name: report(poll) for name in record.units})
-            held.append(verdict.hold_reason)
+            verdict = gates.evaluate(
+                10.0 * incarnation + poll, {name: make_report(poll) for name in record.units}
+            )
+            hold_reasons.append(verdict.hold_reason)
         record.gate_state = gates.state()
         record = codec.decode(codec.encode(record))
-    assert [bool(why) for why in held] == [True, True, True, False, False, False]
+    assert [bool(reason) for reason in hold_reasons] == [True, True, True, False, False, False]
 
 
-def test_no_room_holds_a_release_up_and_a_way_back_but_little(plan: Path) -> None:
-    """Without capacity or health no unit is begun; a rollback completes the unit that is out."""
+def test_no_unit_is_started_without_capacity_or_health(plan: Path) -> None:
+    """A rollback completes the unit in progress but starts no other one."""
     machine = ReleaseStateMachine(new_record(load_plan(plan)))
     assert machine.tick(0.0, True, 0) == [] and machine.tick(0.0, False, 5) == []
     assert [order.unit for order in machine.tick(0.0, True, 5)] == ["c0"]
     machine.record.rollback_on_halt = True
     machine.reject_version("a gate")
     assert machine.record.mode is ReleaseMode.ROLLING_BACK
-    assert machine.tick(0.0, False, 0) == []  # c0 is out already
+    assert machine.tick(0.0, False, 0) == []  # c0 is already out of service
--- a/tests/test_release_disk.py
+++ b/tests/test_release_disk.py
@@ -1,4 +1,4 @@
-"""Releases on disks that refuse: what can't be stored is not done, and goes on by itself once it can be."""
+"""Tests of releases with disk errors: nothing is done before it is stored, and storing is retried."""
 
 import asyncio
 import json
@@ -10,11 +10,11 @@
 import pytest
 from click.testing import CliRunner
 from release_support import (
-    ObedientMachine,
-    SteppedClock,
-    controlling,
+    FakeClock,
+    FakeUnitHost,
     make_plan,
     running_agent,
+    running_controller,
     running_list_service,
 )
 
@@ -32,8 +32,8 @@
 from applehub.release.state_machine import Order, ReleaseMode
 from applehub.release.stored_record import RecordCodec
 
-STORED = Path(__file__).parent / "stored" / "release_0447801"
-REFUSALS: list[tuple[SystemCall, str]] = [
+STORED_DATA = Path(__file__).parent / "stored" / "release_0447801"
+DISK_ERRORS: list[tuple[SystemCall, str]] = [
     ("open", "EMFILE"),
     ("write", "ENOSPC"),
     ("write", "EIO"),
@@ -46,24 +46,23 @@
 STEPS = ("drain", "replace", "admit")
 
 
-def only_what_is_durable(state: Path, clock: SteppedClock, carried: list[Order]) -> Callable[[Order], None]:
-    """A check that an agent calls before it carries an order out: the record on the disk has it as sent, and
-    it is carried out for the first time."""
+def require_stored_order(state: Path, clock: FakeClock, executed: list[Order]) -> Callable[[Order], None]:
+    """Returns a check that an order is in the stored record and has not been executed before."""
 
     def check(order: Order) -> None:
         value = Store(Folder(str(state)), "release", FORMAT_VERSION).load().value
         assert value is not None
         record = RecordCodec(clock).decode(value)
         unit = record.units[order.unit]
-        assert unit.order_number == order.number, f"{order} went out, the record has {unit}"
+        assert unit.order_number == order.number, f"{order} was sent, but the stored record has {unit}"
         assert STEPS[unit.step_index] == order.step
-        assert order not in carried
+        assert order not in executed
 
     return check
 
 
-async def rounds(controller: Controller, clock: SteppedClock, seconds: int) -> bool:
-    """A round a second; whether the release has come to its end."""
+async def poll_for(controller: Controller, clock: FakeClock, seconds: int) -> bool:
+    """Polls once a second. Returns whether the release has ended or is halted."""
     for _ in range(seconds):
         clock.reading += 1.0
         if await controller.poll_once(clock.now()):
@@ -71,122 +70,118 @@
     return False
 
 
-@pytest.mark.parametrize(("call", "error"), REFUSALS)
-async def test_no_order_goes_out_while_the_disk_refuses_its_record(
-    tmp_path: Path, call: SystemCall, error: str
-) -> None:
-    """A disk that refuses for 30 s, from each of the release's looks on."""
-    state, clock, machine = tmp_path / "state", SteppedClock(), ObedientMachine(["u0", "u1"])
-    machine.check = only_what_is_durable(state, clock, machine.carried)
+@pytest.mark.parametrize(("call", "error"), DISK_ERRORS)
+async def test_no_order_is_sent_during_disk_errors(tmp_path: Path, call: SystemCall, error: str) -> None:
+    """The disk fails for 30 s at three points of the release."""
+    state, clock, host = tmp_path / "state", FakeClock(), FakeUnitHost(["u0", "u1"])
+    host.before_execute = require_stored_order(state, clock, host.executed)
     async with (
-        running_agent(machine, tmp_path / "agent") as (_, address),
-        controlling(state, make_plan(), clock, address) as controller,
+        running_agent(host, tmp_path / "agent") as (_, address),
+        running_controller(state, make_plan(), clock, address) as controller,
     ):
         for _ in range(3):
-            await rounds(controller, clock, 2)
+            await poll_for(controller, clock, 2)
             with SystemCallFaults(SystemCallFault(call, error, path=f"{state}/release")) as faults:
                 if call == "fsync_folder":
                     faults.replace(SystemCallFault(call, error, path=str(state)))
-                assert not await rounds(controller, clock, 1)
-                before = list(machine.carried)
-                assert not await rounds(controller, clock, 30)
-                assert machine.carried == before and 5 <= faults.count(call) <= 31
-            clock.reading += 5.0  # the longest wait between two attempts
-        assert await rounds(controller, clock, 60) and controller.record.mode is ReleaseMode.DONE
-    assert [order.step for order in machine.carried] == [*STEPS, *STEPS]
+                assert not await poll_for(controller, clock, 1)
+                before = list(host.executed)
+                assert not await poll_for(controller, clock, 30)
+                assert host.executed == before and 5 <= faults.count(call) <= 31
+            clock.reading += 5.0  # the maximum delay between two attempts
+        assert await poll_for(controller, clock, 60) and controller.record.mode is ReleaseMode.DONE
+    assert [order.step for order in host.executed] == [*STEPS, *STEPS]
 
 
-@pytest.mark.parametrize(("call", "error"), REFUSALS)
-async def test_a_controller_killed_while_the_disk_refuses_does_no_step_twice(
+@pytest.mark.parametrize(("call", "error"), DISK_ERRORS)
+async def test_controller_replaced_during_disk_errors_repeats_no_step(
     tmp_path: Path, call: SystemCall, error: str
 ) -> None:
-    """Killed after each number of looks, in the middle of a write that failed; another one takes over."""
-    state, clock, machine = tmp_path / "state", SteppedClock(), ObedientMachine(["u0", "u1"])
-    machine.check = only_what_is_durable(state, clock, machine.carried)
-    async with running_agent(machine, tmp_path / "agent") as (_, address):
+    """Eight controllers are replaced, each after a partial write."""
+    state, clock, host = tmp_path / "state", FakeClock(), FakeUnitHost(["u0", "u1"])
+    host.before_execute = require_stored_order(state, clock, host.executed)
+    async with running_agent(host, tmp_path / "agent") as (_, address):
         for _ in range(8):
-            async with controlling(state, make_plan(), clock, address) as controller:
-                await rounds(controller, clock, 1)
+            async with running_controller(state, make_plan(), clock, address) as controller:
+                await poll_for(controller, clock, 1)
                 path = str(state) if call == "fsync_folder" else f"{state}/release"
                 with SystemCallFaults(
-                    SystemCallFault("write", short=100, times=1, path=path),  # half of it is there
+                    SystemCallFault("write", short=100, times=1, path=path),  # leaves a partial file
                     SystemCallFault(call, error, path=path),
                 ):
-                    await rounds(controller, clock, 3)
-        async with controlling(state, make_plan(), clock, address) as controller:
-            assert await rounds(controller, clock, 60) and controller.record.mode is ReleaseMode.DONE
-    assert [order.step for order in machine.carried] == [*STEPS, *STEPS]
-    assert len({order.number for order in machine.carried}) == 6
+                    await poll_for(controller, clock, 3)
+        async with running_controller(state, make_plan(), clock, address) as controller:
+            assert await poll_for(controller, clock, 60) and controller.record.mode is ReleaseMode.DONE
+    assert [order.step for order in host.executed] == [*STEPS, *STEPS]
+    assert len({order.number for order in host.executed}) == 6
 
 
-async def test_no_order_goes_out_under_a_lease_that_ended_while_the_record_was_kept(
+async def test_no_order_is_sent_if_lease_expires_during_save(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The disk takes 8 s for the record of the first order: the lease was held when the look began."""
-    clock, machine = SteppedClock(), ObedientMachine(["u0"])
+    """The first save takes 8 s. The lease is valid only at the start of the poll."""
+    clock, host = FakeClock(), FakeUnitHost(["u0"])
     async with (
-        running_agent(machine, tmp_path / "agent") as (_, address),
+        running_agent(host, tmp_path / "agent") as (_, address),
         running_list_service() as (service, lists),
-        controlling(tmp_path / "state", make_plan(1, lists=[lists]), clock, address) as controller,
+        running_controller(tmp_path / "state", make_plan(1, lists=[lists]), clock, address) as controller,
     ):
-        keep, slow = controller.folder.save, [8.0]
+        save, delays = controller.folder.save, [8.0]
 
-        def keep_slowly() -> None:
-            keep()
-            clock.reading += slow.pop() if slow else 0.0
+        def save_slowly() -> None:
+            save()
+            clock.reading += delays.pop() if delays else 0.0
 
-        monkeypatch.setattr(controller.folder, "save", keep_slowly)
+        monkeypatch.setattr(controller.folder, "save", save_slowly)
         await controller.poll_once(clock.now())
-        assert machine.carried == [] and service.taken == 1
-        await rounds(controller, clock, 2)
-        assert [order.step for order in machine.carried] == ["drain", "replace"] and service.taken == 2
+        assert host.executed == [] and service.acquisitions == 1
+        await poll_for(controller, clock, 2)
+        assert [order.step for order in host.executed] == ["drain", "replace"] and service.acquisitions == 2
 
 
-# What staff ask
+# Staff requests
 
 
-async def test_a_halt_that_was_taken_up_and_not_kept_is_carried_out_by_the_next_controller(
+async def test_halt_whose_save_failed_is_executed_by_next_controller(
     tmp_path: Path,
 ) -> None:
-    """A controller takes a halt up, its disk refuses the record, and it is killed."""
-    state, clock, machine = tmp_path / "state", SteppedClock(), ObedientMachine(["u0", "u1"])
-    async with running_agent(machine, tmp_path / "agent") as (_, address):
-        async with controlling(state, make_plan(), clock, address) as controller:
-            await rounds(controller, clock, 1)
-            assert not submit_request(state, RequestKind.HALT, "by staff")  # the controller holds the record
+    """The controller applies the halt but fails to store its record, and is replaced."""
+    state, clock, host = tmp_path / "state", FakeClock(), FakeUnitHost(["u0", "u1"])
+    async with running_agent(host, tmp_path / "agent") as (_, address):
+        async with running_controller(state, make_plan(), clock, address) as controller:
+            await poll_for(controller, clock, 1)
+            assert not submit_request(state, RequestKind.HALT, "by staff")  # the folder is locked
             with SystemCallFaults(SystemCallFault("write", "ENOSPC", path=f"{state}/release")):
-                await rounds(controller, clock, 1)
+                await poll_for(controller, clock, 1)
                 assert controller.record.mode is ReleaseMode.HALTED
-        async with controlling(state, make_plan(), clock, address) as controller:
-            assert await rounds(controller, clock, 10)
+        async with running_controller(state, make_plan(), clock, address) as controller:
+            assert await poll_for(controller, clock, 10)
             assert controller.record.mode is ReleaseMode.HALTED and controller.record.reason == "by staff"
-    assert [order.unit for order in machine.carried] == ["u0"] * 3
+    assert [order.unit for order in host.executed] == ["u0"] * 3
 
 
-async def test_requests_that_come_between_two_looks_are_carried_out_in_their_order_and_once(
+async def test_requests_between_polls_are_executed_once_and_in_order(
     tmp_path: Path,
 ) -> None:
-    """`back` and `resume` between two polls, of which one can't read them: both are carried out, once."""
-    state, clock, machine = tmp_path / "state", SteppedClock(), ObedientMachine(["u0", "u1"])
-    async with running_agent(machine, tmp_path / "agent") as (_, address):
-        async with controlling(state, make_plan(), clock, address) as controller:
-            await rounds(controller, clock, 1)
+    """`back` and `resume` are submitted before a poll that fails to read them."""
+    state, clock, host = tmp_path / "state", FakeClock(), FakeUnitHost(["u0", "u1"])
+    async with running_agent(host, tmp_path / "agent") as (_, address):
+        async with running_controller(state, make_plan(), clock, address) as controller:
+            await poll_for(controller, clock, 1)
             submit_request(state, RequestKind.BACK, "")
-            submit_request(
-                state, RequestKind.RESUME, ""
-            )  # lets only what is halted go on: it stays on its way back
+            submit_request(state, RequestKind.RESUME, "")  # has no effect on a rollback
             with SystemCallFaults(SystemCallFault("open", "EIO", path=f"{state}/wish")):
-                await rounds(controller, clock, 1)  # they can't be read: later
+                await poll_for(controller, clock, 1)  # the requests can't be read yet
             assert controller.record.mode is ReleaseMode.RUNNING
-            await rounds(controller, clock, 1)
+            await poll_for(controller, clock, 1)
             assert controller.record.mode.value == "back" and controller.record.last_request == 2
-        async with controlling(state, make_plan(), clock, address) as controller:
-            assert await rounds(controller, clock, 20)
+        async with running_controller(state, make_plan(), clock, address) as controller:
+            assert await poll_for(controller, clock, 20)
             assert controller.record.mode is ReleaseMode.RETURNED
 
 
-def test_what_a_killed_controller_left_comes_before_what_staff_ask_next(tmp_path: Path) -> None:
-    """A halt is left to a controller that is killed at once; then staff resume by the folder alone."""
+def test_pending_requests_are_executed_before_new_ones(tmp_path: Path) -> None:
+    """A halt that a killed controller did not execute precedes a resume that needs no controller."""
     state = tmp_path / "state"
     folder = ReleaseFolder(state)
     plan = make_plan(fleet=[{"name": "u0", "zone": "a", "agent": "h:1"}])
@@ -200,24 +195,24 @@
     assert found.record.mode is ReleaseMode.RUNNING and found.record.last_request == 1
 
 
-def test_a_request_that_the_disk_refuses_is_no_acknowledgement(tmp_path: Path) -> None:
-    """`halt` on a full disk: exit status 2, a text that says so, and the record as it was."""
+def test_request_that_can_not_be_stored_is_reported_as_failed(tmp_path: Path) -> None:
+    """`halt` on a full disk exits with status 2 and leaves the record unchanged."""
     state = tmp_path / "state"
     folder = ReleaseFolder(state)
     folder.begin(make_plan(), False)
     folder.save()
     folder.close()
     with SystemCallFaults(SystemCallFault("write", "ENOSPC", path=f"{state}/release")):
-        done = CliRunner().invoke(main, ["halt", "--state", str(state)])
-    assert done.exit_code == 2 and "not kept for sure" in done.output and "ENOSPC" not in done.output
+        result = CliRunner().invoke(main, ["halt", "--state", str(state)])
+    assert result.exit_code == 2 and "not kept for sure" in result.output and "ENOSPC" not in result.output
     assert load_release(state).record.mode is ReleaseMode.RUNNING
 
 
-def test_a_request_of_the_version_before_is_read_and_not_taken_twice(
+def test_request_of_previous_version_is_not_executed_again(
     tmp_path: Path,
 ) -> None:
-    """It stored no number, and its controller took those alone that came after its start."""
-    path = Path(shutil.copytree(STORED / "watched", tmp_path / "watched"))
+    """The previous version stored no request number in its record."""
+    path = Path(shutil.copytree(STORED_DATA / "watched", tmp_path / "watched"))
     requests = StaffRequests(path)
     assert requests.after(0) == [StaffRequest(1, RequestKind.HALT, "by staff")]
     with ReleaseFolder(path) as folder:
@@ -225,178 +220,181 @@
     requests.add(RequestKind.BACK, "")
     assert [request.kind for request in requests.after(0)] == [RequestKind.HALT, RequestKind.BACK]
     stored = Store(Folder(str(path)), "wish", FORMAT_VERSION).load().value
-    assert stored is not None and json.loads(stored)["what"] == "back"  # what the version before reads
+    assert stored is not None and json.loads(stored)["what"] == "back"
 
 
-# The start
+# Start
 
 
 @pytest.mark.parametrize("call", ["open", "read"])
-def test_a_start_waits_while_the_disk_refuses(tmp_path: Path, call: SystemCall) -> None:
-    """The folder can't be read seven times: it is opened after waits that double from 0.1 s."""
-    waits: list[float] = []
+def test_start_is_retried_during_disk_errors(tmp_path: Path, call: SystemCall) -> None:
+    """Reading the folder fails seven times. The delays double from 0.1 s."""
+    delays: list[float] = []
     folder = ReleaseFolder(tmp_path)
     folder.begin(make_plan(), False)
     folder.save()
     folder.close()
     with SystemCallFaults(SystemCallFault(call, "EIO", from_call=2, times=7, path=str(tmp_path))):
-        folder = retry_disk_errors(lambda: ReleaseFolder(tmp_path), waits.append)
-    assert folder.record.new_version == "1.8" and len(waits) >= 6 and waits[:3] == [0.1, 0.2, 0.4]
-    assert max(waits) <= 5.0
+        folder = retry_disk_errors(lambda: ReleaseFolder(tmp_path), delays.append)
+    assert folder.record.new_version == "1.8" and len(delays) >= 6 and delays[:3] == [0.1, 0.2, 0.4]
+    assert max(delays) <= 5.0
     folder.close()
 
 
-def test_a_start_in_a_folder_of_no_use_does_not_wait(tmp_path: Path) -> None:
-    """A file in the folder's place: an error at once."""
+def test_start_in_unusable_folder_fails_without_retry(tmp_path: Path) -> None:
+    """The path of the folder is a regular file."""
     (tmp_path / "file").touch()
     with pytest.raises(FileExistsError):
-        retry_disk_errors(lambda: ReleaseFolder(tmp_path / "file"), lambda _: pytest.fail("it waits"))
+        retry_disk_errors(lambda: ReleaseFolder(tmp_path / "file"), lambda _: pytest.fail("unexpected retry"))
 
 
 # Agents
 
 
-class Post:
-    """Sends orders to an agent as a controller does, and reads what it reports."""
+class AgentTestClient:
+    """Sends orders to an agent and reads its status, as a controller does."""
 
     def __init__(self, session: aiohttp.ClientSession, address: str) -> None:
         self.session, self.address = session, address
 
-    async def order(self, number: int, step: str = "drain", fence: int = 1) -> int:
+    async def send_order(self, number: int, step: str = "drain", fence: int = 1) -> int:
         body = {
             "release": "r", "fence": fence, "unit": "u0", "step": step, "version": "1.8", "number": number,
         }  # fmt: skip
-        async with self.session.post(f"http://{self.address}/v1/orders", json=body) as answer:
-            return answer.status
+        async with self.session.post(f"http://{self.address}/v1/orders", json=body) as response:
+            return response.status
 
     async def outcome(self) -> object:
-        """Whether the last order went well; none: it is under way."""
-        async with self.session.get(f"http://{self.address}/v1/units") as answer:
-            return (await answer.json())["units"]["u0"]["order"].get("good")
+        """Returns whether the latest order succeeded, or None without an outcome."""
+        async with self.session.get(f"http://{self.address}/v1/units") as response:
+            return (await response.json())["units"]["u0"]["order"].get("good")
 
 
-@pytest.mark.parametrize(("call", "error"), REFUSALS)
-async def test_an_agent_begins_no_order_that_its_disk_refuses(
+@pytest.mark.parametrize(("call", "error"), DISK_ERRORS)
+async def test_agent_rejects_order_that_can_not_be_stored(
     tmp_path: Path, call: SystemCall, error: str
 ) -> None:
-    """The order is refused with 503 and neither begun nor known; the same one is taken later, and once. The
-    fence of a controller that it could not keep refuses nobody."""
-    machine = ObedientMachine(["u0"])
+    """The order is accepted later and executed once. A fence that could not be stored rejects no order."""
+    host = FakeUnitHost(["u0"])
     async with (
-        running_agent(machine, tmp_path / "agent") as (agent, address),
+        running_agent(host, tmp_path / "agent") as (agent, address),
         aiohttp.ClientSession() as session,
     ):
-        post = Post(session, address)
+        client = AgentTestClient(session, address)
         with SystemCallFaults(SystemCallFault(call, error, path=str(tmp_path / "agent"))):
-            assert [await post.order(4, fence=9), await post.order(4, fence=9)] == [503, 503]
-            assert await post.outcome() is None
-        assert machine.carried == [] and agent.memory == AgentMemory()
-        assert [await post.order(4, fence=8), await post.order(4, fence=8)] == [202, 200]
-        assert await post.order(5, fence=7) == 409
+            assert [await client.send_order(4, fence=9), await client.send_order(4, fence=9)] == [
+                503,
+                503,
+            ]
+            assert await client.outcome() is None
+        assert host.executed == [] and agent.memory == AgentMemory()
+        assert [await client.send_order(4, fence=8), await client.send_order(4, fence=8)] == [
+            202,
+            200,
+        ]
+        assert await client.send_order(5, fence=7) == 409
         await asyncio.gather(*agent.executions)
-        assert len(machine.carried) == 1 and await post.outcome() is True
+        assert len(host.executed) == 1 and await client.outcome() is True
 
 
-async def test_a_known_order_is_answered_while_the_disk_refuses(tmp_path: Path) -> None:
-    """An order that is known, with the same fence: 200. With a higher fence, which can't be stored: 503."""
-    machine = ObedientMachine(["u0"])
+async def test_known_order_is_confirmed_during_disk_errors(tmp_path: Path) -> None:
+    """The same order with a higher fence is rejected, because the fence can't be stored."""
+    host = FakeUnitHost(["u0"])
     async with (
-        running_agent(machine, tmp_path / "agent") as (agent, address),
+        running_agent(host, tmp_path / "agent") as (agent, address),
         aiohttp.ClientSession() as session,
     ):
-        post = Post(session, address)
-        assert await post.order(4) == 202
+        client = AgentTestClient(session, address)
+        assert await client.send_order(4) == 202
         await asyncio.gather(*agent.executions)
         with SystemCallFaults(SystemCallFault("write", "ENOSPC", path=str(tmp_path / "agent"))):
-            assert await post.order(4) == 200  # nothing to keep
-            assert (
-                await post.order(4, fence=2) == 503
-            )  # a controller that came after: its fence is to be stored
-            assert await post.order(4, fence=1) == 200
+            assert await client.send_order(4) == 200  # nothing to store
+            assert await client.send_order(4, fence=2) == 503  # the new fence must be stored
+            assert await client.send_order(4, fence=1) == 200
 
 
-@pytest.mark.parametrize(("call", "error"), REFUSALS)
-async def test_an_agent_reports_no_outcome_that_its_disk_refuses(
+@pytest.mark.parametrize(("call", "error"), DISK_ERRORS)
+async def test_agent_reports_no_outcome_before_it_is_stored(
     tmp_path: Path, call: SystemCall, error: str
 ) -> None:
-    """Else an agent that is killed then carries a step out again which the controller takes for done."""
-    machine, waits = ObedientMachine(["u0"]), asyncio.Queue[float]()
-    goes_on = asyncio.Event()
+    """A killed agent would otherwise repeat a step that the controller considers done."""
+    host, delays = FakeUnitHost(["u0"]), asyncio.Queue[float]()
+    retry_allowed = asyncio.Event()
     faults = SystemCallFaults(SystemCallFault(call, error, path=str(tmp_path / "agent")))
-    machine.check = lambda order: faults.install()
+    host.before_execute = lambda order: faults.install()
 
     async def sleep(seconds: float) -> None:
-        waits.put_nowait(seconds)
-        await goes_on.wait()
+        delays.put_nowait(seconds)
+        await retry_allowed.wait()
 
     async with (
-        running_agent(machine, tmp_path / "agent", sleep) as (agent, address),
+        running_agent(host, tmp_path / "agent", sleep) as (agent, address),
         aiohttp.ClientSession() as session,
     ):
-        post = Post(session, address)
-        assert await post.order(4) == 202
-        assert await asyncio.wait_for(waits.get(), 10) == 0.1
-        assert await post.outcome() is None
+        client = AgentTestClient(session, address)
+        assert await client.send_order(4) == 202
+        assert await asyncio.wait_for(delays.get(), 10) == 0.1
+        assert await client.outcome() is None
         faults.remove()
-        goes_on.set()
+        retry_allowed.set()
         await asyncio.gather(*agent.executions)
-        assert await post.outcome() is True and faults.count(call, error) >= 1
-    machine.check = lambda order: None
-    async with running_agent(machine, tmp_path / "agent") as (agent, _):
-        assert agent.executions == set() and len(machine.carried) == 1
+        assert await client.outcome() is True and faults.count(call, error) >= 1
+    host.before_execute = lambda order: None
+    async with running_agent(host, tmp_path / "agent") as (agent, _):
+        assert agent.executions == set() and len(host.executed) == 1
 
 
-async def test_an_agent_killed_before_its_outcome_is_kept_carries_the_step_out_again(tmp_path: Path) -> None:
-    """An agent ends while its disk refuses an outcome: the next one executes the step again."""
-    machine, waits = ObedientMachine(["u0"]), asyncio.Queue[float]()
+async def test_agent_killed_before_storing_outcome_executes_step_again(tmp_path: Path) -> None:
+    """The agent ends while storing the outcome fails."""
+    host, delays = FakeUnitHost(["u0"]), asyncio.Queue[float]()
     faults = SystemCallFaults(SystemCallFault("fsync", "EIO", path=str(tmp_path / "agent")))
-    machine.check = lambda order: faults.install()
+    host.before_execute = lambda order: faults.install()
 
     async def sleep(seconds: float) -> None:
-        waits.put_nowait(seconds)
+        delays.put_nowait(seconds)
         await asyncio.Event().wait()
 
-    async with running_agent(machine, tmp_path / "agent", sleep) as (_, address):
+    async with running_agent(host, tmp_path / "agent", sleep) as (_, address):
         async with aiohttp.ClientSession() as session:
-            assert await Post(session, address).order(4) == 202
-        await asyncio.wait_for(waits.get(), 10)
+            assert await AgentTestClient(session, address).send_order(4) == 202
+        await asyncio.wait_for(delays.get(), 10)
     faults.remove()
-    machine.check = lambda order: None
-    async with running_agent(machine, tmp_path / "agent") as (agent, _):
+    host.before_execute = lambda order: None
+    async with running_agent(host, tmp_path / "agent") as (agent, _):
         await asyncio.gather(*agent.executions)
-        assert agent.memory.latest["u0"].succeeded and machine.carried[0] == machine.carried[1]
+        assert agent.memory.latest["u0"].succeeded and host.executed[0] == host.executed[1]
 
 
-async def test_the_memory_of_an_agent_of_the_version_before_is_read(tmp_path: Path) -> None:
-    """An agent's memory of 0447801, one order done and one under way: read, and encoded as it was."""
-    folder = Path(shutil.copytree(STORED / "agent", tmp_path / "agent"))
+async def test_agent_data_of_previous_version_is_read(tmp_path: Path) -> None:
+    """The data of commit 0447801 has a completed and an unfinished order. Encoding it again changes nothing."""
+    folder = Path(shutil.copytree(STORED_DATA / "agent", tmp_path / "agent"))
     store = Store(Folder(str(folder)), "orders", FORMAT_VERSION)
     before = store.load().value
-    agent = Agent(ObedientMachine(["c0", "c1"]), store)
+    agent = Agent(FakeUnitHost(["c0", "c1"]), store)
     assert agent.memory.fence == 3 and agent.memory.latest["c0"].succeeded
     assert [order.unit for order in agent.memory.unfinished()] == ["c1"]
-    assert agent.memory.encode() == before  # what the version before reads
+    assert agent.memory.encode() == before
     await agent.stop()
 
 
 # Events
 
 
-async def test_events_that_the_disk_refuses_hold_no_release_up(tmp_path: Path) -> None:
-    """The events' file is full during a whole release: it is done, and the events are there in the end."""
-    state, clock, machine = tmp_path / "state", SteppedClock(), ObedientMachine(["u0"])
-    async with running_agent(machine, tmp_path / "agent") as (_, address):
+async def test_release_completes_while_events_can_not_be_written(tmp_path: Path) -> None:
+    """The events are buffered during the release and written at its end."""
+    state, clock, host = tmp_path / "state", FakeClock(), FakeUnitHost(["u0"])
+    async with running_agent(host, tmp_path / "agent") as (_, address):
         with SystemCallFaults(SystemCallFault("write", "ENOSPC", path=f"{state}/events")) as faults:
-            async with controlling(state, make_plan(1), clock, address) as controller:
-                assert await rounds(controller, clock, 60) and controller.record.mode is ReleaseMode.DONE
+            async with running_controller(state, make_plan(1), clock, address) as controller:
+                assert await poll_for(controller, clock, 60) and controller.record.mode is ReleaseMode.DONE
                 assert faults.count("write") > 0
                 faults.replace()
-    events = [one.event for one in read_events(state / "events.jsonl")]
+    events = [record.event for record in read_events(state / "events.jsonl")]
     assert events.count(EventKind.ORDER_SENT) == 3 and events[-1] is EventKind.RELEASE_MODE
 
 
-async def test_reading_a_release_leaves_a_line_alone_that_is_being_written(tmp_path: Path) -> None:
-    """`status` beside a controller in the middle of a line: the line stays."""
+async def test_reading_a_release_keeps_a_partial_event_line(tmp_path: Path) -> None:
+    """A reader must not truncate a line that the controller is writing."""
     state = tmp_path / "state"
     folder = ReleaseFolder(state)
     folder.begin(make_plan(), False)
@@ -408,7 +406,7 @@
     folder.close()
 
 
-# The controller's own machine
+# Local errors of the controller's machine
 
 
 @pytest.mark.parametrize(
@@ -421,29 +419,29 @@
         ("connect", "ENETUNREACH"),
     ],
 )
-async def test_a_machine_that_can_not_ask_condemns_no_version(
+async def test_local_connection_errors_do_not_halt_a_release(
     tmp_path: Path, call: SystemCall, error: str
 ) -> None:
-    """All units have the new version and are watched, so none of the old one shows that it is the machine.
-    For 30 s no connection can be made, where 10 s of silence halt a release. Then the agent ends: it does."""
-    state, clock, machine = tmp_path / "state", SteppedClock(), ObedientMachine(["u0"])
+    """All units have the new version. Connections fail locally for 30 s, although 10 s of silence halt a
+    release. The release is halted only when the agent ends."""
+    state, clock, host = tmp_path / "state", FakeClock(), FakeUnitHost(["u0"])
     async with (
-        running_agent(machine, tmp_path / "agent") as (agent, address),
-        controlling(
+        running_agent(host, tmp_path / "agent") as (agent, address),
+        running_controller(
             state, make_plan(1, stages=[{"name": "all", "part": 1.0, "watch_s": 600}]), clock, address
         ) as controller,
     ):
         while controller.record.watch_started is None:
-            await rounds(controller, clock, 1)
+            await poll_for(controller, clock, 1)
         await controller.client.session.close()
         controller.client.session = aiohttp.ClientSession()
         with SystemCallFaults(SystemCallFault(call, error)) as faults:
-            assert not await rounds(controller, clock, 30)
+            assert not await poll_for(controller, clock, 30)
             assert faults.count(call) >= 30 and controller.hold_reason
         assert controller.record.mode is ReleaseMode.RUNNING
-        await rounds(controller, clock, 1)
+        await poll_for(controller, clock, 1)
         assert not controller.hold_reason
         await agent.stop()
-        await rounds(controller, clock, 12)
+        await poll_for(controller, clock, 12)
         assert controller.record.reason == "u0: tells nothing for 10 s"
         await controller.client.session.close()
--- a/tests/test_release_messages.py
+++ b/tests/test_release_messages.py
@@ -1,10 +1,10 @@
-"""Messages between a controller and its agents: their forms, and answers that can't be decoded."""
+"""Tests of the encoding of controller and agent messages, and of the handling of malformed ones."""
 
 from pathlib import Path
 
 import pytest
 from aiohttp import web
-from release_support import SteppedClock, controlling, make_plan
+from release_support import FakeClock, make_plan, running_controller
 
 from applehub.release.errors import MessageError
 from applehub.release.messages import AgentStatus, LoadReport, OrderMessage, OrderOutcome, UnitStatus
@@ -15,7 +15,7 @@
     b'{"fence":3,"units":{"u0":{"order":{"release":"r","number":7,"good":null,"why":""},"figures":null},'
     b'"u1":{"order":{},"figures":{"life":2.0,"requests":5.0}}}}'
 )
-NO_STATUS = [
+MALFORMED_STATUSES = [
     b"",
     b"[]",
     b'{"units":[]}',
@@ -27,8 +27,8 @@
 ]
 
 
-def test_messages_have_the_forms_that_agents_and_controllers_of_the_version_before_speak() -> None:
-    """An order and a status, encoded and decoded, against their JSON."""
+def test_messages_encode_to_the_json_of_the_previous_version() -> None:
+    """Both message types round-trip to a fixed JSON encoding."""
     message = OrderMessage("r", 3, Order("u0", Step.DRAIN, "1.8", 7))
     assert message.encode() == ORDER and OrderMessage.decode(ORDER) == message
     units = {
@@ -39,15 +39,15 @@
 
 
 @pytest.mark.parametrize("content", [b"", b"{}", b"[]", ORDER.replace(b"drain", b"dance")])
-def test_an_order_that_makes_no_sense_is_a_message_error(content: bytes) -> None:
-    """Bodies that are no order: MessageError."""
+def test_malformed_order_raises_message_error(content: bytes) -> None:
+    """Empty, incomplete and wrongly typed bodies and an unknown step are rejected."""
     with pytest.raises(MessageError):
         OrderMessage.decode(content)
 
 
-@pytest.mark.parametrize("content", NO_STATUS)
-async def test_an_agent_whose_answer_makes_no_sense_counts_as_silent(tmp_path: Path, content: bytes) -> None:
-    """The controller goes on, and halts nothing by it, since all units of the old version are as silent."""
+@pytest.mark.parametrize("content", MALFORMED_STATUSES)
+async def test_agent_with_malformed_status_counts_as_silent(tmp_path: Path, content: bytes) -> None:
+    """The release is not halted, because all units of the old version are silent too."""
     with pytest.raises(MessageError):
         AgentStatus.decode(content)
 
@@ -60,8 +60,8 @@
     await runner.setup()
     try:
         await web.TCPSite(runner, "127.0.0.1", 0).start()
-        clock, address = SteppedClock(), "{}:{}".format(*runner.addresses[0][:2])
-        async with controlling(tmp_path / "state", make_plan(), clock, address) as controller:
+        clock, address = FakeClock(), "{}:{}".format(*runner.addresses[0][:2])
+        async with running_controller(tmp_path / "state", make_plan(), clock, address) as controller:
             for _ in range(15):
                 clock.reading += 1.0
                 assert not await controller.poll_once(clock.now())
