--- a/applehub/release/agent.py
+++ b/applehub/release/agent.py
@@ -21,7 +21,7 @@
 from applehub.durable.store import Store, StoreError
 from applehub.release.agent_memory import AgentMemory
 from applehub.release.backoff import Backoff
-from applehub.release.errors import MessageError, OrderRefusedError
+from applehub.release.errors import MessageError, OrderRejectedError
 from applehub.release.messages import AgentStatus, LoadReport, OrderMessage, UnitStatus
 from applehub.release.state_machine import Order
 
@@ -98,17 +98,19 @@
         try:
             message = OrderMessage.decode(await request.read())
         except MessageError as error:
-            return self._refusal(HTTPStatus.BAD_REQUEST, str(error))
+            return self._error_response(HTTPStatus.BAD_REQUEST, str(error))
         order = message.order
         if order.unit not in self._host.units:
-            return self._refusal(HTTPStatus.BAD_REQUEST, f"expected a unit of this agent, got {order.unit!r}")
+            return self._error_response(
+                HTTPStatus.BAD_REQUEST, f"expected a unit of this agent, got {order.unit!r}"
+            )
         memory = self.memory.copy()
         try:
             new = memory.accept(message.release_id, message.fence, order)
             if memory != self.memory:
                 self._save(memory)
-        except OrderRefusedError as error:
-            return self._refusal(HTTPStatus.CONFLICT, str(error))
+        except OrderRejectedError as error:
+            return self._error_response(HTTPStatus.CONFLICT, str(error))
         except (StoreError, OSError) as error:
             log.warning(
                 "order not executed because it can't be stored: unit %s, step %s, error %r",
@@ -116,7 +118,7 @@
                 order.step,
                 error,
             )
-            return self._refusal(
+            return self._error_response(
                 HTTPStatus.SERVICE_UNAVAILABLE, f"order not executed because it can't be stored: {error}"
             )
         if new:
@@ -170,7 +172,7 @@
         except (TimeoutError, OSError, ValueError):
             return None
 
-    def _refusal(self, status: HTTPStatus, error: str) -> web.Response:
+    def _error_response(self, status: HTTPStatus, error: str) -> web.Response:
         return _json_response(status, orjson.dumps({"error": error, "fence": self.memory.fence}))
 
 
--- a/applehub/release/agent_client.py
+++ b/applehub/release/agent_client.py
@@ -10,7 +10,7 @@
 import aiohttp
 
 from applehub.release.errors import LocalFailureError, MessageError
-from applehub.release.messages import AgentStatus, LoadReport, OrderMessage, OrderOutcome, Refusal
+from applehub.release.messages import AgentStatus, LoadReport, OrderMessage, OrderOutcome, Rejection
 
 REQUEST_TIMEOUT = aiohttp.ClientTimeout(total=2.0)
 REQUEST_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, MessageError)
@@ -74,7 +74,7 @@
         try:
             async with self.session.post(url, data=message.encode(), headers=headers) as response:
                 if response.status >= HTTPStatus.BAD_REQUEST:
-                    return Refusal.decode(await response.read()).error or f"status {response.status}"
+                    return Rejection.decode(await response.read()).error or f"status {response.status}"
         except REQUEST_ERRORS as error:
             log.info("order not delivered: unit %s, step %s, error %r", order.unit, order.step, error)
         return ""
--- a/applehub/release/agent_memory.py
+++ b/applehub/release/agent_memory.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from applehub.release.errors import OrderRefusedError, StoredStateError
+from applehub.release.errors import OrderRejectedError, StoredStateError
 from applehub.release.messages import OrderOutcome
 from applehub.release.state_machine import Order, Step
 
@@ -39,9 +39,9 @@
     fence: int = 0  # highest received
 
     def accept(self, release_id: str, fence: int, order: Order) -> bool:
-        """Records an order. Returns whether it is new and must be executed. Raises OrderRefusedError."""
+        """Records an order. Returns whether it is new and must be executed. Raises OrderRejectedError."""
         if fence < self.fence:
-            raise OrderRefusedError(f"expected fence {self.fence} or higher, got {fence}")
+            raise OrderRejectedError(f"expected fence {self.fence} or higher, got {fence}")
         previous = self.latest.get(order.unit)
         if previous is not None and (previous.release_id, previous.order.number) == (
             release_id,
@@ -51,7 +51,7 @@
             self.fence = fence
             return False
         if previous is not None:
-            _refuse_unless_newer(previous, release_id, fence, order)
+            _reject_unless_newer(previous, release_id, fence, order)
         self.fence = fence
         self.latest[order.unit] = OrderRecord(release_id, fence, order)
         return True
@@ -95,12 +95,12 @@
             raise StoredStateError(f"stored orders of an agent can't be decoded: {error!r}") from error
 
 
-def _refuse_unless_newer(previous: OrderRecord, release_id: str, fence: int, order: Order) -> None:
+def _reject_unless_newer(previous: OrderRecord, release_id: str, fence: int, order: Order) -> None:
     if previous.succeeded is None:
-        raise OrderRefusedError(f"{order.unit}: step {previous.order.step} is in progress")
+        raise OrderRejectedError(f"{order.unit}: step {previous.order.step} is in progress")
     newer = (fence, order.number) > (previous.fence, previous.order.number)
     if not newer or (previous.release_id == release_id and order.number < previous.order.number):
-        raise OrderRefusedError(
+        raise OrderRejectedError(
             f"{order.unit}: order number {order.number} is not higher than that of the latest order"
         )
 
--- a/applehub/release/controller.py
+++ b/applehub/release/controller.py
@@ -166,7 +166,7 @@
             if backoff.failures:
                 log.warning("record stored again: failed attempts %d", backoff.failures)
             backoff.reset()
-        self.metrics.refused_saves.set(backoff.failures)
+        self.metrics.failed_saves.set(backoff.failures)
         return not backoff.failures
 
     async def _send(self, order: Order) -> None:
@@ -176,9 +176,9 @@
         events.write(
             EventKind.ORDER_SENT, unit=order.unit, number=order.number, step=order.step, version=order.version
         )
-        refusal = await self.client.send(OrderMessage(self.record.release_id, self._lock.fence, order))
-        if refusal:
-            events.write(EventKind.ORDER_REFUSED, unit=order.unit, number=order.number, why=refusal)
+        rejection = await self.client.send(OrderMessage(self.record.release_id, self._lock.fence, order))
+        if rejection:
+            events.write(EventKind.ORDER_REFUSED, unit=order.unit, number=order.number, why=rejection)
 
 
 def _agent_addresses(plan: Plan, units: list[str]) -> dict[str, str]:
--- a/applehub/release/errors.py
+++ b/applehub/release/errors.py
@@ -17,7 +17,7 @@
     """A message between a controller and an agent can't be decoded."""
 
 
-class OrderRefusedError(ReleaseError):
+class OrderRejectedError(ReleaseError):
     """An agent rejects an order. The message has the reason."""
 
 
--- a/applehub/release/messages.py
+++ b/applehub/release/messages.py
@@ -116,13 +116,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
+class Rejection:
     """The reason for which an agent rejected an order."""
 
     error: str
 
     @classmethod
-    def decode(cls, content: bytes) -> "Refusal":
+    def decode(cls, content: bytes) -> "Rejection":
         """Decodes a message from JSON. Raises MessageError."""
         try:
             return cls(str(orjson.loads(content).get("error", "")))
--- a/applehub/release/metrics.py
+++ b/applehub/release/metrics.py
@@ -16,7 +16,7 @@
         self.silent_agents = Gauge(
             "release_agents_silent", "Agents that did not answer", registry=self.registry
         )
-        self.refused_saves = Gauge(
+        self.failed_saves = Gauge(
             "release_record_refused",
             "Times in a row that the disk refused the record",
             registry=self.registry,
--- a/applehub/release/model_checker.py
+++ b/applehub/release/model_checker.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from applehub.release.agent_memory import AgentMemory, OrderRecord
-from applehub.release.errors import OrderRefusedError
+from applehub.release.errors import OrderRejectedError
 from applehub.release.model_state import (
     RELEASE_ID,
     Answer,
@@ -118,10 +118,10 @@
     def _controller_event(self, state: ModelState, name: str, event: ControllerEvent) -> Iterator[Transition]:
         """Yields the states after a controller event, with a successful and with a failed save."""
         yield name, self._applied(state.copy(), event, stored=True)
-        if state.budget.refused_saves:
+        if state.budget.failed_saves:
             after = state.copy()
-            after.budget.refused_saves -= 1
-            yield f"{name} refused", self._applied(after, event, stored=False)
+            after.budget.failed_saves -= 1
+            yield f"{name} with failed save", self._applied(after, event, stored=False)
 
     def _crashed(self, state: ModelState) -> ModelState:
         """Replaces the controller by one that takes over its lock and the stored record."""
@@ -138,7 +138,7 @@
         memory = state.memories[order.unit]
         try:
             new = memory.accept(RELEASE_ID, fence, order)
-        except OrderRefusedError:
+        except OrderRejectedError:
             if self._rules.fencing:
                 return state
             memory.latest[order.unit] = OrderRecord(RELEASE_ID, fence, order)
--- a/applehub/release/model_state.py
+++ b/applehub/release/model_state.py
@@ -18,7 +18,7 @@
 
     failed_steps: int = 0
     crashes: int = 0
-    refused_saves: int = 0
+    failed_saves: int = 0
     halts: int = 1
     rollbacks: int = 1
 
--- a/tests/release_support.py
+++ b/tests/release_support.py
@@ -49,7 +49,7 @@
     async def execute(self, order: Order) -> str:
         self.before_execute(order)
         self.executed.append(order)
-        return "failed" if order.unit in self.failing_units else ""
+        return "step failed" if order.unit in self.failing_units else ""
 
     async def load_report(self, unit: str) -> LoadReport | None:
         return self.reports.get(unit)
--- a/tests/test_checked.py
+++ b/tests/test_checked.py
@@ -27,7 +27,7 @@
 
 
 def test_valid_file_is_returned_as_model_with_defaults(tmp_path: Path) -> None:
-    path = tmp_path / "valid.toml"
+    path = tmp_path / "fits.toml"
     path.write_text("count = 3\n")
     raw = read_toml(path, InvalidFileError)
     assert raw == {"count": 3}
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -58,10 +58,10 @@
 
 
 @pytest.mark.parametrize(
-    "faulty_store", [StoreWithoutSync, StoreWithoutFolderSync, StoreLoadingOlderGeneration, StoreWithoutLock]
+    "mutant", [StoreWithoutSync, StoreWithoutFolderSync, StoreLoadingOlderGeneration, StoreWithoutLock]
 )
-def test_search_detects_each_faulty_store(faulty_store: type[Store]) -> None:
-    assert search(VALUES[:3], lambda disk: faulty_store(disk, "x", 1), flip_step=7).wrong
+def test_search_detects_each_mutant(mutant: type[Store]) -> None:
+    assert search(VALUES[:3], lambda disk: mutant(disk, "x", 1), flip_step=7).wrong
 
 
 def test_search_detects_checksum_that_omits_header(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -197,38 +197,38 @@
 async def test_list_save_is_retried_until_store_is_unlocked(tmp_path: Path) -> None:
     other = Store(Folder(str(tmp_path)), "list", 1)
     other.open()
-    kept = PersistedList(str(tmp_path))
-    kept.load({"rev": 1, "targets": []})
-    kept.update({"rev": 2, "targets": [{"uid": "c0", "state": "Ready"}]}, False)
-    while not kept.saver.complained:
+    persisted_list = PersistedList(str(tmp_path))
+    persisted_list.load({"rev": 1, "targets": []})
+    persisted_list.update({"rev": 2, "targets": [{"uid": "c0", "state": "Ready"}]}, False)
+    while not persisted_list.saver.complained:
         await asyncio.sleep(0.01)
     assert other.load().value is None
     other.close()
-    while kept.saver.complained:
+    while persisted_list.saver.complained:
         await asyncio.sleep(0.01)
     assert b"c0" in (other.load().value or b"")
-    kept.close()
+    persisted_list.close()
 
 
 async def test_statistics_are_loaded_unless_their_age_is_unknown(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     seen = {"c0": api.Seen(2e6, 1e6, 1.5, 0.25)}
-    kept = PersistedStatistics(str(tmp_path), lambda: api.Learnt(0, seen))
-    assert kept.load() is None
-    kept.close()
+    statistics = PersistedStatistics(str(tmp_path), lambda: api.Learnt(0, seen))
+    assert statistics.load() is None
+    statistics.close()
     wall, now = time.time_ns(), time.monotonic_ns()
     for step in (0, 3, -3, 3_600, -3_600):  # steps of the wall clock in s, which must not change the age
         monkeypatch.setattr(time, "time_ns", lambda step=step: wall + step * 1_000_000_000)
         monkeypatch.setattr(time, "monotonic_ns", lambda: now + 7_000_000_000)
-        found = PersistedStatistics(str(tmp_path), kept.learnt).load()
+        found = PersistedStatistics(str(tmp_path), statistics.learnt).load()
         assert found is not None and found.servers == seen and 7_000 <= found.age // 1_000_000 < 8_000
     monkeypatch.setattr(time, "monotonic_ns", lambda: now - 7_000_000_000)  # as on another machine
-    assert PersistedStatistics(str(tmp_path), kept.learnt).load() is None
+    assert PersistedStatistics(str(tmp_path), statistics.learnt).load() is None
     monkeypatch.undo()
     for identifier in ("", "of the time before a restart"):
         monkeypatch.setattr(persisted_statistics, "boot_id", lambda identifier=identifier: identifier)
-        assert PersistedStatistics(str(tmp_path), kept.learnt).load() is None
+        assert PersistedStatistics(str(tmp_path), statistics.learnt).load() is None
     store = Store(Folder(str(tmp_path)), "learnt", 1)
     store.open()
     for value in (
@@ -237,4 +237,4 @@
         b'{"wall_ms": 1, "servers": {"c0": [1]}}',
     ):
         store.save(value)
-        assert PersistedStatistics(str(tmp_path), kept.learnt).load() is None
+        assert PersistedStatistics(str(tmp_path), statistics.learnt).load() is None
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rules", "crashes"),
+    ("mutant", "crashes"),
     [
         (ModelRules(IgnoresZones), 0),  # its violation is too deep for a search with crashes
         (ModelRules(StartsUnitsWhileHalted), 1),
@@ -118,9 +118,9 @@
     ],
     ids=["ignores zones", "starts while halted", "forgets pending", "no fencing", "numbers restart"],
 )
-def test_model_checker_detects_each_faulty_rule(rules: ModelRules, crashes: int) -> None:
+def test_model_checker_detects_each_mutant(mutant: ModelRules, crashes: int) -> None:
     """The state machine or the agents have one fault."""
-    model = ModelChecker(rules, FaultBudget(crashes, crashes))
+    model = ModelChecker(mutant, FaultBudget(crashes, crashes))
     model.explore(depth=14, max_states=9_000)
     assert model.violations, model.states
 
@@ -198,15 +198,15 @@
     state = tmp_path / "state"
     command = [sys.executable, "-m", "applehub.lab.fleet.system_call_faults", "applehub.release", "rehearse"]
     command += [str(plan), "--state", str(state), "--pace", "2000"]
-    for number, (call_, error, stored) in enumerate(FAILING_CALLS):
+    for number, (call, error, stored) in enumerate(FAILING_CALLS):
         record = tmp_path / f"injected-{number}"
         prefix = f"{state}/release.new"
         faults = [SystemCallFault("write", short=100, from_call=stored, times=1, path=prefix)]
-        faults += [SystemCallFault(call_, error, from_call=stored, path=prefix)]
+        faults += [SystemCallFault(call, error, from_call=stored, path=prefix)]
         process = subprocess.Popen(
             command, env={**os.environ, **in_environment(faults, record)}, stdout=subprocess.DEVNULL
         )
-        while recorded(record)[call_, error] < 4:  # more calls than one save makes, so that it was retried
+        while recorded(record)[call, error] < 4:  # more calls than one save makes, so that it was retried
             assert process.poll() is None
         process.kill()
         process.wait()
--- a/tests/test_release_disk.py
+++ b/tests/test_release_disk.py
@@ -366,7 +366,7 @@
 
 
 async def test_agent_data_of_previous_version_is_read(tmp_path: Path) -> None:
-    """The data of commit 0447801 has a completed and an unfinished order. Encoding it again changes nothing."""
+    """The data of commit 0447801 has a completed and an unfinished order, and is encoded unchanged."""
     folder = Path(shutil.copytree(STORED_DATA / "agent", tmp_path / "agent"))
     store = Store(Folder(str(folder)), "orders", FORMAT_VERSION)
     before = store.load().value
--- a/tests/test_release_time.py
+++ b/tests/test_release_time.py
@@ -196,7 +196,7 @@
 @pytest.mark.parametrize(
     ("identity", "reading"),
     [("boot-2", 6_000.0), ("boot-2", 9.0), ("", 6_000.0), ("boot-1", 4_000.0)],
-    ids=["rebooted, longer uptime", "rebooted", "unknown", "reading in the future"],
+    ids=["restarted, longer uptime", "restarted", "unknown", "reading in the future"],
 )
 def test_stage_watch_restarts_if_clocks_are_not_comparable(identity: str, reading: float) -> None:
     """The watch takes the full 20 s again."""
