--- a/applehub/release/model_checker.py
+++ b/applehub/release/model_checker.py
@@ -12,7 +12,7 @@
 from applehub.release.errors import OrderRejectedError
 from applehub.release.model_state import (
     RELEASE_ID,
-    Answer,
+    Outcome,
     FaultBudget,
     ModelState,
     copy_record,
@@ -34,7 +34,7 @@
 MAX_TERMINATION_ROUNDS = 60  # rounds without faults within which a release must end
 MAX_STATES = 1 << 20
 ControllerEvent = Callable[[ReleaseStateMachine], list[Order]]
-Transition = tuple[str, ModelState]  # name and following state
+Transition = tuple[str, ModelState]  # name and next state
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,17 +73,17 @@
                 self.violations.append(f"{violation}, after:{path}")
             if transitions == depth:
                 continue
-            for name, following in self._transitions(state):
-                key = following.key()
+            for name, next_state in self._transitions(state):
+                key = next_state.key()
                 if key not in seen:
                     seen.add(key)
-                    queue.append((following, transitions + 1, f"{path} {name}"))
+                    queue.append((next_state, transitions + 1, f"{path} {name}"))
 
     # Transitions
 
     def _transitions(self, state: ModelState) -> Iterator[Transition]:
         yield from self._order_transitions(state)
-        yield from self._answer_transitions(state)
+        yield from self._outcome_transitions(state)
         yield from self._controller_event(state, "tick", lambda machine: machine.tick(DUE))
         yield from self._controller_event(state, "no capacity", lambda machine: machine.tick(DUE, True, 0))
         if state.budget.crashes:
@@ -108,12 +108,12 @@
             lost.orders.discard(sent)
             yield f"lose#{name}", lost
 
-    def _answer_transitions(self, state: ModelState) -> Iterator[Transition]:
-        for answer in sorted(state.answers):
-            yield from self._controller_event(state, f"receive#{answer[1]}", _outcome_event(answer))
+    def _outcome_transitions(self, state: ModelState) -> Iterator[Transition]:
+        for outcome in sorted(state.outcomes):
+            yield from self._controller_event(state, f"receive#{outcome[1]}", _outcome_event(outcome))
             lost = state.copy()
-            lost.answers.discard(answer)
-            yield f"lose answer#{answer[1]}", lost
+            lost.outcomes.discard(outcome)
+            yield f"lose outcome#{outcome[1]}", lost
 
     def _controller_event(self, state: ModelState, name: str, event: ControllerEvent) -> Iterator[Transition]:
         """Yields the states after a controller event, with a successful and with a failed save."""
@@ -150,7 +150,7 @@
             if problem and not state.violation:
                 state.violation = f"{order.unit}: {problem}"
         succeeded = bool(memory.latest[order.unit].succeeded)
-        state.answers.add((order.unit, order.number, succeeded))
+        state.outcomes.add((order.unit, order.number, succeeded))
         return state
 
     def _applied(self, state: ModelState, event: ControllerEvent, stored: bool) -> ModelState:
@@ -184,10 +184,10 @@
         for _ in range(MAX_TERMINATION_ROUNDS):
             for sent in sorted(after.orders, key=_by_number):
                 self._delivered(after, sent, False)
-            for answer in sorted(after.answers):
-                self._applied(after, _outcome_event(answer), stored=True)
+            for outcome in sorted(after.outcomes):
+                self._applied(after, _outcome_event(outcome), stored=True)
             after.orders.clear()
-            after.answers.clear()
+            after.outcomes.clear()
             if after.record.finished():
                 return ""
             self._applied(after, lambda machine: machine.tick(DUE), stored=True)
@@ -247,8 +247,8 @@
     return sent[0].number, sent[1]
 
 
-def _outcome_event(answer: Answer) -> ControllerEvent:
-    return lambda machine: machine.handle_outcome(DUE, *answer)
+def _outcome_event(outcome: Outcome) -> ControllerEvent:
+    return lambda machine: machine.handle_outcome(DUE, *outcome)
 
 
 def _halt(machine: ReleaseStateMachine) -> list[Order]:
--- a/applehub/release/model_state.py
+++ b/applehub/release/model_state.py
@@ -9,7 +9,7 @@
 from applehub.release.state_machine import Order, ReleaseRecord
 
 RELEASE_ID = "r"  # of the only release
-Answer = tuple[str, int, bool]  # unit, order number, whether it succeeded
+Outcome = tuple[str, int, bool]  # unit, order number, whether it succeeded
 
 
 @dataclass(slots=True)
@@ -34,7 +34,7 @@
     budget: FaultBudget
     orders: set[tuple[Order, int]] = field(default_factory=set)  # in flight, with the fence of the controller
     unsent: set[Order] = field(default_factory=set)  # waiting for the record to be stored
-    answers: set[Answer] = field(default_factory=set)
+    outcomes: set[Outcome] = field(default_factory=set)
     fence: int = 1
     violation: str = ""
 
@@ -49,7 +49,7 @@
             budget=replace(self.budget),
             orders=set(self.orders),
             unsent=set(self.unsent),
-            answers=set(self.answers),
+            outcomes=set(self.outcomes),
         )
 
     def key(self) -> bytes:
@@ -64,7 +64,7 @@
         stored = None if self.stored == self.record else asdict(self.stored)
         unsent = sorted(order.number for order in self.unsent)
         contents = (
-            asdict(self.record), stored, units, orders, unsent, sorted(self.answers), asdict(self.budget),
+            asdict(self.record), stored, units, orders, unsent, sorted(self.outcomes), asdict(self.budget),
             self.fence, self.violation,
         )  # fmt: skip
         return orjson.dumps(contents, option=orjson.OPT_SORT_KEYS)
--- a/applehub/release/release_folder.py
+++ b/applehub/release/release_folder.py
@@ -1,4 +1,4 @@
-"""The folder of a release, with its record and events. It has one writer at a time, and any readers."""
+"""The folder of a release, with its record and events. Only one process at a time may write to it."""
 
 import time
 from collections.abc import Callable
--- a/applehub/release/staff_requests.py
+++ b/applehub/release/staff_requests.py
@@ -99,11 +99,7 @@
     try:
         fields = orjson.loads(loaded.value)
         earlier = [
-            StaffRequest(
-                int(stored["number"]),
-                RequestKind(stored["what"]),
-                str(stored["why"]),
-            )
+            StaffRequest(int(stored["number"]), RequestKind(stored["what"]), str(stored["why"]))
             for stored in fields.get("earlier", [])
         ]
         latest = StaffRequest(loaded.generation, RequestKind(fields["what"]), str(fields["why"]))
--- a/applehub/release/state_machine.py
+++ b/applehub/release/state_machine.py
@@ -109,7 +109,7 @@
         return [name for name, unit in self.units.items() if unit.target_version]
 
     def finished(self) -> bool:
-        """Returns whether the release has ended, or is halted with no unit in progress but stuck ones."""
+        """Returns whether the release has ended, or is halted with no unit in progress except stuck ones."""
         return self.mode not in ACTIVE_MODES and set(self.units_in_progress()) <= set(self.stuck_units)
 
 
@@ -272,7 +272,7 @@
 
     @staticmethod
     def _retarget(unit: UnitState, version: str) -> None:
-        """Changes the target version of a unit in progress, which then repeats the steps after the first."""
+        """Changes the target version of a unit in progress, which continues at its second step at the latest."""
         if unit.target_version != version:
             unit.step_index = min(unit.step_index, 1)
         unit.target_version = version
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -162,15 +162,8 @@
     """A rehearsal is killed 12 times and then completed."""
     state = tmp_path / "state"
     command = [
-        sys.executable,
-        "-m",
-        "applehub.release",
-        "rehearse",
-        str(plan),
-        "--state",
-        str(state),
-        "--pace",
-    ]
+        sys.executable, "-m", "applehub.release", "rehearse", str(plan), "--state", str(state), "--pace",
+    ]  # fmt: skip
     events = state / "events.jsonl"
     for _ in range(12):
         before = events.stat().st_size if events.exists() else 0
--- a/tests/test_release_disk.py
+++ b/tests/test_release_disk.py
@@ -123,8 +123,10 @@
     clock, host = FakeClock(), FakeUnitHost(["u0"])
     async with (
         running_agent(host, tmp_path / "agent") as (_, address),
-        running_list_service() as (service, lists),
-        running_controller(tmp_path / "state", make_plan(1, lists=[lists]), clock, address) as controller,
+        running_list_service() as (service, service_address),
+        running_controller(
+            tmp_path / "state", make_plan(1, lists=[service_address]), clock, address
+        ) as controller,
     ):
         save, delays = controller.folder.save, [8.0]
 
@@ -282,16 +284,10 @@
     ):
         client = AgentTestClient(session, address)
         with SystemCallFaults(SystemCallFault(call, error, path=str(tmp_path / "agent"))):
-            assert [await client.send_order(4, fence=9), await client.send_order(4, fence=9)] == [
-                503,
-                503,
-            ]
+            assert [await client.send_order(4, fence=9), await client.send_order(4, fence=9)] == [503, 503]
             assert await client.outcome() is None
         assert host.executed == [] and agent.memory == AgentMemory()
-        assert [await client.send_order(4, fence=8), await client.send_order(4, fence=8)] == [
-            202,
-            200,
-        ]
+        assert [await client.send_order(4, fence=8), await client.send_order(4, fence=8)] == [202, 200]
         assert await client.send_order(5, fence=7) == 409
         await asyncio.gather(*agent.executions)
         assert len(host.executed) == 1 and await client.outcome() is True
--- a/tests/test_release_time.py
+++ b/tests/test_release_time.py
@@ -90,8 +90,10 @@
     clock, host = FakeClock(), FakeUnitHost(["u0"])
     async with (
         running_agent(host, tmp_path / "agent") as (_, address),
-        running_list_service() as (service, lists),
-        running_controller(tmp_path / "state", make_plan(1, lists=[lists]), clock, address) as controller,
+        running_list_service() as (service, service_address),
+        running_controller(
+            tmp_path / "state", make_plan(1, lists=[service_address]), clock, address
+        ) as controller,
     ):
         await controller.poll_once(clock.now())
         assert controller.lock_held and service.acquisitions == 1
