--- a/applehub/release/backoff.py
+++ b/applehub/release/backoff.py
@@ -45,7 +45,7 @@
 
 
 def retry_disk_errors(call: Callable[[], Result], sleep: Callable[[float], None] = time.sleep) -> Result:
-    """Calls a function until it raises no transient disk error. Returns its result; other errors propagate."""
+    """Calls a function until it raises no transient disk error, and returns its result."""
     backoff = Backoff()
     while True:
         try:
--- a/applehub/release/model_checker.py
+++ b/applehub/release/model_checker.py
@@ -12,9 +12,9 @@
 from applehub.release.errors import OrderRejectedError
 from applehub.release.model_state import (
     RELEASE_ID,
-    Outcome,
     FaultBudget,
     ModelState,
+    Outcome,
     copy_record,
 )
 from applehub.release.simulated_unit import SimulatedUnit
--- a/applehub/release/state_machine.py
+++ b/applehub/release/state_machine.py
@@ -272,7 +272,7 @@
 
     @staticmethod
     def _retarget(unit: UnitState, version: str) -> None:
-        """Changes the target version of a unit in progress, which continues at its second step at the latest."""
+        """Changes the target version of a unit in progress, and goes back to its second step if it was past it."""
         if unit.target_version != version:
             unit.step_index = min(unit.step_index, 1)
         unit.target_version = version
