--- a/applehub/release/state_machine.py
+++ b/applehub/release/state_machine.py
@@ -272,7 +272,7 @@
 
     @staticmethod
     def _retarget(unit: UnitState, version: str) -> None:
-        """Changes the target version of a unit in progress, and goes back to its second step if it was past it."""
+        """Changes the target version of a unit in progress, repeating the steps after the first."""
         if unit.target_version != version:
             unit.step_index = min(unit.step_index, 1)
         unit.target_version = version
