--- a/applehub/registry/__init__.py
+++ b/applehub/registry/__init__.py
@@ -1,3 +1,3 @@
-"""The list service: which servers there are, in versions that never go back, kept by three replicas.
+"""The list service: a versioned list of cache servers, replicated with Raft over three replicas.
 
-A program of its own (`python -m applehub.registry`); nothing of `run` imports from it."""
+It runs as a separate program (`python -m applehub.registry`); the node process imports nothing from it."""
--- a/applehub/registry/__main__.py
+++ b/applehub/registry/__main__.py
@@ -1,8 +1,8 @@
-"""One replica of the list service: `python -m applehub.registry CONFIG`.
+"""Runs one replica of the list service: `python -m applehub.registry CONFIG`.
 
-SIGTERM ends it; SIGHUP has it read its file anew (views, limits and leases are taken up; the rest stays until
-the next start). Its events are JSON lines on standard output. Code 2: the file is of no use; 3: its disk
-is."""
+SIGTERM stops the replica. SIGHUP reloads the configuration file: views, limits and leases take effect
+immediately, all other settings at the next start. Events are written to standard output as JSON lines. The exit code is 2
+when the configuration is invalid or an address can't be listened on, and 3 when the store is unusable."""
 
 import asyncio
 import contextlib
@@ -21,15 +21,15 @@
 from applehub.registry.service import Service
 from applehub.registry.store import ReplicaStore
 
-START_PATIENCE = 60.0  # s in which a disk that refuses may come back at the start: twice an outage of 30 s
-START_PAUSE = 0.2  # s between attempts
-CONFIG_OF_NO_USE = 2  # exit code
-DISK_OF_NO_USE = 3  # exit code
+START_PATIENCE = 60.0  # seconds for which opening the store is retried at startup
+START_PAUSE = 0.2  # seconds between attempts to open the store
+CONFIG_OF_NO_USE = 2
+DISK_OF_NO_USE = 3
 log = logging.getLogger("applehub.registry")
 
 
 def make_host(config: Config) -> Host:
-    """The host of this replica, with what its disk has. Raises StoreError."""
+    """Returns the host of this replica, loaded from its store. Raises StoreError."""
     names = sorted(config.peers) or [config.name]
     options = HostOptions(
         replica_id=names.index(config.name),
@@ -47,8 +47,9 @@
 
 
 async def open_host(config: Config, stopping: asyncio.Event) -> Host | None:
-    """The host, which a disk that refuses for a while may delay; none: the replica is to stop first. Raises
-    StoreError."""
+    """Returns the host, retrying while the disk refuses access, or None if the replica is stopped first.
+
+    Raises StoreError."""
     loop = asyncio.get_running_loop()
     end = loop.time() + START_PATIENCE
     logged = False
@@ -59,7 +60,7 @@
             if loop.time() > end:
                 raise
             if not logged:
-                log.warning("%s: tried again for %.0f s", problem, START_PATIENCE)
+                log.warning("can't open the store: %s; retrying for %.0f s", problem, START_PATIENCE)
             logged = True
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(stopping.wait(), START_PAUSE)
@@ -67,7 +68,7 @@
 
 
 async def serve(config: Config, path: Path, events: EventWriter) -> None:
-    """Runs until it is to stop. Raises StoreError, and OSError where it can't listen."""
+    """Runs the replica until it is stopped. Raises StoreError, and OSError if it can't listen."""
     loop = asyncio.get_running_loop()
     stopping = asyncio.Event()
     allow_callers(config.limits.callers)
@@ -89,7 +90,7 @@
 
 
 def reload(path: Path, service: Service, events: EventWriter) -> None:
-    """Takes up a file that is of use; one that is not changes nothing."""
+    """Reloads the configuration file; an invalid file changes nothing."""
     try:
         config = load(path)
     except ConfigError as problem:
@@ -105,7 +106,7 @@
 def main(file: Path) -> None:
     """Runs the replica that FILE describes."""
     logging.basicConfig(stream=sys.stderr, level="WARNING", format="%(asctime)s %(levelname)s %(message)s")
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # ignored until the service can reload
     try:
         config = load(file)
     except ConfigError as problem:
--- a/applehub/registry/actions.py
+++ b/applehub/registry/actions.py
@@ -1,4 +1,4 @@
-"""What a replica is given and what it wants done: the events and actions of its state machine."""
+"""The events that a replica's state machine takes and the actions that it returns."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -7,47 +7,51 @@
 
 
 class Tick(NamedTuple):
-    """Time has passed. jitter: from 0 to 1, drawn anew for each; it spreads election timeouts."""
+    """Time has passed.
+
+    jitter: a random number from 0 to 1 that spreads election timeouts."""
 
     jitter: float
 
 
 class MessageReceived(NamedTuple):
-    """A message has come."""
+    """A message from another replica was received."""
 
     sender: int
     message: Message
 
 
 class Propose(NamedTuple):
-    """Commands that are to be agreed on, in this order."""
+    """Commands to append to the log, in this order."""
 
     commands: tuple[bytes, ...]
 
 
 class Compact(NamedTuple):
-    """The state machine has made a snapshot of all that it has applied up to an index: the log up to there is
-    no longer needed."""
+    """The state machine has made a snapshot of all entries up to `last_index`.
+
+    The log up to that index can be discarded."""
 
     last_index: int
     data: bytes
 
 
 class StorageFailed(NamedTuple):
-    """The disk has refused a Save: it may be there whole, or not at all, and nothing that followed it in the
-    actions was sent."""
+    """The disk refused a Save.
+
+    The Save may be stored completely or not at all, and no message after it in the actions was sent."""
 
 
 class StorageRetried(NamedTuple):
-    """The disk is tried again, with the replica's whole state."""
+    """The host retries the disk with the complete state of the replica."""
 
 
 Event = Tick | MessageReceived | Propose | Compact | StorageFailed | StorageRetried
 
 
 class Save(NamedTuple):
-    """Write to disk, all of it at once: term and vote; `entries` in place of the log from `start` on; the
-    snapshot, if any, in place of the log before it."""
+    """Write atomically to disk: term and vote; `entries`, which replace the log from `start` on; and the
+    snapshot, if any, which replaces the log before `start`."""
 
     term: int
     voted_for: int | None
@@ -64,7 +68,9 @@
 
 
 class Apply(NamedTuple):
-    """Apply a committed entry. They come in order, each once from the snapshot on while a process runs."""
+    """Apply a committed entry to the state machine.
+
+    Entries after the snapshot are applied in order, each once during the lifetime of a process."""
 
     log_index: int
     term: int
@@ -72,16 +78,16 @@
 
 
 class Restore(NamedTuple):
-    """Set the state machine to a snapshot."""
+    """Replace the state of the state machine by a snapshot."""
 
     snapshot: Snapshot
 
 
 class Proposed(NamedTuple):
-    """Where the first command of a proposal stands in the log.
+    """The log index of the first command of a proposal.
 
-    Each command is acknowledged when its index is applied with this term. Index 0: this replica can't take
-    any."""
+    A command may be acknowledged once its index is applied with this term. An index of 0 means that this
+    replica is not the leader and accepted none."""
 
     first_index: int
     term: int
@@ -92,7 +98,7 @@
 
 @dataclass(slots=True)
 class StoredState:
-    """What a replica finds on its disk."""
+    """The state that a replica loads from its disk."""
 
     term: int = 0
     voted_for: int | None = None
--- a/applehub/registry/admin_api.py
+++ b/applehub/registry/admin_api.py
@@ -1,4 +1,4 @@
-"""Servers, status and figures for writers and staff."""
+"""The administrative HTTP API: servers, status and metrics, for writers and operators."""
 
 import time
 from http import HTTPStatus
@@ -26,7 +26,7 @@
 
 
 class Registration(BaseModel):
-    """What a writer says of a server."""
+    """The body of a request that registers a server."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -42,10 +42,10 @@
 
 
 class AdminApi:
-    """Answers writers and staff."""
+    """Handles requests of writers and operators."""
 
     def __init__(self, config: Config, list_api: ListApi, metrics: Metrics, leases: ServerLeases) -> None:
-        """list_api: of the same replica, for its figures."""
+        """list_api: the list API of the same replica, whose statistics are reported."""
         self._name = config.name
         self._host: Host = list_api.host
         self._list_api = list_api
@@ -54,7 +54,7 @@
         self.replies = Replies(config, self._host, metrics)
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
-        """Adds the calls that this class answers."""
+        """Adds the routes that this class handles."""
         router.add_put("/v1/servers/{uid}", self.put)
         router.add_post("/v1/servers/{uid}/renew", self.renew)
         router.add_post("/v1/servers/{uid}/state", self.set_state)
@@ -64,7 +64,7 @@
         router.add_get("/metrics", self.scrape)
 
     async def _agree(self, command: Command) -> web.Response:
-        """Has a command agreed on; its result is the writer's answer."""
+        """Proposes a command and returns its result as a response."""
         try:
             result = await self._host.propose(command)
         except NotLeaseHolderError as problem:
@@ -78,7 +78,7 @@
         return self.replies.json(result.status, content)
 
     async def put(self, request: web.Request) -> web.Response:
-        """Registers a server, or changes it; the same again changes nothing."""
+        """Registers or updates a server. The request is idempotent."""
         try:
             registration = Registration.model_validate_json(await request.read())
             expected = _expected(request)
@@ -103,7 +103,9 @@
         return answer
 
     async def renew(self, request: web.Request) -> web.Response:
-        """Renews a lease: known to the lease holder alone, so it costs no agreement."""
+        """Renews the lease of a server.
+
+        Renewals are kept in memory at the leader only, so they are not replicated."""
         uid = request.match_info["uid"]
         if not self._host.is_lease_holder():
             return self.replies.elsewhere()
@@ -116,7 +118,7 @@
         return self.replies.json(HTTPStatus.OK, {"version": version, "lease_ms": entry.lease_ms})
 
     async def set_state(self, request: web.Request) -> web.Response:
-        """Ready, Terminating or Gone."""
+        """Sets the state of a server: Ready, Terminating or Gone."""
         try:
             state = ServerState(orjson.loads(await request.read())["state"])
             expected = _expected(request)
@@ -128,12 +130,12 @@
         return await self._agree(SetState(uid=uid, state=state, expected=expected, base=fresh_base()))
 
     async def delete(self, request: web.Request) -> web.Response:
-        """Sets a server to Gone."""
+        """Sets the state of a server to Gone."""
         uid = request.match_info["uid"]
         return await self._agree(SetState(uid=uid, state=ServerState.GONE, base=fresh_base()))
 
     async def servers(self, _: web.Request) -> web.Response:
-        """All entries, with their versions."""
+        """Returns all entries with their versions."""
         endpoints = self._host.endpoints
         servers = [
             {
@@ -145,7 +147,7 @@
         return self.replies.json(HTTPStatus.OK, {"version": endpoints.version, "servers": servers})
 
     async def status(self, _: web.Request) -> web.Response:
-        """How this replica stands."""
+        """Returns the status of this replica."""
         host = self._host
         replica = host.replica
         content = {
@@ -158,7 +160,7 @@
         return self.replies.json(HTTPStatus.OK, content)
 
     async def scrape(self, _: web.Request) -> web.Response:
-        """Figures for Prometheus."""
+        """Returns the metrics in the Prometheus text format."""
         metrics = self._metrics
         endpoints = self._host.endpoints
         metrics.version.set(endpoints.version)
@@ -172,6 +174,6 @@
 
 
 def _expected(request: web.Request) -> int | None:
-    """The version that the entry has to have. Raises ValueError."""
+    """Returns the version that the entry must have, or None for any. Raises ValueError."""
     expected = request.query.get("expected")
     return None if expected is None else int(expected)
--- a/applehub/registry/admission.py
+++ b/applehub/registry/admission.py
@@ -1,28 +1,30 @@
-"""Admission of calls for complete lists, which are the dear ones: evenly, so many a second."""
+"""Rate limiting of requests for the complete list, which are the expensive ones."""
 
 from collections.abc import Callable
 from typing import NamedTuple
 
 
 class Admitted(NamedTuple):
-    """How long a call has to wait, s; or, where that is too long, after how many it may come again."""
+    """The wait before a request is answered or, if it is rejected, the time after which it may be retried.
+
+    Both are in seconds."""
 
     wait: float
-    retry_after: float  # 0: it is admitted
+    retry_after: float  # 0 if the request is admitted
 
 
 class Admission:
-    """Gives each call the next free slot."""
+    """Admits requests at evenly spaced times; each request reserves the next free slot."""
 
     def __init__(self, per_second: float, patience: float, now: Callable[[], float]) -> None:
-        """patience: s that a call waits at most. now: a monotonic clock, s."""
+        """patience: maximum wait of a request, in seconds. now: a monotonic clock, in seconds."""
         self.interval = 1 / per_second
         self.patience = patience
         self.now = now
         self.free_at = 0.0
 
     def admit(self) -> Admitted:
-        """Takes a slot, unless the wait for it would be too long."""
+        """Reserves a slot, or rejects the request if the wait for the slot would be too long."""
         wait = max(0.0, self.free_at - self.now())
         if wait > self.patience:
             return Admitted(0.0, wait)
--- a/applehub/registry/answers.py
+++ b/applehub/registry/answers.py
@@ -1,4 +1,4 @@
-"""Answers to routers, each encoded once for all that ask the same."""
+"""Cached responses to routers, so that a response is encoded once for all routers that need it."""
 
 from collections import OrderedDict
 from typing import NamedTuple
@@ -7,11 +7,11 @@
 
 from applehub.registry.endpoint_list import EndpointList
 
-MAX_CACHED = 16 << 20  # bytes of encoded answers: each watcher may have a view, or a version, of its own
+MAX_CACHED = 16 << 20  # bytes of encoded responses; each watcher may need a response of its own
 
 
 class Answer(NamedTuple):
-    """The body for a caller, whether it is the complete list, and the states that it tells by server."""
+    """A response body, whether it holds the complete list, and the states in it by server id."""
 
     body: bytes
     complete: bool
@@ -19,16 +19,18 @@
 
 
 class AnswerCache:
-    """Encoded answers of one version of the list."""
+    """Encoded responses for one version of the list; the oldest are evicted above MAX_CACHED bytes."""
 
     def __init__(self) -> None:
-        """Empty, for no version."""
+        """Creates an empty cache."""
         self.version = -1
         self.cached: OrderedDict[tuple[int | None, str], Answer] = OrderedDict()
-        self.size = 0  # bytes of the bodies
+        self.size = 0  # total bytes of the cached bodies
 
     def get(self, endpoints: EndpointList, since: int | None, view: str) -> Answer:
-        """The answer for a caller of a view that has a version (none: nothing)."""
+        """Returns the response for a router with this view.
+
+        since: the version that the router has; None if it has no list yet."""
         if endpoints.version != self.version:
             self.cached.clear()
             self.size = 0
--- a/applehub/registry/commands.py
+++ b/applehub/registry/commands.py
@@ -1,6 +1,6 @@
-"""The commands that the replicas agree on, as they stand in the log: JSON, read once, when they are applied.
+"""The commands that the replicas agree on, and their JSON encoding in the log.
 
-Kinds and keys are those of logs that earlier versions have written."""
+The kinds and keys are part of the storage format: logs written by earlier versions contain them."""
 
 from dataclasses import dataclass, fields
 from enum import StrEnum
@@ -9,11 +9,11 @@
 
 from applehub.registry.errors import CommandError
 
-EndpointFields = dict[str, str | int | float]  # what the protocol's entries hold beside id and state
+EndpointFields = dict[str, str | int | float]  # fields of an entry in the protocol, except id and state
 
 
 class ServerState(StrEnum):
-    """What the list says of a server."""
+    """The state of a server in the list."""
 
     READY = "Ready"
     TERMINATING = "Terminating"
@@ -22,16 +22,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PutServer:
-    """Registers a server, or changes it.
+    """Registers or updates a server.
 
-    expected: the version that the entry has to have (0: none yet), or none: any. base: the version with which
-    a fresh list begins."""
+    expected: the version that the entry must have (0: the entry must not exist), or None for any.
+    base: the first version of the list if it is still empty."""
 
     uid: str
     fields: EndpointFields
-    endpoints: dict[str, str]  # by view, where that is not the endpoint that all are given
+    endpoints: dict[str, str]  # by view, where it differs from the default endpoint
     state: ServerState
-    lease_ms: int  # 0: the entry stays until it is taken out
+    lease_ms: int  # 0: the entry never expires
     expected: int | None = None
     base: int = 1
 
@@ -48,7 +48,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SetLock:
-    """Gives a lock to a holder, or to nobody (""). expected: the fencing number that it has to have."""
+    """Assigns a lock to a holder, or releases it (holder "").
+
+    expected: the fencing number that the lock must have."""
 
     name: str
     holder: str
@@ -59,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SetSuspect:
-    """Marks servers whose leases have run out, or takes the marks away."""
+    """Marks servers as suspect because their leases expired, or clears the marks."""
 
     on: bool
     uids: tuple[str, ...]
@@ -67,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RemoveSuspects:
-    """Sets those of these servers that are still suspect to gone."""
+    """Sets those of these servers that are still suspect to Gone."""
 
     uids: tuple[str, ...]
 
@@ -84,13 +86,15 @@
 
 
 def encode(command: Command) -> bytes:
-    """The command as it stands in the log."""
+    """Returns the encoded command for the log."""
     content = {field.name: getattr(command, field.name) for field in fields(command)}
     return orjson.dumps({"do": KINDS[type(command)], **content})
 
 
 def decode(data: bytes) -> Command | None:
-    """Reads a command; none: there is none, or one that this version does not know. Raises CommandError."""
+    """Decodes a command. Returns None for an empty entry and for a kind that this version does not know.
+
+    Raises CommandError."""
     if not data:
         return None
     try:
@@ -105,4 +109,6 @@
         known = {field.name for field in fields(command_class)}
         return command_class(**{key: value for key, value in content.items() if key in known})
     except (ValueError, KeyError, TypeError, AttributeError) as problem:
-        raise CommandError(f"{data[:80]!r}: {type(problem).__name__}: {problem}") from problem
+        raise CommandError(
+            f"can't decode the command {data[:80]!r}: {type(problem).__name__}: {problem}"
+        ) from problem
--- a/applehub/registry/config.py
+++ b/applehub/registry/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a replica of the list service: a TOML file, checked completely."""
+"""The configuration of a replica of the list service: a TOML file that is validated completely."""
 
 from pathlib import Path
 from typing import Annotated, Any
@@ -16,8 +16,9 @@
 
 
 class Timing(Table):
-    """Spans of the agreement. The lease must be shorter than the least election timeout, by what clocks drift
-    apart."""
+    """Time spans of the Raft protocol.
+
+    The lease must be shorter than the minimum election timeout by more than the clock drift."""
 
     heartbeat_ms: Positive = 50.0
     election_ms: Positive = 500.0
@@ -30,14 +31,17 @@
         return self
 
     def for_replica(self) -> ReplicaTiming:
-        """The spans as the agreement counts them, in ns."""
+        """Returns the time spans for the replica, in nanoseconds."""
         return ReplicaTiming(
             int(self.heartbeat_ms * MILLI), int(self.election_ms * MILLI), int(self.lease_ms * MILLI)
         )
 
 
 class Leases(Table):
-    """Of the servers that register themselves."""
+    """Leases of the servers that register themselves.
+
+    brake_part, brake_least: expiry is paused while more than this fraction of the leased servers, and more
+    than this number of them, are expired. look_ms: time between two checks."""
 
     brake_part: Annotated[float, Field(gt=0, le=1)] = 0.3
     brake_least: Count = 2
@@ -45,26 +49,26 @@
 
 
 class Limits(Table):
-    """What one replica bears."""
+    """Resource limits of one replica."""
 
-    callers: Count = 5000  # connections of routers at once
-    whole_a_second: Positive = 400.0  # complete lists; those past it wait
-    patience_ms: Positive = 1000.0  # of that wait; who would wait longer is answered with a Retry-After
-    slow_s: Positive = 10.0  # for a caller to take its answer
-    stale_ms: Positive = 2000.0  # a follower that has not heard from the leader for longer serves no more
-    changes: Count = 10_000  # kept for those behind
-    compact: Count = 2000  # entries of the log, before it is compacted
+    callers: Count = 5000  # concurrent requests of routers
+    whole_a_second: Positive = 400.0  # complete lists per second; further requests wait
+    patience_ms: Positive = 1000.0  # maximum wait; longer ones are answered with Retry-After
+    slow_s: Positive = 10.0  # maximum time for a router to read its response
+    stale_ms: Positive = 2000.0  # a follower without contact to the leader for longer stops serving
+    changes: Count = 10_000  # retained for routers that are behind
+    compact: Count = 2000  # log entries after which the log is compacted
 
 
 class Config(Table):
-    """All of the file."""
+    """The complete configuration file."""
 
     name: Annotated[str, Field(min_length=1)]
     state_dir: Path
-    listen: str = "127.0.0.1:0"  # for routers
-    staff: str = "127.0.0.1:0"  # for writers, staff and metrics
-    peers: dict[str, str] = Field(default={})  # addresses of the group by name, this one's too
-    views: dict[str, str] = Field(default={})  # by a caller's address: which of a server's endpoints it gets
+    listen: str = "127.0.0.1:0"  # address for routers
+    staff: str = "127.0.0.1:0"  # address for writers, operators and metrics
+    peers: dict[str, str] = Field(default={})  # addresses of all replicas by name, including this one
+    views: dict[str, str] = Field(default={})  # view of a router by its IP address
     log_calls: bool = False
     timing: Timing = Timing()
     leases: Leases = Leases()
@@ -86,7 +90,7 @@
     @model_validator(mode="after")
     def _in_group(self) -> "Config":
         if self.peers and self.name not in self.peers:
-            raise ValueError(f"expected {self.name!r} (its name) among the peers")
+            raise ValueError(f"expected the name of the replica, {self.name!r}, among the peers")
         if self.peers and len(self.peers) % 2 == 0:
             raise ValueError("expected an odd number of peers")
         return self
@@ -100,10 +104,12 @@
 
 
 def parse(name: str, raw: dict[str, Any]) -> Config:
-    """Checks what a file contains; name is what the errors call it. Raises ConfigError."""
+    """Validates the contents of a file. Raises ConfigError.
+
+    name: the file name that error messages contain."""
     return validate(name, Config, raw, ConfigError)
 
 
 def load(path: Path) -> Config:
-    """Reads a file. Raises ConfigError."""
+    """Reads and validates a file. Raises ConfigError."""
     return parse(str(path), read_toml(path, ConfigError))
--- a/applehub/registry/descriptors.py
+++ b/applehub/registry/descriptors.py
@@ -1,15 +1,16 @@
-"""The limit on descriptors: each router keeps a connection, and systems give a process 1,024 at its start."""
+"""Raises the limit on file descriptors, because each router keeps a connection open."""
 
 import logging
 import resource
 
-BESIDE_CALLERS = 64  # streams, store, listeners, other replicas, writers and staff
+BESIDE_CALLERS = 64  # standard streams, store, listeners, peers, writers and operators
 log = logging.getLogger("applehub.registry")
 
 
 def allow_callers(callers: int) -> None:
-    """Raises this process's limit so far that so many callers may be connected, or as far as the system lets
-    it, and says so where that is less."""
+    """Raises the file descriptor limit of this process for a number of router connections.
+
+    Logs a warning if the hard limit allows fewer."""
     wanted = callers + BESIDE_CALLERS
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY or soft >= wanted:
--- a/applehub/registry/election.py
+++ b/applehub/registry/election.py
@@ -1,4 +1,4 @@
-"""How a replica becomes leader: pre-votes, votes, and the leases that votes must not break."""
+"""Leader election: pre-votes, votes, and the rules that protect the lease of a leader."""
 
 from dataclasses import dataclass
 
@@ -10,14 +10,14 @@
 
 @dataclass(slots=True)
 class Election(Replication):
-    """The part of a replica that elects leaders."""
+    """The part of a replica that takes part in elections."""
 
     def _tick(self, jitter: float, actions: list[Action]) -> None:
         if self.role is Role.LEADER:
             for follower, progress in self.progress.items():
                 if self.now - progress.sent_at >= self.timing.heartbeat:
                     self._send_entries(follower, actions)
-            # A leader that no majority answers steps down: clients find another one sooner.
+            # A leader without a majority steps down, so that clients find a new leader sooner.
             if max(self.lease_until(), self.leader_since) + 2 * self.timing.election < self.now:
                 self._become_follower(self.term, None)
                 self._postpone_election(jitter)
@@ -29,14 +29,14 @@
         self.election_due = self.now + int(self.timing.election * (1 + jitter))
 
     def _start_pre_vote(self, actions: list[Action]) -> None:
-        """Asks whether it would be elected; that changes no term and no vote, so nothing need be saved."""
+        """Asks whether it would win an election. A pre-vote changes neither term nor vote, so nothing is saved."""
         self.role = Role.CANDIDATE
         self.leader = None
         self.pre_vote = True
         self._request_votes(self.term + 1, actions)
 
     def _start_election(self, actions: list[Action]) -> None:
-        """Begins a term. The own vote is on disk before any other is asked for."""
+        """Starts a new term. The vote for itself is on disk before any other vote is requested."""
         self.pre_vote = False
         self.term += 1
         self.voted_for = self.replica_id
@@ -62,13 +62,14 @@
         self.leader_since = self.now
         others = (member for member in self.members if member != self.replica_id)
         self.progress = {member: FollowerProgress(self.last_index + 1) for member in others}
-        # An entry of its own term: only by it can what was before be committed (Raft, 5.4.2).
+        # Entries of earlier terms are committed only through an entry of the own term (Raft, 5.4.2).
         self._propose((b"",), actions)
 
     def _receive_vote_request(self, sender: int, request: RequestVote, actions: list[Action]) -> None:
-        """Answers a candidate, unless a lease may still run: within the least election timeout since it heard
-        from a leader, a replica does not even take up a candidate's term (thesis, 4.2.3); nor does a leader
-        that holds its lease."""
+        """Answers a candidate, unless a leader may still hold its lease.
+
+        Within the minimum election timeout after contact with a leader, a replica ignores candidates and
+        their terms (Ongaro's thesis, 4.2.3); so does a leader that holds its lease."""
         leads = self.role is Role.LEADER
         if self.lease_until() > self.now if leads else self.now - self.leader_contact < self.timing.election:
             return
@@ -101,7 +102,7 @@
             self._count_votes(actions)
 
     def _is_current_vote(self, response: RequestVoteResponse) -> bool:
-        """Whether a vote is for the election, or the pre-vote, that is under way."""
+        """Returns whether a vote was granted for the election or pre-vote in progress."""
         term = self.term + 1 if self.pre_vote else self.term
         return (
             self.role is Role.CANDIDATE
--- a/applehub/registry/endpoint_list.py
+++ b/applehub/registry/endpoint_list.py
@@ -1,9 +1,8 @@
-"""The list as a state machine: commands in, versions out. The same commands in the same order give the same
-list on every replica; no clock and no chance comes in but by a command.
+"""The endpoint list as a deterministic state machine: the same commands in the same order give the same list
+on every replica. It reads neither clocks nor random numbers.
 
-A version counts every change, never goes back and is never used twice. A fresh list begins at a number that
-grows with the wall clock (of its first command), so that a list made anew after a total loss does not look
-older than what routers remember."""
+The version increases with every change and is never reused. The first version of a new list is derived from
+the wall clock, so that a list recreated after the loss of all replicas is newer than what routers have."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -25,23 +24,23 @@
 )
 from applehub.registry.locks import Lock, next_lock
 
-BASE_STEP = 1 << 20  # versions to a second of the wall clock, for a fresh list's first
+BASE_STEP = 1 << 20  # the first version of a list is the Unix time in seconds multiplied by this
 
 
 @dataclass(slots=True)
 class ServerEntry:
-    """A server as writers gave it. state, version and suspect are the service's own."""
+    """A server in the list. `version` and `suspect` are set by the list, all other fields by writers."""
 
     uid: str
     fields: EndpointFields
-    endpoints: dict[str, str]  # by view, where that is not the endpoint that all are given
-    lease_ms: int  # 0: it stays until it is taken out
+    endpoints: dict[str, str]  # by view, where it differs from the default endpoint
+    lease_ms: int  # 0: the entry never expires
     state: ServerState = ServerState.READY
-    version: int = 0  # of its latest change
-    suspect: bool = False  # its lease has run out; still listed as it was
+    version: int = 0  # list version of its latest change
+    suspect: bool = False  # its lease has expired; the state is unchanged
 
     def target(self, view: str) -> dict[str, str | int | float]:
-        """As the protocol's list has it, for a caller of a view."""
+        """Returns the entry in the format of the protocol, for a router with this view."""
         target = {"uid": self.uid, "state": self.state, **self.fields}
         if view in self.endpoints:
             target["endpoint"] = self.endpoints[view]
@@ -49,22 +48,24 @@
 
 
 class CommandResult(NamedTuple):
-    """What became of a command. status: 200 done or already so, 404 no such server, 409 another version."""
+    """The result of a command.
+
+    status: 200 if applied or already in effect, 404 if there is no such server, 409 on a version conflict."""
 
     status: HTTPStatus
     list_version: int
-    entry_version: int  # 0 where there is no entry
+    entry_version: int  # 0 if there is no entry
 
 
 class Change(NamedTuple):
-    """One version: which server changed."""
+    """The server that changed in a version."""
 
     version: int
     uid: str
 
 
 class ListUpdate(NamedTuple):
-    """What a caller is to be sent: the complete list, or what is newer than the version that it has."""
+    """The entries to send to a router: the complete list, or the changes since the version that it has."""
 
     complete: bool
     entries: list[ServerEntry]
@@ -72,17 +73,17 @@
 
 @dataclass(slots=True)
 class EndpointList:
-    """All entries and the latest changes."""
+    """All entries, the latest changes, and the locks."""
 
-    max_changes: int  # a caller that is further behind gets the complete list
+    max_changes: int  # a router that is further behind gets the complete list
     version: int = 0
     entries: dict[str, ServerEntry] = field(default_factory=dict)
     changes: deque[Change] = field(default_factory=deque)
-    dropped_version: int = 0  # up to which changes are no longer there
+    dropped_version: int = 0  # changes up to this version are discarded
     locks: dict[str, Lock] = field(default_factory=dict)
 
     def apply(self, data: bytes) -> CommandResult:
-        """Carries out a command that was agreed on; b"" is none. Raises CommandError."""
+        """Applies a committed command; b"" is a no-op. Raises CommandError."""
         command = decode(data)
         match command:
             case PutServer():
@@ -101,14 +102,14 @@
         return CommandResult(HTTPStatus.OK, self.version, entry_version)
 
     def _conflict(self, entry: ServerEntry | None, expected: int | None) -> CommandResult | None:
-        """The answer to a command that expects another version of the entry; none: it may be carried out."""
+        """Returns the result for a command that expects another entry version, or None if it matches."""
         version = entry.version if entry is not None else 0
         if expected is None or expected == version:
             return None
         return CommandResult(HTTPStatus.CONFLICT, self.version, version)
 
     def _put(self, command: PutServer) -> CommandResult:
-        """Registers a server, or what is new of it. The same again changes nothing."""
+        """Registers or updates a server. An identical command changes nothing."""
         before = self.entries.get(command.uid)
         entry = ServerEntry(command.uid, command.fields, command.endpoints, command.lease_ms, command.state)
         if before is not None and _same_content(before, entry):
@@ -132,7 +133,7 @@
         return self._done(entry.version)
 
     def _set_lock(self, command: SetLock) -> CommandResult:
-        """Another holder, or none. No version of the list: routers are notified of servers alone."""
+        """Changes the holder of a lock. The list version stays, because routers don't read locks."""
         before = self.locks.get(command.name)
         lock = next_lock(before, command)
         if lock is None:
@@ -152,7 +153,7 @@
                 self._record_change(entry, ServerState.GONE, command)
 
     def _record_change(self, entry: ServerEntry, state: ServerState, command: Command) -> None:
-        """Gives an entry its new state, and the list its next version."""
+        """Sets the state of an entry and increments the list version."""
         base = command.base if isinstance(command, PutServer | SetState) else 1
         self.version = self.version + 1 if self.version else max(1, base)
         entry.state = state
@@ -164,15 +165,15 @@
             self.dropped_version = dropped.version
             last = self.entries.get(dropped.uid)
             if last is not None and last.state is ServerState.GONE and last.version == dropped.version:
-                del self.entries[dropped.uid]  # all that could ask for it get the complete list
+                del self.entries[dropped.uid]  # routers behind this version get the complete list
 
     def since(self, version: int | None) -> ListUpdate:
-        """What a caller that has a version (none: nothing) is to be sent."""
+        """Returns the entries for a router that has a version, or None if it has no list yet."""
         unknown = version is None or version < self.dropped_version or version > self.version
         if version is None or unknown or not self.version:
             present = [entry for entry in self.entries.values() if entry.state is not ServerState.GONE]
             return ListUpdate(True, present)
-        changed: dict[str, None] = {}  # in order, the latest change first
+        changed: dict[str, None] = {}  # used as an ordered set, latest change first
         for change in reversed(self.changes):
             if change.version <= version:
                 break
@@ -180,7 +181,7 @@
         return ListUpdate(False, [self.entries[uid] for uid in reversed(changed) if uid in self.entries])
 
     def snapshot(self) -> bytes:
-        """All of it, for `restored`."""
+        """Returns the encoded list, which `restored` decodes."""
         entries = [
             [one.uid, one.fields, one.endpoints, one.lease_ms, one.state, one.version, one.suspect]
             for one in self.entries.values()
@@ -195,7 +196,7 @@
 
     @classmethod
     def restored(cls, max_changes: int, data: bytes) -> "EndpointList":
-        """The list of a snapshot; b"": an empty one."""
+        """Returns the list of a snapshot, or an empty list for b""."""
         if not data:
             return cls(max_changes)
         content = orjson.loads(data)
@@ -205,11 +206,13 @@
                 uid, entry_fields, endpoints, lease_ms, ServerState(state), version, suspect
             )
         changes = deque(Change(*one) for one in content["changes"])
-        locks = {name: Lock(*one) for name, one in content.get("locks", {}).items()}  # none in older ones
+        locks = {
+            name: Lock(*one) for name, one in content.get("locks", {}).items()
+        }  # absent in older snapshots
         return cls(max_changes, content["version"], entries, changes, content["forgotten"], locks)
 
 
 def _same_content(one: ServerEntry, other: ServerEntry) -> bool:
-    """Whether writers gave the same of a server."""
+    """Returns whether two entries have the same content, apart from version and suspect."""
     content = (one.fields, one.endpoints, one.lease_ms, one.state)
     return content == (other.fields, other.endpoints, other.lease_ms, other.state)
--- a/applehub/registry/errors.py
+++ b/applehub/registry/errors.py
@@ -1,29 +1,31 @@
-"""The errors of the package, as one tree."""
+"""The exceptions of the package."""
 
 
 class RegistryError(Exception):
-    """Something in the list service failed."""
+    """Base class of the exceptions of the list service."""
 
 
 class ConfigError(RegistryError, ValueError):
-    """The configuration file is of no use; a line for each fault names file, key and expectation."""
+    """The configuration file is invalid; the message has one line per fault."""
 
 
 class MessageError(RegistryError, ValueError):
-    """A line from another replica is no message."""
+    """A line from another replica can't be decoded as a message."""
 
 
 class CommandError(RegistryError, ValueError):
-    """Bytes of the log are no command."""
+    """A log entry can't be decoded as a command."""
 
 
 class StoreError(RegistryError):
-    """What is on the disk can't be used: file and reason."""
+    """The store is unusable; the message names the file and the reason."""
 
 
 class StoreRefusedError(StoreError):
-    """The disk, or the system, refuses for now: nothing is wrong with what it holds."""
+    """The disk or the system refuses access temporarily; the stored data is intact."""
 
 
 class NotLeaseHolderError(RegistryError):
-    """This replica can't take a command now, or lost its lease before it was agreed on (it may still be)."""
+    """This replica can't accept a command, or lost its lease before the command was committed.
+
+    In the second case, the command may still be committed."""
--- a/applehub/registry/host.py
+++ b/applehub/registry/host.py
@@ -1,6 +1,7 @@
-"""The host of one replica: carries out what the agreement wants done, in order, each batch of Saves synced
-before what follows it is done. While a sync is under way, what comes meanwhile gathers for the next (group
-commit)."""
+"""The host of one replica: connects the Raft state machine to disk, network and clock.
+
+Actions are executed in order, and each batch of Saves is synced before the actions that follow it. Actions
+that arrive during a sync are queued and synced together (group commit)."""
 
 import asyncio
 import logging
@@ -36,37 +37,37 @@
 from applehub.registry.replica_state import Timing
 from applehub.registry.store import ReplicaStore
 
-TICK_INTERVAL = 0.02  # s between looks at the clock: well under a heartbeat
-MAX_LINE = 64 << 20  # bytes of a message between replicas: a snapshot
-STORAGE_PAUSE = 0.2  # s between attempts at a disk that refuses: less than an election takes
-NOT_LEASE_HOLDER = "not the primary"  # in answers to writers
+TICK_INTERVAL = 0.02  # seconds; must be well below the heartbeat interval
+MAX_LINE = 64 << 20  # bytes of a message between replicas; the largest contain a snapshot
+STORAGE_PAUSE = 0.2  # seconds between attempts to write to a disk that refuses; shorter than an election
+NOT_LEASE_HOLDER = "not the primary"  # in responses to writers
 log = logging.getLogger("applehub.registry")
 
 
 @dataclass(frozen=True, slots=True)
 class HostOptions:
-    """What a replica is started with."""
+    """The options of a replica."""
 
     replica_id: int
-    addresses: dict[int, str] = field(default_factory=dict)  # of the group by id; empty: a group of one
+    addresses: dict[int, str] = field(default_factory=dict)  # of all replicas by id; empty for a group of one
     timing: Timing = field(default_factory=Timing)
-    max_changes: int = 10_000  # kept for routers that are behind
-    compact_after: int = 2000  # entries of the log
+    max_changes: int = 10_000  # retained for routers that are behind
+    compact_after: int = 2000  # log entries
 
 
 @dataclass(slots=True)
 class _Pending:
-    """A command that waits to be applied, by the term in which it was proposed."""
+    """A proposed command that is not applied yet, and the term in which it was proposed."""
 
     term: int
     answer: "asyncio.Future[CommandResult]"
 
 
 class Host:
-    """One replica, its disk, its peers and its list."""
+    """One replica with its store, its peer connections and its endpoint list."""
 
     def __init__(self, options: HostOptions, store: ReplicaStore) -> None:
-        """Reads the store. Raises StoreError."""
+        """Loads the state from the store. Raises StoreError."""
         self.options = options
         self.store = store
         self.loop = asyncio.get_running_loop()
@@ -75,17 +76,19 @@
         self.endpoints = EndpointList.restored(options.max_changes, self.replica.snapshot.data)
         self.applied_index = self.replica.snapshot.last_index
         self.on_new_version: Callable[[], None] = lambda: None
-        self.failed: asyncio.Future[None] = self.loop.create_future()  # set once the disk is of no use
+        self.failed: asyncio.Future[None] = (
+            self.loop.create_future()
+        )  # has an exception once the store is unusable
         self.disk_refuses = False
-        self._pending: dict[int, _Pending] = {}  # commands of this replica, by their indexes
+        self._pending: dict[int, _Pending] = {}  # commands proposed here, by log index
         self._proposals: list[tuple[bytes, asyncio.Future[CommandResult]]] = []
-        self._waiting: list[Action] = []  # for the sync that is under way
+        self._waiting: list[Action] = []  # queued until the sync in progress ends
         self._syncing = False
-        self._sync_began_at = 0  # ns of the monotonic clock
-        self._unsaved: list[Action] = []  # what waits until the disk takes writes again
+        self._sync_began_at = 0  # nanoseconds of the monotonic clock
+        self._unsaved: list[Action] = []  # deferred until the disk accepts writes again
         self._storage_retry: asyncio.TimerHandle | None = None
         self._stopping = False
-        self._has_own_term = False  # whether an entry of a term of this run is applied
+        self._has_own_term = False  # whether an entry of a term of this process is applied
         self._disk = ThreadPoolExecutor(1, "disk")
         self._peers = {
             member: PeerConnection(address)
@@ -93,22 +96,22 @@
             if member != options.replica_id
         }
         self._listener: Listener | None = None
-        self._incoming: set[asyncio.StreamWriter] = set()  # connections from its peers
+        self._incoming: set[asyncio.StreamWriter] = set()  # connections from peers
         self._tasks: list[asyncio.Task[None]] = []
         self._random = random.Random()
 
     async def start(self) -> None:
-        """Listens for its peers and begins to take part. Raises OSError where it can't listen."""
+        """Listens for peers and starts the replica. Raises OSError if it can't listen."""
         if self.options.addresses:
             own = read_endpoint(self.options.addresses[self.options.replica_id])
             self._listener = Listener(own, self._peer_protocol)
         self._tasks = [self.loop.create_task(peer.run()) for peer in self._peers.values()]
         self._tasks.append(self.loop.create_task(self._run_clock()))
         if not self._peers:
-            self.replica.election_due = 0  # a group of one need not wait for others
+            self.replica.election_due = 0  # a group of one need not wait
 
     async def stop(self) -> None:
-        """Ends its tasks, closes its connections and lets its store go."""
+        """Stops all tasks and closes the connections and the store."""
         self._stopping = True
         if self._storage_retry is not None:
             self._storage_retry.cancel()
@@ -124,29 +127,30 @@
         await self.loop.run_in_executor(self._disk, self.store.close)
         self._disk.shutdown()
 
-    # What can be asked
+    # Queries and proposals
 
     def is_lease_holder(self) -> bool:
-        """Whether this replica may serve as the group's leader: it holds its lease, and its list has all that
-        any leader before it acknowledged."""
+        """Returns whether this replica is the leader, holds its lease, and is up to date.
+
+        It is up to date once it has applied all commands that earlier leaders acknowledged."""
         if self.disk_refuses or not self.replica.is_lease_holder(time.monotonic_ns()):
             return False
         return self.replica.term_at(self.applied_index) == self.replica.term
 
     def staleness(self) -> int:
-        """ns since this replica last knew that it had all that was committed; 0 at the lease holder.
+        """Returns the time, in nanoseconds, since this replica was known to be up to date; 0 at the leader.
 
-        In a group of one nothing is committed without it: 0 too while its disk refuses."""
+        It is also 0 in a group of one while the disk refuses writes, since no other replica can commit."""
         alone = not self._peers and self._has_own_term
         if alone or self.is_lease_holder():
             return 0
         known_at = self.replica.leader_contact
-        if self._syncing:  # what has come since then waits for the disk
+        if self._syncing:  # messages received since then wait for the sync
             known_at = min(known_at, self._sync_began_at)
         return time.monotonic_ns() - known_at
 
     async def propose(self, command: Command) -> CommandResult:
-        """Has a command agreed on; gives what became of it once a majority has it on disk. Raises
+        """Proposes a command and returns its result once it is committed and applied. Raises
         NotLeaseHolderError."""
         if not self.is_lease_holder():
             raise NotLeaseHolderError(NOT_LEASE_HOLDER)
@@ -157,7 +161,7 @@
         return await answer
 
     def _propose_gathered(self) -> None:
-        """All commands of one turn of the loop go in together."""
+        """Proposes all commands of one iteration of the event loop as a batch."""
         proposals = self._proposals
         self._proposals = []
         proposal = Propose(tuple(command for command, _ in proposals))
@@ -173,7 +177,7 @@
     # Events and actions
 
     def handle(self, event: Event) -> None:
-        """Hands an event to the agreement, and carries out what it wants done."""
+        """Passes an event to the replica and executes the resulting actions."""
         self._carry_out_in_order(self.replica.handle(time.monotonic_ns(), event))
 
     def _carry_out_in_order(self, actions: Sequence[Action]) -> None:
@@ -182,7 +186,7 @@
             self._continue()
 
     def _continue(self) -> None:
-        """Carries out what waits, up to the first Save; then has all Saves synced at once."""
+        """Executes the queued actions up to the first Save, and then syncs all queued Saves together."""
         waiting = self._waiting
         self._waiting = []
         first = next((n for n, action in enumerate(waiting) if isinstance(action, Save)), len(waiting))
@@ -202,7 +206,7 @@
             self._on_refused(problem, rest)
             return
         if problem is not None:
-            # Nothing that follows the Save may be done: this replica ends, and starts from what is on disk.
+            # Actions after the Save must not run; the process exits and restarts from the store.
             if not self.failed.done():
                 error = problem if isinstance(problem, StoreError) else StoreError(str(problem))
                 self.failed.set_exception(error)
@@ -210,21 +214,25 @@
         self._syncing = False
         if self.disk_refuses:
             self.disk_refuses = False
-            log.warning("the disk takes writes again")
+            log.warning("the disk accepts writes again")
         self._carry_out(rest)
         if not self._syncing:
             self._continue()
 
     def _on_refused(self, problem: StoreRefusedError, rest: list[Action]) -> None:
-        """Until the disk takes writes again, this replica leads, votes and acknowledges no more, and serves
-        what it learns to be committed."""
+        """Handles a refused write.
+
+        Until the disk accepts writes again, this replica neither leads, votes nor acknowledges entries. It
+        continues to apply and serve entries that the leader reports as committed."""
         if not self.disk_refuses:
             self.disk_refuses = True
-            log.warning("%s: no vote and no acknowledgement until the disk takes writes", problem)
+            log.warning(
+                "write refused: %s; no votes and no acknowledgements until the disk accepts writes", problem
+            )
         committed: list[Action] = [one for one in (*rest, *self._waiting) if isinstance(one, Apply | Restore)]
         self._waiting = []
         self.handle(StorageFailed())
-        if self._peers:  # a majority has these on disk, without this replica
+        if self._peers:  # a majority of the other replicas has these on disk
             self._carry_out(committed)
         else:
             self._unsaved = committed
@@ -233,13 +241,13 @@
             self._storage_retry = self.loop.call_later(STORAGE_PAUSE, self._retry_storage)
 
     def _retry_storage(self) -> None:
-        """Writes the whole state: all that follows is held back until it is on disk."""
+        """Writes the complete state; all later actions wait until it is on disk."""
         unsaved = self._unsaved
         self._unsaved = []
         self._carry_out_in_order([*self.replica.handle(time.monotonic_ns(), StorageRetried()), *unsaved])
 
     def _reject_pending(self, why: str) -> None:
-        """Acknowledges nothing that waits; a later call finds what was agreed on."""
+        """Fails all pending commands. They may still be committed; a retry by the writer finds the result."""
         for pending in self._pending.values():
             if not pending.answer.done():
                 pending.answer.set_exception(NotLeaseHolderError(why))
@@ -285,7 +293,7 @@
         return asyncio.StreamReaderProtocol(reader, self._receive, self.loop)
 
     async def _receive(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Reads the messages of a peer's connection."""
+        """Reads and handles the messages of one peer connection."""
         self._incoming.add(writer)
         try:
             while line := await reader.readline():
@@ -293,7 +301,7 @@
                 if sender in self._peers:
                     self.handle(MessageReceived(sender, message))
         except (OSError, ValueError) as problem:
-            log.warning("a peer's message can't be read: %s", problem)
+            log.warning("closing a peer connection, can't read a message: %s", problem)
         finally:
             self._incoming.discard(writer)
             writer.close()
--- a/applehub/registry/lease_watch.py
+++ b/applehub/registry/lease_watch.py
@@ -1,4 +1,4 @@
-"""Takes servers out of the list whose leases have run out, at the group's lease holder."""
+"""Removes servers with expired leases from the list; active at the leader only."""
 
 import asyncio
 import logging
@@ -15,10 +15,10 @@
 
 
 class LeaseWatch:
-    """Checks the leases again and again."""
+    """Checks the leases of servers periodically."""
 
     def __init__(self, config: Leases, host: Host, events: EventWriter) -> None:
-        """This replica leads nobody yet."""
+        """Starts with a replica that is not the leader."""
         self.leases = ServerLeases(config.brake_part, config.brake_least)
         self._config = config
         self._host = host
@@ -26,7 +26,7 @@
         self._was_lease_holder = False
 
     def retune(self, config: Leases) -> None:
-        """Takes up other limits."""
+        """Applies a new configuration."""
         self._config = config
         self.leases.brake_part = config.brake_part
         self.leases.brake_least = config.brake_least
@@ -59,4 +59,4 @@
             if gone:
                 await self._host.propose(RemoveSuspects(uids=tuple(gone)))
         except NotLeaseHolderError as problem:
-            log.warning("leases that ran out are left to the next primary: %s", problem)
+            log.warning("expired leases are left to the next leader: %s", problem)
--- a/applehub/registry/list_api.py
+++ b/applehub/registry/list_api.py
@@ -1,4 +1,4 @@
-"""`/api/targets` for routers, as PROTOCOL has it: the complete list, or a watch for changes."""
+"""The HTTP API for routers, `/api/targets`: the complete list, or a long poll for changes."""
 
 import asyncio
 import math
@@ -15,28 +15,28 @@
 from applehub.registry.replica_state import MILLI
 from applehub.registry.watchers import Watchers
 
-MAX_HOLD = 60.0  # s, by the protocol
-CATCH_UP = 1.0  # s that a follower waits for a version that its caller has from another replica
-CROWDED_RETRY = 2.0  # s after which a caller past the limit may come again
+MAX_HOLD = 60.0  # seconds; given by the protocol
+CATCH_UP = 1.0  # seconds that a follower waits for a version that the router has from another replica
+CROWDED_RETRY = 2.0  # Retry-After, in seconds, for requests above the limit
 
 
 class _Call(NamedTuple):
-    """What a router asks for."""
+    """The parsed request of a router."""
 
-    name: str  # of its view, or its address
+    name: str  # the view of the router, or else its address
     view: str
-    since: int | None  # the version that it has
-    hold: float  # s that it waits for a change
+    since: int | None  # the version that the router has
+    hold: float  # maximum wait for a change, in seconds
 
 
 class ListApi:
-    """Answers routers."""
+    """Handles requests of routers."""
 
     def __init__(self, config: Config, host: Host, events: EventWriter, metrics: Metrics) -> None:
-        """Nobody has called. Needs a running event loop."""
+        """Needs a running event loop."""
         self.host = host
         self.watchers = Watchers()
-        self.callers = 0  # that are being answered, or wait
+        self.callers = 0  # requests being answered or waiting
         self._events = events
         self._metrics = metrics
         self._answers = AnswerCache()
@@ -45,24 +45,24 @@
         self.retune(config)
 
     def retune(self, config: Config) -> None:
-        """Takes up views and limits."""
+        """Applies new views and limits."""
         self._config = config
         limits = config.limits
         self.admission = Admission(limits.whole_a_second, limits.patience_ms / 1000, self._loop.time)
 
     def end(self) -> None:
-        """Has all watches end with an answer."""
+        """Ends all long polls with a response."""
         self._ending = True
         self.watchers.wake()
 
     def application(self) -> web.Application:
-        """The routes."""
+        """Returns the application with its routes."""
         application = web.Application()
         application.router.add_get("/api/targets", self.targets)
         return application
 
     async def targets(self, request: web.Request) -> web.StreamResponse:
-        """The complete list, or a watch."""
+        """Answers with the complete list or, after a long poll, with the changes."""
         self.callers += 1
         try:
             if self.callers > self._config.limits.callers:
@@ -80,7 +80,7 @@
             self.callers -= 1
 
     def _read(self, request: web.Request) -> _Call:
-        """Reads a call. Raises ValueError."""
+        """Parses a request. Raises ValueError."""
         address = request.remote or ""
         view = self._config.views.get(address, "")
         since = int(request.query["from"]) if "from" in request.query else None
@@ -88,10 +88,10 @@
         return _Call(view or address, view, since, hold)
 
     async def _await_turn(self, call: _Call) -> web.Response | None:
-        """Waits until the call is to be answered; gives the answer to one that is rejected."""
+        """Waits until the request can be answered. Returns the response if the request is rejected."""
         since = call.since
         if since is not None and since > self.host.endpoints.version and not self.host.is_lease_holder():
-            await self._wait_newer(since - 1, CATCH_UP)  # its caller has it from one that is ahead
+            await self._wait_newer(since - 1, CATCH_UP)  # the router has it from a replica that is ahead
             if since > self.host.endpoints.version:
                 return self._rejected("behind")
         if not self._is_recent():
@@ -112,11 +112,11 @@
         return web.Response(status=503, headers={"Retry-After": str(max(1, math.ceil(retry_after)))})
 
     def _is_recent(self) -> bool:
-        """Whether what this replica has is recent enough to be served."""
+        """Returns whether the list of this replica is recent enough to be served."""
         return self.host.staleness() <= self._config.limits.stale_ms * MILLI
 
     async def _wait_newer(self, version: int, seconds: float) -> None:
-        """Returns when there is something newer than a version, or the time is over."""
+        """Waits until the list is newer than a version, or until the time is over."""
         end = self._loop.time() + seconds
         while self.host.endpoints.version <= version and (remaining := end - self._loop.time()) > 0:
             if self._ending:
@@ -128,12 +128,12 @@
         answer = self._answers.get(self.host.endpoints, call.since, call.view)
         response = web.Response(body=answer.body, content_type="application/json")
         try:
-            # A caller that never reads must not keep memory.
+            # Bounds the time that an unread response stays in memory.
             async with asyncio.timeout(self._config.limits.slow_s):
                 await response.prepare(request)
                 await response.write_eof()
                 if request.protocol.transport is not None:
-                    await request.protocol._drain_helper()  # noqa: SLF001 (there is no public way to wait)
+                    await request.protocol._drain_helper()  # noqa: SLF001 (no public equivalent)
         except TimeoutError:
             self._metrics.calls.labels("slow").inc()
             if request.transport is not None:
--- a/applehub/registry/listener.py
+++ b/applehub/registry/listener.py
@@ -1,7 +1,7 @@
-"""Listens on an address and goes on accepting over failures of accept.
+"""A listener that retries after errors of accept().
 
-The event loop's own servers wait for a second after a lack of descriptors or memory, and plan a try for each
-connection that they might have accepted; here it is one try after a short pause."""
+After a shortage of descriptors or memory, asyncio's servers wait for a second and schedule a retry for each
+connection of the backlog; this listener schedules one retry after a short delay."""
 
 import asyncio
 import logging
@@ -10,16 +10,16 @@
 
 from applehub.node.accepting import BROKEN, OUTAGE_APART, RETRY
 
-BACKLOG = 1024  # connections that wait to be accepted: thousands of routers may come at once
-TURN = 64  # connections accepted in one turn of the loop, so that renewals and peers are not kept waiting
+BACKLOG = 1024  # pending connections; thousands of routers may connect at once
+TURN = 64  # connections accepted per event loop iteration, so that other tasks are not delayed
 log = logging.getLogger("applehub.registry")
 
 
 class Listener:
-    """A listening socket whose connections are given to protocols."""
+    """A listening socket that creates a protocol for each accepted connection."""
 
     def __init__(self, address: tuple[str, int], make_protocol: Callable[[], asyncio.BaseProtocol]) -> None:
-        """Begins to listen and to accept. Raises OSError where the address can't be listened at."""
+        """Starts to listen and accept. Raises OSError if it can't listen on the address."""
         host, port = address
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         self._socket = socket.create_server((host, port), family=family, backlog=BACKLOG)
@@ -33,12 +33,12 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Host and port."""
+        """Host and port of the listening socket."""
         address: tuple[str, int] = self._socket.getsockname()[:2]
         return address
 
     def close(self) -> None:
-        """Stops listening; connections that were accepted stay."""
+        """Stops listening. Accepted connections stay open."""
         if self._retry is not None:
             self._retry.cancel()
         self._loop.remove_reader(self._socket)
@@ -53,8 +53,9 @@
             self._retry = self._loop.call_later(RETRY, self._resume)
 
     def _accept_some(self) -> None:
-        """Accepts those who wait, as many as one turn may. Raises OSError where none can be accepted now, or
-        all that were tried had broken."""
+        """Accepts up to one batch of pending connections.
+
+        Raises OSError if no connection can be accepted now, or if all were already reset."""
         accepted, broken = 0, OSError()
         for _ in range(TURN):
             try:
@@ -76,14 +77,14 @@
     async def _connect(self, connection: socket.socket) -> None:
         try:
             await self._loop.connect_accepted_socket(self._make_protocol, connection)
-        except OSError:  # it broke on the way
+        except OSError:  # the connection was reset in the meantime
             connection.close()
 
     def _log_failure(self, problem: OSError) -> None:
-        """Logs the first failure of an outage: a line a try would fill the log."""
+        """Logs only the first failure of an outage, to limit the number of log lines."""
         now = self._loop.time()
         if now - self._failed_at > OUTAGE_APART:
-            log.error("accept fails, and is tried again every %.0f ms: %s", RETRY * 1000, problem)
+            log.error("accept fails, retrying every %.0f ms: %s", RETRY * 1000, problem)
         self._failed_at = now
 
     def _resume(self) -> None:
--- a/applehub/registry/lock_api.py
+++ b/applehub/registry/lock_api.py
@@ -1,4 +1,4 @@
-"""Locks for those who must be alone, as the controller of a release."""
+"""The HTTP API for named locks, for example of the release controller."""
 
 import time
 from http import HTTPStatus
@@ -16,7 +16,7 @@
 
 
 class Claim(BaseModel):
-    """The call of who wants a lock."""
+    """The body of a request that acquires or renews a lock."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -25,22 +25,22 @@
 
 
 class LockApi:
-    """Answers those who want a lock."""
+    """Handles requests for locks."""
 
     def __init__(self, host: Host, replies: Replies) -> None:
-        """No holder has renewed."""
+        """replies: builds the responses."""
         self._host = host
         self._replies = replies
         self.leases = LockLeases()
-        self._leases_term = -1  # in which this replica began to count them
+        self._leases_term = -1  # the term in which `leases` was last reset
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
-        """Adds the calls that this class answers."""
+        """Adds the routes that this class handles."""
         router.add_put("/v1/locks/{name}", self.lock)
         router.add_delete("/v1/locks/{name}", self.unlock)
 
     async def lock(self, request: web.Request) -> web.Response:
-        """Takes a lock that is free or whose lease has run out, or renews one's own."""
+        """Acquires a lock that is free or expired, or renews a lock for its holder."""
         try:
             claim = Claim.model_validate_json(await request.read())
         except ValidationError as error:
@@ -60,7 +60,7 @@
         return await self._set(name, claim.holder, claim.lease_ms, lock.fence if lock else 0)
 
     async def unlock(self, request: web.Request) -> web.Response:
-        """Releases a lock, if `holder` holds it; else nothing changes."""
+        """Releases a lock if `holder` holds it; otherwise responds with a conflict."""
         name = request.match_info["name"]
         if not self._knows_renewals(time.monotonic_ns()):
             return self._replies.elsewhere()
@@ -70,7 +70,7 @@
         return await self._set(name, "", 0, lock.fence)
 
     def _knows_renewals(self, now: int) -> bool:
-        """Whether this replica knows who has renewed: the group's lease holder, since it became that."""
+        """Returns whether this replica tracks renewals, as the leader does. Resets them in each new term."""
         is_lease_holder = self._host.is_lease_holder()
         if is_lease_holder and self._leases_term != self._host.replica.term:
             self.leases.begin(now)
@@ -78,7 +78,7 @@
         return is_lease_holder
 
     async def _set(self, name: str, holder: str, lease_ms: int, expected: int) -> web.Response:
-        """Has a lock's next holder agreed on."""
+        """Proposes the next holder of a lock and returns the response."""
         command = SetLock(name=name, holder=holder, lease_ms=lease_ms, expected=expected, base=fresh_base())
         proposed_at = time.monotonic_ns()
         try:
--- a/applehub/registry/messages.py
+++ b/applehub/registry/messages.py
@@ -1,18 +1,18 @@
-"""What replicas send each other: Raft's messages, with the names of its paper (Ongaro and Ousterhout, "In
-Search of an Understandable Consensus Algorithm", 2014)."""
+"""The Raft messages between replicas, named as in the paper (Ongaro and Ousterhout, "In Search of an
+Understandable Consensus Algorithm", 2014)."""
 
 from typing import NamedTuple
 
 
 class LogEntry(NamedTuple):
-    """An entry of the log: the term in which it was proposed, and the command (empty: none)."""
+    """A log entry: the term in which it was proposed, and the command (empty for a no-op)."""
 
     term: int
     command: bytes
 
 
 class Snapshot(NamedTuple):
-    """The state machine's state after all entries up to an index of the log."""
+    """The state of the state machine after all log entries up to an index."""
 
     last_index: int
     last_term: int  # of the entry at that index
@@ -23,10 +23,10 @@
 
 
 class RequestVote(NamedTuple):
-    """A candidate asks for a vote.
+    """A candidate requests a vote.
 
-    With `pre_vote` it asks whether it would get one (Ongaro's thesis, 9.6): so a replica that was cut off
-    does not come back with a term that unseats a leader whom all others hear."""
+    With `pre_vote` it only asks whether the vote would be granted (Ongaro's thesis, 9.6), so that a replica
+    that returns from a network partition does not depose a working leader with its higher term."""
 
     term: int
     pre_vote: bool
@@ -35,7 +35,7 @@
 
 
 class RequestVoteResponse(NamedTuple):
-    """The answer to RequestVote."""
+    """The response to RequestVote."""
 
     term: int
     pre_vote: bool
@@ -43,9 +43,9 @@
 
 
 class AppendEntries(NamedTuple):
-    """A leader sends entries that follow an index, and its commit index; none: a heartbeat.
+    """A leader sends the entries after `prev_index`, and its commit index. Without entries it is a heartbeat.
 
-    `sent_at` is the leader's own clock, which the response returns."""
+    sent_at: time on the leader's clock, which the response returns."""
 
     term: int
     prev_index: int
@@ -56,9 +56,10 @@
 
 
 class AppendEntriesResponse(NamedTuple):
-    """The answer to AppendEntries or InstallSnapshot.
+    """The response to AppendEntries or InstallSnapshot.
 
-    `match_index`: up to where the logs agree; without success, where the leader may try next."""
+    match_index: the index up to which the logs agree; without success, the index that the leader should try
+    next."""
 
     term: int
     success: bool
@@ -67,7 +68,7 @@
 
 
 class InstallSnapshot(NamedTuple):
-    """A leader sends its snapshot to a follower that needs entries which its log no longer has."""
+    """A leader sends its snapshot to a follower that needs entries already removed from the leader's log."""
 
     term: int
     snapshot: Snapshot
--- a/applehub/registry/metrics.py
+++ b/applehub/registry/metrics.py
@@ -1,13 +1,13 @@
-"""Figures of one replica, for a scraper."""
+"""Prometheus metrics of one replica."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, generate_latest
 
 
 class Metrics:
-    """The counters and gauges. Their names are those that the page for operators gives."""
+    """The counters and gauges of a replica. Their names are documented for operators."""
 
     def __init__(self) -> None:
-        """All at zero, in a collection of their own."""
+        """Creates the metrics in a separate registry."""
         self._collection = CollectorRegistry()
         self.calls = Counter(
             "list_calls", "Calls of routers, by how they ended", ["how"], registry=self._collection
@@ -27,5 +27,5 @@
         return Gauge(name, description, registry=self._collection)
 
     def text(self) -> bytes:
-        """All of them, as Prometheus reads them."""
+        """Returns all metrics in the Prometheus text format."""
         return generate_latest(self._collection)
--- a/applehub/registry/model/__init__.py
+++ b/applehub/registry/model/__init__.py
@@ -1,8 +1,10 @@
-"""Checks the agreement as a model: three replicas under lost, late and doubled messages, crashes, restarts
-and disks that refuse writes, in every order to a depth, each state once.
+"""A model checker for the Raft implementation.
 
-Two grains. `FineModel` steps: one message, one sync, one timeout, one crash at a time. `CoarseModel` steps:
-an election or a round of replication between two replicas at once, with messages that come late; so it
-reaches what takes many terms.
+It explores all states of three replicas, up to a depth, under lost, delayed and duplicated messages, crashes,
+restarts and disks that refuse writes.
+
+There are two models. A step of `FineModel` is one message, sync, timeout or crash. A step of `CoarseModel`
+is a complete election or replication round between two replicas, with delayed messages, so that it reaches
+states of many terms.
 
     python -m applehub.registry.model --coarse 7 --fine 10"""
--- a/applehub/registry/model/__main__.py
+++ b/applehub/registry/model/__main__.py
@@ -1,4 +1,6 @@
-"""Explores the agreement: `python -m applehub.registry.model`. Code 1: a property is broken."""
+"""Runs the model checker: `python -m applehub.registry.model`.
+
+The exit code is 1 if an invariant is violated."""
 
 import sys
 import time
@@ -15,7 +17,7 @@
 
 
 def explore_from(model: Model, name: str, start: str, depth: int, max_states: int) -> Findings:
-    """Explores from a start, and says on standard error how far it is."""
+    """Explores from an initial state and reports progress on standard error."""
     began = time.monotonic()
 
     def report(level: int, states: int) -> None:
@@ -30,11 +32,13 @@
 
 @click.command()
 @click.option("--coarse", type=click.IntRange(0, 20), default=6, help="Depth of the coarse exploration.")
-@click.option("--fine", type=click.IntRange(0, 40), default=8, help="Depth of the fine one.")
-@click.option("--mutant", type=click.Choice(sorted(MUTANTS)), help="A replica with a fault.")
-@click.option("--most", type=click.IntRange(1), default=5_000_000, help="States of one exploration.")
+@click.option("--fine", type=click.IntRange(0, 40), default=8, help="Depth of the fine exploration.")
+@click.option("--mutant", type=click.Choice(sorted(MUTANTS)), help="Name of the faulty replica to explore.")
+@click.option(
+    "--most", type=click.IntRange(1), default=5_000_000, help="Maximum number of states of one exploration."
+)
 def main(coarse: int, fine: int, mutant: str | None, most: int) -> None:
-    """Explores; ends with code 1 where a property is broken."""
+    """Explores all models and exits with code 1 if an invariant is violated."""
     replica_class, holds_back = MUTANTS[mutant] if mutant else Mutant(Replica, True)
     for name, grain, bounds, depth in (
         ("coarse", CoarseModel, Bounds(), coarse),
@@ -49,7 +53,7 @@
             found = explore_from(model, what, start, depth, most)
             click.echo(f"{what}: {found.states} states to depth {found.depth}")
             if found.broken:
-                click.echo("\n  ".join([f"broken: {found.broken}, by", *found.trace]))
+                click.echo("\n  ".join([f"invariant violated: {found.broken}, by", *found.trace]))
                 sys.exit(1)
 
 
--- a/applehub/registry/model/explorer.py
+++ b/applehub/registry/model/explorer.py
@@ -1,4 +1,4 @@
-"""Explores a model: every state to a depth, or walks drawn from a seed past it."""
+"""Exploration of a model: exhaustive up to a depth, or by random walks."""
 
 import random
 from collections.abc import Callable
@@ -11,10 +11,10 @@
 
 NO_LIMIT = 1 << 62
 
-CALM = Bounds(proposals=2, restarts=0)  # without crashes it sees further
-REFUSING = Bounds(restarts=1, refusals=1)  # with a disk that refuses writes
+CALM = Bounds(proposals=2, restarts=0)  # no crashes, so that greater depths are feasible
+REFUSING = Bounds(restarts=1, refusals=1)  # with one disk that refuses writes
 
-# Where explorations begin, beside the empty group: by steps of the coarse grain.
+# The initial states of explorations, as steps of the coarse model from the empty group.
 ELECTED = ("pre-vote 0 1", "vote 0 1", "replicate 0 1")
 STARTS: dict[str, tuple[str, ...]] = {
     "nothing": (),
@@ -53,16 +53,16 @@
 
 @dataclass(slots=True)
 class Findings:
-    """What an exploration has seen."""
+    """The result of an exploration."""
 
     states: int
-    depth: int  # to which every state was seen
-    broken: str = ""  # the property that does not hold, if any
-    trace: tuple[str, ...] = ()  # the steps that led there
+    depth: int  # up to which all states were explored
+    broken: str = ""  # the violated invariant, if any
+    trace: tuple[str, ...] = ()  # the steps to the violation
 
 
 def begin(model: Model, steps: tuple[str, ...]) -> State:
-    """The state to which these steps lead from the empty group. Raises InvariantError."""
+    """Returns the state that these steps reach from the empty group. Raises InvariantError."""
     state = model.first()
     coarse = CoarseModel(model.replica_class, Bounds(refusals=1), model.holds_back)
     for name in steps:
@@ -78,8 +78,9 @@
     max_states: int = NO_LIMIT,
     on_level: Callable[[int, int], None] | None = None,
 ) -> Findings:
-    """Every state to a depth, the nearest first; stops at the first that is broken, with the steps that led
-    there. on_level: called with each depth that was seen completely, and the states up to it."""
+    """Explores all states up to a depth, breadth-first, and stops at the first violated invariant.
+
+    on_level: called after each depth with the depth and the number of states so far."""
     seen = {hash(first.key())}
     layer = [first]
     for level in range(depth):
@@ -98,7 +99,7 @@
 
 
 class _BrokenError(Exception):
-    """A step broke a property."""
+    """A step violated an invariant."""
 
     def __init__(self, why: str, trace: tuple[str, ...]) -> None:
         super().__init__(why)
@@ -107,7 +108,7 @@
 
 
 def _successors(model: Model, state: State, seen: set[int]) -> list[State]:
-    """The states after one that were not seen yet; they are from now on. Raises _BrokenError."""
+    """Returns the new successors of a state and adds them to `seen`. Raises _BrokenError."""
     successors = []
     for name, step in model.steps(state):
         after = state.clone()
@@ -126,7 +127,7 @@
 
 
 def walk(model: Model, seed: int, length: int) -> Findings:
-    """One path of steps drawn from a seed: reaches what lies past any depth that can be seen completely."""
+    """Follows one random path, which reaches depths that exhaustive exploration can't."""
     draw = random.Random(seed)
     state = model.first()
     for count in range(length):
@@ -145,7 +146,7 @@
 
 
 def walks(model: Model, count: int, length: int) -> Findings:
-    """So many walks, by their seeds; stops at the first that breaks a property."""
+    """Runs random walks with the seeds from 0 on and stops at the first violated invariant."""
     for seed in range(count):
         found = walk(model, seed, length)
         if found.broken:
--- a/applehub/registry/model/grains.py
+++ b/applehub/registry/model/grains.py
@@ -1,4 +1,4 @@
-"""The two grains of the model."""
+"""The two models, which differ in the granularity of their steps."""
 
 from collections.abc import Callable, Iterator
 from functools import partial
@@ -11,10 +11,10 @@
 
 
 class FineModel(Model):
-    """Each message, sync, timeout and crash by itself."""
+    """Each message, sync, timeout and crash is a separate step."""
 
     def steps(self, state: State) -> Iterator[Step]:
-        """All that may happen next."""
+        """Yields all possible next steps."""
         yield from self.common_steps(state)
         for envelope in dict.fromkeys(state.messages):
             sender, receiver, message = envelope
@@ -33,11 +33,11 @@
 
 
 class CoarseModel(Model):
-    """Elections and rounds of replication between two replicas; what is sent to the third is lost."""
+    """Each step is an election or replication round of two replicas; messages to the third are lost."""
 
     def steps(self, state: State) -> Iterator[Step]:
-        """All that may happen next."""
-        for name, step in self.common_steps(state):  # what these send is lost, and sent again with a round
+        """Yields all possible next steps."""
+        for name, step in self.common_steps(state):  # messages of these steps are lost
             yield name, partial(self._run_apart, step=step)
         yield "wait", self.wait
         for replica_id in GROUP:
@@ -48,7 +48,7 @@
             yield f"late {envelope[0]} to {envelope[1]}", partial(self._deliver_late, envelope=envelope)
 
     def _pair_steps(self, state: State, one: int, other: int) -> Iterator[Step]:
-        """What may happen between two replicas, by the doing of the first."""
+        """Yields the steps between two replicas that the first one initiates."""
         replica = state.replicas[one]
         if replica.role is Role.LEADER:
             yield f"replicate {one} {other}", partial(self._replicate, one=one, other=other)
@@ -64,15 +64,15 @@
             yield f"vote {one} {other}", partial(self._hold_vote, one=one, other=other)
 
     def _settle(self, state: State) -> None:
-        """What waits for a disk is synced at once: to lose it is no other than to lose the messages behind
-        it. Where nothing waits for the disk, what is not synced stays so until the replica's next own
-        step."""
+        """Syncs all disks, since losing unsynced writes is equivalent to losing the messages after them.
+
+        If the host does not wait for syncs, unsynced writes stay unsynced."""
         for replica_id in GROUP:
             if self.holds_back:
                 self.sync(state, replica_id)
 
     def _exchange(self, state: State, one: int, other: int, turns: int = 1) -> None:
-        """What the first has sent reaches the other, and the answer comes back; no more of it."""
+        """Delivers the messages of the first replica and the responses; all other messages are lost."""
         for sender, receiver in ((one, other), (other, one)) * turns:
             self._settle(state)
             envelopes = state.between(sender, receiver)
@@ -83,7 +83,7 @@
         state.messages = ()
 
     def _run_apart(self, state: State, step: Callable[[State], None]) -> None:
-        """Does something in which the delayed messages have no part."""
+        """Runs a step without the delayed messages."""
         delayed: tuple[Envelope, ...] = state.messages
         state.messages = ()
         step(state)
@@ -91,11 +91,11 @@
         state.messages = delayed
 
     def _hold_pre_vote(self, state: State, one: int, other: int) -> None:
-        """It becomes a candidate if the other would vote for it; asks for no vote yet."""
+        """Runs a pre-vote between two replicas, without the vote requests after it."""
 
         def ask(state: State) -> None:
             replica = state.replicas[one]
-            for _ in range(2):  # the first may only bring it a later term
+            for _ in range(2):  # the first round may only bring a higher term
                 self.time_out(state, one)
                 self._exchange(state, one, other)
                 if replica.role is Role.CANDIDATE and not replica.pre_vote:
@@ -104,7 +104,7 @@
         self._run_apart(state, ask)
 
     def _hold_vote(self, state: State, one: int, other: int) -> None:
-        """It gets the other's vote, or not; what it sends as leader is lost."""
+        """Runs a vote between two replicas; the messages of a new leader are lost."""
 
         def ask(state: State) -> None:
             replica = state.replicas[one]
@@ -117,12 +117,12 @@
     def _replicate(self, state: State, one: int, other: int) -> None:
         def replicate(state: State) -> None:
             self.send_heartbeat(state, one)
-            self._exchange(state, one, other, 2)  # a response without success brings what was lost before
+            self._exchange(state, one, other, 2)  # the second round sends entries lost before
 
         self._run_apart(state, replicate)
 
     def _delay(self, state: State, one: int, other: int, answer: bool) -> None:
-        """What the leader sends the other comes later, or comes now and its answer later."""
+        """Delays a message of the leader or, with `answer`, the response to it."""
         delayed: tuple[Envelope, ...] = state.messages
         state.messages = ()
         self.send_heartbeat(state, one)
@@ -136,7 +136,7 @@
         state.messages = (*delayed, *envelopes)
 
     def _deliver_late(self, state: State, envelope: Envelope) -> None:
-        """It comes at last; the answer is lost."""
+        """Delivers a delayed message; the response is lost."""
         state.messages = tuple(one for one in state.messages if one != envelope)
         delayed: tuple[Envelope, ...] = state.messages
         sender, receiver, message = envelope
--- a/applehub/registry/model/invariants.py
+++ b/applehub/registry/model/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold in every state: one leader a term, one lease holder at a time, one log that all apply."""
+"""Invariants of every state: one leader per term, one lease holder at a time, and one committed log."""
 
 from applehub.registry.actions import Apply, Restore
 from applehub.registry.messages import LogEntry
@@ -8,11 +8,11 @@
 
 
 class InvariantError(AssertionError):
-    """A property that must hold does not."""
+    """An invariant is violated."""
 
 
 def check_replica(state: State, replica_id: int) -> None:
-    """What must hold whenever a replica has handled an event. Raises InvariantError."""
+    """Checks the invariants of a replica after an event. Raises InvariantError."""
     replica = state.replicas[replica_id]
     if replica.role is Role.LEADER:
         if state.leaders.setdefault(replica.term, replica_id) != replica_id:
@@ -23,22 +23,22 @@
 
 def _check_leader_has_committed(state: State, leader: Replica) -> None:
     for number, (entry, term) in enumerate(zip(state.committed, state.commit_terms, strict=True)):
-        if term > leader.term:  # a leader of before, which has not heard of its successor yet
+        if term > leader.term:  # an old leader that does not know its successor yet
             continue
         offset = number - leader.snapshot.last_index
         if offset >= 0 and (offset >= len(leader.log) or leader.log[offset] != entry):
-            raise InvariantError(f"the leader of term {leader.term} lacks what was committed at {number + 1}")
+            raise InvariantError(f"the leader of term {leader.term} lacks the committed entry {number + 1}")
 
 
 def check_leases(state: State) -> None:
-    """One lease holder at a time. Raises InvariantError."""
+    """Checks that at most one replica holds a lease. Raises InvariantError."""
     holders = [one.replica_id for one in state.replicas if one.is_lease_holder(state.now)]
     if len(holders) > 1:
         raise InvariantError(f"replicas {holders} hold leases at the same time")
 
 
 def record_applied(state: State, replica_id: int, action: Apply) -> None:
-    """A host applies an entry: the next one, and the same as all others. Raises InvariantError."""
+    """Records that a host applies an entry. Raises InvariantError if it is not the next committed entry."""
     entry = LogEntry(action.term, action.command)
     if action.log_index <= len(state.committed):
         if state.committed[action.log_index - 1] != entry:
@@ -47,18 +47,19 @@
         state.committed = (*state.committed, entry)
         state.commit_terms = (*state.commit_terms, state.replicas[replica_id].term)
     else:
-        raise InvariantError("an index was left out")
+        raise InvariantError("an index was skipped")
     if action.log_index != state.applied[replica_id] + 1:
         raise InvariantError(f"index {action.log_index} applied after {state.applied[replica_id]}")
     state.applied[replica_id] = action.log_index
 
 
 def record_restored(state: State, replica_id: int, action: Restore) -> None:
-    """A host takes up a snapshot: of what was committed, and not behind what it has. Raises
-    InvariantError."""
+    """Records that a host installs a snapshot.
+
+    Raises InvariantError if the snapshot differs from the committed log or is older than the host's state."""
     snapshot = action.snapshot
     if snapshot.last_index < state.applied[replica_id]:
-        raise InvariantError("a snapshot that goes back")
+        raise InvariantError("a snapshot is older than the applied state")
     state.applied[replica_id] = snapshot.last_index
     if snapshot.data != fold(state.committed[: snapshot.last_index]):
-        raise InvariantError("a snapshot that is not what was committed")
+        raise InvariantError("a snapshot differs from the committed log")
--- a/applehub/registry/model/mutants.py
+++ b/applehub/registry/model/mutants.py
@@ -1,4 +1,4 @@
-"""Replicas with a fault each, which the explorer must find."""
+"""Faulty replicas, each of which the model checker must detect."""
 
 from typing import NamedTuple
 
@@ -15,7 +15,7 @@
 
 
 class ForgetsVote(Replica):
-    """Stores its term and not whom it voted for."""
+    """Stores its term but not its vote."""
 
     def _save(
         self,
@@ -28,7 +28,7 @@
 
 
 class CommitsStale(Replica):
-    """Commits what a majority has whatever its term."""
+    """Commits entries of earlier terms by counting replicas."""
 
     def _advance_commit_index(self, actions: list[Action]) -> None:
         stored = sorted([self.last_index, *(one.match_index for one in self.progress.values())], reverse=True)
@@ -39,7 +39,7 @@
 
 
 class InstallsOverNewer(Replica):
-    """Takes up a snapshot although it has newer entries."""
+    """Installs a snapshot over newer entries."""
 
     def _install_snapshot(self, message: InstallSnapshot, changed: bool, actions: list[Action]) -> None:
         del changed
@@ -52,7 +52,7 @@
 
 
 class OverlongLease(Replica):
-    """Counts its lease from when an answer came, not from when it was asked for."""
+    """Starts its lease at the response instead of the request."""
 
     def _receive_entries_response(
         self, sender: int, response: AppendEntriesResponse, actions: list[Action]
@@ -61,7 +61,7 @@
 
 
 class VotesUnsaved(Replica):
-    """Votes while its disk refuses to keep the vote."""
+    """Grants votes while its disk refuses writes."""
 
     def _handle_unsaved(self, event: Event) -> list[Action]:
         if isinstance(event, MessageReceived) and isinstance(event.message, RequestVote):
@@ -70,7 +70,7 @@
 
 
 class AcknowledgesUnsaved(Replica):
-    """Acknowledges entries that its disk refuses to keep."""
+    """Acknowledges entries while its disk refuses writes."""
 
     def _handle_unsaved(self, event: Event) -> list[Action]:
         if isinstance(event, MessageReceived) and isinstance(event.message, AppendEntries):
@@ -79,14 +79,14 @@
 
 
 def _answer_unsaved(replica: Replica, event: MessageReceived) -> list[Action]:
-    """What the replica would do with a good disk, without the Saves."""
+    """Returns the actions of a replica with a working disk, without the Saves."""
     actions: list[Action] = []
-    replica._receive(event.sender, event.message, actions)  # noqa: SLF001 (of this module's own classes)
+    replica._receive(event.sender, event.message, actions)  # noqa: SLF001 (subclasses of this module)
     return [action for action in actions if not isinstance(action, Save)]
 
 
 class Mutant(NamedTuple):
-    """A class of replicas, and whether their hosts hold back what follows a Save."""
+    """A replica class, and whether its host delays the actions after a Save until the sync."""
 
     replica_class: type[Replica]
     holds_back: bool
--- a/applehub/registry/model/state.py
+++ b/applehub/registry/model/state.py
@@ -1,4 +1,4 @@
-"""The states of the model: replicas, disks, messages on their way, and what an observer remembers."""
+"""The state of the model: replicas, disks, messages in flight, and the history that invariants need."""
 
 import copy
 from dataclasses import dataclass, field, replace
@@ -16,43 +16,47 @@
 
 GROUP = (0, 1, 2)
 TIMING = Timing(heartbeat=0, election=10, lease=8, batch=1)
-LONG_AGO = 2 * TIMING.election + 1  # past that, how long ago something was makes no difference
+LONG_AGO = 2 * TIMING.election + 1  # older times are equivalent
 Envelope = tuple[int, int, Message]  # sender, receiver, message
 
 
 @dataclass(slots=True)
 class Bounds:
-    """What keeps the model finite."""
+    """The bounds that make the state space finite."""
 
     terms: int = 4
     proposals: int = 2
-    messages: int = 3  # on their way at once
-    delayed: int = 1  # coarse: delayed at once
+    messages: int = 3  # in flight at the same time
+    delayed: int = 1  # coarse model: delayed at the same time
     restarts: int = 2
-    refusals: int = 0  # times that a disk begins to refuse writes
+    refusals: int = 0  # number of times that a disk starts to refuse writes
 
 
 @dataclass(slots=True)
 class State:
-    """All replicas, disks and messages, and what an observer remembers."""
+    """All replicas, disks and messages, and the history of leaders and committed entries."""
 
     replicas: list[Replica]
     disks: list[StoredState]
-    unsynced: list[tuple[Action, ...]]  # what waits for a sync, by replica
-    applied: list[int] = field(default_factory=lambda: [0, 0, 0])  # index that each host has applied
+    unsynced: list[tuple[Action, ...]]  # actions that wait for a sync, by replica
+    applied: list[int] = field(
+        default_factory=lambda: [0, 0, 0]
+    )  # index of the last entry that each host applied
     messages: tuple[Envelope, ...] = ()
     now: int = 100
     proposals: int = 0
     restarts: int = 0
     refusals: int = 0
-    refusing: dict[int, bool] = field(default_factory=dict)  # disks, and whether a refused write is there
-    leaders: dict[int, int] = field(default_factory=dict)  # by term
+    refusing: dict[int, bool] = field(
+        default_factory=dict
+    )  # by disk: whether refused writes are stored anyway
+    leaders: dict[int, int] = field(default_factory=dict)  # replica by term
     committed: tuple[LogEntry, ...] = ()
-    commit_terms: tuple[int, ...] = ()  # of the leader that first committed each entry
+    commit_terms: tuple[int, ...] = ()  # term of the replica that first applied each entry
     trace: tuple[str, ...] = ()
 
     def clone(self) -> "State":
-        """A state that may be changed without changing this one."""
+        """Returns an independent copy of this state."""
         one = copy.copy(self)
         one.replicas = [_clone_replica(replica) for replica in self.replicas]
         one.disks = [replace(disk) for disk in self.disks]
@@ -63,7 +67,7 @@
         return one
 
     def key(self) -> object:
-        """Equal for states that behave alike: times count from now, and only as far as they matter."""
+        """Returns a key that is equal for equivalent states; times in it are relative to now and bounded."""
         return (
             tuple(_replica_key(replica, self.now) for replica in self.replicas),
             tuple((one.term, one.voted_for, one.snapshot, one.log) for one in self.disks),
@@ -80,11 +84,11 @@
         )
 
     def between(self, sender: int, receiver: int) -> tuple[Envelope, ...]:
-        """The messages on their way from one replica to another."""
+        """Returns the messages in flight from one replica to another."""
         return tuple(one for one in self.messages if one[:2] == (sender, receiver))
 
     def take(self, envelope: Envelope) -> None:
-        """Takes a message off its way."""
+        """Removes a message in flight."""
         at = self.messages.index(envelope)
         self.messages = self.messages[:at] + self.messages[at + 1 :]
 
@@ -100,7 +104,7 @@
 
 
 def _without_time(envelope: Envelope, now: int) -> Envelope:
-    """The message with its time counted from now."""
+    """Returns the envelope with times relative to now."""
     sender, receiver, message = envelope
     if isinstance(message, AppendEntries | AppendEntriesResponse | InstallSnapshot):
         return sender, receiver, message._replace(sent_at=_relative(message.sent_at, now))
@@ -123,5 +127,5 @@
 
 
 def fold(entries: tuple[LogEntry, ...]) -> bytes:
-    """The snapshot's data after these entries."""
+    """Returns the snapshot data after these entries."""
     return b"|".join(b"%d %s" % (entry.term, entry.command) for entry in entries)
--- a/applehub/registry/model/steps.py
+++ b/applehub/registry/model/steps.py
@@ -1,4 +1,4 @@
-"""How states follow one another: what hosts do with actions, and the steps that both grains have."""
+"""State transitions: how hosts execute actions, and the steps that both models have in common."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable, Iterator, Sequence
@@ -29,28 +29,28 @@
 
 
 class Model(ABC):
-    """The steps of a group whose replicas are of a class, within bounds."""
+    """The steps of a group of replicas of one class, within bounds."""
 
     def __init__(self, replica_class: type[Replica], bounds: Bounds, holds_back: bool = True) -> None:
-        """holds_back: whether the host holds what follows a Save until it is on disk, as it must."""
+        """holds_back: whether hosts delay the actions after a Save until it is on disk."""
         self.replica_class = replica_class
         self.bounds = bounds
         self.holds_back = holds_back
 
     @abstractmethod
     def steps(self, state: State) -> Iterator[Step]:
-        """All that may happen next."""
+        """Yields all possible next steps."""
 
     def first(self) -> State:
-        """The empty group."""
+        """Returns the state of a new group without stored data."""
         disks = [StoredState() for _ in GROUP]
         replicas = [self.replica_class(one, GROUP, TIMING, 0, replace(disks[one])) for one in GROUP]
         return State(replicas, disks, [() for _ in GROUP])
 
-    # What hosts do
+    # Behaviour of hosts
 
     def handle(self, state: State, replica_id: int, event: Event) -> None:
-        """Has a replica handle an event; what it wants done waits for its sync."""
+        """Passes an event to a replica; the resulting actions wait for the sync of its disk."""
         actions = tuple(state.replicas[replica_id].handle(state.now, event))
         check_replica(state, replica_id)
         unsynced = (*state.unsynced[replica_id], *actions)
@@ -63,7 +63,7 @@
             self.sync(state, replica_id)
 
     def sync(self, state: State, replica_id: int) -> None:
-        """The disk takes all that waits, or refuses it."""
+        """Syncs the disk: the waiting actions are executed, or the disk refuses the writes."""
         actions = state.unsynced[replica_id]
         state.unsynced[replica_id] = ()
         if replica_id in state.refusing and any(isinstance(one, Save) for one in actions):
@@ -72,13 +72,13 @@
             self.carry_out(state, replica_id, actions)
 
     def refuse_save(self, state: State, replica_id: int, actions: Sequence[Action]) -> None:
-        """The disk refuses what waits: the host sends nothing of it, and applies what the others have."""
+        """Handles refused writes: the host sends no messages but applies committed entries."""
         kinds = (Save, Apply, Restore) if state.refusing[replica_id] else (Apply, Restore)
         self.carry_out(state, replica_id, [one for one in actions if isinstance(one, kinds)])
         self.handle(state, replica_id, StorageFailed())
 
     def carry_out(self, state: State, replica_id: int, actions: Sequence[Action]) -> None:
-        """Does what a replica wants done, in order."""
+        """Executes the actions of a replica in order."""
         for action in actions:
             match action:
                 case Save():
@@ -93,7 +93,7 @@
     # Steps
 
     def restart(self, state: State, replica_id: int) -> None:
-        """Loses what was not synced, and all that it remembered."""
+        """Restarts a replica, which loses unsynced actions and its memory."""
         state.unsynced[replica_id] = ()
         state.restarts += 1
         disk = state.disks[replica_id]
@@ -101,51 +101,51 @@
         state.replicas[replica_id] = self.replica_class(replica_id, GROUP, TIMING, state.now, replace(disk))
 
     def compact(self, state: State, replica_id: int) -> None:
-        """The host makes a snapshot of what it has applied."""
+        """Compacts the log up to the last applied entry."""
         index = state.applied[replica_id]
         self.handle(state, replica_id, Compact(index, fold(state.committed[:index])))
 
     def propose(self, state: State, replica_id: int) -> None:
-        """A writer has a new command."""
+        """Proposes a new command."""
         state.proposals += 1
         self.handle(state, replica_id, Propose((b"p%d" % state.proposals,)))
 
     def wait(self, state: State) -> None:
-        """Time passes, and nobody looks at the clock."""
+        """Advances the time without ticks."""
         state.now += LONG_AGO
         check_leases(state)
 
     def time_out(self, state: State, replica_id: int) -> None:
-        """A replica's election timeout is over."""
+        """Advances the time to the election timeout of a replica."""
         state.now = max(state.now, state.replicas[replica_id].election_due)
         self.handle(state, replica_id, Tick(0.0))
 
     def send_heartbeat(self, state: State, replica_id: int) -> None:
-        """A leader's heartbeat is due."""
+        """Makes a leader send its heartbeats."""
         self.handle(state, replica_id, Tick(0.0))
 
     def deliver(self, state: State, envelope: Envelope, doubled: bool = False) -> None:
-        """A message arrives; doubled: and will once more."""
+        """Delivers a message; if doubled, it stays in flight and may be delivered again."""
         if not doubled:
             state.take(envelope)
         sender, receiver, message = envelope
         self.handle(state, receiver, MessageReceived(sender, message))
 
     def refuse(self, state: State, replica_id: int, written: bool) -> None:
-        """From now on the disk refuses each write; with `written`, the write is there all the same."""
+        """Makes a disk refuse writes; with `written`, refused writes are stored anyway."""
         state.refusals += 1
         state.refusing[replica_id] = written
 
     def accept(self, state: State, replica_id: int) -> None:
-        """The disk takes writes again."""
+        """Makes a disk accept writes again."""
         del state.refusing[replica_id]
 
     def retry_storage(self, state: State, replica_id: int) -> None:
-        """The host tries its disk again."""
+        """Makes the host retry its disk."""
         self.handle(state, replica_id, StorageRetried())
 
     def disk_steps(self, state: State, replica_id: int) -> Iterator[Step]:
-        """What may happen to a disk that refuses, or begins to."""
+        """Yields the steps of a disk that refuses writes or may start to."""
         if replica_id in state.refusing:
             yield f"accept {replica_id}", partial(self.accept, replica_id=replica_id)
         elif state.refusals < self.bounds.refusals:
@@ -155,7 +155,7 @@
             yield f"retry {replica_id}", partial(self.retry_storage, replica_id=replica_id)
 
     def common_steps(self, state: State) -> Iterator[Step]:
-        """Steps of one replica by itself."""
+        """Yields the steps that involve a single replica."""
         for replica_id in GROUP:
             replica = state.replicas[replica_id]
             yield from self.disk_steps(state, replica_id)
--- a/applehub/registry/replica.py
+++ b/applehub/registry/replica.py
@@ -1,19 +1,18 @@
-"""Agreement of the replicas on one log: Raft (Ongaro and Ousterhout, "In Search of an Understandable
-Consensus Algorithm", 2014; leases after Ongaro's thesis, 6.4.1), as a pure state machine.
+"""The Raft consensus algorithm (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm",
+2014; leases after Ongaro's thesis, 6.4.1) as a pure state machine.
 
-No I/O, no clock, no source of random numbers: time comes with each event (ns of a monotonic clock that may
-not be compared with another machine's), and so do random numbers. What comes out is a list of actions in
-order. The host must hold back everything that follows a Save until that Save is on disk; several may be
-synced at once. So a leader's own log is on disk before any other replica has an entry of it, and it may count
-itself among those that have stored it.
+It does no I/O and reads neither clocks nor random numbers: each event brings the time (nanoseconds of a
+monotonic clock, which is not comparable between machines) and the random numbers. Each event returns an
+ordered list of actions. The host must delay all actions after a Save until that Save is on disk; several
+Saves may be synced together. Hence the log of a leader is on disk before it is sent, and the leader counts
+itself among the replicas that have stored it.
 
-A disk may refuse a Save. Then the host drops the messages that follow it (the network may lose messages at
-any time), and the replica leads, votes and acknowledges no more. It goes on taking up what a leader sends, in
-memory alone, so that it can serve what a majority of the others has on disk, until a Save of its whole state
-succeeds.
+If the disk refuses a Save, the host drops the messages after it, and the replica neither leads, votes nor
+acknowledges entries. It continues to receive entries in memory, so that it can serve what a majority of the
+others has on disk, until a Save of its complete state succeeds.
 
-The lease holder is the leader for as long as a majority has answered it so lately that none of them votes
-for another yet. Past its lease a leader neither serves nor acknowledges."""
+A leader holds its lease while the latest responses of a majority are so recent that none of them votes for
+another candidate yet. Without its lease a leader neither serves nor acknowledges."""
 
 from dataclasses import dataclass
 
@@ -42,10 +41,12 @@
 
 @dataclass(slots=True)
 class Replica(Election):
-    """One replica: takes events, gives actions."""
+    """One replica: takes events and returns actions."""
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Takes an event at a time (ns of the own clock); gives what is to be done, in order."""
+        """Handles an event and returns the resulting actions in order.
+
+        now: time of the event, in nanoseconds of the monotonic clock of this replica."""
         self.now = max(self.now, now)
         if isinstance(event, StorageFailed):
             self.storage_failed = True
@@ -73,8 +74,10 @@
                 self._compact(event, actions)
 
     def _handle_unsaved(self, event: Event) -> list[Action]:
-        """Takes an event while the disk takes nothing: votes for none, acknowledges nothing, leads nobody.
-        What a leader says is committed is on the disks of a majority of the others, so it may be applied."""
+        """Handles an event while the disk refuses writes: sends no votes and no acknowledgements.
+
+        Entries that a leader reports as committed are on disk at a majority of the others, so they are
+        applied."""
         actions: list[Action] = []
         match event:
             case MessageReceived(sender, AppendEntries() | InstallSnapshot() as message):
--- a/applehub/registry/replica_state.py
+++ b/applehub/registry/replica_state.py
@@ -1,4 +1,4 @@
-"""The state of one replica and what can be read off it: terms, log, lease."""
+"""The state of one replica and the values derived from it: terms, log, lease."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -6,11 +6,11 @@
 from applehub.registry.actions import Action, Save, StoredState
 from applehub.registry.messages import NO_SNAPSHOT, LogEntry, Snapshot
 
-MILLI = 1_000_000  # ns
+MILLI = 1_000_000  # nanoseconds
 
 
 class Role(StrEnum):
-    """What a replica is in its term."""
+    """The role of a replica in its term."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -19,32 +19,33 @@
 
 @dataclass(slots=True, frozen=True)
 class Timing:
-    """Spans in ns. A follower that hears no leader for `election` to twice that long becomes a candidate; it
-    votes for none within `election` of hearing from a leader. The lease is shorter than that by what clocks
-    may drift apart."""
+    """Time spans in nanoseconds.
+
+    A follower without contact to a leader for `election` to 2 * `election` becomes a candidate. It grants no
+    vote within `election` after such contact. `lease` is shorter by more than the clock drift."""
 
     heartbeat: int = 50 * MILLI
     election: int = 500 * MILLI
     lease: int = 400 * MILLI
-    batch: int = 256  # entries of one message
+    batch: int = 256  # maximum entries of one message
 
 
 @dataclass(slots=True)
 class FollowerProgress:
-    """What a leader knows of a follower."""
+    """The replication progress of a follower, as the leader knows it."""
 
-    next_index: int  # of the entry to send next
-    match_index: int = 0  # up to where the follower's log is known to agree, on its disk
-    acknowledged_at: int = 0  # when the latest message was sent that it has answered in this term
-    sent_at: int = 0  # when it was last sent something
+    next_index: int  # index of the next entry to send
+    match_index: int = 0  # the follower has stored the same log up to here
+    acknowledged_at: int = 0  # send time of the latest acknowledged message
+    sent_at: int = 0  # time of the last message to the follower
 
 
 @dataclass(slots=True)
 class ReplicaState:
-    """One replica of a fixed group."""
+    """The state of one replica of a fixed group."""
 
     replica_id: int
-    members: tuple[int, ...]  # ids of the whole group
+    members: tuple[int, ...]  # ids of all replicas, including this one
     timing: Timing
     now: int
     stored: StoredState = field(default_factory=StoredState)
@@ -52,21 +53,25 @@
     term: int = 0
     voted_for: int | None = None
     snapshot: Snapshot = NO_SNAPSHOT
-    log: tuple[LogEntry, ...] = ()  # what follows the snapshot
+    log: tuple[LogEntry, ...] = ()  # entries after the snapshot
     commit_index: int = 0
-    last_applied: int = 0  # index of the last entry that was handed out to be applied
+    last_applied: int = 0  # index of the last entry returned in an Apply action
     leader: int | None = None
-    leader_contact: int = 0  # when it last heard from the leader of its term, or started
-    election_due: int = 0  # when it becomes a candidate
+    leader_contact: int = 0  # time of the last message from the leader, or of the start
+    election_due: int = 0  # time at which it becomes a candidate
     votes: frozenset[int] = frozenset()
-    pre_vote: bool = False  # as a candidate: it only asks whether it would be elected
+    pre_vote: bool = False  # whether a candidate is in the pre-vote phase
     leader_since: int = 0
-    progress: dict[int, FollowerProgress] = field(default_factory=dict)  # of the others, as leader
-    storage_failed: bool = False  # what is in memory may not be on disk, and the disk takes nothing
+    progress: dict[int, FollowerProgress] = field(
+        default_factory=dict
+    )  # of the followers; empty unless leader
+    storage_failed: bool = False  # the disk refused the last Save, so memory and disk may differ
 
     def __post_init__(self) -> None:
-        """Takes up what the disk holds. A replica that restarts has forgotten which leader it heard, whose
-        lease may still run: so it waits anew before it votes."""
+        """Restores the stored state.
+
+        A restarted replica does not know whether a leader still holds a lease, so it treats the start as
+        contact with a leader and grants no vote before the election timeout."""
         self.term = self.stored.term
         self.voted_for = self.stored.voted_for
         self.snapshot = self.stored.snapshot
@@ -78,21 +83,21 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry of the log."""
+        """Index of the last log entry."""
         return self.snapshot.last_index + len(self.log)
 
     @property
     def last_term(self) -> int:
-        """Term of the last entry of the log."""
+        """Term of the last log entry."""
         return self.log[-1].term if self.log else self.snapshot.last_term
 
     @property
     def majority(self) -> int:
-        """How many replicas are more than half of the group."""
+        """The number of replicas that form a majority of the group."""
         return len(self.members) // 2 + 1
 
     def term_at(self, index: int) -> int | None:
-        """The term of an entry; none: the log does not have it (any more)."""
+        """Returns the term of an entry, or None if the entry is not in the log or was compacted."""
         if index == self.snapshot.last_index:
             return self.snapshot.last_term
         if self.snapshot.last_index < index <= self.last_index:
@@ -100,17 +105,18 @@
         return None
 
     def lease_until(self) -> int:
-        """Until when no other replica can become leader, ns of the own clock; 0: it holds no lease."""
+        """Returns the end of the lease, in nanoseconds of the own clock; 0 without a lease."""
         if self.role is not Role.LEADER:
             return 0
         acknowledged = sorted((one.acknowledged_at for one in self.progress.values()), reverse=True)
-        needed = self.majority - 1  # beside itself
+        needed = self.majority - 1  # in addition to itself
         since = acknowledged[needed - 1] if needed else self.now
         return since + self.timing.lease if since else 0
 
     def is_lease_holder(self, now: int) -> bool:
-        """Whether it is the leader, holds its lease, and has committed an entry of its own term, so that it
-        knows all that any leader before it acknowledged."""
+        """Returns whether the replica is the leader, holds its lease, and has committed an entry of its term.
+
+        With such an entry its commit index covers all commands that earlier leaders acknowledged."""
         return self.lease_until() > now and self.term_at(self.commit_index) == self.term
 
     def _save(
@@ -120,15 +126,15 @@
         entries: tuple[LogEntry, ...] = (),
         snapshot: Snapshot | None = None,
     ) -> None:
-        """Has term, vote and these entries from `start` on written."""
+        """Requests a write of term, vote and the entries from `start` on."""
         actions.append(Save(self.term, self.voted_for, start, entries, snapshot))
 
     def _save_vote(self, actions: list[Action]) -> None:
-        """Has term and vote written; the log stays."""
+        """Requests a write of term and vote only."""
         self._save(actions, self.last_index + 1)
 
     def _become_follower(self, term: int, leader: int | None) -> None:
-        """Takes up a term, which begins without a vote where it is a new one."""
+        """Becomes a follower in a term; the vote is cleared if the term is new."""
         if term > self.term:
             self.term = term
             self.voted_for = None
--- a/applehub/registry/replication.py
+++ b/applehub/registry/replication.py
@@ -1,4 +1,4 @@
-"""How a leader's log gets to the others: AppendEntries, InstallSnapshot, the commit index, compaction."""
+"""Log replication: AppendEntries, InstallSnapshot, the commit index and compaction."""
 
 from dataclasses import dataclass
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class Replication(ReplicaState):
-    """The part of a replica that keeps logs alike."""
+    """The part of a replica that replicates the log."""
 
     # As leader
 
@@ -30,10 +30,10 @@
         self._save(actions, first, entries)
         for follower in self.progress:
             self._send_entries(follower, actions)
-        self._advance_commit_index(actions)  # in a group of one, its own disk is the majority
+        self._advance_commit_index(actions)  # a group of one commits without responses
 
     def _send_entries(self, follower: int, actions: list[Action]) -> None:
-        """Sends what a follower lacks, or a heartbeat where it lacks nothing."""
+        """Sends the entries that a follower lacks, or else a heartbeat."""
         progress = self.progress[follower]
         progress.sent_at = self.now
         prev_index = progress.next_index - 1
@@ -45,16 +45,16 @@
         entries = self.log[offset : offset + self.timing.batch]
         message = AppendEntries(self.term, prev_index, prev_term, entries, self.commit_index, self.now)
         actions.append(Send(follower, message))
-        progress.next_index += len(entries)  # assumed to arrive; a response without success brings it back
+        progress.next_index += len(entries)  # optimistic; reset by a response without success
 
     def _advance_commit_index(self, actions: list[Action]) -> None:
-        """Commits what a majority has on disk, as far as it is of this term (Raft, 5.4.2)."""
+        """Commits the entries that a majority has stored, up to the last one of this term (Raft, 5.4.2)."""
         stored = sorted([self.last_index, *(one.match_index for one in self.progress.values())], reverse=True)
         index = stored[self.majority - 1]
         if index > self.commit_index and self.term_at(index) == self.term:
             self.commit_index = index
             self._apply_committed(actions)
-            for follower in self.progress:  # followers serve what is committed, so they are notified at once
+            for follower in self.progress:  # followers serve reads, so they learn the index at once
                 self._send_entries(follower, actions)
 
     def _apply_committed(self, actions: list[Action]) -> None:
@@ -107,8 +107,10 @@
     def _receive_entries(
         self, message: AppendEntries, changed: bool, actions: list[Action]
     ) -> AppendEntriesResponse:
-        """Takes up entries; gives the response. changed: term or vote have to be saved in any case."""
-        if message.prev_index < self.snapshot.last_index:  # what is in the snapshot is committed, and agrees
+        """Appends the entries of a message and returns the response.
+
+        changed: whether term or vote changed, so that they are saved even without new entries."""
+        if message.prev_index < self.snapshot.last_index:  # the snapshot holds committed entries only
             skip = self.snapshot.last_index - message.prev_index
             message = message._replace(
                 prev_index=self.snapshot.last_index,
@@ -129,8 +131,9 @@
         return AppendEntriesResponse(self.term, True, match_index, message.sent_at)
 
     def _append(self, message: AppendEntries, changed: bool, actions: list[Action]) -> None:
-        """Takes up entries from where the logs differ; those that agree stay, since a late message may have
-        fewer."""
+        """Replaces the log from the first conflicting entry on.
+
+        Matching entries stay, because a delayed message may contain fewer entries than the log."""
         index = message.prev_index
         entries = message.entries
         while entries and self.term_at(index + 1) == entries[0].term:
@@ -148,7 +151,7 @@
             if changed:
                 self._save_vote(actions)
             return
-        # Entries past the snapshot stay where the log agrees with it.
+        # Entries after the snapshot are kept if the log matches the snapshot.
         agrees = self.term_at(snapshot.last_index) == snapshot.last_term
         self.log = self.log[snapshot.last_index - self.snapshot.last_index :] if agrees else ()
         self.snapshot = snapshot
@@ -159,8 +162,9 @@
     # In any role
 
     def _compact(self, event: Compact, actions: list[Action]) -> None:
-        """Puts a snapshot in place of the log up to its index. The host may be behind what was handed out to
-        be applied."""
+        """Replaces the log up to the index of a snapshot by the snapshot.
+
+        The index may be below `last_applied`, because the host may not have executed all Apply actions."""
         term = self.term_at(event.last_index)
         if term is None or not self.snapshot.last_index < event.last_index <= self.last_applied:
             return
--- a/applehub/registry/replies.py
+++ b/applehub/registry/replies.py
@@ -1,4 +1,4 @@
-"""Answers to writers and staff, as JSON."""
+"""JSON responses to writers and operators."""
 
 import time
 from collections.abc import Mapping
@@ -14,20 +14,20 @@
 from applehub.registry.host import NOT_LEASE_HOLDER, Host
 from applehub.registry.metrics import Metrics
 
-SECOND = 1_000_000_000  # ns
+SECOND = 1_000_000_000  # nanoseconds
 RETRY = {"Retry-After": "1"}
 
 
 def fresh_base() -> int:
-    """The version with which a list that is fresh begins: wall-clock seconds, a point in time and no span."""
+    """Returns the first version of a new list, which is derived from the wall clock."""
     return time.time_ns() // SECOND * BASE_STEP
 
 
 class Replies:
-    """Makes answers, and counts them."""
+    """Builds responses and counts them by status."""
 
     def __init__(self, config: Config, host: Host, metrics: Metrics) -> None:
-        """config: for the names of the group."""
+        """config: provides the names of the replicas."""
         self._names = sorted(config.peers)
         self._host = host
         self._metrics = metrics
@@ -35,20 +35,20 @@
     def json(
         self, status: int, content: Mapping[str, Any], headers: Mapping[str, str] | None = None
     ) -> web.Response:
-        """An answer with a body."""
+        """Returns a response with a JSON body."""
         self._metrics.writes.labels(str(int(status))).inc()
         body = orjson.dumps(content)
         return web.Response(status=status, body=body, content_type="application/json", headers=headers)
 
     def elsewhere(self, problem: str = NOT_LEASE_HOLDER) -> web.Response:
-        """The writer has to ask another replica, which the answer names where it is known."""
+        """Returns a 503 response that names the leader, if another replica is known to be it."""
         leader = self._host.replica.leader
         is_other = leader is not None and leader != self._host.options.replica_id
         primary = self._names[leader] if leader is not None and is_other and self._names else None
         return self.json(HTTPStatus.SERVICE_UNAVAILABLE, {"error": problem, "primary": primary}, RETRY)
 
     def invalid(self, error: ValidationError) -> web.Response:
-        """The body of a call has faults: all of them."""
+        """Returns a 400 response that lists all faults of a request body."""
         faults = [
             {"key": ".".join(map(str, one["loc"])) or "the whole", "expected": one["msg"]}
             for one in error.errors()
--- a/applehub/registry/server_leases.py
+++ b/applehub/registry/server_leases.py
@@ -1,11 +1,11 @@
-"""Which servers' leases have run out, and when not to believe it. Pure: times are ns of one monotonic clock,
-handed in.
+"""Expiry of server leases. This module reads no clock: times are parameters, in nanoseconds of one monotonic
+clock.
 
-Renewals are known to the group's lease holder alone; a new one gives each server a complete lease anew. A
-lease that has run out makes its server suspect, and after as long again gone.
+Renewals are kept in memory at the leader only; a new leader grants each server a complete lease. A server
+whose lease has expired becomes suspect, and is removed after another lease period.
 
-The brake: when more than a part of all leased servers would be suspect or gone at once, it is more likely the
-service that is cut off or stood still; nothing is taken out until enough have renewed again."""
+Expiry is paused while the leases of too large a fraction of the servers have expired, because then the list
+service itself was more likely partitioned or stalled. It resumes once enough servers have renewed."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -13,41 +13,41 @@
 from applehub.registry.commands import ServerState
 from applehub.registry.endpoint_list import ServerEntry
 
-MILLI = 1_000_000  # ns
-SECOND = 1_000_000_000  # ns
-STALL = SECOND  # ns; a gap between checks over which this process did not run: nobody could renew
+MILLI = 1_000_000  # nanoseconds
+SECOND = 1_000_000_000  # nanoseconds
+STALL = SECOND  # nanoseconds; a longer gap between checks means that this process was stalled
 
 
 class LeaseChanges(NamedTuple):
-    """Servers, by id, whose marks are to change."""
+    """The ids of the servers whose state is to change."""
 
     suspect: list[str]
     gone: list[str]
-    recovered: list[str]  # suspects that have renewed
+    recovered: list[str]  # suspect servers that have renewed
 
 
 @dataclass(slots=True)
 class ServerLeases:
-    """The leases as the group's lease holder knows them."""
+    """The server leases that the leader tracks."""
 
-    brake_part: float  # of all leased servers
-    brake_least: int  # and at least so many: below, none is too many
+    brake_part: float  # expiry is paused above this fraction of the leased servers
+    brake_least: int  # up to this many expired leases never pause expiry
     renewed_at: dict[str, int] = field(default_factory=dict)
     checked_at: int = 0
     braked: bool = False
 
     def begin(self, now: int, entries: dict[str, ServerEntry]) -> None:
-        """This replica is the group's lease holder from now on."""
+        """Grants each server a complete lease, because this replica has become the leader."""
         self.renewed_at = {uid: now for uid, entry in entries.items() if entry.lease_ms}
         self.checked_at = now
         self.braked = False
 
     def renew(self, now: int, uid: str) -> None:
-        """A server has renewed its lease."""
+        """Records a renewal by a server."""
         self.renewed_at[uid] = now
 
     def check(self, now: int, entries: dict[str, ServerEntry]) -> LeaseChanges:
-        """What has to change of the servers' marks."""
+        """Returns the servers that become suspect, are removed, or have recovered."""
         if now - self.checked_at > STALL:
             stalled = now - self.checked_at
             self.renewed_at = {uid: at + stalled for uid, at in self.renewed_at.items()}
--- a/applehub/registry/service.py
+++ b/applehub/registry/service.py
@@ -1,5 +1,5 @@
-"""The service over HTTP: `/api/targets` for routers as PROTOCOL has it, and a second address for writers and
-staff."""
+"""The HTTP service of a replica: one address for routers (`/api/targets`), another one for writers and
+operators."""
 
 import asyncio
 import contextlib
@@ -17,16 +17,16 @@
 from applehub.registry.lock_api import LockApi
 from applehub.registry.metrics import Metrics
 
-MAX_BODY = 1 << 16  # bytes of a writer's call
-KEEPALIVE = 75.0  # s that a connection may be idle: more than the longest watch
-SHUTDOWN_TIMEOUT = 0.5  # s for calls under way
+MAX_BODY = 1 << 16  # bytes of a request body
+KEEPALIVE = 75.0  # seconds; longer than the longest long poll
+SHUTDOWN_TIMEOUT = 0.5  # seconds for requests in progress
 
 
 class Service:
-    """One replica's two addresses."""
+    """Serves the HTTP APIs of one replica."""
 
     def __init__(self, config: Config, host: Host, events: EventWriter) -> None:
-        """Takes up the host's list. Needs a running event loop."""
+        """Needs a running event loop."""
         self.config = config
         self.host = host
         self.events = events
@@ -35,20 +35,20 @@
         self.list_api = ListApi(config, host, events, metrics)
         self.admin_api = AdminApi(config, self.list_api, metrics, self.lease_watch.leases)
         self.lock_api = LockApi(host, self.admin_api.replies)
-        self._version = host.endpoints.version  # up to which changes were logged
+        self._version = host.endpoints.version  # changes up to this version were logged
         self._listeners: list[Listener] = []
         self._runners: list[web.AppRunner] = []
         self._task: asyncio.Task[None] | None = None
         host.on_new_version = self._on_new_version
 
     def retune(self, config: Config) -> None:
-        """Takes up what may change while it runs: views, limits, leases."""
+        """Applies the settings that may change at run time: views, limits, leases."""
         self.config = config
         self.list_api.retune(config)
         self.lease_watch.retune(config.leases)
 
     async def start(self) -> tuple[str, str]:
-        """Listens; gives the addresses for routers and for staff. Raises OSError where it can't."""
+        """Starts to listen. Returns the addresses for routers and for operators. Raises OSError."""
         staff = web.Application(client_max_size=MAX_BODY)
         self.admin_api.add_routes(staff.router)
         self.lock_api.add_routes(staff.router)
@@ -74,7 +74,7 @@
         return f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Watches end with an answer; then the addresses close."""
+        """Answers all long polls and closes the listeners and connections."""
         if self._task is not None:
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -86,7 +86,7 @@
             await runner.cleanup()
 
     def _on_new_version(self) -> None:
-        """Logs changes, where this replica made them, and wakes the watchers."""
+        """Logs the changes if this replica is the leader, and wakes the watchers."""
         endpoints = self.host.endpoints
         if self.host.is_lease_holder():
             for change in endpoints.changes:
--- a/applehub/registry/store.py
+++ b/applehub/registry/store.py
@@ -1,17 +1,16 @@
-"""A replica's disk: SQLite with a rollback journal, synced at each commit, so that a batch of Saves is there
-complete or not at all. Each row carries a checksum of its own (crc32 over its key and content: in the
-standard library, and made for flipped bits), since SQLite has none of its pages.
+"""Persistent storage of a replica: a SQLite database with a rollback journal, synced at each commit, so that
+a batch of Saves is stored atomically. Each row has a CRC-32 over its key and content, because SQLite has no
+page checksums.
 
-Not a write-ahead log: SQLite takes a frame of it that does not add up for its end, so one flipped bit drops
-every later commit without a word, acknowledged ones too. With the journal, what was committed stands in the
-file itself, where the checksums find it; that costs a second sync.
+The write-ahead log mode is not used: SQLite treats a corrupt frame as the end of the log, so that one flipped
+bit would silently discard all later commits. With a rollback journal, committed data is in the database file,
+where the checksums cover it, at the cost of a second sync.
 
-A store that does not add up is refused, never served: the error names file, row and reason.
+A corrupt store is rejected with an error that names file, row and reason.
 
-A disk that takes no writes (it is full, or fails) is another matter: what is there stays good, so the same
-Saves are written again later, on a connection made anew, which undoes first what the failed write left. A
-write that failed may be on the disk all the same (only the last sync failed): Saves give the same when they
-are written twice."""
+If the disk refuses a write (for example because it is full), the stored data is intact and the same Saves are
+written again later on a new connection, which first rolls back the failed transaction. A failed write may be
+on disk nevertheless (if only the last sync failed), so Saves are idempotent."""
 
 import contextlib
 import errno
@@ -34,7 +33,7 @@
 CREATE TABLE IF NOT EXISTS snapshot
     (one INTEGER PRIMARY KEY, place INTEGER, term INTEGER, data BLOB, crc INTEGER);
 """
-# What passes by itself or by staff's hand: no room, a failing or read-only disk, no descriptors, no memory.
+# Errors that may be temporary: a full, failing or read-only disk, and a lack of descriptors or memory.
 REFUSALS = frozenset(
     {
         errno.ENOSPC, errno.EDQUOT, errno.EFBIG, errno.EIO, errno.EROFS, errno.EMFILE, errno.ENFILE,
@@ -47,11 +46,11 @@
         sqlite3.SQLITE_NOMEM, sqlite3.SQLITE_BUSY,
     }
 )  # fmt: skip
-PRIMARY_CODE = 0xFF  # mask: SQLite's extended codes say more in the bits above
+PRIMARY_CODE = 0xFF  # mask of the primary code in an extended SQLite error code
 
 
 def _store_error(path: Path, problem: OSError | sqlite3.Error) -> StoreError:
-    """The problem as an error of the package: refused for now, or of no use."""
+    """Converts an error to StoreRefusedError if it may be temporary, else to StoreError."""
     if isinstance(problem, OSError):
         refused = problem.errno in REFUSALS
         text = problem.strerror or str(problem)
@@ -70,7 +69,7 @@
 
 
 def _sync_folder(folder: Path) -> None:
-    """Has the names in a folder on disk. Raises OSError."""
+    """Syncs a directory, so that its file names are on disk. Raises OSError."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -79,11 +78,11 @@
 
 
 class ReplicaStore:
-    """The file of one replica, locked while it is open."""
+    """The database of one replica, locked while it is open."""
 
     def __init__(self, folder: Path) -> None:
-        """Raises StoreError where another process has it, or it is of no use; StoreRefusedError where the
-        disk refuses."""
+        """Opens the store. Raises StoreError if another process has locked it or it is corrupt, and
+        StoreRefusedError if the disk refuses access."""
         self.path = folder / "replica.sqlite"
         self._made = folder / "made"
         self._connection: sqlite3.Connection | None = None
@@ -102,15 +101,16 @@
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             self._connect()
-            _sync_folder(folder)  # the file's name, too
+            _sync_folder(folder)  # the new file names must be on disk, too
         except BlockingIOError as problem:
             raise StoreError(f"{folder}: another process has it") from problem
         except OSError as problem:
             raise _store_error(folder, problem) from problem
 
     def _connect(self) -> sqlite3.Connection:
-        """The connection, made anew after a failure: that undoes what a write has left half done. Raises
-        StoreError."""
+        """Returns the connection, or a new one after a failure. Opening rolls back an incomplete transaction.
+
+        Raises StoreError."""
         if self._connection is not None:
             return self._connection
         connection = None
@@ -131,7 +131,7 @@
         return connection
 
     def _disconnect(self) -> None:
-        """Closes the connection: the system takes its locks back, and the next one undoes what it began."""
+        """Closes the connection; the next connection rolls back an incomplete transaction."""
         connection = self._connection
         self._connection = None
         if connection is not None:
@@ -139,13 +139,13 @@
                 connection.close()
 
     def load(self) -> StoredState:
-        """All that was saved. Raises StoreError where a checksum, the order of entries or the format is
+        """Returns the stored state. Raises StoreError if a checksum, the order of entries or the format is
         wrong."""
         connection = self._connect()
         try:
             meta = self._load_meta(connection)
             if not meta:
-                self._check(not self._made.exists(), "it is empty, and was not")
+                self._check(not self._made.exists(), "it is empty, expected stored state")
                 return StoredState()
             self._check(meta.get("format") == FORMAT, f"format {meta.get('format')}, expected {FORMAT}")
             snapshot = self._load_snapshot(connection)
@@ -160,14 +160,14 @@
     def _load_meta(self, connection: sqlite3.Connection) -> dict[str, int]:
         meta: dict[str, int] = {}
         for name, value, checksum in connection.execute("SELECT name, value, crc FROM meta"):
-            self._check(checksum == _checksum(name, value), f"meta {name}")
+            self._check(checksum == _checksum(name, value), f"checksum mismatch in meta row {name!r}")
             meta[name] = value
         return meta
 
     def _load_snapshot(self, connection: sqlite3.Connection) -> Snapshot:
         snapshot = NO_SNAPSHOT
         for index, term, data, checksum in connection.execute("SELECT place, term, data, crc FROM snapshot"):
-            self._check(checksum == _checksum(index, term, data), "snapshot")
+            self._check(checksum == _checksum(index, term, data), "checksum mismatch in the snapshot")
             snapshot = Snapshot(index, term, data)
         return snapshot
 
@@ -175,20 +175,24 @@
         log = []
         rows = connection.execute("SELECT place, term, data, crc FROM log ORDER BY place")
         for expected, (index, term, command, checksum) in enumerate(rows, after + 1):
-            self._check(index == expected, f"log: index {index} where {expected} is due")
-            self._check(checksum == _checksum(index, term, command), f"log {index}")
+            self._check(index == expected, f"log index {index}, expected {expected}")
+            self._check(
+                checksum == _checksum(index, term, command), f"checksum mismatch in log entry {index}"
+            )
             log.append(LogEntry(term, command))
         return log
 
     def _check(self, holds: bool, what: str) -> None:
         if not holds:
-            raise StoreError(f"{self.path}: {what}: not what was written")
+            raise StoreError(f"{self.path}: corrupt store: {what}")
 
     def save(self, saves: Iterable[Save]) -> None:
-        """Writes a batch in one transaction; it is on disk on return. Raises StoreRefusedError where the disk
-        refuses: the batch is there complete or not at all; other StoreErrors where the store is of no use."""
+        """Writes a batch in one transaction, which is on disk on return.
+
+        Raises StoreRefusedError if the disk refuses, in which case the batch is stored completely or not at
+        all, and StoreError if the store is unusable."""
         try:
-            if not self._made.exists():  # from now on, an empty file is one that was lost
+            if not self._made.exists():  # marks that an empty database is lost data from now on
                 self._made.touch()
                 _sync_folder(self._made.parent)
         except OSError as problem:
@@ -232,6 +236,6 @@
         connection.executemany("INSERT OR REPLACE INTO meta VALUES (?, ?, ?)", rows)
 
     def close(self) -> None:
-        """Lets the file go."""
+        """Closes the database and releases its lock."""
         self._disconnect()
         self._lock.close()
--- a/applehub/registry/watchers.py
+++ b/applehub/registry/watchers.py
@@ -1,23 +1,23 @@
-"""Callers that wait for a change of the list, woken a few at a time."""
+"""Long polls that wait for a change of the list, woken in batches."""
 
 import asyncio
 import contextlib
 
-WAKE_BATCH = 64  # watchers woken in one turn of the loop, so that renewals and peers are not kept waiting
-WAKE_PAUSE = 0.1  # s after a round in which changes gather for the next: thousands of answers take as long
+WAKE_BATCH = 64  # watchers woken per event loop iteration, so that other tasks are not delayed
+WAKE_PAUSE = 0.1  # seconds between two rounds; changes in between are sent together
 
 
 class Watchers:
-    """Callers that wait for a newer version."""
+    """The requests that wait for a newer version of the list."""
 
     def __init__(self) -> None:
-        """Nobody waits. Needs a running event loop."""
+        """Needs a running event loop."""
         self.loop = asyncio.get_running_loop()
         self.waiting: dict[asyncio.Future[None], None] = {}
         self._waking = self._changed_since = False
 
     async def wait(self, seconds: float) -> None:
-        """Returns when there is a change, or the time is over."""
+        """Waits for a change, or until the time is over."""
         future: asyncio.Future[None] = self.loop.create_future()
         self.waiting[future] = None
         try:
@@ -27,7 +27,7 @@
             self.waiting.pop(future, None)
 
     def wake(self) -> None:
-        """There is a change: watchers are woken at once after a quiet time, else in the next round."""
+        """Wakes all watchers after a change: at once, or in the next round if one is in progress."""
         if self._waking:
             self._changed_since = True
         else:
--- a/applehub/registry/wire.py
+++ b/applehub/registry/wire.py
@@ -1,7 +1,7 @@
-"""Messages between replicas as JSON lines: the message's kind, its sender, its fields.
+"""The encoding of messages between replicas: JSON lines with the kind, the sender and the fields.
 
-Kinds and keys are those that replicas of earlier versions send and read; they differ from the names that the
-code uses. Commands and snapshots are UTF-8 texts, so they are sent as strings."""
+Kinds and keys are part of the wire protocol and differ from the names in the code. Commands and snapshots are
+UTF-8 text and are sent as strings."""
 
 from typing import Any
 
@@ -19,7 +19,7 @@
     Snapshot,
 )
 
-# By class: the kind, and a key for each field, in order.
+# The kind of each message class, and the keys of its fields in order.
 FORMS: dict[type[Message], tuple[str, tuple[str, ...]]] = {
     RequestVote: ("Ask", ("term", "trial", "last_index", "last_term")),
     RequestVoteResponse: ("Vote", ("term", "trial", "granted")),
@@ -31,7 +31,7 @@
 
 
 def encode(sender: int, message: Message) -> bytes:
-    """The line of a message."""
+    """Returns the encoded line of a message."""
     kind, keys = FORMS[type(message)]
     line: dict[str, object] = {"kind": kind, "from": sender, **dict(zip(keys, message, strict=True))}
     if isinstance(message, AppendEntries):
@@ -43,7 +43,7 @@
 
 
 def decode(line: bytes) -> tuple[int, Message]:
-    """The sender and the message. Raises MessageError."""
+    """Returns the sender and the message of a line. Raises MessageError."""
     try:
         fields = orjson.loads(line)
         sender = _number(fields.pop("from"))
@@ -51,14 +51,16 @@
         values = [_value(key, fields.pop(key)) for key in keys]
         message: Message = message_class(*values)
     except (ValueError, KeyError, TypeError, AttributeError) as problem:
-        raise MessageError(f"{line[:80]!r}: {type(problem).__name__}: {problem}") from problem
+        raise MessageError(
+            f"can't decode the message {line[:80]!r}: {type(problem).__name__}: {problem}"
+        ) from problem
     if fields:
-        raise MessageError(f"{line[:80]!r}: unknown keys {sorted(fields)}")
+        raise MessageError(f"message {line[:80]!r} has unknown keys {sorted(fields)}")
     return sender, message
 
 
 def _value(key: str, value: Any) -> Any:
-    """The value of a field. Raises ValueError and what it is made of."""
+    """Decodes the value of a field. Raises ValueError, TypeError or AttributeError."""
     if key == "entries":
         return tuple(LogEntry(_number(term), command.encode()) for term, command in value)
     if key == "snapshot":
@@ -68,6 +70,6 @@
 
 
 def _number(value: object) -> int:
-    if not isinstance(value, int):  # a truth value is one
-        raise TypeError(f"expected a number, got {value!r}")
+    if not isinstance(value, int):  # bool is accepted, as a subclass of int
+        raise TypeError(f"expected an integer, got {value!r}")
     return value
