--- a/applehub/registry/__main__.py
+++ b/applehub/registry/__main__.py
@@ -1,8 +1,10 @@
 """Runs one replica of the list service: `python -m applehub.registry CONFIG`.
 
 SIGTERM stops the replica. SIGHUP reloads the configuration file: views, limits and leases take effect
-immediately, all other settings at the next start. Events are written to standard output as JSON lines. The exit code is 2
-when the configuration is invalid or an address can't be listened on, and 3 when the store is unusable."""
+immediately, all other settings at the next start. Events are written to standard output as JSON lines.
+
+The exit code is 2 if the configuration is invalid or an address can't be listened on, and 3 if the store is
+unusable."""
 
 import asyncio
 import contextlib
@@ -15,16 +17,16 @@
 
 from applehub.events import EventKind, EventWriter
 from applehub.registry.config import Config, load
-from applehub.registry.descriptors import allow_callers
+from applehub.registry.descriptors import raise_descriptor_limit
 from applehub.registry.errors import ConfigError, StoreError, StoreRefusedError
 from applehub.registry.host import Host, HostOptions
 from applehub.registry.service import Service
 from applehub.registry.store import ReplicaStore
 
-START_PATIENCE = 60.0  # seconds for which opening the store is retried at startup
-START_PAUSE = 0.2  # seconds between attempts to open the store
-CONFIG_OF_NO_USE = 2
-DISK_OF_NO_USE = 3
+START_RETRY_TIMEOUT = 60.0  # seconds for which opening the store is retried at startup
+START_RETRY_DELAY = 0.2  # seconds between attempts to open the store
+EXIT_INVALID_CONFIG = 2
+EXIT_STORE_UNUSABLE = 3
 log = logging.getLogger("applehub.registry")
 
 
@@ -51,19 +53,19 @@
 
     Raises StoreError."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + START_PATIENCE
+    deadline = loop.time() + START_RETRY_TIMEOUT
     logged = False
     while not stopping.is_set():
         try:
             return make_host(config)
-        except StoreRefusedError as problem:
-            if loop.time() > end:
+        except StoreRefusedError as error:
+            if loop.time() > deadline:
                 raise
             if not logged:
-                log.warning("can't open the store: %s; retrying for %.0f s", problem, START_PATIENCE)
+                log.warning("can't open the store: %s; retrying for %.0f s", error, START_RETRY_TIMEOUT)
             logged = True
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(stopping.wait(), START_PAUSE)
+            await asyncio.wait_for(stopping.wait(), START_RETRY_DELAY)
     return None
 
 
@@ -71,16 +73,16 @@
     """Runs the replica until it is stopped. Raises StoreError, and OSError if it can't listen."""
     loop = asyncio.get_running_loop()
     stopping = asyncio.Event()
-    allow_callers(config.limits.callers)
+    raise_descriptor_limit(config.limits.callers)
     loop.add_signal_handler(signal.SIGTERM, stopping.set)
     host = await open_host(config, stopping)
     if host is None:
         return
     service = Service(config, host, events)
-    loop.add_signal_handler(signal.SIGHUP, reload, path, service, events)
+    loop.add_signal_handler(signal.SIGHUP, reload_config, path, service, events)
     await host.start()
-    listen, staff = await service.start()
-    events.write(EventKind.READY, address=listen, staff=staff, version=host.endpoints.version)
+    router_address, admin_address = await service.start()
+    events.write(EventKind.READY, address=router_address, staff=admin_address, version=host.endpoints.version)
     host.failed.add_done_callback(lambda _: stopping.set())
     await stopping.wait()
     await service.stop()
@@ -89,15 +91,15 @@
         host.failed.result()
 
 
-def reload(path: Path, service: Service, events: EventWriter) -> None:
+def reload_config(path: Path, service: Service, events: EventWriter) -> None:
     """Reloads the configuration file; an invalid file changes nothing."""
     try:
         config = load(path)
-    except ConfigError as problem:
-        events.write(EventKind.CONFIG_RELOADED, taken=False, why=str(problem))
+    except ConfigError as error:
+        events.write(EventKind.CONFIG_RELOADED, taken=False, why=str(error))
         return
-    allow_callers(config.limits.callers)
-    service.retune(config)
+    raise_descriptor_limit(config.limits.callers)
+    service.update_config(config)
     events.write(EventKind.CONFIG_RELOADED, taken=True)
 
 
@@ -109,19 +111,19 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # ignored until the service can reload
     try:
         config = load(file)
-    except ConfigError as problem:
-        click.echo(str(problem), err=True)
-        sys.exit(CONFIG_OF_NO_USE)
+    except ConfigError as error:
+        click.echo(str(error), err=True)
+        sys.exit(EXIT_INVALID_CONFIG)
     events = EventWriter(sys.stdout.buffer, config.name, 0)
     try:
         asyncio.run(serve(config, file, events))
-    except StoreError as problem:
-        events.write(EventKind.STORE_DAMAGED, why=str(problem))
-        click.echo(str(problem), err=True)
-        sys.exit(DISK_OF_NO_USE)
-    except OSError as problem:
-        click.echo(f"{file}: can't listen: {problem.strerror or problem}", err=True)
-        sys.exit(CONFIG_OF_NO_USE)
+    except StoreError as error:
+        events.write(EventKind.STORE_DAMAGED, why=str(error))
+        click.echo(str(error), err=True)
+        sys.exit(EXIT_STORE_UNUSABLE)
+    except OSError as error:
+        click.echo(f"{file}: can't listen: {error.strerror or error}", err=True)
+        sys.exit(EXIT_INVALID_CONFIG)
 
 
 if __name__ == "__main__":
--- a/applehub/registry/admin_api.py
+++ b/applehub/registry/admin_api.py
@@ -16,7 +16,7 @@
 from applehub.registry.list_api import ListApi
 from applehub.registry.metrics import Metrics
 from applehub.registry.replica_state import MILLI
-from applehub.registry.replies import Replies, fresh_base
+from applehub.registry.replies import Replies, initial_version
 from applehub.registry.server_leases import SECOND, ServerLeases
 
 ERRORS = {
@@ -63,15 +63,15 @@
         router.add_get("/v1/status", self.status)
         router.add_get("/metrics", self.scrape)
 
-    async def _agree(self, command: Command) -> web.Response:
+    async def _propose(self, command: Command) -> web.Response:
         """Proposes a command and returns its result as a response."""
         try:
             result = await self._host.propose(command)
-        except NotLeaseHolderError as problem:
-            return self.replies.elsewhere(str(problem))
-        return self._answer(result)
+        except NotLeaseHolderError as error:
+            return self.replies.not_leader(str(error))
+        return self._response(result)
 
-    def _answer(self, result: CommandResult) -> web.Response:
+    def _response(self, result: CommandResult) -> web.Response:
         content: dict[str, object] = {"version": result.list_version, "entry": result.entry_version}
         if result.status in ERRORS:
             content["error"] = ERRORS[result.status]
@@ -85,8 +85,8 @@
         except ValidationError as error:
             return self.replies.invalid(error)
         except ValueError:
-            problem = "expected: expected a whole number"
-            return self.replies.json(HTTPStatus.BAD_REQUEST, {"error": problem})
+            message = "expected: expected a whole number"
+            return self.replies.json(HTTPStatus.BAD_REQUEST, {"error": message})
         uid = request.match_info["uid"]
         command = PutServer(
             uid=uid,
@@ -95,9 +95,9 @@
             state=ServerState(registration.state),
             lease_ms=registration.lease_ms,
             expected=expected,
-            base=fresh_base(),
+            base=initial_version(),
         )
-        answer = await self._agree(command)
+        answer = await self._propose(command)
         if answer.status == HTTPStatus.OK:
             self._leases.renew(time.monotonic_ns(), uid)
         return answer
@@ -108,7 +108,7 @@
         Renewals are kept in memory at the leader only, so they are not replicated."""
         uid = request.match_info["uid"]
         if not self._host.is_lease_holder():
-            return self.replies.elsewhere()
+            return self.replies.not_leader()
         version = self._host.endpoints.version
         entry = self._host.endpoints.entries.get(uid)
         if entry is None or entry.state is ServerState.GONE:
@@ -127,12 +127,12 @@
             content = {"error": f"expected state: one of {states}"}
             return self.replies.json(HTTPStatus.BAD_REQUEST, content)
         uid = request.match_info["uid"]
-        return await self._agree(SetState(uid=uid, state=state, expected=expected, base=fresh_base()))
+        return await self._propose(SetState(uid=uid, state=state, expected=expected, base=initial_version()))
 
     async def delete(self, request: web.Request) -> web.Response:
         """Sets the state of a server to Gone."""
         uid = request.match_info["uid"]
-        return await self._agree(SetState(uid=uid, state=ServerState.GONE, base=fresh_base()))
+        return await self._propose(SetState(uid=uid, state=ServerState.GONE, base=initial_version()))
 
     async def servers(self, _: web.Request) -> web.Response:
         """Returns all entries with their versions."""
@@ -153,8 +153,8 @@
         content = {
             "name": self._name, "role": replica.role, "primary": host.is_lease_holder(),
             "term": replica.term, "version": host.endpoints.version, "commit": replica.commit_index,
-            "applied": host.applied_index, "log": len(replica.log), "callers": self._list_api.callers,
-            "staleness_ms": host.staleness() // MILLI, "braked": self._leases.braked,
+            "applied": host.applied_index, "log": len(replica.log), "callers": self._list_api.active_requests,
+            "staleness_ms": host.staleness() // MILLI, "braked": self._leases.expiry_paused,
             "disk_refuses": host.disk_refuses,
         }  # fmt: skip
         return self.replies.json(HTTPStatus.OK, content)
@@ -167,7 +167,7 @@
         metrics.servers.set(sum(one.state is not ServerState.GONE for one in endpoints.entries.values()))
         metrics.watchers.set(len(self._list_api.watchers.waiting))
         metrics.primary.set(self._host.is_lease_holder())
-        metrics.braked.set(self._leases.braked)
+        metrics.expiry_paused.set(self._leases.expiry_paused)
         metrics.disk_refuses.set(self._host.disk_refuses)
         metrics.staleness.set(self._host.staleness() / SECOND)
         return web.Response(body=metrics.text(), content_type="text/plain")
--- a/applehub/registry/admission.py
+++ b/applehub/registry/admission.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 
-class Admitted(NamedTuple):
+class AdmissionDecision(NamedTuple):
     """The wait before a request is answered or, if it is rejected, the time after which it may be retried.
 
     Both are in seconds."""
@@ -16,17 +16,17 @@
 class Admission:
     """Admits requests at evenly spaced times; each request reserves the next free slot."""
 
-    def __init__(self, per_second: float, patience: float, now: Callable[[], float]) -> None:
-        """patience: maximum wait of a request, in seconds. now: a monotonic clock, in seconds."""
+    def __init__(self, per_second: float, max_wait: float, now: Callable[[], float]) -> None:
+        """max_wait: maximum wait of a request, in seconds. now: a monotonic clock, in seconds."""
         self.interval = 1 / per_second
-        self.patience = patience
+        self.max_wait = max_wait
         self.now = now
-        self.free_at = 0.0
+        self.next_slot_at = 0.0
 
-    def admit(self) -> Admitted:
+    def admit(self) -> AdmissionDecision:
         """Reserves a slot, or rejects the request if the wait for the slot would be too long."""
-        wait = max(0.0, self.free_at - self.now())
-        if wait > self.patience:
-            return Admitted(0.0, wait)
-        self.free_at = max(self.free_at, self.now()) + self.interval
-        return Admitted(wait, 0.0)
+        wait = max(0.0, self.next_slot_at - self.now())
+        if wait > self.max_wait:
+            return AdmissionDecision(0.0, wait)
+        self.next_slot_at = max(self.next_slot_at, self.now()) + self.interval
+        return AdmissionDecision(wait, 0.0)
--- a/applehub/registry/commands.py
+++ b/applehub/registry/commands.py
@@ -108,7 +108,7 @@
             content["uids"] = tuple(content["uids"])
         known = {field.name for field in fields(command_class)}
         return command_class(**{key: value for key, value in content.items() if key in known})
-    except (ValueError, KeyError, TypeError, AttributeError) as problem:
+    except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise CommandError(
-            f"can't decode the command {data[:80]!r}: {type(problem).__name__}: {problem}"
-        ) from problem
+            f"can't decode the command {data[:80]!r}: {type(error).__name__}: {error}"
+        ) from error
--- a/applehub/registry/election.py
+++ b/applehub/registry/election.py
@@ -29,7 +29,7 @@
         self.election_due = self.now + int(self.timing.election * (1 + jitter))
 
     def _start_pre_vote(self, actions: list[Action]) -> None:
-        """Asks whether it would win an election. A pre-vote changes neither term nor vote, so nothing is saved."""
+        """Asks whether it would win an election. This changes neither term nor vote, so nothing is saved."""
         self.role = Role.CANDIDATE
         self.leader = None
         self.pre_vote = True
@@ -70,8 +70,12 @@
 
         Within the minimum election timeout after contact with a leader, a replica ignores candidates and
         their terms (Ongaro's thesis, 4.2.3); so does a leader that holds its lease."""
-        leads = self.role is Role.LEADER
-        if self.lease_until() > self.now if leads else self.now - self.leader_contact < self.timing.election:
+        is_leader = self.role is Role.LEADER
+        if (
+            self.lease_until() > self.now
+            if is_leader
+            else self.now - self.leader_contact < self.timing.election
+        ):
             return
         up_to_date = (request.last_term, request.last_index) >= (self.last_term, self.last_index)
         if request.pre_vote:
@@ -79,7 +83,7 @@
             term = request.term if granted else self.term
             actions.append(Send(sender, RequestVoteResponse(term, True, granted)))
             return
-        before = (self.term, self.voted_for)
+        previous = (self.term, self.voted_for)
         if request.term > self.term:
             self._become_follower(request.term, None)
         may_vote = self.role is Role.FOLLOWER and self.voted_for in (None, sender)
@@ -87,7 +91,7 @@
         if granted:
             self.voted_for = sender
             self.election_due = self.now + 2 * self.timing.election
-        if (self.term, self.voted_for) != before:
+        if (self.term, self.voted_for) != previous:
             self._save_vote(actions)
         actions.append(Send(sender, RequestVoteResponse(self.term, False, granted)))
 
--- a/applehub/registry/endpoint_list.py
+++ b/applehub/registry/endpoint_list.py
@@ -24,7 +24,7 @@
 )
 from applehub.registry.locks import Lock, next_lock
 
-BASE_STEP = 1 << 20  # the first version of a list is the Unix time in seconds multiplied by this
+VERSIONS_PER_SECOND = 1 << 20  # the first version of a list is the Unix time in seconds multiplied by this
 
 
 @dataclass(slots=True)
@@ -110,12 +110,12 @@
 
     def _put(self, command: PutServer) -> CommandResult:
         """Registers or updates a server. An identical command changes nothing."""
-        before = self.entries.get(command.uid)
+        previous = self.entries.get(command.uid)
         entry = ServerEntry(command.uid, command.fields, command.endpoints, command.lease_ms, command.state)
-        if before is not None and _same_content(before, entry):
-            before.suspect = False
-            return self._done(before.version)
-        if (conflict := self._conflict(before, command.expected)) is not None:
+        if previous is not None and _same_content(previous, entry):
+            previous.suspect = False
+            return self._done(previous.version)
+        if (conflict := self._conflict(previous, command.expected)) is not None:
             return conflict
         self.entries[entry.uid] = entry
         self._record_change(entry, entry.state, command)
@@ -134,10 +134,10 @@
 
     def _set_lock(self, command: SetLock) -> CommandResult:
         """Changes the holder of a lock. The list version stays, because routers don't read locks."""
-        before = self.locks.get(command.name)
-        lock = next_lock(before, command)
+        previous = self.locks.get(command.name)
+        lock = next_lock(previous, command)
         if lock is None:
-            return CommandResult(HTTPStatus.CONFLICT, self.version, before.fence if before else 0)
+            return CommandResult(HTTPStatus.CONFLICT, self.version, previous.fence if previous else 0)
         self.locks[command.name] = lock
         return self._done(lock.fence)
 
--- a/applehub/registry/host.py
+++ b/applehub/registry/host.py
@@ -38,8 +38,10 @@
 from applehub.registry.store import ReplicaStore
 
 TICK_INTERVAL = 0.02  # seconds; must be well below the heartbeat interval
-MAX_LINE = 64 << 20  # bytes of a message between replicas; the largest contain a snapshot
-STORAGE_PAUSE = 0.2  # seconds between attempts to write to a disk that refuses; shorter than an election
+MAX_MESSAGE_SIZE = 64 << 20  # bytes of a message between replicas; the largest contain a snapshot
+STORAGE_RETRY_DELAY = (
+    0.2  # seconds between attempts to write to a disk that refuses; shorter than an election
+)
 NOT_LEASE_HOLDER = "not the primary"  # in responses to writers
 log = logging.getLogger("applehub.registry")
 
@@ -82,13 +84,13 @@
         self.disk_refuses = False
         self._pending: dict[int, _Pending] = {}  # commands proposed here, by log index
         self._proposals: list[tuple[bytes, asyncio.Future[CommandResult]]] = []
-        self._waiting: list[Action] = []  # queued until the sync in progress ends
+        self._queued: list[Action] = []  # queued until the sync in progress ends
         self._syncing = False
-        self._sync_began_at = 0  # nanoseconds of the monotonic clock
-        self._unsaved: list[Action] = []  # deferred until the disk accepts writes again
+        self._sync_started_at = 0  # nanoseconds of the monotonic clock
+        self._deferred: list[Action] = []  # deferred until the disk accepts writes again
         self._storage_retry: asyncio.TimerHandle | None = None
         self._stopping = False
-        self._has_own_term = False  # whether an entry of a term of this process is applied
+        self._applied_own_term = False  # whether an entry of a term of this process is applied
         self._disk = ThreadPoolExecutor(1, "disk")
         self._peers = {
             member: PeerConnection(address)
@@ -141,13 +143,13 @@
         """Returns the time, in nanoseconds, since this replica was known to be up to date; 0 at the leader.
 
         It is also 0 in a group of one while the disk refuses writes, since no other replica can commit."""
-        alone = not self._peers and self._has_own_term
-        if alone or self.is_lease_holder():
+        is_single = not self._peers and self._applied_own_term
+        if is_single or self.is_lease_holder():
             return 0
-        known_at = self.replica.leader_contact
+        current_at = self.replica.leader_contact
         if self._syncing:  # messages received since then wait for the sync
-            known_at = min(known_at, self._sync_began_at)
-        return time.monotonic_ns() - known_at
+            current_at = min(current_at, self._sync_started_at)
+        return time.monotonic_ns() - current_at
 
     async def propose(self, command: Command) -> CommandResult:
         """Proposes a command and returns its result once it is committed and applied. Raises
@@ -157,10 +159,10 @@
         answer: asyncio.Future[CommandResult] = self.loop.create_future()
         self._proposals.append((commands.encode(command), answer))
         if len(self._proposals) == 1:
-            self.loop.call_soon(self._propose_gathered)
+            self.loop.call_soon(self._propose_batch)
         return await answer
 
-    def _propose_gathered(self) -> None:
+    def _propose_batch(self) -> None:
         """Proposes all commands of one iteration of the event loop as a batch."""
         proposals = self._proposals
         self._proposals = []
@@ -172,54 +174,54 @@
                 self._pending[proposed.first_index + number] = _Pending(proposed.term, answer)
             elif not answer.done():
                 answer.set_exception(NotLeaseHolderError(NOT_LEASE_HOLDER))
-        self._carry_out_in_order(actions)
+        self._enqueue(actions)
 
     # Events and actions
 
     def handle(self, event: Event) -> None:
         """Passes an event to the replica and executes the resulting actions."""
-        self._carry_out_in_order(self.replica.handle(time.monotonic_ns(), event))
+        self._enqueue(self.replica.handle(time.monotonic_ns(), event))
 
-    def _carry_out_in_order(self, actions: Sequence[Action]) -> None:
-        self._waiting += actions
+    def _enqueue(self, actions: Sequence[Action]) -> None:
+        self._queued += actions
         if not self._syncing:
-            self._continue()
+            self._execute_queued()
 
-    def _continue(self) -> None:
+    def _execute_queued(self) -> None:
         """Executes the queued actions up to the first Save, and then syncs all queued Saves together."""
-        waiting = self._waiting
-        self._waiting = []
-        first = next((n for n, action in enumerate(waiting) if isinstance(action, Save)), len(waiting))
-        self._carry_out(waiting[:first])
-        if first < len(waiting):
+        queued = self._queued
+        self._queued = []
+        first = next((n for n, action in enumerate(queued) if isinstance(action, Save)), len(queued))
+        self._execute(queued[:first])
+        if first < len(queued):
             self._syncing = True
-            self._sync_began_at = time.monotonic_ns()
-            rest = waiting[first:]
+            self._sync_started_at = time.monotonic_ns()
+            rest = queued[first:]
             saves = [action for action in rest if isinstance(action, Save)]
             done = self.loop.run_in_executor(self._disk, self.store.save, saves)
             done.add_done_callback(lambda future: self._on_synced(future, rest))
 
     def _on_synced(self, future: "asyncio.Future[None]", rest: list[Action]) -> None:
-        problem = None if future.cancelled() else future.exception()
-        if isinstance(problem, StoreRefusedError):
+        failure = None if future.cancelled() else future.exception()
+        if isinstance(failure, StoreRefusedError):
             self._syncing = False
-            self._on_refused(problem, rest)
+            self._on_write_refused(failure, rest)
             return
-        if problem is not None:
+        if failure is not None:
             # Actions after the Save must not run; the process exits and restarts from the store.
             if not self.failed.done():
-                error = problem if isinstance(problem, StoreError) else StoreError(str(problem))
+                error = failure if isinstance(failure, StoreError) else StoreError(str(failure))
                 self.failed.set_exception(error)
             return
         self._syncing = False
         if self.disk_refuses:
             self.disk_refuses = False
             log.warning("the disk accepts writes again")
-        self._carry_out(rest)
+        self._execute(rest)
         if not self._syncing:
-            self._continue()
+            self._execute_queued()
 
-    def _on_refused(self, problem: StoreRefusedError, rest: list[Action]) -> None:
+    def _on_write_refused(self, error: StoreRefusedError, rest: list[Action]) -> None:
         """Handles a refused write.
 
         Until the disk accepts writes again, this replica neither leads, votes nor acknowledges entries. It
@@ -227,33 +229,33 @@
         if not self.disk_refuses:
             self.disk_refuses = True
             log.warning(
-                "write refused: %s; no votes and no acknowledgements until the disk accepts writes", problem
+                "write refused: %s; no votes and no acknowledgements until the disk accepts writes", error
             )
-        committed: list[Action] = [one for one in (*rest, *self._waiting) if isinstance(one, Apply | Restore)]
-        self._waiting = []
+        committed: list[Action] = [one for one in (*rest, *self._queued) if isinstance(one, Apply | Restore)]
+        self._queued = []
         self.handle(StorageFailed())
         if self._peers:  # a majority of the other replicas has these on disk
-            self._carry_out(committed)
+            self._execute(committed)
         else:
-            self._unsaved = committed
+            self._deferred = committed
         self._reject_pending("the disk refuses writes")
         if not self._stopping:
-            self._storage_retry = self.loop.call_later(STORAGE_PAUSE, self._retry_storage)
+            self._storage_retry = self.loop.call_later(STORAGE_RETRY_DELAY, self._retry_storage)
 
     def _retry_storage(self) -> None:
         """Writes the complete state; all later actions wait until it is on disk."""
-        unsaved = self._unsaved
-        self._unsaved = []
-        self._carry_out_in_order([*self.replica.handle(time.monotonic_ns(), StorageRetried()), *unsaved])
+        deferred = self._deferred
+        self._deferred = []
+        self._enqueue([*self.replica.handle(time.monotonic_ns(), StorageRetried()), *deferred])
 
-    def _reject_pending(self, why: str) -> None:
+    def _reject_pending(self, reason: str) -> None:
         """Fails all pending commands. They may still be committed; a retry by the writer finds the result."""
         for pending in self._pending.values():
             if not pending.answer.done():
-                pending.answer.set_exception(NotLeaseHolderError(why))
+                pending.answer.set_exception(NotLeaseHolderError(reason))
         self._pending.clear()
 
-    def _carry_out(self, actions: Sequence[Action]) -> None:
+    def _execute(self, actions: Sequence[Action]) -> None:
         version = self.endpoints.version
         for action in actions:
             match action:
@@ -273,7 +275,7 @@
     def _apply(self, action: Apply) -> None:
         result = self.endpoints.apply(action.command)
         self.applied_index = action.log_index
-        self._has_own_term = self._has_own_term or action.term == self.replica.term
+        self._applied_own_term = self._applied_own_term or action.term == self.replica.term
         pending = self._pending.pop(action.log_index, None)
         if pending is not None and not pending.answer.done():
             if pending.term == action.term:
@@ -289,7 +291,7 @@
                 self._reject_pending("no longer the primary")
 
     def _peer_protocol(self) -> asyncio.StreamReaderProtocol:
-        reader = asyncio.StreamReader(MAX_LINE, self.loop)
+        reader = asyncio.StreamReader(MAX_MESSAGE_SIZE, self.loop)
         return asyncio.StreamReaderProtocol(reader, self._receive, self.loop)
 
     async def _receive(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -300,8 +302,8 @@
                 sender, message = wire.decode(line)
                 if sender in self._peers:
                     self.handle(MessageReceived(sender, message))
-        except (OSError, ValueError) as problem:
-            log.warning("closing a peer connection, can't read a message: %s", problem)
+        except (OSError, ValueError) as error:
+            log.warning("closing a peer connection, can't read a message: %s", error)
         finally:
             self._incoming.discard(writer)
             writer.close()
--- a/applehub/registry/lease_watch.py
+++ b/applehub/registry/lease_watch.py
@@ -25,11 +25,11 @@
         self._events = events
         self._was_lease_holder = False
 
-    def retune(self, config: Leases) -> None:
+    def update_config(self, config: Leases) -> None:
         """Applies a new configuration."""
         self._config = config
-        self.leases.brake_part = config.brake_part
-        self.leases.brake_least = config.brake_least
+        self.leases.pause_fraction = config.brake_part
+        self.leases.pause_minimum = config.brake_least
 
     async def run(self) -> None:
         """Runs until it is cancelled."""
@@ -42,15 +42,15 @@
                 event = EventKind.LEADERSHIP_WON if is_lease_holder else EventKind.LEADERSHIP_LOST
                 self._events.write(event, term=self._host.replica.term)
                 if is_lease_holder:
-                    self.leases.begin(now, self._host.endpoints.entries)
+                    self.leases.reset(now, self._host.endpoints.entries)
             if is_lease_holder:
                 await self._check(now)
 
     async def _check(self, now: int) -> None:
-        braked = self.leases.braked
+        was_paused = self.leases.expiry_paused
         suspect, gone, recovered = self.leases.check(now, self._host.endpoints.entries)
-        if self.leases.braked is not braked:
-            self._events.write(EventKind.EXPIRY_PAUSED, on=self.leases.braked)
+        if self.leases.expiry_paused is not was_paused:
+            self._events.write(EventKind.EXPIRY_PAUSED, on=self.leases.expiry_paused)
         try:
             if suspect:
                 await self._host.propose(SetSuspect(on=True, uids=tuple(suspect)))
@@ -58,5 +58,5 @@
                 await self._host.propose(SetSuspect(on=False, uids=tuple(recovered)))
             if gone:
                 await self._host.propose(RemoveSuspects(uids=tuple(gone)))
-        except NotLeaseHolderError as problem:
-            log.warning("expired leases are left to the next leader: %s", problem)
+        except NotLeaseHolderError as error:
+            log.warning("expired leases are left to the next leader: %s", error)
--- a/applehub/registry/list_api.py
+++ b/applehub/registry/list_api.py
@@ -15,18 +15,18 @@
 from applehub.registry.replica_state import MILLI
 from applehub.registry.watchers import Watchers
 
-MAX_HOLD = 60.0  # seconds; given by the protocol
-CATCH_UP = 1.0  # seconds that a follower waits for a version that the router has from another replica
-CROWDED_RETRY = 2.0  # Retry-After, in seconds, for requests above the limit
+MAX_WAIT = 60.0  # seconds; given by the protocol
+CATCH_UP_TIMEOUT = 1.0  # seconds that a follower waits for a version that the router has from another replica
+OVERLOAD_RETRY_AFTER = 2.0  # Retry-After, in seconds, for requests above the limit
 
 
-class _Call(NamedTuple):
+class _ListRequest(NamedTuple):
     """The parsed request of a router."""
 
     name: str  # the view of the router, or else its address
     view: str
     since: int | None  # the version that the router has
-    hold: float  # maximum wait for a change, in seconds
+    max_wait: float  # maximum wait for a change, in seconds
 
 
 class ListApi:
@@ -36,23 +36,23 @@
         """Needs a running event loop."""
         self.host = host
         self.watchers = Watchers()
-        self.callers = 0  # requests being answered or waiting
+        self.active_requests = 0  # requests being answered or waiting
         self._events = events
         self._metrics = metrics
         self._answers = AnswerCache()
         self._loop = asyncio.get_running_loop()
-        self._ending = False
-        self.retune(config)
+        self._closing = False
+        self.update_config(config)
 
-    def retune(self, config: Config) -> None:
+    def update_config(self, config: Config) -> None:
         """Applies new views and limits."""
         self._config = config
         limits = config.limits
         self.admission = Admission(limits.whole_a_second, limits.patience_ms / 1000, self._loop.time)
 
-    def end(self) -> None:
+    def end_watches(self) -> None:
         """Ends all long polls with a response."""
-        self._ending = True
+        self._closing = True
         self.watchers.wake()
 
     def application(self) -> web.Application:
@@ -63,35 +63,37 @@
 
     async def targets(self, request: web.Request) -> web.StreamResponse:
         """Answers with the complete list or, after a long poll, with the changes."""
-        self.callers += 1
+        self.active_requests += 1
         try:
-            if self.callers > self._config.limits.callers:
-                return self._rejected("crowded", CROWDED_RETRY)
+            if self.active_requests > self._config.limits.callers:
+                return self._rejected("crowded", OVERLOAD_RETRY_AFTER)
             try:
-                call = self._read(request)
+                list_request = self._parse_request(request)
             except ValueError:
                 self._metrics.calls.labels("malformed").inc()
                 return web.Response(status=400, text="expected from and hold_ms to be whole numbers\n")
             if self._config.log_calls:
-                self._events.write(EventKind.LIST_POLLED, router=call.name, since=call.since)
-            rejected = await self._await_turn(call)
-            return rejected if rejected is not None else await self._answer(request, call)
+                self._events.write(EventKind.LIST_POLLED, router=list_request.name, since=list_request.since)
+            rejected = await self._wait_until_ready(list_request)
+            return rejected if rejected is not None else await self._answer(request, list_request)
         finally:
-            self.callers -= 1
+            self.active_requests -= 1
 
-    def _read(self, request: web.Request) -> _Call:
+    def _parse_request(self, request: web.Request) -> _ListRequest:
         """Parses a request. Raises ValueError."""
         address = request.remote or ""
         view = self._config.views.get(address, "")
         since = int(request.query["from"]) if "from" in request.query else None
-        hold = min(MAX_HOLD, max(0.0, int(request.query.get("hold_ms", "0")) / 1000))
-        return _Call(view or address, view, since, hold)
+        max_wait = min(MAX_WAIT, max(0.0, int(request.query.get("hold_ms", "0")) / 1000))
+        return _ListRequest(view or address, view, since, max_wait)
 
-    async def _await_turn(self, call: _Call) -> web.Response | None:
+    async def _wait_until_ready(self, list_request: _ListRequest) -> web.Response | None:
         """Waits until the request can be answered. Returns the response if the request is rejected."""
-        since = call.since
+        since = list_request.since
         if since is not None and since > self.host.endpoints.version and not self.host.is_lease_holder():
-            await self._wait_newer(since - 1, CATCH_UP)  # the router has it from a replica that is ahead
+            await self._wait_newer(
+                since - 1, CATCH_UP_TIMEOUT
+            )  # the router has it from a replica that is ahead
             if since > self.host.endpoints.version:
                 return self._rejected("behind")
         if not self._is_recent():
@@ -101,14 +103,14 @@
             if admitted.retry_after:
                 return self._rejected("overload", admitted.retry_after)
             await asyncio.sleep(admitted.wait)
-        elif call.hold and since is not None:
-            await self._wait_newer(since, call.hold)
+        elif list_request.max_wait and since is not None:
+            await self._wait_newer(since, list_request.max_wait)
             if not self._is_recent():
                 return self._rejected("stale")
         return None
 
-    def _rejected(self, how: str, retry_after: float = 1.0) -> web.Response:
-        self._metrics.calls.labels(how).inc()
+    def _rejected(self, outcome: str, retry_after: float = 1.0) -> web.Response:
+        self._metrics.calls.labels(outcome).inc()
         return web.Response(status=503, headers={"Retry-After": str(max(1, math.ceil(retry_after)))})
 
     def _is_recent(self) -> bool:
@@ -117,15 +119,15 @@
 
     async def _wait_newer(self, version: int, seconds: float) -> None:
         """Waits until the list is newer than a version, or until the time is over."""
-        end = self._loop.time() + seconds
-        while self.host.endpoints.version <= version and (remaining := end - self._loop.time()) > 0:
-            if self._ending:
+        deadline = self._loop.time() + seconds
+        while self.host.endpoints.version <= version and (remaining := deadline - self._loop.time()) > 0:
+            if self._closing:
                 break
             await self.watchers.wait(remaining)
 
-    async def _answer(self, request: web.Request, call: _Call) -> web.StreamResponse:
+    async def _answer(self, request: web.Request, list_request: _ListRequest) -> web.StreamResponse:
         version = self.host.endpoints.version
-        answer = self._answers.get(self.host.endpoints, call.since, call.view)
+        answer = self._answers.get(self.host.endpoints, list_request.since, list_request.view)
         response = web.Response(body=answer.body, content_type="application/json")
         try:
             # Bounds the time that an unread response stays in memory.
@@ -143,7 +145,7 @@
         if self._config.log_calls:
             self._events.write(
                 EventKind.LIST_SENT,
-                router=call.name,
+                router=list_request.name,
                 version=version,
                 whole=answer.complete,
                 states=answer.states,
--- a/applehub/registry/listener.py
+++ b/applehub/registry/listener.py
@@ -11,7 +11,7 @@
 from applehub.node.accepting import BROKEN, OUTAGE_APART, RETRY
 
 BACKLOG = 1024  # pending connections; thousands of routers may connect at once
-TURN = 64  # connections accepted per event loop iteration, so that other tasks are not delayed
+ACCEPT_BATCH = 64  # connections accepted per event loop iteration, so that other tasks are not delayed
 log = logging.getLogger("applehub.registry")
 
 
@@ -29,7 +29,7 @@
         self._connecting: set[asyncio.Task[None]] = set()
         self._retry: asyncio.TimerHandle | None = None
         self._failed_at = float("-inf")
-        self._loop.add_reader(self._socket, self._accept_turn)
+        self._loop.add_reader(self._socket, self._on_readable)
 
     @property
     def address(self) -> tuple[str, int]:
@@ -44,35 +44,35 @@
         self._loop.remove_reader(self._socket)
         self._socket.close()
 
-    def _accept_turn(self) -> None:
+    def _on_readable(self) -> None:
         try:
-            self._accept_some()
-        except OSError as problem:
-            self._log_failure(problem)
+            self._accept_batch()
+        except OSError as error:
+            self._log_failure(error)
             self._loop.remove_reader(self._socket)
-            self._retry = self._loop.call_later(RETRY, self._resume)
+            self._retry = self._loop.call_later(RETRY, self._resume_accepting)
 
-    def _accept_some(self) -> None:
+    def _accept_batch(self) -> None:
         """Accepts up to one batch of pending connections.
 
         Raises OSError if no connection can be accepted now, or if all were already reset."""
-        accepted, broken = 0, OSError()
-        for _ in range(TURN):
+        accepted, reset_error = 0, OSError()
+        for _ in range(ACCEPT_BATCH):
             try:
                 connection, _ = self._socket.accept()
             except BlockingIOError:
                 return
-            except OSError as problem:
-                if problem.errno not in BROKEN:
+            except OSError as error:
+                if error.errno not in BROKEN:
                     raise
-                broken = problem
+                reset_error = error
                 continue
             accepted += 1
             task = self._loop.create_task(self._connect(connection))
             self._connecting.add(task)
             task.add_done_callback(self._connecting.discard)
         if not accepted:
-            raise broken
+            raise reset_error
 
     async def _connect(self, connection: socket.socket) -> None:
         try:
@@ -80,13 +80,13 @@
         except OSError:  # the connection was reset in the meantime
             connection.close()
 
-    def _log_failure(self, problem: OSError) -> None:
+    def _log_failure(self, error: OSError) -> None:
         """Logs only the first failure of an outage, to limit the number of log lines."""
         now = self._loop.time()
         if now - self._failed_at > OUTAGE_APART:
-            log.error("accept fails, retrying every %.0f ms: %s", RETRY * 1000, problem)
+            log.error("accept fails, retrying every %.0f ms: %s", RETRY * 1000, error)
         self._failed_at = now
 
-    def _resume(self) -> None:
+    def _resume_accepting(self) -> None:
         self._retry = None
-        self._loop.add_reader(self._socket, self._accept_turn)
+        self._loop.add_reader(self._socket, self._on_readable)
--- a/applehub/registry/locks.py
+++ b/applehub/registry/locks.py
@@ -20,12 +20,12 @@
     lease_ms: int
 
 
-def next_lock(before: Lock | None, command: SetLock) -> Lock | None:
+def next_lock(previous: Lock | None, command: SetLock) -> Lock | None:
     """Returns the lock after a committed command, or None if the expected fencing number does not match."""
-    if (before.fence if before is not None else 0) != command.expected:
+    if (previous.fence if previous is not None else 0) != command.expected:
         return None
     # After a loss of all replicas, `base` (from the wall clock) exceeds every fencing number used before.
-    fence = before.fence + 1 if before is not None else max(1, command.base)
+    fence = previous.fence + 1 if previous is not None else max(1, command.base)
     return Lock(command.holder, fence, command.lease_ms)
 
 
@@ -34,12 +34,12 @@
     """The times of the last renewals, in nanoseconds of the monotonic clock of this replica."""
 
     renewed_at: dict[str, int] = field(default_factory=dict)
-    began_at: int = 0
+    reset_at: int = 0
 
-    def begin(self, now: int) -> None:
+    def reset(self, now: int) -> None:
         """Forgets all renewals, because this replica has become the leader."""
         self.renewed_at = {}
-        self.began_at = now
+        self.reset_at = now
 
     def renew(self, now: int, name: str) -> None:
         """Records a renewal of a lock."""
@@ -49,5 +49,5 @@
         """Returns the remaining lease, in nanoseconds; 0 if the lock can be acquired."""
         if lock is None or not lock.holder:
             return 0
-        since = max(self.renewed_at.get(name, 0), self.began_at)
+        since = max(self.renewed_at.get(name, 0), self.reset_at)
         return max(0, since + lock.lease_ms * MILLI - now)
--- a/applehub/registry/metrics.py
+++ b/applehub/registry/metrics.py
@@ -8,24 +8,24 @@
 
     def __init__(self) -> None:
         """Creates the metrics in a separate registry."""
-        self._collection = CollectorRegistry()
+        self._registry = CollectorRegistry()
         self.calls = Counter(
-            "list_calls", "Calls of routers, by how they ended", ["how"], registry=self._collection
+            "list_calls", "Calls of routers, by how they ended", ["how"], registry=self._registry
         )
         self.writes = Counter(
-            "list_writes", "Calls of writers, by status", ["status"], registry=self._collection
+            "list_writes", "Calls of writers, by status", ["status"], registry=self._registry
         )
         self.version = self._gauge("list_version", "Version that this replica serves")
         self.servers = self._gauge("list_servers", "Entries that are not gone")
         self.watchers = self._gauge("list_watchers", "Callers that wait")
         self.primary = self._gauge("list_primary", "1 at the primary")
-        self.braked = self._gauge("list_braked", "1 while nothing is taken out")
+        self.expiry_paused = self._gauge("list_braked", "1 while nothing is taken out")
         self.disk_refuses = self._gauge("list_disk_refuses", "1 while the disk takes no writes")
         self.staleness = self._gauge("list_staleness_seconds", "Since the primary was heard")
 
     def _gauge(self, name: str, description: str) -> Gauge:
-        return Gauge(name, description, registry=self._collection)
+        return Gauge(name, description, registry=self._registry)
 
     def text(self) -> bytes:
         """Returns all metrics in the Prometheus text format."""
-        return generate_latest(self._collection)
+        return generate_latest(self._registry)
--- a/applehub/registry/model/__main__.py
+++ b/applehub/registry/model/__main__.py
@@ -7,8 +7,15 @@
 
 import click
 
-from applehub.registry.model.explorer import CALM, REFUSING, STARTS, Findings, begin, explore
-from applehub.registry.model.grains import CoarseModel, FineModel
+from applehub.registry.model.explorer import (
+    DISK_REFUSALS,
+    INITIAL_STATES,
+    NO_RESTARTS,
+    ExplorationResult,
+    explore,
+    reach_state,
+)
+from applehub.registry.model.granularity import CoarseModel, FineModel
 from applehub.registry.model.invariants import InvariantError
 from applehub.registry.model.mutants import MUTANTS, Mutant
 from applehub.registry.model.state import Bounds
@@ -16,18 +23,18 @@
 from applehub.registry.replica import Replica
 
 
-def explore_from(model: Model, name: str, start: str, depth: int, max_states: int) -> Findings:
+def explore_from(model: Model, name: str, start: str, depth: int, max_states: int) -> ExplorationResult:
     """Explores from an initial state and reports progress on standard error."""
-    began = time.monotonic()
+    started_at = time.monotonic()
 
     def report(level: int, states: int) -> None:
-        seconds = time.monotonic() - began
+        seconds = time.monotonic() - started_at
         click.echo(f"{name}: depth {level}, {states} states, {seconds:.0f} s", err=True)
 
     try:
-        return explore(model, begin(model, STARTS[start]), depth, max_states, report)
-    except InvariantError as problem:
-        return Findings(0, 0, str(problem), STARTS[start])
+        return explore(model, reach_state(model, INITIAL_STATES[start]), depth, max_states, report)
+    except InvariantError as error:
+        return ExplorationResult(0, 0, str(error), INITIAL_STATES[start])
 
 
 @click.command()
@@ -39,21 +46,21 @@
 )
 def main(coarse: int, fine: int, mutant: str | None, most: int) -> None:
     """Explores all models and exits with code 1 if an invariant is violated."""
-    replica_class, holds_back = MUTANTS[mutant] if mutant else Mutant(Replica, True)
-    for name, grain, bounds, depth in (
+    replica_class, delays_until_sync = MUTANTS[mutant] if mutant else Mutant(Replica, True)
+    for name, model_class, bounds, depth in (
         ("coarse", CoarseModel, Bounds(), coarse),
-        ("coarse, no crashes", CoarseModel, CALM, coarse + 1),
-        ("coarse, disks refuse", CoarseModel, REFUSING, coarse),
+        ("coarse, no crashes", CoarseModel, NO_RESTARTS, coarse + 1),
+        ("coarse, disks refuse", CoarseModel, DISK_REFUSALS, coarse),
         ("fine", FineModel, Bounds(), fine),
-        ("fine, disks refuse", FineModel, REFUSING, fine),
+        ("fine, disks refuse", FineModel, DISK_REFUSALS, fine),
     ):
-        for start in STARTS:
-            model = grain(replica_class, bounds, holds_back)
-            what = f"{name}, from {start}"
-            found = explore_from(model, what, start, depth, most)
-            click.echo(f"{what}: {found.states} states to depth {found.depth}")
-            if found.broken:
-                click.echo("\n  ".join([f"invariant violated: {found.broken}, by", *found.trace]))
+        for start in INITIAL_STATES:
+            model = model_class(replica_class, bounds, delays_until_sync)
+            description = f"{name}, from {start}"
+            found = explore_from(model, description, start, depth, most)
+            click.echo(f"{description}: {found.states} states to depth {found.depth}")
+            if found.violation:
+                click.echo("\n  ".join([f"invariant violated: {found.violation}, by", *found.trace]))
                 sys.exit(1)
 
 
--- a/applehub/registry/model/explorer.py
+++ b/applehub/registry/model/explorer.py
@@ -4,19 +4,19 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from applehub.registry.model.grains import CoarseModel
+from applehub.registry.model.granularity import CoarseModel
 from applehub.registry.model.invariants import InvariantError
 from applehub.registry.model.state import Bounds, State
 from applehub.registry.model.steps import Model
 
 NO_LIMIT = 1 << 62
 
-CALM = Bounds(proposals=2, restarts=0)  # no crashes, so that greater depths are feasible
-REFUSING = Bounds(restarts=1, refusals=1)  # with one disk that refuses writes
+NO_RESTARTS = Bounds(proposals=2, restarts=0)  # no crashes, so that greater depths are feasible
+DISK_REFUSALS = Bounds(restarts=1, refusals=1)  # with one disk that refuses writes
 
 # The initial states of explorations, as steps of the coarse model from the empty group.
 ELECTED = ("pre-vote 0 1", "vote 0 1", "replicate 0 1")
-STARTS: dict[str, tuple[str, ...]] = {
+INITIAL_STATES: dict[str, tuple[str, ...]] = {
     "nothing": (),
     "two candidates of one term": ("pre-vote 0 1", "pre-vote 1 2"),
     "a leader with an entry that is committed": (*ELECTED, "propose 0", "replicate 0 1"),
@@ -52,19 +52,19 @@
 
 
 @dataclass(slots=True)
-class Findings:
+class ExplorationResult:
     """The result of an exploration."""
 
     states: int
     depth: int  # up to which all states were explored
-    broken: str = ""  # the violated invariant, if any
+    violation: str = ""  # the violated invariant, if any
     trace: tuple[str, ...] = ()  # the steps to the violation
 
 
-def begin(model: Model, steps: tuple[str, ...]) -> State:
+def reach_state(model: Model, steps: tuple[str, ...]) -> State:
     """Returns the state that these steps reach from the empty group. Raises InvariantError."""
-    state = model.first()
-    coarse = CoarseModel(model.replica_class, Bounds(refusals=1), model.holds_back)
+    state = model.empty_group()
+    coarse = CoarseModel(model.replica_class, Bounds(refusals=1), model.delays_until_sync)
     for name in steps:
         dict(coarse.steps(state))[name](state)
     state.trace = steps
@@ -73,50 +73,50 @@
 
 def explore(
     model: Model,
-    first: State,
+    initial: State,
     depth: int,
     max_states: int = NO_LIMIT,
     on_level: Callable[[int, int], None] | None = None,
-) -> Findings:
+) -> ExplorationResult:
     """Explores all states up to a depth, breadth-first, and stops at the first violated invariant.
 
     on_level: called after each depth with the depth and the number of states so far."""
-    seen = {hash(first.key())}
-    layer = [first]
+    seen = {hash(initial.key())}
+    layer = [initial]
     for level in range(depth):
         following: list[State] = []
         for state in layer:
             try:
                 following += _successors(model, state, seen)
-            except _BrokenError as problem:
-                return Findings(len(seen), level, problem.why, problem.trace)
+            except _ViolationError as error:
+                return ExplorationResult(len(seen), level, error.reason, error.trace)
             if len(seen) > max_states:
-                return Findings(len(seen), level)
+                return ExplorationResult(len(seen), level)
         layer = following
         if on_level is not None:
             on_level(level + 1, len(seen))
-    return Findings(len(seen), depth)
+    return ExplorationResult(len(seen), depth)
 
 
-class _BrokenError(Exception):
+class _ViolationError(Exception):
     """A step violated an invariant."""
 
-    def __init__(self, why: str, trace: tuple[str, ...]) -> None:
-        super().__init__(why)
-        self.why = why
+    def __init__(self, reason: str, trace: tuple[str, ...]) -> None:
+        super().__init__(reason)
+        self.reason = reason
         self.trace = trace
 
 
 def _successors(model: Model, state: State, seen: set[int]) -> list[State]:
-    """Returns the new successors of a state and adds them to `seen`. Raises _BrokenError."""
+    """Returns the new successors of a state and adds them to `seen`. Raises _ViolationError."""
     successors = []
     for name, step in model.steps(state):
         after = state.clone()
         after.trace = (*state.trace, name)
         try:
             step(after)
-        except InvariantError as problem:
-            raise _BrokenError(str(problem), after.trace) from problem
+        except InvariantError as error:
+            raise _ViolationError(str(error), after.trace) from error
         if len(after.messages) > model.bounds.messages:
             continue
         key = hash(after.key())
@@ -126,29 +126,29 @@
     return successors
 
 
-def walk(model: Model, seed: int, length: int) -> Findings:
+def random_walk(model: Model, seed: int, length: int) -> ExplorationResult:
     """Follows one random path, which reaches depths that exhaustive exploration can't."""
-    draw = random.Random(seed)
-    state = model.first()
+    generator = random.Random(seed)
+    state = model.empty_group()
     for count in range(length):
         steps = list(model.steps(state))
         if not steps:
-            return Findings(count, 0)
-        name, step = draw.choice(steps)
+            return ExplorationResult(count, 0)
+        name, step = generator.choice(steps)
         state.trace = (*state.trace, name)
         try:
             step(state)
-        except InvariantError as problem:
-            return Findings(count, 0, str(problem), state.trace)
+        except InvariantError as error:
+            return ExplorationResult(count, 0, str(error), state.trace)
         if len(state.messages) > model.bounds.messages:
             state.messages = state.messages[1:]
-    return Findings(length, 0)
+    return ExplorationResult(length, 0)
 
 
-def walks(model: Model, count: int, length: int) -> Findings:
+def random_walks(model: Model, count: int, length: int) -> ExplorationResult:
     """Runs random walks with the seeds from 0 on and stops at the first violated invariant."""
     for seed in range(count):
-        found = walk(model, seed, length)
-        if found.broken:
+        found = random_walk(model, seed, length)
+        if found.violation:
             return found
-    return Findings(count * length, 0)
+    return ExplorationResult(count * length, 0)
--- a/applehub/registry/model/grains.py
+++ b/applehub/registry/model/granularity.py
@@ -18,10 +18,10 @@
         yield from self.common_steps(state)
         for envelope in dict.fromkeys(state.messages):
             sender, receiver, message = envelope
-            what = f"{type(message).__name__} {sender} to {receiver}"
-            yield f"deliver {what}", partial(self.deliver, envelope=envelope)
-            yield f"double {what}", partial(self.deliver, envelope=envelope, doubled=True)
-            yield f"lose {what}", partial(State.take, envelope=envelope)
+            description = f"{type(message).__name__} {sender} to {receiver}"
+            yield f"deliver {description}", partial(self.deliver, envelope=envelope)
+            yield f"double {description}", partial(self.deliver, envelope=envelope, duplicate=True)
+            yield f"lose {description}", partial(State.remove_message, envelope=envelope)
         for replica_id in GROUP:
             replica = state.replicas[replica_id]
             if state.unsynced[replica_id]:
@@ -38,108 +38,108 @@
     def steps(self, state: State) -> Iterator[Step]:
         """Yields all possible next steps."""
         for name, step in self.common_steps(state):  # messages of these steps are lost
-            yield name, partial(self._run_apart, step=step)
+            yield name, partial(self._run_isolated, step=step)
         yield "wait", self.wait
         for replica_id in GROUP:
-            for other in GROUP:
-                if other != replica_id:
-                    yield from self._pair_steps(state, replica_id, other)
+            for peer in GROUP:
+                if peer != replica_id:
+                    yield from self._pair_steps(state, replica_id, peer)
         for envelope in state.messages:
             yield f"late {envelope[0]} to {envelope[1]}", partial(self._deliver_late, envelope=envelope)
 
-    def _pair_steps(self, state: State, one: int, other: int) -> Iterator[Step]:
+    def _pair_steps(self, state: State, initiator: int, peer: int) -> Iterator[Step]:
         """Yields the steps between two replicas that the first one initiates."""
-        replica = state.replicas[one]
+        replica = state.replicas[initiator]
         if replica.role is Role.LEADER:
-            yield f"replicate {one} {other}", partial(self._replicate, one=one, other=other)
+            yield f"replicate {initiator} {peer}", partial(self._replicate, initiator=initiator, peer=peer)
             for answer in (False, True) if len(state.messages) < self.bounds.delayed else ():
-                what = "an answer to" if answer else "from"
+                description = "an answer to" if answer else "from"
                 yield (
-                    f"delay {what} {one}, {other}",
-                    partial(self._delay, one=one, other=other, answer=answer),
+                    f"delay {description} {initiator}, {peer}",
+                    partial(self._delay, initiator=initiator, peer=peer, answer=answer),
                 )
         elif replica.term < self.bounds.terms:
-            yield f"pre-vote {one} {other}", partial(self._hold_pre_vote, one=one, other=other)
+            yield f"pre-vote {initiator} {peer}", partial(self._run_pre_vote, initiator=initiator, peer=peer)
         if replica.role is Role.CANDIDATE and not replica.pre_vote:
-            yield f"vote {one} {other}", partial(self._hold_vote, one=one, other=other)
+            yield f"vote {initiator} {peer}", partial(self._run_vote, initiator=initiator, peer=peer)
 
-    def _settle(self, state: State) -> None:
+    def _sync_all(self, state: State) -> None:
         """Syncs all disks, since losing unsynced writes is equivalent to losing the messages after them.
 
         If the host does not wait for syncs, unsynced writes stay unsynced."""
         for replica_id in GROUP:
-            if self.holds_back:
+            if self.delays_until_sync:
                 self.sync(state, replica_id)
 
-    def _exchange(self, state: State, one: int, other: int, turns: int = 1) -> None:
+    def _exchange(self, state: State, initiator: int, peer: int, rounds: int = 1) -> None:
         """Delivers the messages of the first replica and the responses; all other messages are lost."""
-        for sender, receiver in ((one, other), (other, one)) * turns:
-            self._settle(state)
-            envelopes = state.between(sender, receiver)
+        for sender, receiver in ((initiator, peer), (peer, initiator)) * rounds:
+            self._sync_all(state)
+            envelopes = state.messages_between(sender, receiver)
             state.messages = ()
             for _, _, message in envelopes:
                 self.handle(state, receiver, MessageReceived(sender, message))
-        self._settle(state)
+        self._sync_all(state)
         state.messages = ()
 
-    def _run_apart(self, state: State, step: Callable[[State], None]) -> None:
+    def _run_isolated(self, state: State, step: Callable[[State], None]) -> None:
         """Runs a step without the delayed messages."""
         delayed: tuple[Envelope, ...] = state.messages
         state.messages = ()
         step(state)
-        self._settle(state)
+        self._sync_all(state)
         state.messages = delayed
 
-    def _hold_pre_vote(self, state: State, one: int, other: int) -> None:
+    def _run_pre_vote(self, state: State, initiator: int, peer: int) -> None:
         """Runs a pre-vote between two replicas, without the vote requests after it."""
 
-        def ask(state: State) -> None:
-            replica = state.replicas[one]
+        def run_pre_vote(state: State) -> None:
+            replica = state.replicas[initiator]
             for _ in range(2):  # the first round may only bring a higher term
-                self.time_out(state, one)
-                self._exchange(state, one, other)
+                self.time_out(state, initiator)
+                self._exchange(state, initiator, peer)
                 if replica.role is Role.CANDIDATE and not replica.pre_vote:
                     break
 
-        self._run_apart(state, ask)
+        self._run_isolated(state, run_pre_vote)
 
-    def _hold_vote(self, state: State, one: int, other: int) -> None:
+    def _run_vote(self, state: State, initiator: int, peer: int) -> None:
         """Runs a vote between two replicas; the messages of a new leader are lost."""
 
-        def ask(state: State) -> None:
-            replica = state.replicas[one]
+        def run_vote(state: State) -> None:
+            replica = state.replicas[initiator]
             request = RequestVote(replica.term, False, replica.last_index, replica.last_term)
-            state.messages = ((one, other, request),)
-            self._exchange(state, one, other)
+            state.messages = ((initiator, peer, request),)
+            self._exchange(state, initiator, peer)
 
-        self._run_apart(state, ask)
+        self._run_isolated(state, run_vote)
 
-    def _replicate(self, state: State, one: int, other: int) -> None:
+    def _replicate(self, state: State, initiator: int, peer: int) -> None:
         def replicate(state: State) -> None:
-            self.send_heartbeat(state, one)
-            self._exchange(state, one, other, 2)  # the second round sends entries lost before
+            self.send_heartbeat(state, initiator)
+            self._exchange(state, initiator, peer, 2)  # the second round sends entries lost before
 
-        self._run_apart(state, replicate)
+        self._run_isolated(state, replicate)
 
-    def _delay(self, state: State, one: int, other: int, answer: bool) -> None:
+    def _delay(self, state: State, initiator: int, peer: int, answer: bool) -> None:
         """Delays a message of the leader or, with `answer`, the response to it."""
         delayed: tuple[Envelope, ...] = state.messages
         state.messages = ()
-        self.send_heartbeat(state, one)
-        self._settle(state)
-        envelopes = state.between(one, other)[:1]
+        self.send_heartbeat(state, initiator)
+        self._sync_all(state)
+        envelopes = state.messages_between(initiator, peer)[:1]
         state.messages = ()
         if answer and envelopes:
-            self.handle(state, other, MessageReceived(one, envelopes[0][2]))
-            self._settle(state)
-            envelopes = state.between(other, one)[:1]
+            self.handle(state, peer, MessageReceived(initiator, envelopes[0][2]))
+            self._sync_all(state)
+            envelopes = state.messages_between(peer, initiator)[:1]
         state.messages = (*delayed, *envelopes)
 
     def _deliver_late(self, state: State, envelope: Envelope) -> None:
         """Delivers a delayed message; the response is lost."""
-        state.messages = tuple(one for one in state.messages if one != envelope)
+        state.messages = tuple(other for other in state.messages if other != envelope)
         delayed: tuple[Envelope, ...] = state.messages
         sender, receiver, message = envelope
         self.handle(state, receiver, MessageReceived(sender, message))
-        self._settle(state)
+        self._sync_all(state)
         state.messages = delayed
--- a/applehub/registry/model/invariants.py
+++ b/applehub/registry/model/invariants.py
@@ -2,7 +2,7 @@
 
 from applehub.registry.actions import Apply, Restore
 from applehub.registry.messages import LogEntry
-from applehub.registry.model.state import State, fold
+from applehub.registry.model.state import State, snapshot_data
 from applehub.registry.replica import Replica
 from applehub.registry.replica_state import Role
 
@@ -61,5 +61,5 @@
     if snapshot.last_index < state.applied[replica_id]:
         raise InvariantError("a snapshot is older than the applied state")
     state.applied[replica_id] = snapshot.last_index
-    if snapshot.data != fold(state.committed[: snapshot.last_index]):
+    if snapshot.data != snapshot_data(state.committed[: snapshot.last_index]):
         raise InvariantError("a snapshot differs from the committed log")
--- a/applehub/registry/model/mutants.py
+++ b/applehub/registry/model/mutants.py
@@ -89,7 +89,7 @@
     """A replica class, and whether its host delays the actions after a Save until the sync."""
 
     replica_class: type[Replica]
-    holds_back: bool
+    delays_until_sync: bool
 
 
 MUTANTS: dict[str, Mutant] = {
--- a/applehub/registry/model/state.py
+++ b/applehub/registry/model/state.py
@@ -16,7 +16,7 @@
 
 GROUP = (0, 1, 2)
 TIMING = Timing(heartbeat=0, election=10, lease=8, batch=1)
-LONG_AGO = 2 * TIMING.election + 1  # older times are equivalent
+TIME_HORIZON = 2 * TIMING.election + 1  # older times are equivalent
 Envelope = tuple[int, int, Message]  # sender, receiver, message
 
 
@@ -83,11 +83,11 @@
             self.commit_terms,
         )
 
-    def between(self, sender: int, receiver: int) -> tuple[Envelope, ...]:
+    def messages_between(self, sender: int, receiver: int) -> tuple[Envelope, ...]:
         """Returns the messages in flight from one replica to another."""
         return tuple(one for one in self.messages if one[:2] == (sender, receiver))
 
-    def take(self, envelope: Envelope) -> None:
+    def remove_message(self, envelope: Envelope) -> None:
         """Removes a message in flight."""
         at = self.messages.index(envelope)
         self.messages = self.messages[:at] + self.messages[at + 1 :]
@@ -99,8 +99,8 @@
     return one
 
 
-def _relative(then: int, now: int) -> int:
-    return max(-LONG_AGO, min(LONG_AGO, then - now))
+def _relative(at: int, now: int) -> int:
+    return max(-TIME_HORIZON, min(TIME_HORIZON, at - now))
 
 
 def _without_time(envelope: Envelope, now: int) -> Envelope:
@@ -114,10 +114,10 @@
 def _replica_key(one: Replica, now: int) -> object:
     progress = tuple(
         (
-            follower, known.next_index, known.match_index,
-            _relative(known.acknowledged_at, now), _relative(known.sent_at, now),
+            follower, follower_progress.next_index, follower_progress.match_index,
+            _relative(follower_progress.acknowledged_at, now), _relative(follower_progress.sent_at, now),
         )
-        for follower, known in one.progress.items()
+        for follower, follower_progress in one.progress.items()
     )  # fmt: skip
     return (
         one.role, one.term, one.voted_for, one.snapshot, one.log, one.commit_index, one.last_applied,
@@ -126,6 +126,6 @@
     )  # fmt: skip
 
 
-def fold(entries: tuple[LogEntry, ...]) -> bytes:
+def snapshot_data(entries: tuple[LogEntry, ...]) -> bytes:
     """Returns the snapshot data after these entries."""
     return b"|".join(b"%d %s" % (entry.term, entry.command) for entry in entries)
--- a/applehub/registry/model/steps.py
+++ b/applehub/registry/model/steps.py
@@ -21,7 +21,7 @@
     Tick,
 )
 from applehub.registry.model.invariants import check_leases, check_replica, record_applied, record_restored
-from applehub.registry.model.state import GROUP, LONG_AGO, TIMING, Bounds, Envelope, State, fold
+from applehub.registry.model.state import GROUP, TIME_HORIZON, TIMING, Bounds, Envelope, State, snapshot_data
 from applehub.registry.replica import Replica
 from applehub.registry.replica_state import Role
 
@@ -31,17 +31,17 @@
 class Model(ABC):
     """The steps of a group of replicas of one class, within bounds."""
 
-    def __init__(self, replica_class: type[Replica], bounds: Bounds, holds_back: bool = True) -> None:
-        """holds_back: whether hosts delay the actions after a Save until it is on disk."""
+    def __init__(self, replica_class: type[Replica], bounds: Bounds, delays_until_sync: bool = True) -> None:
+        """delays_until_sync: whether hosts delay the actions after a Save until it is on disk."""
         self.replica_class = replica_class
         self.bounds = bounds
-        self.holds_back = holds_back
+        self.delays_until_sync = delays_until_sync
 
     @abstractmethod
     def steps(self, state: State) -> Iterator[Step]:
         """Yields all possible next steps."""
 
-    def first(self) -> State:
+    def empty_group(self) -> State:
         """Returns the state of a new group without stored data."""
         disks = [StoredState() for _ in GROUP]
         replicas = [self.replica_class(one, GROUP, TIMING, 0, replace(disks[one])) for one in GROUP]
@@ -54,9 +54,9 @@
         actions = tuple(state.replicas[replica_id].handle(state.now, event))
         check_replica(state, replica_id)
         unsynced = (*state.unsynced[replica_id], *actions)
-        if not self.holds_back:
+        if not self.delays_until_sync:
             state.unsynced[replica_id] = tuple(one for one in unsynced if isinstance(one, Save))
-            self.carry_out(state, replica_id, [one for one in unsynced if not isinstance(one, Save)])
+            self.execute(state, replica_id, [one for one in unsynced if not isinstance(one, Save)])
             return
         state.unsynced[replica_id] = unsynced
         if not any(isinstance(one, Save) for one in unsynced):
@@ -69,15 +69,15 @@
         if replica_id in state.refusing and any(isinstance(one, Save) for one in actions):
             self.refuse_save(state, replica_id, actions)
         else:
-            self.carry_out(state, replica_id, actions)
+            self.execute(state, replica_id, actions)
 
     def refuse_save(self, state: State, replica_id: int, actions: Sequence[Action]) -> None:
         """Handles refused writes: the host sends no messages but applies committed entries."""
         kinds = (Save, Apply, Restore) if state.refusing[replica_id] else (Apply, Restore)
-        self.carry_out(state, replica_id, [one for one in actions if isinstance(one, kinds)])
+        self.execute(state, replica_id, [one for one in actions if isinstance(one, kinds)])
         self.handle(state, replica_id, StorageFailed())
 
-    def carry_out(self, state: State, replica_id: int, actions: Sequence[Action]) -> None:
+    def execute(self, state: State, replica_id: int, actions: Sequence[Action]) -> None:
         """Executes the actions of a replica in order."""
         for action in actions:
             match action:
@@ -103,7 +103,7 @@
     def compact(self, state: State, replica_id: int) -> None:
         """Compacts the log up to the last applied entry."""
         index = state.applied[replica_id]
-        self.handle(state, replica_id, Compact(index, fold(state.committed[:index])))
+        self.handle(state, replica_id, Compact(index, snapshot_data(state.committed[:index])))
 
     def propose(self, state: State, replica_id: int) -> None:
         """Proposes a new command."""
@@ -112,7 +112,7 @@
 
     def wait(self, state: State) -> None:
         """Advances the time without ticks."""
-        state.now += LONG_AGO
+        state.now += TIME_HORIZON
         check_leases(state)
 
     def time_out(self, state: State, replica_id: int) -> None:
@@ -124,10 +124,10 @@
         """Makes a leader send its heartbeats."""
         self.handle(state, replica_id, Tick(0.0))
 
-    def deliver(self, state: State, envelope: Envelope, doubled: bool = False) -> None:
-        """Delivers a message; if doubled, it stays in flight and may be delivered again."""
-        if not doubled:
-            state.take(envelope)
+    def deliver(self, state: State, envelope: Envelope, duplicate: bool = False) -> None:
+        """Delivers a message; with `duplicate`, it stays in flight and may be delivered again."""
+        if not duplicate:
+            state.remove_message(envelope)
         sender, receiver, message = envelope
         self.handle(state, receiver, MessageReceived(sender, message))
 
--- a/applehub/registry/peer_connection.py
+++ b/applehub/registry/peer_connection.py
@@ -7,7 +7,7 @@
 
 MAX_UNSENT = 8 << 20  # bytes buffered for a peer; above, the connection is reset
 CONNECT_TIMEOUT = 1.0  # seconds
-CONNECT_PAUSE = 0.1  # seconds between connection attempts
+RECONNECT_DELAY = 0.1  # seconds between connection attempts
 log = logging.getLogger("applehub.registry")
 
 
@@ -39,10 +39,10 @@
                 await (
                     reader.read()
                 )  # peers respond on their own connections, so this returns at the end of the connection
-            except (OSError, TimeoutError) as problem:
-                log.debug("can't connect to the replica at %s: %s", self._address, problem)
+            except (OSError, TimeoutError) as error:
+                log.debug("can't connect to the replica at %s: %s", self._address, error)
             finally:
                 if self._writer is not None:
                     self._writer.transport.abort()
                     self._writer = None
-            await asyncio.sleep(CONNECT_PAUSE)
+            await asyncio.sleep(RECONNECT_DELAY)
--- a/applehub/registry/replica_state.py
+++ b/applehub/registry/replica_state.py
@@ -109,8 +109,8 @@
         if self.role is not Role.LEADER:
             return 0
         acknowledged = sorted((one.acknowledged_at for one in self.progress.values()), reverse=True)
-        needed = self.majority - 1  # in addition to itself
-        since = acknowledged[needed - 1] if needed else self.now
+        required = self.majority - 1  # in addition to itself
+        since = acknowledged[required - 1] if required else self.now
         return since + self.timing.lease if since else 0
 
     def is_lease_holder(self, now: int) -> bool:
--- a/applehub/registry/replication.py
+++ b/applehub/registry/replication.py
@@ -92,11 +92,11 @@
         if message.term < self.term:
             actions.append(Send(sender, AppendEntriesResponse(self.term, False, 0, message.sent_at)))
             return
-        before = (self.term, self.voted_for)
+        previous = (self.term, self.voted_for)
         self._become_follower(message.term, sender)
         self.leader_contact = self.now
         self.election_due = self.now + 2 * self.timing.election
-        changed = before != (self.term, self.voted_for)
+        changed = previous != (self.term, self.voted_for)
         if isinstance(message, InstallSnapshot):
             self._install_snapshot(message, changed, actions)
             response = AppendEntriesResponse(self.term, True, self.commit_index, message.sent_at)
--- a/applehub/registry/replies.py
+++ b/applehub/registry/replies.py
@@ -10,7 +10,7 @@
 from pydantic import ValidationError
 
 from applehub.registry.config import Config
-from applehub.registry.endpoint_list import BASE_STEP
+from applehub.registry.endpoint_list import VERSIONS_PER_SECOND
 from applehub.registry.host import NOT_LEASE_HOLDER, Host
 from applehub.registry.metrics import Metrics
 
@@ -18,9 +18,9 @@
 RETRY = {"Retry-After": "1"}
 
 
-def fresh_base() -> int:
+def initial_version() -> int:
     """Returns the first version of a new list, which is derived from the wall clock."""
-    return time.time_ns() // SECOND * BASE_STEP
+    return time.time_ns() // SECOND * VERSIONS_PER_SECOND
 
 
 class Replies:
@@ -40,12 +40,12 @@
         body = orjson.dumps(content)
         return web.Response(status=status, body=body, content_type="application/json", headers=headers)
 
-    def elsewhere(self, problem: str = NOT_LEASE_HOLDER) -> web.Response:
+    def not_leader(self, message: str = NOT_LEASE_HOLDER) -> web.Response:
         """Returns a 503 response that names the leader, if another replica is known to be it."""
         leader = self._host.replica.leader
         is_other = leader is not None and leader != self._host.options.replica_id
         primary = self._names[leader] if leader is not None and is_other and self._names else None
-        return self.json(HTTPStatus.SERVICE_UNAVAILABLE, {"error": problem, "primary": primary}, RETRY)
+        return self.json(HTTPStatus.SERVICE_UNAVAILABLE, {"error": message, "primary": primary}, RETRY)
 
     def invalid(self, error: ValidationError) -> web.Response:
         """Returns a 400 response that lists all faults of a request body."""
--- a/applehub/registry/server_leases.py
+++ b/applehub/registry/server_leases.py
@@ -15,7 +15,7 @@
 
 MILLI = 1_000_000  # nanoseconds
 SECOND = 1_000_000_000  # nanoseconds
-STALL = SECOND  # nanoseconds; a longer gap between checks means that this process was stalled
+STALL_THRESHOLD = SECOND  # nanoseconds; a longer gap between checks means that this process was stalled
 
 
 class LeaseChanges(NamedTuple):
@@ -30,17 +30,17 @@
 class ServerLeases:
     """The server leases that the leader tracks."""
 
-    brake_part: float  # expiry is paused above this fraction of the leased servers
-    brake_least: int  # up to this many expired leases never pause expiry
+    pause_fraction: float  # expiry is paused above this fraction of the leased servers
+    pause_minimum: int  # up to this many expired leases never pause expiry
     renewed_at: dict[str, int] = field(default_factory=dict)
     checked_at: int = 0
-    braked: bool = False
+    expiry_paused: bool = False
 
-    def begin(self, now: int, entries: dict[str, ServerEntry]) -> None:
+    def reset(self, now: int, entries: dict[str, ServerEntry]) -> None:
         """Grants each server a complete lease, because this replica has become the leader."""
         self.renewed_at = {uid: now for uid, entry in entries.items() if entry.lease_ms}
         self.checked_at = now
-        self.braked = False
+        self.expiry_paused = False
 
     def renew(self, now: int, uid: str) -> None:
         """Records a renewal by a server."""
@@ -48,18 +48,18 @@
 
     def check(self, now: int, entries: dict[str, ServerEntry]) -> LeaseChanges:
         """Returns the servers that become suspect, are removed, or have recovered."""
-        if now - self.checked_at > STALL:
+        if now - self.checked_at > STALL_THRESHOLD:
             stalled = now - self.checked_at
             self.renewed_at = {uid: at + stalled for uid, at in self.renewed_at.items()}
         self.checked_at = now
         leased = [one for one in entries.values() if one.lease_ms and one.state is not ServerState.GONE]
         self.renewed_at = {one.uid: self.renewed_at.get(one.uid, now) for one in leased}
         ages = {one.uid: now - self.renewed_at[one.uid] for one in leased}
-        late = [one for one in leased if ages[one.uid] > one.lease_ms * MILLI]
+        expired = [one for one in leased if ages[one.uid] > one.lease_ms * MILLI]
         recovered = [one.uid for one in leased if one.suspect and ages[one.uid] <= one.lease_ms * MILLI]
-        self.braked = len(late) > max(self.brake_least, self.brake_part * len(leased))
-        if self.braked:
+        self.expiry_paused = len(expired) > max(self.pause_minimum, self.pause_fraction * len(leased))
+        if self.expiry_paused:
             return LeaseChanges([], [], recovered)
-        suspect = [one.uid for one in late if not one.suspect]
-        gone = [one.uid for one in late if one.suspect and ages[one.uid] > 2 * one.lease_ms * MILLI]
+        suspect = [one.uid for one in expired if not one.suspect]
+        gone = [one.uid for one in expired if one.suspect and ages[one.uid] > 2 * one.lease_ms * MILLI]
         return LeaseChanges(suspect, gone, recovered)
--- a/applehub/registry/service.py
+++ b/applehub/registry/service.py
@@ -41,21 +41,21 @@
         self._task: asyncio.Task[None] | None = None
         host.on_new_version = self._on_new_version
 
-    def retune(self, config: Config) -> None:
+    def update_config(self, config: Config) -> None:
         """Applies the settings that may change at run time: views, limits, leases."""
         self.config = config
-        self.list_api.retune(config)
-        self.lease_watch.retune(config.leases)
+        self.list_api.update_config(config)
+        self.lease_watch.update_config(config.leases)
 
     async def start(self) -> tuple[str, str]:
         """Starts to listen. Returns the addresses for routers and for operators. Raises OSError."""
-        staff = web.Application(client_max_size=MAX_BODY)
-        self.admin_api.add_routes(staff.router)
-        self.lock_api.add_routes(staff.router)
-        public_address = await self._listen(self.list_api.application(), self.config.listen)
-        staff_address = await self._listen(staff, self.config.staff)
+        admin_application = web.Application(client_max_size=MAX_BODY)
+        self.admin_api.add_routes(admin_application.router)
+        self.lock_api.add_routes(admin_application.router)
+        router_address = await self._listen(self.list_api.application(), self.config.listen)
+        admin_address = await self._listen(admin_application, self.config.staff)
         self._task = asyncio.get_running_loop().create_task(self.lease_watch.run())
-        return public_address, staff_address
+        return router_address, admin_address
 
     async def _listen(self, application: web.Application, address: str) -> str:
         runner = web.AppRunner(
@@ -79,7 +79,7 @@
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await self._task
-        self.list_api.end()
+        self.list_api.end_watches()
         for listener in self._listeners:
             listener.close()
         for runner in self._runners:
--- a/applehub/registry/store.py
+++ b/applehub/registry/store.py
@@ -25,7 +25,7 @@
 from applehub.registry.errors import StoreError, StoreRefusedError
 from applehub.registry.messages import NO_SNAPSHOT, LogEntry, Snapshot
 
-FORMAT = 1
+FORMAT_VERSION = 1
 NO_VOTE = -1
 TABLES = """
 CREATE TABLE IF NOT EXISTS meta (name TEXT PRIMARY KEY, value INTEGER, crc INTEGER) WITHOUT ROWID;
@@ -46,18 +46,18 @@
         sqlite3.SQLITE_NOMEM, sqlite3.SQLITE_BUSY,
     }
 )  # fmt: skip
-PRIMARY_CODE = 0xFF  # mask of the primary code in an extended SQLite error code
+PRIMARY_CODE_MASK = 0xFF  # mask of the primary code in an extended SQLite error code
 
 
-def _store_error(path: Path, problem: OSError | sqlite3.Error) -> StoreError:
+def _store_error(path: Path, error: OSError | sqlite3.Error) -> StoreError:
     """Converts an error to StoreRefusedError if it may be temporary, else to StoreError."""
-    if isinstance(problem, OSError):
-        refused = problem.errno in REFUSALS
-        text = problem.strerror or str(problem)
+    if isinstance(error, OSError):
+        refused = error.errno in REFUSALS
+        text = error.strerror or str(error)
     else:
-        code = getattr(problem, "sqlite_errorcode", sqlite3.SQLITE_ERROR)
-        refused = code & PRIMARY_CODE in SQLITE_REFUSALS
-        text = str(problem)
+        code = getattr(error, "sqlite_errorcode", sqlite3.SQLITE_ERROR)
+        refused = code & PRIMARY_CODE_MASK in SQLITE_REFUSALS
+        text = str(error)
     return (StoreRefusedError if refused else StoreError)(f"{path}: {text}")
 
 
@@ -68,9 +68,9 @@
     return checksum
 
 
-def _sync_folder(folder: Path) -> None:
+def _sync_directory(directory: Path) -> None:
     """Syncs a directory, so that its file names are on disk. Raises OSError."""
-    descriptor = os.open(folder, os.O_RDONLY)
+    descriptor = os.open(directory, os.O_RDONLY)
     try:
         os.fsync(descriptor)
     finally:
@@ -80,32 +80,32 @@
 class ReplicaStore:
     """The database of one replica, locked while it is open."""
 
-    def __init__(self, folder: Path) -> None:
+    def __init__(self, directory: Path) -> None:
         """Opens the store. Raises StoreError if another process has locked it or it is corrupt, and
         StoreRefusedError if the disk refuses access."""
-        self.path = folder / "replica.sqlite"
-        self._made = folder / "made"
+        self.path = directory / "replica.sqlite"
+        self._marker = directory / "made"
         self._connection: sqlite3.Connection | None = None
         try:
-            folder.mkdir(parents=True, exist_ok=True)
-            self._lock = (folder / "lock").open("wb")
-        except OSError as problem:
-            raise _store_error(folder, problem) from problem
+            directory.mkdir(parents=True, exist_ok=True)
+            self._lock = (directory / "lock").open("wb")
+        except OSError as error:
+            raise _store_error(directory, error) from error
         try:
-            self._open(folder)
+            self._open(directory)
         except BaseException:
             self.close()
             raise
 
-    def _open(self, folder: Path) -> None:
+    def _open(self, directory: Path) -> None:
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             self._connect()
-            _sync_folder(folder)  # the new file names must be on disk, too
-        except BlockingIOError as problem:
-            raise StoreError(f"{folder}: another process has it") from problem
-        except OSError as problem:
-            raise _store_error(folder, problem) from problem
+            _sync_directory(directory)  # the new file names must be on disk, too
+        except BlockingIOError as error:
+            raise StoreError(f"{directory}: the store is locked by another process") from error
+        except OSError as error:
+            raise _store_error(directory, error) from error
 
     def _connect(self) -> sqlite3.Connection:
         """Returns the connection, or a new one after a failure. Opening rolls back an incomplete transaction.
@@ -119,14 +119,14 @@
             connection.execute("PRAGMA journal_mode=TRUNCATE")
             connection.execute("PRAGMA synchronous=FULL")
             (result,) = connection.execute("PRAGMA quick_check(1)").fetchone()
-            self._check(result == "ok", result)
+            self._verify(result == "ok", result)
             connection.executescript(TABLES)
-        except (sqlite3.DatabaseError, StoreError) as problem:
+        except (sqlite3.DatabaseError, StoreError) as error:
             if connection is not None:
                 connection.close()
-            if isinstance(problem, StoreError):
+            if isinstance(error, StoreError):
                 raise
-            raise _store_error(self.path, problem) from problem
+            raise _store_error(self.path, error) from error
         self._connection = connection
         return connection
 
@@ -145,29 +145,32 @@
         try:
             meta = self._load_meta(connection)
             if not meta:
-                self._check(not self._made.exists(), "it is empty, expected stored state")
+                self._verify(not self._marker.exists(), "it is empty, expected stored state")
                 return StoredState()
-            self._check(meta.get("format") == FORMAT, f"format {meta.get('format')}, expected {FORMAT}")
+            self._verify(
+                meta.get("format") == FORMAT_VERSION,
+                f"format {meta.get('format')}, expected {FORMAT_VERSION}",
+            )
             snapshot = self._load_snapshot(connection)
             log = self._load_log(connection, snapshot.last_index)
-        except sqlite3.DatabaseError as problem:
-            raise _store_error(self.path, problem) from problem
+        except sqlite3.DatabaseError as error:
+            raise _store_error(self.path, error) from error
         last = snapshot.last_index + len(log)
-        self._check(meta.get("last") == last, f"log ends at {last}, expected {meta.get('last')}")
+        self._verify(meta.get("last") == last, f"log ends at {last}, expected {meta.get('last')}")
         voted_for = meta.get("voted", NO_VOTE)
         return StoredState(meta["term"], None if voted_for < 0 else voted_for, snapshot, tuple(log))
 
     def _load_meta(self, connection: sqlite3.Connection) -> dict[str, int]:
         meta: dict[str, int] = {}
         for name, value, checksum in connection.execute("SELECT name, value, crc FROM meta"):
-            self._check(checksum == _checksum(name, value), f"checksum mismatch in meta row {name!r}")
+            self._verify(checksum == _checksum(name, value), f"checksum mismatch in meta row {name!r}")
             meta[name] = value
         return meta
 
     def _load_snapshot(self, connection: sqlite3.Connection) -> Snapshot:
         snapshot = NO_SNAPSHOT
         for index, term, data, checksum in connection.execute("SELECT place, term, data, crc FROM snapshot"):
-            self._check(checksum == _checksum(index, term, data), "checksum mismatch in the snapshot")
+            self._verify(checksum == _checksum(index, term, data), "checksum mismatch in the snapshot")
             snapshot = Snapshot(index, term, data)
         return snapshot
 
@@ -175,16 +178,16 @@
         log = []
         rows = connection.execute("SELECT place, term, data, crc FROM log ORDER BY place")
         for expected, (index, term, command, checksum) in enumerate(rows, after + 1):
-            self._check(index == expected, f"log index {index}, expected {expected}")
-            self._check(
+            self._verify(index == expected, f"log index {index}, expected {expected}")
+            self._verify(
                 checksum == _checksum(index, term, command), f"checksum mismatch in log entry {index}"
             )
             log.append(LogEntry(term, command))
         return log
 
-    def _check(self, holds: bool, what: str) -> None:
-        if not holds:
-            raise StoreError(f"{self.path}: corrupt store: {what}")
+    def _verify(self, condition: bool, description: str) -> None:
+        if not condition:
+            raise StoreError(f"{self.path}: corrupt store: {description}")
 
     def save(self, saves: Iterable[Save]) -> None:
         """Writes a batch in one transaction, which is on disk on return.
@@ -192,20 +195,20 @@
         Raises StoreRefusedError if the disk refuses, in which case the batch is stored completely or not at
         all, and StoreError if the store is unusable."""
         try:
-            if not self._made.exists():  # marks that an empty database is lost data from now on
-                self._made.touch()
-                _sync_folder(self._made.parent)
-        except OSError as problem:
-            raise _store_error(self._made, problem) from problem
+            if not self._marker.exists():  # marks that an empty database is lost data from now on
+                self._marker.touch()
+                _sync_directory(self._marker.parent)
+        except OSError as error:
+            raise _store_error(self._marker, error) from error
         connection = self._connect()
         try:
             connection.execute("BEGIN IMMEDIATE")
             for one in saves:
                 self._write(connection, one)
             connection.execute("COMMIT")
-        except sqlite3.DatabaseError as problem:
+        except sqlite3.DatabaseError as error:
             self._disconnect()
-            raise _store_error(self.path, problem) from problem
+            raise _store_error(self.path, error) from error
         except BaseException:
             self._disconnect()
             raise
@@ -227,7 +230,7 @@
 
     def _write_meta(self, connection: sqlite3.Connection, save: Save) -> None:
         meta = {
-            "format": FORMAT,
+            "format": FORMAT_VERSION,
             "term": save.term,
             "voted": NO_VOTE if save.voted_for is None else save.voted_for,
             "last": save.start + len(save.entries) - 1,
--- a/applehub/registry/wire.py
+++ b/applehub/registry/wire.py
@@ -20,19 +20,19 @@
 )
 
 # The kind of each message class, and the keys of its fields in order.
-FORMS: dict[type[Message], tuple[str, tuple[str, ...]]] = {
+ENCODINGS: dict[type[Message], tuple[str, tuple[str, ...]]] = {
     RequestVote: ("Ask", ("term", "trial", "last_index", "last_term")),
     RequestVoteResponse: ("Vote", ("term", "trial", "granted")),
     AppendEntries: ("Append", ("term", "prev_index", "prev_term", "entries", "commit", "sent")),
     AppendEntriesResponse: ("Appended", ("term", "ok", "place", "sent")),
     InstallSnapshot: ("Install", ("term", "snapshot", "sent")),
 }
-CLASSES = {kind: (message_class, keys) for message_class, (kind, keys) in FORMS.items()}
+CLASSES = {kind: (message_class, keys) for message_class, (kind, keys) in ENCODINGS.items()}
 
 
 def encode(sender: int, message: Message) -> bytes:
     """Returns the encoded line of a message."""
-    kind, keys = FORMS[type(message)]
+    kind, keys = ENCODINGS[type(message)]
     line: dict[str, object] = {"kind": kind, "from": sender, **dict(zip(keys, message, strict=True))}
     if isinstance(message, AppendEntries):
         line["entries"] = [(term, command.decode()) for term, command in message.entries]
@@ -46,30 +46,30 @@
     """Returns the sender and the message of a line. Raises MessageError."""
     try:
         fields = orjson.loads(line)
-        sender = _number(fields.pop("from"))
+        sender = _check_integer(fields.pop("from"))
         message_class, keys = CLASSES[fields.pop("kind")]
-        values = [_value(key, fields.pop(key)) for key in keys]
+        values = [_decode_value(key, fields.pop(key)) for key in keys]
         message: Message = message_class(*values)
-    except (ValueError, KeyError, TypeError, AttributeError) as problem:
+    except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise MessageError(
-            f"can't decode the message {line[:80]!r}: {type(problem).__name__}: {problem}"
-        ) from problem
+            f"can't decode the message {line[:80]!r}: {type(error).__name__}: {error}"
+        ) from error
     if fields:
         raise MessageError(f"message {line[:80]!r} has unknown keys {sorted(fields)}")
     return sender, message
 
 
-def _value(key: str, value: Any) -> Any:
+def _decode_value(key: str, value: Any) -> Any:
     """Decodes the value of a field. Raises ValueError, TypeError or AttributeError."""
     if key == "entries":
-        return tuple(LogEntry(_number(term), command.encode()) for term, command in value)
+        return tuple(LogEntry(_check_integer(term), command.encode()) for term, command in value)
     if key == "snapshot":
         index, term, data = value
-        return Snapshot(_number(index), _number(term), data.encode())
-    return _number(value)
+        return Snapshot(_check_integer(index), _check_integer(term), data.encode())
+    return _check_integer(value)
 
 
-def _number(value: object) -> int:
+def _check_integer(value: object) -> int:
     if not isinstance(value, int):  # bool is accepted, as a subclass of int
         raise TypeError(f"expected an integer, got {value!r}")
     return value
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -84,8 +84,8 @@
     held = EndpointList(max_changes=100)
     for number in range(10):
         held.apply(put(f"s{number}"))
-    watch = ServerLeases(brake_part=0.3, brake_least=2)
-    watch.begin(0, held.entries)
+    watch = ServerLeases(pause_fraction=0.3, pause_minimum=2)
+    watch.reset(0, held.entries)
 
     def look(at_ms: int, *renew: int) -> LeaseChanges:
         for number in renew:
@@ -101,10 +101,10 @@
     assert look(2100, *range(1, 10)) == ([], ["s0"], [])
     assert held.entries["s0"].state == "Gone"
     for at in (2600, 3000, 3400, 3800):  # the network is cut: nobody renews
-        assert look(at) == ([], [], []) and watch.braked == (at > 3100)
-    assert look(3900, *range(1, 10)) == ([], [], []) and not watch.braked
+        assert look(at) == ([], [], []) and watch.expiry_paused == (at > 3100)
+    assert look(3900, *range(1, 10)) == ([], [], []) and not watch.expiry_paused
     stood = 3900 * MILLI + 3600 * SECOND  # this process stood still: nobody could renew
-    assert watch.check(stood, held.entries) == ([], [], []) and not watch.braked
+    assert watch.check(stood, held.entries) == ([], [], []) and not watch.expiry_paused
 
 
 SAVES = [
@@ -119,7 +119,7 @@
     assert store.load() == StoredState()
     store.save(SAVES[:2])
     assert store.load() == StoredState(2, None, Snapshot(0, 0, b""), (LogEntry(1, b"a"), *SAVES[1].entries))
-    with pytest.raises(StoreError, match="another process has it"):
+    with pytest.raises(StoreError, match="the store is locked by another process"):
         ReplicaStore(tmp_path)
     store.save(SAVES[2:])
     store.close()
--- a/tests/test_registry_api.py
+++ b/tests/test_registry_api.py
@@ -8,7 +8,7 @@
 
 from applehub.events import EventKind, read_events
 from applehub.registry.config import parse
-from applehub.registry.endpoint_list import BASE_STEP, EndpointList
+from applehub.registry.endpoint_list import VERSIONS_PER_SECOND, EndpointList
 from applehub.registry.replica_state import Role
 from applehub.registry.server_leases import SECOND
 
@@ -33,7 +33,7 @@
     async with replica(tmp_path) as one:
         assert await one.targets() == (200, {"rev": 0, "all": True, "targets": []})
         status, answer = await one.ask("PUT", "/v1/servers/s", BODY)
-        assert status == 200 and answer["entry"] >= BASE_STEP
+        assert status == 200 and answer["entry"] >= VERSIONS_PER_SECOND
         assert await one.ask("PUT", "/v1/servers/s?expected=0", BODY) == (200, answer)  # the same again
         assert (await one.ask("PUT", "/v1/servers/s?expected=0", {**BODY, "az": "b"}))[0] == 409
         assert (await one.ask("PUT", "/v1/servers/s?expected=x", BODY))[0] == 400
@@ -61,7 +61,7 @@
         assert (await one.targets(f"?from={first + 99}"))[1]["all"]  # a version of another history
         assert (await one.targets("?from=x"))[0] == 400
         config = one.service.config.model_dump(mode="json")
-        one.service.retune(parse("x", {**config, "views": {"127.0.0.1": "v"}}))
+        one.service.update_config(parse("x", {**config, "views": {"127.0.0.1": "v"}}))
         assert (await one.targets())[1]["targets"][0]["endpoint"] == "127.0.0.1:2"
 
 
@@ -75,7 +75,7 @@
         assert status == 409 and answer["holder"] == "me" and 0 < answer["left_ms"] <= 60_000
         assert (await one.ask("DELETE", f"{lock}?holder=another"))[0] == 409
         leases = one.service.lock_api.leases
-        leases.renewed_at["release"] = leases.began_at = time.monotonic_ns() - 61 * SECOND
+        leases.renewed_at["release"] = leases.reset_at = time.monotonic_ns() - 61 * SECOND
         status, second = await one.ask("PUT", lock, OTHER)  # its holder has not renewed
         assert status == 200 and second["fence"] > first["fence"]
         assert (await one.ask("PUT", lock, MINE))[0] == 409
@@ -95,7 +95,7 @@
             await asyncio.sleep(0.01)
         leases.renewed_at = dict.fromkeys(("l0", "l1", "l2"), long_ago)
         entries = one.host.endpoints.entries
-        while not leases.braked:  # none has renewed: too many at once to be believed
+        while not leases.expiry_paused:  # none has renewed: too many at once to be believed
             await asyncio.sleep(0.01)
         assert all(entry.state != "Gone" for entry in entries.values())
         for name in ("l1", "l2"):
@@ -112,7 +112,7 @@
 
 async def test_too_many_complete_lists_are_rejected_with_when_to_come_again(tmp_path: Path) -> None:
     async with replica(tmp_path) as one:
-        one.service.list_api.admission.free_at = asyncio.get_running_loop().time() + 1000
+        one.service.list_api.admission.next_slot_at = asyncio.get_running_loop().time() + 1000
         async with one.session.get(f"http://{one.listen}/api/targets") as response:
             assert response.status == 503 and int(response.headers["Retry-After"]) > 900
 
--- a/tests/test_registry_system.py
+++ b/tests/test_registry_system.py
@@ -121,7 +121,7 @@
         assert (await one.ask("DELETE", "/v1/servers/s"))[0] == 200
         _, told_later = await watch
         assert told_later["rev"] == told["entry"] + 1  # versions of a list go on by one, whatever the clock
-        one.service.lock_api.leases.renewed_at["l"] = one.service.lock_api.leases.began_at = (
+        one.service.lock_api.leases.renewed_at["l"] = one.service.lock_api.leases.reset_at = (
             time.monotonic_ns() - 61 * 10**9
         )
         assert (await one.ask("PUT", "/v1/locks/l", {"holder": "other"}))[0] == 200
@@ -135,4 +135,4 @@
         for line in file.read_text().splitlines()
         if "time.time" in line or "datetime" in line
     }
-    assert used == {("replies.py", "return time.time_ns() // SECOND * BASE_STEP")}
+    assert used == {("replies.py", "return time.time_ns() // SECOND * VERSIONS_PER_SECOND")}
