--- a/applehub/registry/admin_api.py
+++ b/applehub/registry/admin_api.py
@@ -139,10 +139,10 @@
         endpoints = self._host.endpoints
         servers = [
             {
-                **one.target(""), "version": one.version, "lease_ms": one.lease_ms, "suspect": one.suspect,
-                "endpoints": one.endpoints,
+                **entry.target(""), "version": entry.version, "lease_ms": entry.lease_ms, "suspect": entry.suspect,
+                "endpoints": entry.endpoints,
             }
-            for one in endpoints.entries.values()
+            for entry in endpoints.entries.values()
         ]  # fmt: skip
         return self.replies.json(HTTPStatus.OK, {"version": endpoints.version, "servers": servers})
 
@@ -164,7 +164,7 @@
         metrics = self._metrics
         endpoints = self._host.endpoints
         metrics.version.set(endpoints.version)
-        metrics.servers.set(sum(one.state is not ServerState.GONE for one in endpoints.entries.values()))
+        metrics.servers.set(sum(entry.state is not ServerState.GONE for entry in endpoints.entries.values()))
         metrics.watchers.set(len(self._list_api.watchers.waiting))
         metrics.primary.set(self._host.is_lease_holder())
         metrics.expiry_paused.set(self._leases.expiry_paused)
--- a/applehub/registry/answers.py
+++ b/applehub/registry/answers.py
@@ -38,9 +38,9 @@
         complete, entries = endpoints.since(since)
         key = (None if complete else since, view)
         if key not in self.cached:
-            targets = [one.target(view) for one in entries]
+            targets = [entry.target(view) for entry in entries]
             body = orjson.dumps({"rev": endpoints.version, "all": complete, "targets": targets})
-            self.cached[key] = Answer(body, complete, {one.uid: one.state for one in entries})
+            self.cached[key] = Answer(body, complete, {entry.uid: entry.state for entry in entries})
             self.size += len(body)
             while self.size > MAX_CACHED and len(self.cached) > 1:
                 _, oldest = self.cached.popitem(last=False)
--- a/applehub/registry/endpoint_list.py
+++ b/applehub/registry/endpoint_list.py
@@ -189,8 +189,8 @@
         return orjson.dumps(
             {
                 "version": self.version, "forgotten": self.dropped_version, "entries": entries,
-                "changes": [tuple(one) for one in self.changes],
-                "locks": {name: tuple(one) for name, one in self.locks.items()},
+                "changes": [tuple(change) for change in self.changes],
+                "locks": {name: tuple(lock) for name, lock in self.locks.items()},
             }
         )  # fmt: skip
 
@@ -205,14 +205,13 @@
             entries[uid] = ServerEntry(
                 uid, entry_fields, endpoints, lease_ms, ServerState(state), version, suspect
             )
-        changes = deque(Change(*one) for one in content["changes"])
-        locks = {
-            name: Lock(*one) for name, one in content.get("locks", {}).items()
-        }  # absent in older snapshots
+        changes = deque(Change(*change) for change in content["changes"])
+        # Snapshots of older versions have no locks.
+        locks = {name: Lock(*lock) for name, lock in content.get("locks", {}).items()}
         return cls(max_changes, content["version"], entries, changes, content["forgotten"], locks)
 
 
-def _same_content(one: ServerEntry, other: ServerEntry) -> bool:
+def _same_content(entry: ServerEntry, other: ServerEntry) -> bool:
     """Returns whether two entries have the same content, apart from version and suspect."""
-    content = (one.fields, one.endpoints, one.lease_ms, one.state)
+    content = (entry.fields, entry.endpoints, entry.lease_ms, entry.state)
     return content == (other.fields, other.endpoints, other.lease_ms, other.state)
--- a/applehub/registry/host.py
+++ b/applehub/registry/host.py
@@ -78,9 +78,7 @@
         self.endpoints = EndpointList.restored(options.max_changes, self.replica.snapshot.data)
         self.applied_index = self.replica.snapshot.last_index
         self.on_new_version: Callable[[], None] = lambda: None
-        self.failed: asyncio.Future[None] = (
-            self.loop.create_future()
-        )  # has an exception once the store is unusable
+        self.failed: asyncio.Future[None] = self.loop.create_future()  # fails if the store does
         self.disk_refuses = False
         self._pending: dict[int, _Pending] = {}  # commands proposed here, by log index
         self._proposals: list[tuple[bytes, asyncio.Future[CommandResult]]] = []
@@ -231,7 +229,9 @@
             log.warning(
                 "write refused: %s; no votes and no acknowledgements until the disk accepts writes", error
             )
-        committed: list[Action] = [one for one in (*rest, *self._queued) if isinstance(one, Apply | Restore)]
+        committed: list[Action] = [
+            action for action in (*rest, *self._queued) if isinstance(action, Apply | Restore)
+        ]
         self._queued = []
         self.handle(StorageFailed())
         if self._peers:  # a majority of the other replicas has these on disk
--- a/applehub/registry/list_api.py
+++ b/applehub/registry/list_api.py
@@ -91,9 +91,8 @@
         """Waits until the request can be answered. Returns the response if the request is rejected."""
         since = list_request.since
         if since is not None and since > self.host.endpoints.version and not self.host.is_lease_holder():
-            await self._wait_newer(
-                since - 1, CATCH_UP_TIMEOUT
-            )  # the router has it from a replica that is ahead
+            # The router has this version from a replica that is ahead.
+            await self._wait_newer(since - 1, CATCH_UP_TIMEOUT)
             if since > self.host.endpoints.version:
                 return self._rejected("behind")
         if not self._is_recent():
--- a/applehub/registry/model/granularity.py
+++ b/applehub/registry/model/granularity.py
@@ -18,10 +18,10 @@
         yield from self.common_steps(state)
         for envelope in dict.fromkeys(state.messages):
             sender, receiver, message = envelope
-            description = f"{type(message).__name__} {sender} to {receiver}"
-            yield f"deliver {description}", partial(self.deliver, envelope=envelope)
-            yield f"double {description}", partial(self.deliver, envelope=envelope, duplicate=True)
-            yield f"lose {description}", partial(State.remove_message, envelope=envelope)
+            what = f"{type(message).__name__} {sender} to {receiver}"
+            yield f"deliver {what}", partial(self.deliver, envelope=envelope)
+            yield f"double {what}", partial(self.deliver, envelope=envelope, duplicate=True)
+            yield f"lose {what}", partial(State.remove_message, envelope=envelope)
         for replica_id in GROUP:
             replica = state.replicas[replica_id]
             if state.unsynced[replica_id]:
@@ -53,9 +53,9 @@
         if replica.role is Role.LEADER:
             yield f"replicate {initiator} {peer}", partial(self._replicate, initiator=initiator, peer=peer)
             for answer in (False, True) if len(state.messages) < self.bounds.delayed else ():
-                description = "an answer to" if answer else "from"
+                what = "an answer to" if answer else "from"
                 yield (
-                    f"delay {description} {initiator}, {peer}",
+                    f"delay {what} {initiator}, {peer}",
                     partial(self._delay, initiator=initiator, peer=peer, answer=answer),
                 )
         elif replica.term < self.bounds.terms:
--- a/applehub/registry/model/state.py
+++ b/applehub/registry/model/state.py
@@ -39,17 +39,13 @@
     replicas: list[Replica]
     disks: list[StoredState]
     unsynced: list[tuple[Action, ...]]  # actions that wait for a sync, by replica
-    applied: list[int] = field(
-        default_factory=lambda: [0, 0, 0]
-    )  # index of the last entry that each host applied
+    applied: list[int] = field(default_factory=lambda: [0, 0, 0])  # last index by host
     messages: tuple[Envelope, ...] = ()
     now: int = 100
     proposals: int = 0
     restarts: int = 0
     refusals: int = 0
-    refusing: dict[int, bool] = field(
-        default_factory=dict
-    )  # by disk: whether refused writes are stored anyway
+    refusing: dict[int, bool] = field(default_factory=dict)  # whether refused writes are stored, by disk
     leaders: dict[int, int] = field(default_factory=dict)  # replica by term
     committed: tuple[LogEntry, ...] = ()
     commit_terms: tuple[int, ...] = ()  # term of the replica that first applied each entry
--- a/applehub/registry/peer_connection.py
+++ b/applehub/registry/peer_connection.py
@@ -36,9 +36,8 @@
             try:
                 async with asyncio.timeout(CONNECT_TIMEOUT):
                     reader, self._writer = await asyncio.open_connection(*self._address)
-                await (
-                    reader.read()
-                )  # peers respond on their own connections, so this returns at the end of the connection
+                # Peers respond on their own connections, so this returns at the end of the connection.
+                await reader.read()
             except (OSError, TimeoutError) as error:
                 log.debug("can't connect to the replica at %s: %s", self._address, error)
             finally:
--- a/applehub/registry/replica_state.py
+++ b/applehub/registry/replica_state.py
@@ -62,9 +62,7 @@
     votes: frozenset[int] = frozenset()
     pre_vote: bool = False  # whether a candidate is in the pre-vote phase
     leader_since: int = 0
-    progress: dict[int, FollowerProgress] = field(
-        default_factory=dict
-    )  # of the followers; empty unless leader
+    progress: dict[int, FollowerProgress] = field(default_factory=dict)  # by follower, if leader
     storage_failed: bool = False  # the disk refused the last Save, so memory and disk may differ
 
     def __post_init__(self) -> None:
@@ -108,7 +106,7 @@
         """Returns the end of the lease, in nanoseconds of the own clock; 0 without a lease."""
         if self.role is not Role.LEADER:
             return 0
-        acknowledged = sorted((one.acknowledged_at for one in self.progress.values()), reverse=True)
+        acknowledged = sorted((progress.acknowledged_at for progress in self.progress.values()), reverse=True)
         required = self.majority - 1  # in addition to itself
         since = acknowledged[required - 1] if required else self.now
         return since + self.timing.lease if since else 0
--- a/applehub/registry/replication.py
+++ b/applehub/registry/replication.py
@@ -49,7 +49,9 @@
 
     def _advance_commit_index(self, actions: list[Action]) -> None:
         """Commits the entries that a majority has stored, up to the last one of this term (Raft, 5.4.2)."""
-        stored = sorted([self.last_index, *(one.match_index for one in self.progress.values())], reverse=True)
+        stored = sorted(
+            [self.last_index, *(progress.match_index for progress in self.progress.values())], reverse=True
+        )
         index = stored[self.majority - 1]
         if index > self.commit_index and self.term_at(index) == self.term:
             self.commit_index = index
--- a/applehub/registry/replies.py
+++ b/applehub/registry/replies.py
@@ -50,7 +50,7 @@
     def invalid(self, error: ValidationError) -> web.Response:
         """Returns a 400 response that lists all faults of a request body."""
         faults = [
-            {"key": ".".join(map(str, one["loc"])) or "the whole", "expected": one["msg"]}
-            for one in error.errors()
+            {"key": ".".join(map(str, detail["loc"])) or "the whole", "expected": detail["msg"]}
+            for detail in error.errors()
         ]
         return self.json(HTTPStatus.BAD_REQUEST, {"error": "of no use", "faults": faults})
--- a/applehub/registry/server_leases.py
+++ b/applehub/registry/server_leases.py
@@ -52,14 +52,20 @@
             stalled = now - self.checked_at
             self.renewed_at = {uid: at + stalled for uid, at in self.renewed_at.items()}
         self.checked_at = now
-        leased = [one for one in entries.values() if one.lease_ms and one.state is not ServerState.GONE]
-        self.renewed_at = {one.uid: self.renewed_at.get(one.uid, now) for one in leased}
-        ages = {one.uid: now - self.renewed_at[one.uid] for one in leased}
-        expired = [one for one in leased if ages[one.uid] > one.lease_ms * MILLI]
-        recovered = [one.uid for one in leased if one.suspect and ages[one.uid] <= one.lease_ms * MILLI]
+        leased = [
+            entry for entry in entries.values() if entry.lease_ms and entry.state is not ServerState.GONE
+        ]
+        self.renewed_at = {entry.uid: self.renewed_at.get(entry.uid, now) for entry in leased}
+        ages = {entry.uid: now - self.renewed_at[entry.uid] for entry in leased}
+        expired = [entry for entry in leased if ages[entry.uid] > entry.lease_ms * MILLI]
+        recovered = [
+            entry.uid for entry in leased if entry.suspect and ages[entry.uid] <= entry.lease_ms * MILLI
+        ]
         self.expiry_paused = len(expired) > max(self.pause_minimum, self.pause_fraction * len(leased))
         if self.expiry_paused:
             return LeaseChanges([], [], recovered)
-        suspect = [one.uid for one in expired if not one.suspect]
-        gone = [one.uid for one in expired if one.suspect and ages[one.uid] > 2 * one.lease_ms * MILLI]
+        suspect = [entry.uid for entry in expired if not entry.suspect]
+        gone = [
+            entry.uid for entry in expired if entry.suspect and ages[entry.uid] > 2 * entry.lease_ms * MILLI
+        ]
         return LeaseChanges(suspect, gone, recovered)
--- a/applehub/registry/store.py
+++ b/applehub/registry/store.py
@@ -203,8 +203,8 @@
         connection = self._connect()
         try:
             connection.execute("BEGIN IMMEDIATE")
-            for one in saves:
-                self._write(connection, one)
+            for save in saves:
+                self._write(connection, save)
             connection.execute("COMMIT")
         except sqlite3.DatabaseError as error:
             self._disconnect()
