--- a/applehub/registry/admin_api.py
+++ b/applehub/registry/admin_api.py
@@ -139,8 +139,8 @@
         endpoints = self._host.endpoints
         servers = [
             {
-                **entry.target(""), "version": entry.version, "lease_ms": entry.lease_ms, "suspect": entry.suspect,
-                "endpoints": entry.endpoints,
+                **entry.target(""), "version": entry.version, "lease_ms": entry.lease_ms,
+                "suspect": entry.suspect, "endpoints": entry.endpoints,
             }
             for entry in endpoints.entries.values()
         ]  # fmt: skip
--- a/tests/registry_replica.py
+++ b/tests/registry_replica.py
@@ -1,4 +1,4 @@
-"""One replica of the list service in a test's own process."""
+"""Runs one replica of the list service in the process of the test."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -18,35 +18,35 @@
 
 @dataclass
 class Replica:
-    """A group of one, in this process."""
+    """A group of one replica."""
 
     host: Host
     service: Service
     session: aiohttp.ClientSession
-    listen: str
-    staff: str
+    list_address: str
+    admin_address: str
 
-    async def ask(self, method: str, path: str, body: object = None) -> tuple[int, Any]:
-        async with self.session.request(method, f"http://{self.staff}{path}", json=body) as answer:
-            return answer.status, await answer.json()
+    async def request(self, method: str, path: str, body: object = None) -> tuple[int, Any]:
+        async with self.session.request(method, f"http://{self.admin_address}{path}", json=body) as response:
+            return response.status, await response.json()
 
-    async def targets(self, query: str = "") -> tuple[int, Any]:
-        async with self.session.get(f"http://{self.listen}/api/targets{query}") as answer:
-            return answer.status, await answer.json() if answer.status == 200 else None
+    async def get_list(self, query: str = "") -> tuple[int, Any]:
+        async with self.session.get(f"http://{self.list_address}/api/targets{query}") as response:
+            return response.status, await response.json() if response.status == 200 else None
 
 
 @asynccontextmanager
-async def replica(folder: Path, compact_after: int = 2000) -> AsyncIterator[Replica]:
-    """A replica that leads its own group. compact_after: entries of its log."""
-    config = parse("x", {"name": "a", "state_dir": str(folder / "a"), "leases": {"look_ms": 20}})
+async def run_replica(directory: Path, compact_after: int = 2000) -> AsyncIterator[Replica]:
+    """Runs a single replica that is the leader. compact_after: log entries before compaction."""
+    config = parse("x", {"name": "a", "state_dir": str(directory / "a"), "leases": {"look_ms": 20}})
     host = Host(HostOptions(0, compact_after=compact_after), ReplicaStore(config.state_dir))
-    with (folder / "events").open("wb") as events:
+    with (directory / "events").open("wb") as events:
         service = Service(config, host, EventWriter(events, "a", 0))
         await host.start()
-        listen, staff = await service.start()
+        list_address, admin_address = await service.start()
         async with asyncio.timeout(60), aiohttp.ClientSession() as session:
             while not host.is_lease_holder():
                 await asyncio.sleep(0.01)
-            yield Replica(host, service, session, listen, staff)
+            yield Replica(host, service, session, list_address, admin_address)
         await service.stop()
         await host.stop()
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""The list service: its list, its disk, its HTTP calls, and three processes that are killed."""
+"""Tests of the list service: list, leases, store, configuration, and a group with failing leaders."""
 
 import shutil
 import signal
@@ -34,77 +34,82 @@
 from applehub.registry.store import ReplicaStore
 
 
-def test_a_group_of_one_agrees_with_itself_once_its_disk_has_it() -> None:
-    alone = Replica(0, (0,), Timing(), 0)
-    alone.election_due = 0
-    elected = alone.handle(1, Tick(0.5))
-    assert alone.is_lease_holder(1)
-    actions = alone.handle(2, Propose((b"x", b"y")))
-    assert [type(one).__name__ for one in elected + actions] == [
+def test_single_replica_commits_after_its_own_save() -> None:
+    replica = Replica(0, (0,), Timing(), 0)
+    replica.election_due = 0
+    election_actions = replica.handle(1, Tick(0.5))
+    assert replica.is_lease_holder(1)
+    actions = replica.handle(2, Propose((b"x", b"y")))
+    assert [type(action).__name__ for action in election_actions + actions] == [
         "Save", "Proposed", "Save", "Apply", "Proposed", "Save", "Apply", "Apply",
     ]  # fmt: skip
-    assert alone.commit_index == 3
+    assert replica.commit_index == 3
 
 
-def put(uid: str, **more: Any) -> bytes:
-    told = {
+def put(uid: str, **overrides: Any) -> bytes:
+    command = {
         "do": "put", "uid": uid, "fields": {"endpoint": "127.0.0.1:1"}, "endpoints": {}, "state": "Ready",
         "lease_ms": 1000, "base": 50,
     }  # fmt: skip
-    return orjson.dumps({**told, **more})
-
-
-def state(uid: str, wanted: str, **more: Any) -> bytes:
-    return orjson.dumps({"do": "state", "uid": uid, "state": wanted, **more})
-
-
-def test_a_version_for_every_change_and_none_for_the_same_again() -> None:
-    held = EndpointList(max_changes=4)
-    assert held.apply(put("a")) == (200, 50, 50)
-    assert held.apply(put("a")) == (200, 50, 50)  # a writer that heard no answer asks again
-    assert held.apply(put("b")) == (200, 51, 51)
-    assert held.apply(state("a", "Terminating", expected=49)) == (409, 51, 50)
-    assert held.apply(state("a", "Terminating", expected=50)) == (200, 52, 52)
-    assert held.apply(state("a", "Terminating", expected=50)) == (200, 52, 52)
-    assert held.apply(state("c", "Gone")) == (404, 52, 0)
-    whole, told = held.since(50)
-    assert not whole and [(one.uid, one.state) for one in told] == [("b", "Ready"), ("a", "Terminating")]
-    assert held.since(52) == (False, [])
-    assert held.since(99)[0] and held.since(None)[0]  # another history; nothing held
-    held.apply(state("a", "Gone"))
-    for lease in (1, 2, 3, 4):
-        held.apply(put("b", lease_ms=lease))
-    assert held.since(52)[0]  # further behind than what is kept
-    assert list(held.entries) == ["b"]  # what is gone is forgotten with its change
-    again = EndpointList.restored(4, held.snapshot())
-    assert again == held and again.apply(put("b", lease_ms=9)) == held.apply(put("b", lease_ms=9))
-
-
-def test_leases_expire_but_never_most_of_them_at_once() -> None:
-    held = EndpointList(max_changes=100)
+    return orjson.dumps({**command, **overrides})
+
+
+def state(uid: str, new_state: str, **overrides: Any) -> bytes:
+    return orjson.dumps({"do": "state", "uid": uid, "state": new_state, **overrides})
+
+
+def test_version_increases_with_changes_but_not_with_repeated_commands() -> None:
+    endpoint_list = EndpointList(max_changes=4)
+    assert endpoint_list.apply(put("a")) == (200, 50, 50)
+    assert endpoint_list.apply(put("a")) == (200, 50, 50)  # a retry
+    assert endpoint_list.apply(put("b")) == (200, 51, 51)
+    assert endpoint_list.apply(state("a", "Terminating", expected=49)) == (409, 51, 50)
+    assert endpoint_list.apply(state("a", "Terminating", expected=50)) == (200, 52, 52)
+    assert endpoint_list.apply(state("a", "Terminating", expected=50)) == (200, 52, 52)
+    assert endpoint_list.apply(state("c", "Gone")) == (404, 52, 0)
+    complete, entries = endpoint_list.since(50)
+    assert not complete and [(entry.uid, entry.state) for entry in entries] == [
+        ("b", "Ready"),
+        ("a", "Terminating"),
+    ]
+    assert endpoint_list.since(52) == (False, [])
+    assert endpoint_list.since(99)[0] and endpoint_list.since(None)[0]  # an unknown version; no version
+    endpoint_list.apply(state("a", "Gone"))
+    for lease_ms in (1, 2, 3, 4):
+        endpoint_list.apply(put("b", lease_ms=lease_ms))
+    assert endpoint_list.since(52)[0]  # further behind than the retained changes
+    assert list(endpoint_list.entries) == ["b"]  # an entry in state Gone is dropped with its change
+    restored = EndpointList.restored(4, endpoint_list.snapshot())
+    assert restored == endpoint_list and restored.apply(put("b", lease_ms=9)) == endpoint_list.apply(
+        put("b", lease_ms=9)
+    )
+
+
+def test_expiry_is_paused_when_most_leases_expire() -> None:
+    endpoint_list = EndpointList(max_changes=100)
     for number in range(10):
-        held.apply(put(f"s{number}"))
-    watch = ServerLeases(pause_fraction=0.3, pause_minimum=2)
-    watch.reset(0, held.entries)
-
-    def look(at_ms: int, *renew: int) -> LeaseChanges:
-        for number in renew:
-            watch.renew(at_ms * MILLI, f"s{number}")
-        found = watch.check(at_ms * MILLI, held.entries)
-        for uids, command in ((found[0], {"do": "suspect", "on": True}), (found[1], {"do": "gone"})):
-            held.apply(orjson.dumps({**command, "uids": uids}))
-        return found
-
-    assert look(900, *range(1, 10)) == ([], [], [])
-    assert look(1500, *range(1, 10)) == (["s0"], [], [])
-    assert held.since(None)[1][0].uid == "s0"  # suspect is still told as it was
-    assert look(2100, *range(1, 10)) == ([], ["s0"], [])
-    assert held.entries["s0"].state == "Gone"
-    for at in (2600, 3000, 3400, 3800):  # the network is cut: nobody renews
-        assert look(at) == ([], [], []) and watch.expiry_paused == (at > 3100)
-    assert look(3900, *range(1, 10)) == ([], [], []) and not watch.expiry_paused
-    stood = 3900 * MILLI + 3600 * SECOND  # this process stood still: nobody could renew
-    assert watch.check(stood, held.entries) == ([], [], []) and not watch.expiry_paused
+        endpoint_list.apply(put(f"s{number}"))
+    leases = ServerLeases(pause_fraction=0.3, pause_minimum=2)
+    leases.reset(0, endpoint_list.entries)
+
+    def check_at(at_ms: int, *renewing: int) -> LeaseChanges:
+        for number in renewing:
+            leases.renew(at_ms * MILLI, f"s{number}")
+        changes = leases.check(at_ms * MILLI, endpoint_list.entries)
+        for uids, command in ((changes[0], {"do": "suspect", "on": True}), (changes[1], {"do": "gone"})):
+            endpoint_list.apply(orjson.dumps({**command, "uids": uids}))
+        return changes
+
+    assert check_at(900, *range(1, 10)) == ([], [], [])
+    assert check_at(1500, *range(1, 10)) == (["s0"], [], [])
+    assert endpoint_list.since(None)[1][0].uid == "s0"  # a suspect server is still listed
+    assert check_at(2100, *range(1, 10)) == ([], ["s0"], [])
+    assert endpoint_list.entries["s0"].state == "Gone"
+    for time_ms in (2600, 3000, 3400, 3800):  # no server renews
+        assert check_at(time_ms) == ([], [], []) and leases.expiry_paused == (time_ms > 3100)
+    assert check_at(3900, *range(1, 10)) == ([], [], []) and not leases.expiry_paused
+    resumed_at = 3900 * MILLI + 3600 * SECOND  # this process was stalled
+    assert leases.check(resumed_at, endpoint_list.entries) == ([], [], []) and not leases.expiry_paused
 
 
 SAVES = [
@@ -114,7 +119,7 @@
 ]
 
 
-def test_what_was_saved_is_loaded(tmp_path: Path) -> None:
+def test_saved_state_is_loaded(tmp_path: Path) -> None:
     store = ReplicaStore(tmp_path)
     assert store.load() == StoredState()
     store.save(SAVES[:2])
@@ -126,42 +131,41 @@
     assert ReplicaStore(tmp_path).load() == StoredState(2, 1, Snapshot(2, 2, b"whole"), SAVES[2].entries)
 
 
-def test_flipped_bits_and_torn_files_are_refused_or_change_nothing(tmp_path: Path) -> None:
-    """Every eleventh byte of both files is flipped, and both are cut short: never is something else
-    served."""
-    whole = tmp_path / "whole"
-    store = ReplicaStore(whole)
+def test_corrupt_or_truncated_files_are_rejected_or_harmless(tmp_path: Path) -> None:
+    """Flips a bit in every eleventh byte of both files and truncates both: no other state is loaded."""
+    original = tmp_path / "whole"
+    store = ReplicaStore(original)
     store.save(SAVES)
-    right = store.load()
+    expected = store.load()
     copied = tmp_path / "copied"
-    shutil.copytree(whole, copied)
+    shutil.copytree(original, copied)
     store.close()
-    refused = 0
-    files = [one for one in copied.iterdir() if one.name.startswith("replica.sqlite")]
+    rejected = 0
+    files = [path for path in copied.iterdir() if path.name.startswith("replica.sqlite")]
     for file in files:
         content = file.read_bytes()
-        spoilt = [
+        flipped = [
             content[:at] + bytes([content[at] ^ 0x10]) + content[at + 1 :]
             for at in range(0, len(content), 11)
         ]
-        for text in [*spoilt, *(content[:at] for at in range(0, len(content), 4096))]:
+        for corrupt in [*flipped, *(content[:at] for at in range(0, len(content), 4096))]:
             shutil.rmtree(tmp_path / "one", ignore_errors=True)
             shutil.copytree(copied, tmp_path / "one")
-            (tmp_path / "one" / file.name).write_bytes(text)
-            one = None
+            (tmp_path / "one" / file.name).write_bytes(corrupt)
+            opened = None
             try:
-                one = ReplicaStore(tmp_path / "one")
-                assert one.load() == right
-            except StoreError as problem:
-                refused += 1
-                assert "replica.sqlite: " in str(problem)
+                opened = ReplicaStore(tmp_path / "one")
+                assert opened.load() == expected
+            except StoreError as error:
+                rejected += 1
+                assert "replica.sqlite: " in str(error)
             finally:
-                if one is not None:
-                    one.close()
-    assert refused
+                if opened is not None:
+                    opened.close()
+    assert rejected
 
 
-def test_messages_are_read_as_they_were_written_and_malformed_lines_rejected() -> None:
+def test_messages_are_decoded_and_malformed_lines_are_rejected() -> None:
     for message in (
         RequestVote(3, True, 7, 2),
         RequestVoteResponse(3, False, True),
@@ -180,67 +184,69 @@
             wire.decode(line)
 
 
-def test_a_configuration_of_no_use_names_every_fault() -> None:
-    with pytest.raises(ConfigError) as told:
+def test_invalid_configuration_reports_every_fault() -> None:
+    with pytest.raises(ConfigError) as caught:
         parse(
             "x.toml",
             {"state_dir": "d", "listen": "here", "limits": {"callers": 0}, "timing": {"lease_ms": 600}},
         )
-    said = str(told.value)
+    message = str(caught.value)
     for key in ("x.toml: name: ", "x.toml: listen: ", "x.toml: limits.callers: ", "x.toml: timing: "):
-        assert key in said
+        assert key in message
 
 
-def test_watchers_are_notified_of_every_change_by_the_service_and_by_its_stand_in() -> None:
-    words = ["lists", "--servers", "5", "--watchers", "12", "--changes", "4", "--json"]
-    result = CliRunner().invoke(main, words)
+def test_service_and_its_substitute_notify_watchers_of_every_change() -> None:
+    arguments = ["lists", "--servers", "5", "--watchers", "12", "--changes", "4", "--json"]
+    result = CliRunner().invoke(main, arguments)
     assert result.exit_code == 0, result.output
     rows = orjson.loads(result.output)
-    assert [one["what"] for one in rows] == ["the stand-in", "one replica", "three replicas"]
-    assert all(one["together"] > 0 and 0 < one["told_p50"] <= one["told_p99"] for one in rows)
+    assert [row["what"] for row in rows] == ["the stand-in", "one replica", "three replicas"]
+    assert all(row["together"] > 0 and 0 < row["told_p50"] <= row["told_p99"] for row in rows)
 
 
 @pytest.fixture
 def group(tmp_path: Path) -> Iterator[Group]:
     block, claim = claim_block()
-    one = Group(tmp_path, block)
-    for name in one.names:
-        one.start(name)
-    yield one
-    codes = one.stop()
+    running_group = Group(tmp_path, block)
+    for name in running_group.names:
+        running_group.start(name)
+    yield running_group
+    codes = running_group.stop()
     claim.close()
     assert codes == [0, 0, 0]
 
 
-async def test_no_acknowledged_change_is_lost_when_primaries_are_killed_and_stopped(group: Group) -> None:
+async def test_acknowledged_changes_survive_killed_and_suspended_leaders(group: Group) -> None:
     acknowledged: dict[str, int] = {}
     body = {"endpoint": "127.0.0.1:1", "az": "a", "model": "m"}
     async with aiohttp.ClientSession() as session:
-        for turn in range(4):
-            primary = await group.until(session)
+        for round_number in range(4):
+            primary = await group.wait_for_primary(session)
             for number in range(10):
-                told = await group.ask(session, "PUT", primary, f"/v1/servers/s-{turn}-{number}", body)
-                if told is not None and told[0] == 200:
-                    assert told[1]["version"] > max(acknowledged.values(), default=0)
-                    acknowledged[f"s-{turn}-{number}"] = told[1]["version"]
+                response = await group.request(
+                    session, "PUT", primary, f"/v1/servers/s-{round_number}-{number}", body
+                )
+                if response is not None and response[0] == 200:
+                    assert response[1]["version"] > max(acknowledged.values(), default=0)
+                    acknowledged[f"s-{round_number}-{number}"] = response[1]["version"]
             process = group.processes[primary]
-            process.send_signal(signal.SIGKILL if turn % 2 == 0 else signal.SIGSTOP)
-            following = await group.until(session, primary)
-            told = await group.ask(session, "GET", following, "/v1/servers")
-            assert told is not None
-            held = {one["uid"]: one["version"] for one in told[1]["servers"]}
-            assert acknowledged.items() <= held.items()
-            if turn % 2 == 0:
+            process.send_signal(signal.SIGKILL if round_number % 2 == 0 else signal.SIGSTOP)
+            successor = await group.wait_for_primary(session, primary)
+            response = await group.request(session, "GET", successor, "/v1/servers")
+            assert response is not None
+            listed = {server["uid"]: server["version"] for server in response[1]["servers"]}
+            assert acknowledged.items() <= listed.items()
+            if round_number % 2 == 0:
                 process.wait()
                 group.start(primary)
             else:
                 process.send_signal(signal.SIGCONT)
         assert len(acknowledged) >= 30
         versions = []
-        for name in group.names:  # a watch from before them all tells the same everywhere
-            async with session.get(f"http://{group.listen[name]}/api/targets") as answer:
-                if answer.status == 200:
-                    told_list = await answer.json()
-                    versions.append(told_list["rev"])
-                    assert told_list["all"] and len(told_list["targets"]) <= len(held)
+        for name in group.names:  # every replica serves the complete list
+            async with session.get(f"http://{group.list_addresses[name]}/api/targets") as list_response:
+                if list_response.status == 200:
+                    complete_list = await list_response.json()
+                    versions.append(complete_list["rev"])
+                    assert complete_list["all"] and len(complete_list["targets"]) <= len(listed)
         assert max(versions) >= max(acknowledged.values())
--- a/tests/test_registry_disk.py
+++ b/tests/test_registry_disk.py
@@ -1,4 +1,4 @@
-"""The list service where a disk refuses writes, or a process is killed in the middle of one."""
+"""Tests of the list service with disks that refuse writes and with a process killed during a write."""
 
 import asyncio
 import errno
@@ -50,13 +50,13 @@
 from applehub.registry.store import ReplicaStore
 
 
-def test_a_replica_whose_disk_refuses_votes_for_none_and_acknowledges_nothing_but_applies() -> None:
+def test_replica_with_refusing_disk_applies_but_neither_votes_nor_acknowledges() -> None:
     replica = Replica(0, (0, 1, 2), Timing(), 0)
     replica.handle(1, StorageFailed())
     late = 10 * Timing().election
-    assert not replica.handle(late, Tick(0.0))  # it stands for no election
-    for trial in (True, False):
-        assert not replica.handle(late, MessageReceived(1, RequestVote(1, trial, 0, 0)))
+    assert not replica.handle(late, Tick(0.0))  # it does not become a candidate
+    for pre_vote in (True, False):
+        assert not replica.handle(late, MessageReceived(1, RequestVote(1, pre_vote, 0, 0)))
     entry = LogEntry(1, b"x")
     assert replica.handle(late, MessageReceived(1, AppendEntries(1, 0, 0, (entry,), 1, 5))) == [
         Apply(1, 1, b"x")
@@ -64,54 +64,55 @@
     assert replica.handle(late, Propose((b"y",))) == [Proposed(0, 1)]
     (save,) = replica.handle(late, StorageRetried())
     assert save == Save(1, None, 1, (entry,), NO_SNAPSHOT)
-    answers = replica.handle(late, MessageReceived(1, AppendEntries(1, 1, 1, (), 1, 6)))
-    assert answers == [Send(1, AppendEntriesResponse(1, True, 1, 6))]
+    responses = replica.handle(late, MessageReceived(1, AppendEntries(1, 1, 1, (), 1, 6)))
+    assert responses == [Send(1, AppendEntriesResponse(1, True, 1, 6))]
 
 
-def save(number: int) -> Save:
+def make_save(number: int) -> Save:
     return Save(1, None, number, (LogEntry(1, b"%d" % number),), None)
 
 
 class RefusingDisk:
-    """SQLite's connections, whose writes are refused as long as `how` says so: "full" (the file may not
-    grow, as with ENOSPC), or a word of SQL with "before" or "after": the call fails, after it took effect or
-    without."""
+    """Makes SQLite connections fail according to `mode`.
+
+    "full": the file can't grow, as with ENOSPC. "WORD before", "WORD after": statements that start with WORD
+    fail before or after they take effect. "": no failures."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.how, self.refused = "", 0
+        self.mode, self.refusals = "", 0
         connect = sqlite3.connect
         monkeypatch.setattr(sqlite3, "connect", lambda *a, **b: Connection(self, connect(*a, **b)))
 
 
 class Connection:
-    """A connection to a disk that may refuse."""
-
-    def __init__(self, disk: RefusingDisk, real: sqlite3.Connection) -> None:
-        self.disk, self.real = disk, real
-
-    def execute(self, text: str, *more: Any) -> Any:
-        return self.strike(self.real.execute, text, *more)
-
-    def executemany(self, text: str, *more: Any) -> Any:
-        return self.strike(self.real.executemany, text, *more)
-
-    def strike(self, call: Callable[..., Any], text: str, *more: Any) -> Any:
-        word, _, when = self.disk.how.partition(" ")
-        if word == "full" and text.startswith("BEGIN"):
-            self.disk.refused += 1
-            (pages,) = self.real.execute("PRAGMA page_count").fetchone()
-            self.real.execute(f"PRAGMA max_page_count={pages}")
-        elif word and text.startswith(word):
-            self.disk.refused += 1
-            if when == "after":
-                call(text, *more)
-            problem = sqlite3.OperationalError("disk I/O error")
-            problem.sqlite_errorcode = sqlite3.SQLITE_IOERR_FSYNC
-            raise problem
-        return call(text, *more)
+    """A SQLite connection that fails as its RefusingDisk says."""
+
+    def __init__(self, disk: RefusingDisk, connection: sqlite3.Connection) -> None:
+        self.disk, self.connection = disk, connection
+
+    def execute(self, text: str, *args: Any) -> Any:
+        return self.call_or_fail(self.connection.execute, text, *args)
+
+    def executemany(self, text: str, *args: Any) -> Any:
+        return self.call_or_fail(self.connection.executemany, text, *args)
+
+    def call_or_fail(self, function: Callable[..., Any], text: str, *args: Any) -> Any:
+        keyword, _, moment = self.disk.mode.partition(" ")
+        if keyword == "full" and text.startswith("BEGIN"):
+            self.disk.refusals += 1
+            (pages,) = self.connection.execute("PRAGMA page_count").fetchone()
+            self.connection.execute(f"PRAGMA max_page_count={pages}")
+        elif keyword and text.startswith(keyword):
+            self.disk.refusals += 1
+            if moment == "after":
+                function(text, *args)
+            error = sqlite3.OperationalError("disk I/O error")
+            error.sqlite_errorcode = sqlite3.SQLITE_IOERR_FSYNC
+            raise error
+        return function(text, *args)
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self.real, name)
+        return getattr(self.connection, name)
 
 
 @pytest.fixture
@@ -120,8 +121,8 @@
 
 
 @contextmanager
-def no_writes() -> Iterator[None]:
-    """The system refuses each write of this process to a file (EFBIG): SQLite reports it as it does EIO."""
+def refuse_file_writes() -> Iterator[None]:
+    """Makes the system refuse file writes of this process (EFBIG, which SQLite reports like EIO)."""
     soft, hard = resource.getrlimit(resource.RLIMIT_FSIZE)
     resource.setrlimit(resource.RLIMIT_FSIZE, (0, hard))
     try:
@@ -131,32 +132,32 @@
 
 
 @pytest.mark.parametrize(
-    "how", ["full", "system", "BEGIN before", "INSERT before", "COMMIT before", "COMMIT after"]
+    "mode", ["full", "system", "BEGIN before", "INSERT before", "COMMIT before", "COMMIT after"]
 )
-def test_a_refused_write_is_there_whole_or_not_at_all_and_may_be_written_again(
-    tmp_path: Path, disk: RefusingDisk, how: str
-) -> None:
+def test_refused_write_is_atomic_and_can_be_retried(tmp_path: Path, disk: RefusingDisk, mode: str) -> None:
     store = ReplicaStore(tmp_path)
-    store.save([save(1)])
+    store.save([make_save(1)])
     large = Save(1, None, 2, (LogEntry(1, b"2" * 100_000),), None)
-    written = how == "COMMIT after"
+    written = mode == "COMMIT after"
     for _ in range(2):
-        disk.how = "" if how == "system" else how
-        with pytest.raises(StoreRefusedError), no_writes() if how == "system" else nullcontext():
+        disk.mode = "" if mode == "system" else mode
+        with pytest.raises(StoreRefusedError), refuse_file_writes() if mode == "system" else nullcontext():
             store.save([large])
-        disk.how = ""
+        disk.mode = ""
         assert len(store.load().log) == (2 if written else 1)
-    store.save([large, save(3)])
-    right = StoredState(1, None, NO_SNAPSHOT, (*save(1).entries, *large.entries, *save(3).entries))
-    assert store.load() == right
+    store.save([large, make_save(3)])
+    expected = StoredState(
+        1, None, NO_SNAPSHOT, (*make_save(1).entries, *large.entries, *make_save(3).entries)
+    )
+    assert store.load() == expected
     store.close()
-    assert ReplicaStore(tmp_path).load() == right
+    assert ReplicaStore(tmp_path).load() == expected
 
 
-def test_a_folder_that_refuses_is_told_from_one_that_is_damaged(
+def test_temporary_and_permanent_directory_errors_are_distinguished(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    for call, error, raised in (
+    for call, error, expected in (
         ("open", errno.EMFILE, StoreRefusedError),
         ("fsync", errno.EIO, StoreRefusedError),
         ("fsync", errno.ENOSPC, StoreRefusedError),
@@ -167,21 +168,21 @@
             def fail(*_: object, error: int = error) -> int:
                 raise OSError(error, "refused")
 
-            patch.setattr(os, call, fail)  # those of the folder's sync
-            with pytest.raises(StoreError) as told:
+            patch.setattr(os, call, fail)  # called to sync the directory
+            with pytest.raises(StoreError) as caught:
                 ReplicaStore(tmp_path / f"{call}-{error}")
-            assert type(told.value) is raised
-        store = ReplicaStore(tmp_path / f"{call}-{error}")  # its lock was let go
+            assert type(caught.value) is expected
+        store = ReplicaStore(tmp_path / f"{call}-{error}")  # the failed attempt released the lock
         with monkeypatch.context() as patch:
             patch.setattr(os, call, fail)
-            with pytest.raises(StoreError) as told:
-                store.save([save(1)])
-            assert type(told.value) is raised
-        store.save([save(1)])
+            with pytest.raises(StoreError) as caught:
+                store.save([make_save(1)])
+            assert type(caught.value) is expected
+        store.save([make_save(1)])
         assert len(store.load().log) == 1
 
 
-KILLED = """
+KILLED_SCRIPT = """
 import os, signal, sys
 from pathlib import Path
 from applehub.registry.actions import Save
@@ -194,21 +195,21 @@
 def die(*_):
     os.kill(os.getpid(), signal.SIGKILL)
 
-store._connect().execute("PRAGMA cache_size=1")  # changed pages go to the file before the commit
+store._connect().execute("PRAGMA cache_size=1")  # writes changed pages to the file before the commit
 store._write_meta = die
 store.save([Save(2, 0, 1, tuple(LogEntry(2, b"y" * 3000) for _ in range(200)), None)])
 """
 
 
-def test_a_kill_in_the_middle_of_a_write_leaves_what_was_there_before(tmp_path: Path) -> None:
-    words = [sys.executable, "-c", KILLED, str(tmp_path)]
-    assert subprocess.run(words, env=environment(), timeout=60).returncode == -signal.SIGKILL
+def test_kill_during_a_write_keeps_the_previous_state(tmp_path: Path) -> None:
+    command = [sys.executable, "-c", KILLED_SCRIPT, str(tmp_path)]
+    assert subprocess.run(command, env=environment(), timeout=60).returncode == -signal.SIGKILL
     content = (tmp_path / "replica.sqlite").read_bytes()
-    assert b"y" * 1000 in content  # the file is half written
+    assert b"y" * 1000 in content  # the write was incomplete
     assert (tmp_path / "replica.sqlite-journal").stat().st_size > 0
     store = ReplicaStore(tmp_path)
     assert store.load() == StoredState(1, None, NO_SNAPSHOT, (LogEntry(1, b"x" * 50_000),))
-    store.save([save(2)])
+    store.save([make_save(2)])
     assert len(store.load().log) == 2
 
 
@@ -216,89 +217,87 @@
     return PutServer(uid=uid, fields={}, endpoints={}, state=ServerState.READY, lease_ms=0, base=5)
 
 
-async def until(holds: Callable[[], bool]) -> None:
-    """Waits for a condition, a minute at most."""
+async def wait_until(condition: Callable[[], bool]) -> None:
+    """Waits for a condition for at most 60 s."""
     async with asyncio.timeout(60):
-        while not holds():
+        while not condition():
             await asyncio.sleep(0.01)
 
 
-@pytest.mark.parametrize("how", ["full", "INSERT before", "COMMIT before", "COMMIT after"])
-async def test_a_single_replica_acknowledges_nothing_while_its_disk_refuses(
-    tmp_path: Path, disk: RefusingDisk, how: str
+@pytest.mark.parametrize("mode", ["full", "INSERT before", "COMMIT before", "COMMIT after"])
+async def test_single_replica_acknowledges_nothing_while_its_disk_refuses(
+    tmp_path: Path, disk: RefusingDisk, mode: str
 ) -> None:
     host = Host(HostOptions(0, max_changes=100, compact_after=3), ReplicaStore(tmp_path))
     await host.start()
-    await until(host.is_lease_holder)
+    await wait_until(host.is_lease_holder)
     assert (await host.propose(put("a"))).status == 200
-    disk.how = how
+    disk.mode = mode
     with pytest.raises(NotLeaseHolderError):
-        await host.propose(put("b" * (10_000 if how == "full" else 1)))
+        await host.propose(put("b" * (10_000 if mode == "full" else 1)))
     assert host.disk_refuses and not host.is_lease_holder() and not host.failed.done()
-    assert list(host.endpoints.entries) == ["a"]  # still served; what may not last is not
-    before = disk.refused
-    await until(lambda: disk.refused > before + 2)
-    assert host.staleness() == 0  # nothing can have changed without it: it serves its list for as long
-    disk.how = ""
-    await until(host.is_lease_holder)
+    assert list(host.endpoints.entries) == ["a"]  # the uncommitted server is not listed
+    refused_before = disk.refusals
+    await wait_until(lambda: disk.refusals > refused_before + 2)
+    assert host.staleness() == 0  # no other replica can commit, so its list is up to date
+    disk.mode = ""
+    await wait_until(host.is_lease_holder)
     assert not host.disk_refuses
     assert (await host.propose(put("c"))).status == 200
-    held = dict(host.endpoints.entries)
+    entries = dict(host.endpoints.entries)
     await host.stop()
-    again = Host(HostOptions(0, max_changes=100, compact_after=3), ReplicaStore(tmp_path))
-    await again.start()
-    await until(lambda: again.is_lease_holder() and again.applied_index >= host.applied_index)
-    assert again.endpoints.entries == held and {"a", "c"} <= set(held)
-    await again.stop()
+    restarted = Host(HostOptions(0, max_changes=100, compact_after=3), ReplicaStore(tmp_path))
+    await restarted.start()
+    await wait_until(lambda: restarted.is_lease_holder() and restarted.applied_index >= host.applied_index)
+    assert restarted.endpoints.entries == entries and {"a", "c"} <= set(entries)
+    await restarted.stop()
 
 
-async def test_a_list_grows_old_while_a_sync_does_not_end(
+async def test_staleness_increases_during_a_stalled_sync(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A follower's sync stands still; its leader's heartbeats go on, and the clock by 10 s."""
-    claimed, claim = claim_block()
-    addresses = {number: f"{claimed}.212.{number + 1}:7000" for number in range(3)}
-    store, ended = ReplicaStore(tmp_path), threading.Event()
+    """The sync of a follower stalls for 10 s while heartbeats of its leader continue."""
+    block, claim = claim_block()
+    addresses = {number: f"{block}.212.{number + 1}:7000" for number in range(3)}
+    store, sync_released = ReplicaStore(tmp_path), threading.Event()
     host = Host(HostOptions(0, addresses), store)
     save = store.save
 
-    def save_late(saves: list[Save]) -> None:
-        ended.wait()
+    def save_when_released(saves: list[Save]) -> None:
+        sync_released.wait()
         save(saves)
 
-    monkeypatch.setattr(store, "save", save_late)
-    now, passed = time.monotonic_ns, 0
-    monkeypatch.setattr(time, "monotonic_ns", lambda: now() + passed)
+    monkeypatch.setattr(store, "save", save_when_released)
+    now, elapsed = time.monotonic_ns, 0
+    monkeypatch.setattr(time, "monotonic_ns", lambda: now() + elapsed)
     host.handle(MessageReceived(1, AppendEntries(1, 0, 0, (LogEntry(1, b""),), 1, 5)))
-    passed = 10**10
+    elapsed = 10**10
     host.handle(MessageReceived(1, AppendEntries(1, 1, 1, (), 1, 6)))
     staleness, applied = host.staleness(), host.applied_index
-    ended.set()
-    assert staleness >= passed and applied == 0
-    await until(lambda: host.applied_index == 1)
-    assert host.staleness() < passed
+    sync_released.set()
+    assert staleness >= elapsed and applied == 0
+    await wait_until(lambda: host.applied_index == 1)
+    assert host.staleness() < elapsed
     await host.stop()
     claim.close()
 
 
-async def test_a_start_waits_for_a_disk_that_refuses_and_ends_when_told(
-    tmp_path: Path, disk: RefusingDisk
-) -> None:
+async def test_start_waits_for_a_refusing_disk_until_stopped(tmp_path: Path, disk: RefusingDisk) -> None:
     config = parse("x", {"name": "a", "state_dir": str(tmp_path)})
     stopping = asyncio.Event()
-    disk.how = "PRAGMA synchronous before"
+    disk.mode = "PRAGMA synchronous before"
     opening = asyncio.create_task(open_host(config, stopping))
-    await until(lambda: disk.refused > 1)
-    disk.how = ""
+    await wait_until(lambda: disk.refusals > 1)
+    disk.mode = ""
     host = await opening
     assert host is not None
     await host.start()
-    await until(host.is_lease_holder)
+    await wait_until(host.is_lease_holder)
     await host.stop()
-    disk.how = "PRAGMA synchronous before"
+    disk.mode = "PRAGMA synchronous before"
     opening = asyncio.create_task(open_host(config, stopping))
-    before = disk.refused
-    await until(lambda: disk.refused > before)
+    refused_before = disk.refusals
+    await wait_until(lambda: disk.refusals > refused_before)
     stopping.set()
     assert await opening is None
 
@@ -309,11 +308,11 @@
 @pytest.fixture
 def group(tmp_path: Path) -> Iterator[Group]:
     block, claim = claim_block()
-    one = Group(tmp_path, block, f"[limits]\nstale_ms = {STALE_S * 1000}\ncompact = 20")
-    for name in one.names:
-        one.start(name)
-    yield one
-    codes = one.stop()
+    running_group = Group(tmp_path, block, f"[limits]\nstale_ms = {STALE_S * 1000}\ncompact = 20")
+    for name in running_group.names:
+        running_group.start(name)
+    yield running_group
+    codes = running_group.stop()
     claim.close()
     assert codes == [0, 0, 0]
 
@@ -322,78 +321,82 @@
 
 
 class Writer:
-    """Writes to a group and keeps what was acknowledged."""
+    """Registers servers at a group and records the acknowledged versions."""
 
     def __init__(self, group: Group, session: aiohttp.ClientSession) -> None:
         self.group, self.session = group, session
-        self.acknowledged: dict[str, int] = {}  # versions by server
+        self.acknowledged: dict[str, int] = {}  # version by server
 
-    async def write(self, count: int) -> None:
-        """Writes at whoever is primary; a write with no word of success is written again."""
+    async def register_servers(self, count: int) -> None:
+        """Registers servers at the current leader; retries until a write is acknowledged."""
         for _ in range(count):
             uid, status, answer = f"s{len(self.acknowledged)}", 0, dict[str, Any]()
             while status != 200:
-                primary = await self.group.until(self.session)
-                told = await self.group.ask(self.session, "PUT", primary, f"/v1/servers/{uid}", BODY)
-                status, answer = told if told is not None else (0, {})
+                primary = await self.group.wait_for_primary(self.session)
+                response = await self.group.request(self.session, "PUT", primary, f"/v1/servers/{uid}", BODY)
+                status, answer = response if response is not None else (0, {})
             assert answer["version"] > max(self.acknowledged.values(), default=0)
             self.acknowledged[uid] = answer["version"]
 
     async def status(self, name: str) -> dict[str, Any]:
-        told = await self.group.ask(self.session, "GET", name, "/v1/status")
-        assert told is not None
-        answer: dict[str, Any] = told[1]
+        response = await self.group.request(self.session, "GET", name, "/v1/status")
+        assert response is not None
+        answer: dict[str, Any] = response[1]
         return answer
 
-    async def refuses(self, name: str, refuses: bool) -> None:
+    async def wait_for_disk_refuses(self, name: str, refuses: bool) -> None:
         while (await self.status(name))["disk_refuses"] is not refuses:
             await asyncio.sleep(0.01)
 
-    async def served(self, name: str) -> tuple[int, int]:
-        """Status and version of a list."""
-        async with self.session.get(f"http://{self.group.listen[name]}/api/targets") as answer:
+    async def fetch_list_version(self, name: str) -> tuple[int, int]:
+        """Returns status and version of the list that a replica serves."""
+        async with self.session.get(f"http://{self.group.list_addresses[name]}/api/targets") as answer:
             return answer.status, (await answer.json())["rev"] if answer.status == 200 else 0
 
-    async def reached(self, name: str) -> None:
-        while (await self.served(name))[1] < max(self.acknowledged.values()):
+    async def wait_for_latest_version(self, name: str) -> None:
+        while (await self.fetch_list_version(name))[1] < max(self.acknowledged.values()):
             await asyncio.sleep(0.01)
 
-    async def assert_held(self, primary: str) -> None:
-        told = await self.group.ask(self.session, "GET", primary, "/v1/servers")
-        assert told is not None
-        assert self.acknowledged.items() <= {one["uid"]: one["version"] for one in told[1]["servers"]}.items()
+    async def assert_all_listed(self, primary: str) -> None:
+        response = await self.group.request(self.session, "GET", primary, "/v1/servers")
+        assert response is not None
+        assert (
+            self.acknowledged.items()
+            <= {server["uid"]: server["version"] for server in response[1]["servers"]}.items()
+        )
 
 
-@pytest.mark.parametrize("who", ["the primary", "a follower"])
-async def test_a_replica_whose_disk_refuses_serves_and_takes_part_again(group: Group, who: str) -> None:
-    """The system refuses the writes of one of three processes; later that one is needed for a majority."""
+@pytest.mark.parametrize("role", ["the primary", "a follower"])
+async def test_replica_with_refusing_disk_serves_and_later_rejoins(group: Group, role: str) -> None:
+    """The disk of one of three replicas refuses writes; later this replica is needed for a majority."""
     async with asyncio.timeout(240), aiohttp.ClientSession() as session:
         writer = Writer(group, session)
-        await writer.write(10)
-        primary = await group.until(session)
-        struck = primary if who == "the primary" else next(one for one in group.names if one != primary)
-        group.refuse_writes(struck, True)
-        await group.ask(session, "PUT", struck, "/v1/servers/first-refused", BODY)  # at a follower: 503
-        await writer.write(30)  # more than the log holds before it is cut
-        await writer.refuses(struck, True)
-        end = time.monotonic() + 2 * STALE_S
-        while time.monotonic() < end:
-            await writer.write(1)
-            status = await writer.status(struck)
+        await writer.register_servers(10)
+        primary = await group.wait_for_primary(session)
+        affected = primary if role == "the primary" else next(name for name in group.names if name != primary)
+        group.refuse_writes(affected, True)
+        # A follower responds with 503.
+        await group.request(session, "PUT", affected, "/v1/servers/first-refused", BODY)
+        await writer.register_servers(30)  # enough for a compaction
+        await writer.wait_for_disk_refuses(affected, True)
+        deadline = time.monotonic() + 2 * STALE_S
+        while time.monotonic() < deadline:
+            await writer.register_servers(1)
+            status = await writer.status(affected)
             assert not status["primary"] and status["role"] != "leader" and status["disk_refuses"]
-        await writer.reached(struck)  # what it held at first would be too old to be served by now
+        await writer.wait_for_latest_version(affected)  # its initial list would be stale by now
 
-        group.refuse_writes(struck, False)
-        await writer.refuses(struck, False)
-        primary = await group.until(session)
-        third = next(name for name in group.names if name not in (struck, primary))
+        group.refuse_writes(affected, False)
+        await writer.wait_for_disk_refuses(affected, False)
+        primary = await group.wait_for_primary(session)
+        third = next(name for name in group.names if name not in (affected, primary))
         group.kill(third)
-        await writer.write(5)  # without it there is no majority
-        primary = await group.until(session)
+        await writer.register_servers(5)  # there is no majority without it
+        primary = await group.wait_for_primary(session)
         group.kill(primary)
         group.start(third)
-        await writer.assert_held(await group.until(session, primary))
+        await writer.assert_all_listed(await group.wait_for_primary(session, primary))
         group.start(primary)
         for name in group.names:
-            await group.ready(session, name)
-            await writer.reached(name)
+            await group.wait_until_ready(session, name)
+            await writer.wait_for_latest_version(name)
--- a/tests/test_registry_model.py
+++ b/tests/test_registry_model.py
@@ -1,4 +1,4 @@
-"""The agreement of the list service as a model: it holds to a depth, and each mutant is found."""
+"""Tests with the model checker: the implementation holds up to a depth, and each mutant is detected."""
 
 from dataclasses import replace
 
@@ -17,8 +17,8 @@
 from applehub.registry.model.state import Bounds
 from applehub.registry.replica import Replica
 
-# Where each mutant shows itself, and how deep the good replica is seen whole from there.
-SHOWN = {
+# Initial state, bounds and depth in which each mutant violates an invariant.
+MUTANT_CASES = {
     "a vote not stored": ("two candidates of one term", Bounds(), 4),
     "an acknowledgement before the sync": ("nothing", Bounds(), 5),
     "a stale commit": (
@@ -29,48 +29,50 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("mutant", SHOWN)
-def test_the_model_holds_and_each_mutant_is_found(mutant: str) -> None:
-    start, bounds, depth = SHOWN[mutant]
-    good, (kind, delays_until_sync) = CoarseModel(Replica, bounds), MUTANTS[mutant]
-    found = explore(good, reach_state(good, INITIAL_STATES[start]), depth)
-    assert not found.violation and found.depth == depth, found
-    bad = CoarseModel(kind, bounds, delays_until_sync)
-    assert explore(bad, reach_state(bad, INITIAL_STATES[start]), depth).violation
+@pytest.mark.parametrize("mutant", MUTANT_CASES)
+def test_invariants_hold_and_each_mutant_is_detected(mutant: str) -> None:
+    initial_state, bounds, depth = MUTANT_CASES[mutant]
+    model, (replica_class, delays_until_sync) = CoarseModel(Replica, bounds), MUTANTS[mutant]
+    result = explore(model, reach_state(model, INITIAL_STATES[initial_state]), depth)
+    assert not result.violation and result.depth == depth, result
+    mutant_model = CoarseModel(replica_class, bounds, delays_until_sync)
+    assert explore(mutant_model, reach_state(mutant_model, INITIAL_STATES[initial_state]), depth).violation
 
 
-def test_each_message_crash_and_sync_by_itself() -> None:
-    good = FineModel(Replica, Bounds())
-    found = explore(good, good.empty_group(), 6)
-    assert not found.violation and found.states > 5000
-    deep = Bounds(terms=8, proposals=4, restarts=4, messages=8)
-    assert not random_walks(FineModel(Replica, deep), 200, 150).violation
-    assert random_walks(FineModel(Replica, deep, delays_until_sync=False), 200, 150).violation
+def test_invariants_hold_with_separate_messages_crashes_and_syncs() -> None:
+    model = FineModel(Replica, Bounds())
+    result = explore(model, model.empty_group(), 6)
+    assert not result.violation and result.states > 5000
+    deep_bounds = Bounds(terms=8, proposals=4, restarts=4, messages=8)
+    assert not random_walks(FineModel(Replica, deep_bounds), 200, 150).violation
+    assert random_walks(FineModel(Replica, deep_bounds, delays_until_sync=False), 200, 150).violation
 
 
-# Where a disk has refused, the mutant that shows itself there, and the depth.
-REFUSED = {
+# For each initial state with a refused write: the mutant that violates an invariant, and the depth.
+REFUSAL_CASES = {
     "a voter whose disk has refused a vote": ("a vote that the disk refused", 4),
     "a follower whose disk has refused an entry": ("an acknowledgement that the disk refused", 4),
     "a leader whose disk has refused an entry": (None, 5),
 }
 
 
-@pytest.mark.parametrize("start", REFUSED)
-def test_the_model_holds_where_disks_refuse_and_each_mutant_is_found(start: str) -> None:
-    mutant, depth = REFUSED[start]
-    good = CoarseModel(Replica, DISK_REFUSALS)
-    found = explore(good, reach_state(good, INITIAL_STATES[start]), depth)
-    assert not found.violation and found.depth == depth, found
+@pytest.mark.parametrize("initial_state", REFUSAL_CASES)
+def test_invariants_hold_with_refused_writes_and_each_mutant_is_detected(initial_state: str) -> None:
+    mutant, depth = REFUSAL_CASES[initial_state]
+    model = CoarseModel(Replica, DISK_REFUSALS)
+    result = explore(model, reach_state(model, INITIAL_STATES[initial_state]), depth)
+    assert not result.violation and result.depth == depth, result
     if mutant is not None:
-        kind, delays_until_sync = MUTANTS[mutant]
-        bad = CoarseModel(kind, DISK_REFUSALS, delays_until_sync)
-        assert explore(bad, reach_state(bad, INITIAL_STATES[start]), depth).violation
+        replica_class, delays_until_sync = MUTANTS[mutant]
+        mutant_model = CoarseModel(replica_class, DISK_REFUSALS, delays_until_sync)
+        assert explore(
+            mutant_model, reach_state(mutant_model, INITIAL_STATES[initial_state]), depth
+        ).violation
 
 
-def test_each_refusal_and_retry_by_itself_among_messages_and_crashes() -> None:
-    good = FineModel(Replica, DISK_REFUSALS)
-    found = explore(good, good.empty_group(), 5)
-    assert not found.violation and found.depth == 5, found
-    deep = replace(DISK_REFUSALS, terms=8, proposals=4, restarts=4, messages=8, refusals=6)
-    assert not random_walks(FineModel(Replica, deep), 200, 150).violation
+def test_invariants_hold_with_separate_refusals_and_retries() -> None:
+    model = FineModel(Replica, DISK_REFUSALS)
+    result = explore(model, model.empty_group(), 5)
+    assert not result.violation and result.depth == 5, result
+    deep_bounds = replace(DISK_REFUSALS, terms=8, proposals=4, restarts=4, messages=8, refusals=6)
+    assert not random_walks(FineModel(Replica, deep_bounds), 200, 150).violation
--- a/tests/test_registry_stored.py
+++ b/tests/test_registry_stored.py
@@ -1,4 +1,4 @@
-"""What a replica of an earlier version wrote, on its disk and to its peers, is read by this one."""
+"""Tests that stored data and peer messages of an earlier version are readable."""
 
 import asyncio
 import shutil
@@ -21,12 +21,12 @@
 )
 from applehub.registry.store import ReplicaStore
 
-# Written by the version at 0447801: eight commands to a group of one, whose log was cut after the eighth.
+# Written by the version at 0447801: eight commands to a group of one, compacted after the eighth.
 STORED = Path(__file__).parent / "stored" / "registry_0447801"
 FIELDS = {
     "endpoint": "127.0.0.1:1", "az": "a", "model": "m", "pod_group": 0, "capacity_hint": 1.0, "boot_ms": 7,
 }  # fmt: skip
-ENTRIES = [  # id, endpoints by view, lease, state, version, suspect
+ENTRIES = [  # uid, endpoints by view, lease_ms, state, version, suspect
     ("a", {"v": "127.0.0.1:2"}, 1000, "Gone", 54, False),
     ("b", {"v": "127.0.0.1:2"}, 0, "Terminating", 52, False),
     ("c", {"v": "127.0.0.1:2"}, 1000, "Ready", 53, False),
@@ -50,29 +50,29 @@
 }
 
 
-async def test_a_replica_goes_on_from_the_folder_of_the_version_before(tmp_path: Path) -> None:
-    folder = tmp_path / "replica"
-    shutil.copytree(STORED, folder)
-    host = Host(HostOptions(0, max_changes=100, compact_after=100), ReplicaStore(folder))
+async def test_replica_starts_from_a_store_of_an_earlier_version(tmp_path: Path) -> None:
+    directory = tmp_path / "replica"
+    shutil.copytree(STORED, directory)
+    host = Host(HostOptions(0, max_changes=100, compact_after=100), ReplicaStore(directory))
     assert (host.replica.term, host.replica.voted_for, host.replica.last_index) == (1, 0, 9)
     await host.start()
     async with asyncio.timeout(60):
         while not host.is_lease_holder():
             await asyncio.sleep(0.01)
-    held = host.endpoints
+    endpoints = host.endpoints
     assert [
-        (one.uid, one.endpoints, one.lease_ms, one.state, one.version, one.suspect)
-        for one in held.entries.values()
+        (entry.uid, entry.endpoints, entry.lease_ms, entry.state, entry.version, entry.suspect)
+        for entry in endpoints.entries.values()
     ] == ENTRIES
-    assert all(one.fields == FIELDS for one in held.entries.values())
-    assert [tuple(one) for one in held.changes] == CHANGES
-    assert (held.version, held.dropped_version) == (55, 0)
-    assert tuple(held.locks["release"]) == ("me", 50, 60_000)
+    assert all(entry.fields == FIELDS for entry in endpoints.entries.values())
+    assert [tuple(change) for change in endpoints.changes] == CHANGES
+    assert (endpoints.version, endpoints.dropped_version) == (55, 0)
+    assert tuple(endpoints.locks["release"]) == ("me", 50, 60_000)
     assert (await host.propose(SetState(uid="c", state=ServerState.GONE))).list_version == 56
     await host.stop()
 
 
 @pytest.mark.parametrize("line", LINES)
-def test_messages_between_replicas_have_the_form_of_the_version_before(line: bytes) -> None:
+def test_peer_messages_keep_the_format_of_the_earlier_version(line: bytes) -> None:
     assert wire.encode(2, LINES[line]) == line
     assert wire.decode(line) == (2, LINES[line])
