--- a/tests/registry_group.py
+++ b/tests/registry_group.py
@@ -81,7 +81,7 @@
                 json=body,
                 timeout=aiohttp.ClientTimeout(3),
             ) as response:
-                return response.status, await response_.json()
+                return response.status, await response.json()
         except (aiohttp.ClientError, TimeoutError):
             return None
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -75,8 +75,8 @@
     assert endpoint_list.since(52) == (False, [])
     assert endpoint_list.since(99)[0] and endpoint_list.since(None)[0]  # an unknown version; no version
     endpoint_list.apply(state("a", "Gone"))
-    for lease_ms in (1, 2, 3, 4):
-        endpoint_list.apply(put("b", lease_ms=lease_ms))
+    for duration in (1, 2, 3, 4):
+        endpoint_list.apply(put("b", lease_ms=duration))
     assert endpoint_list.since(52)[0]  # further behind than the retained changes
     assert list(endpoint_list.entries) == ["b"]  # an entry in state Gone is dropped with its change
     restored = EndpointList.restored(4, endpoint_list.snapshot())
--- a/tests/test_registry_disk.py
+++ b/tests/test_registry_disk.py
@@ -373,7 +373,7 @@
         writer = Writer(group, session)
         await writer.register_servers(10)
         primary = await group.wait_for_primary(session)
-        affected = primary if role == "the primary" else next(name for name in group.names if name != primary)
+        affected = primary if role == "the primary" else next(peer for peer in group.names if peer != primary)
         group.refuse_writes(affected, True)
         # A follower responds with 503.
         await group.request(session, "PUT", affected, "/v1/servers/first-refused", BODY)
--- a/tests/test_registry_system.py
+++ b/tests/test_registry_system.py
@@ -26,7 +26,7 @@
 async def test_accept_resumes_soon_after_a_failure(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch, error: str
 ) -> None:
-    """Clients connect while accept fails and afterwards; asyncio's own retry delay would time the test out."""
+    """Clients connect while accept fails and afterwards; with asyncio's retry delay they would time out."""
     monkeypatch.setattr(constants, "ACCEPT_RETRY_DELAY", 3600)
     async with run_replica(tmp_path) as replica:
         port = replica.list_address.rpartition(":")[2]
