--- a/applehub/registry/endpoint_list.py
+++ b/applehub/registry/endpoint_list.py
@@ -181,10 +181,18 @@
         return ListUpdate(False, [self.entries[uid] for uid in reversed(changed) if uid in self.entries])
 
     def snapshot(self) -> bytes:
-        """Returns the encoded list, which `restored` decodes."""
+        """Returns the encoded list, which `from_snapshot` decodes."""
         entries = [
-            [one.uid, one.fields, one.endpoints, one.lease_ms, one.state, one.version, one.suspect]
-            for one in self.entries.values()
+            [
+                entry.uid,
+                entry.fields,
+                entry.endpoints,
+                entry.lease_ms,
+                entry.state,
+                entry.version,
+                entry.suspect,
+            ]
+            for entry in self.entries.values()
         ]
         return orjson.dumps(
             {
@@ -195,7 +203,7 @@
         )  # fmt: skip
 
     @classmethod
-    def restored(cls, max_changes: int, data: bytes) -> "EndpointList":
+    def from_snapshot(cls, max_changes: int, data: bytes) -> "EndpointList":
         """Returns the list of a snapshot, or an empty list for b""."""
         if not data:
             return cls(max_changes)
--- a/applehub/registry/host.py
+++ b/applehub/registry/host.py
@@ -51,7 +51,7 @@
     """The options of a replica."""
 
     replica_id: int
-    addresses: dict[int, str] = field(default_factory=dict)  # of all replicas by id; empty for a group of one
+    addresses: dict[int, str] = field(default_factory=dict)  # of the group by id; empty if single
     timing: Timing = field(default_factory=Timing)
     max_changes: int = 10_000  # retained for routers that are behind
     compact_after: int = 2000  # log entries
@@ -75,7 +75,7 @@
         self.loop = asyncio.get_running_loop()
         members = tuple(options.addresses) or (options.replica_id,)
         self.replica = Replica(options.replica_id, members, options.timing, time.monotonic_ns(), store.load())
-        self.endpoints = EndpointList.restored(options.max_changes, self.replica.snapshot.data)
+        self.endpoints = EndpointList.from_snapshot(options.max_changes, self.replica.snapshot.data)
         self.applied_index = self.replica.snapshot.last_index
         self.on_new_version: Callable[[], None] = lambda: None
         self.failed: asyncio.Future[None] = self.loop.create_future()  # fails if the store does
@@ -108,7 +108,7 @@
         self._tasks = [self.loop.create_task(peer.run()) for peer in self._peers.values()]
         self._tasks.append(self.loop.create_task(self._run_clock()))
         if not self._peers:
-            self.replica.election_due = 0  # a group of one need not wait
+            self.replica.election_due = 0  # a single replica need not wait
 
     async def stop(self) -> None:
         """Stops all tasks and closes the connections and the store."""
@@ -140,7 +140,7 @@
     def staleness(self) -> int:
         """Returns the time, in nanoseconds, since this replica was known to be up to date; 0 at the leader.
 
-        It is also 0 in a group of one while the disk refuses writes, since no other replica can commit."""
+        It is also 0 for a single replica while the disk refuses writes, since no other replica can commit."""
         is_single = not self._peers and self._applied_own_term
         if is_single or self.is_lease_holder():
             return 0
@@ -265,7 +265,9 @@
                 case Apply():
                     self._apply(action)
                 case Restore():
-                    self.endpoints = EndpointList.restored(self.options.max_changes, action.snapshot.data)
+                    self.endpoints = EndpointList.from_snapshot(
+                        self.options.max_changes, action.snapshot.data
+                    )
                     self.applied_index = action.snapshot.last_index
         if self.endpoints.version != version:
             self.on_new_version()
--- a/applehub/registry/locks.py
+++ b/applehub/registry/locks.py
@@ -9,7 +9,7 @@
 
 from applehub.registry.commands import SetLock
 
-MILLI = 1_000_000  # ns
+MILLI = 1_000_000  # nanoseconds
 
 
 class Lock(NamedTuple):
--- a/applehub/registry/model/invariants.py
+++ b/applehub/registry/model/invariants.py
@@ -32,7 +32,7 @@
 
 def check_leases(state: State) -> None:
     """Checks that at most one replica holds a lease. Raises InvariantError."""
-    holders = [one.replica_id for one in state.replicas if one.is_lease_holder(state.now)]
+    holders = [replica.replica_id for replica in state.replicas if replica.is_lease_holder(state.now)]
     if len(holders) > 1:
         raise InvariantError(f"replicas {holders} hold leases at the same time")
 
--- a/applehub/registry/model/state.py
+++ b/applehub/registry/model/state.py
@@ -53,23 +53,23 @@
 
     def clone(self) -> "State":
         """Returns an independent copy of this state."""
-        one = copy.copy(self)
-        one.replicas = [_clone_replica(replica) for replica in self.replicas]
-        one.disks = [replace(disk) for disk in self.disks]
-        one.unsynced = list(self.unsynced)
-        one.applied = list(self.applied)
-        one.leaders = dict(self.leaders)
-        one.refusing = dict(self.refusing)
-        return one
+        state = copy.copy(self)
+        state.replicas = [_clone_replica(replica) for replica in self.replicas]
+        state.disks = [replace(disk) for disk in self.disks]
+        state.unsynced = list(self.unsynced)
+        state.applied = list(self.applied)
+        state.leaders = dict(self.leaders)
+        state.refusing = dict(self.refusing)
+        return state
 
     def key(self) -> object:
         """Returns a key that is equal for equivalent states; times in it are relative to now and bounded."""
         return (
             tuple(_replica_key(replica, self.now) for replica in self.replicas),
-            tuple((one.term, one.voted_for, one.snapshot, one.log) for one in self.disks),
+            tuple((disk.term, disk.voted_for, disk.snapshot, disk.log) for disk in self.disks),
             tuple(map(repr, self.unsynced)),
             tuple(self.applied),
-            tuple(sorted(map(repr, (_without_time(one, self.now) for one in self.messages)))),
+            tuple(sorted(map(repr, (_with_relative_time(message, self.now) for message in self.messages)))),
             self.proposals,
             self.restarts,
             self.refusals,
@@ -90,16 +90,16 @@
 
 
 def _clone_replica(replica: Replica) -> Replica:
-    one = copy.copy(replica)
-    one.progress = {follower: copy.copy(progress) for follower, progress in replica.progress.items()}
-    return one
+    clone = copy.copy(replica)
+    clone.progress = {follower: copy.copy(progress) for follower, progress in replica.progress.items()}
+    return clone
 
 
 def _relative(at: int, now: int) -> int:
     return max(-TIME_HORIZON, min(TIME_HORIZON, at - now))
 
 
-def _without_time(envelope: Envelope, now: int) -> Envelope:
+def _with_relative_time(envelope: Envelope, now: int) -> Envelope:
     """Returns the envelope with times relative to now."""
     sender, receiver, message = envelope
     if isinstance(message, AppendEntries | AppendEntriesResponse | InstallSnapshot):
@@ -107,18 +107,19 @@
     return envelope
 
 
-def _replica_key(one: Replica, now: int) -> object:
+def _replica_key(replica: Replica, now: int) -> object:
     progress = tuple(
         (
             follower, follower_progress.next_index, follower_progress.match_index,
             _relative(follower_progress.acknowledged_at, now), _relative(follower_progress.sent_at, now),
         )
-        for follower, follower_progress in one.progress.items()
+        for follower, follower_progress in replica.progress.items()
     )  # fmt: skip
     return (
-        one.role, one.term, one.voted_for, one.snapshot, one.log, one.commit_index, one.last_applied,
-        one.leader, one.pre_vote, one.votes, _relative(one.leader_contact, now),
-        _relative(one.election_due, now), _relative(one.leader_since, now), progress, one.storage_failed,
+        replica.role, replica.term, replica.voted_for, replica.snapshot, replica.log, replica.commit_index,
+        replica.last_applied, replica.leader, replica.pre_vote, replica.votes,
+        _relative(replica.leader_contact, now), _relative(replica.election_due, now),
+        _relative(replica.leader_since, now), progress, replica.storage_failed,
     )  # fmt: skip
 
 
--- a/applehub/registry/model/steps.py
+++ b/applehub/registry/model/steps.py
@@ -44,7 +44,10 @@
     def empty_group(self) -> State:
         """Returns the state of a new group without stored data."""
         disks = [StoredState() for _ in GROUP]
-        replicas = [self.replica_class(one, GROUP, TIMING, 0, replace(disks[one])) for one in GROUP]
+        replicas = [
+            self.replica_class(replica_id, GROUP, TIMING, 0, replace(disks[replica_id]))
+            for replica_id in GROUP
+        ]
         return State(replicas, disks, [() for _ in GROUP])
 
     # Behaviour of hosts
@@ -55,18 +58,18 @@
         check_replica(state, replica_id)
         unsynced = (*state.unsynced[replica_id], *actions)
         if not self.delays_until_sync:
-            state.unsynced[replica_id] = tuple(one for one in unsynced if isinstance(one, Save))
-            self.execute(state, replica_id, [one for one in unsynced if not isinstance(one, Save)])
+            state.unsynced[replica_id] = tuple(action for action in unsynced if isinstance(action, Save))
+            self.execute(state, replica_id, [action for action in unsynced if not isinstance(action, Save)])
             return
         state.unsynced[replica_id] = unsynced
-        if not any(isinstance(one, Save) for one in unsynced):
+        if not any(isinstance(action, Save) for action in unsynced):
             self.sync(state, replica_id)
 
     def sync(self, state: State, replica_id: int) -> None:
         """Syncs the disk: the waiting actions are executed, or the disk refuses the writes."""
         actions = state.unsynced[replica_id]
         state.unsynced[replica_id] = ()
-        if replica_id in state.refusing and any(isinstance(one, Save) for one in actions):
+        if replica_id in state.refusing and any(isinstance(action, Save) for action in actions):
             self.refuse_save(state, replica_id, actions)
         else:
             self.execute(state, replica_id, actions)
@@ -74,7 +77,7 @@
     def refuse_save(self, state: State, replica_id: int, actions: Sequence[Action]) -> None:
         """Handles refused writes: the host sends no messages but applies committed entries."""
         kinds = (Save, Apply, Restore) if state.refusing[replica_id] else (Apply, Restore)
-        self.execute(state, replica_id, [one for one in actions if isinstance(one, kinds)])
+        self.execute(state, replica_id, [action for action in actions if isinstance(action, kinds)])
         self.handle(state, replica_id, StorageFailed())
 
     def execute(self, state: State, replica_id: int, actions: Sequence[Action]) -> None:
--- a/applehub/registry/replication.py
+++ b/applehub/registry/replication.py
@@ -30,7 +30,7 @@
         self._save(actions, first, entries)
         for follower in self.progress:
             self._send_entries(follower, actions)
-        self._advance_commit_index(actions)  # a group of one commits without responses
+        self._advance_commit_index(actions)  # a single replica commits without responses
 
     def _send_entries(self, follower: int, actions: list[Action]) -> None:
         """Sends the entries that a follower lacks, or else a heartbeat."""
--- a/tests/registry_replica.py
+++ b/tests/registry_replica.py
@@ -18,7 +18,7 @@
 
 @dataclass
 class Replica:
-    """A group of one replica."""
+    """A running single replica and a client session."""
 
     host: Host
     service: Service
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -79,7 +79,7 @@
         endpoint_list.apply(put("b", lease_ms=duration))
     assert endpoint_list.since(52)[0]  # further behind than the retained changes
     assert list(endpoint_list.entries) == ["b"]  # an entry in state Gone is dropped with its change
-    restored = EndpointList.restored(4, endpoint_list.snapshot())
+    restored = EndpointList.from_snapshot(4, endpoint_list.snapshot())
     assert restored == endpoint_list and restored.apply(put("b", lease_ms=9)) == endpoint_list.apply(
         put("b", lease_ms=9)
     )
--- a/tests/test_registry_api.py
+++ b/tests/test_registry_api.py
@@ -82,7 +82,7 @@
         assert (await replica.request("DELETE", f"{lock}?holder=another"))[0] == 200
         assert (await replica.request("PUT", lock, FIRST_HOLDER))[1]["fence"] > second["fence"]
         endpoints = replica.host.endpoints
-        assert EndpointList.restored(9, endpoints.snapshot()).locks == endpoints.locks
+        assert EndpointList.from_snapshot(9, endpoints.snapshot()).locks == endpoints.locks
 
 
 async def test_expired_servers_are_removed_unless_too_many_expire(tmp_path: Path) -> None:
