--- a/applehub/registry/admin_api.py
+++ b/applehub/registry/admin_api.py
@@ -1,4 +1,4 @@
-"""Servers, status and figures for writers and staff."""
+"""The administrative HTTP API: servers, status and metrics, for writers and operators."""
 
 import time
 from http import HTTPStatus
@@ -16,7 +16,7 @@
 from applehub.registry.list_api import ListApi
 from applehub.registry.metrics import Metrics
 from applehub.registry.replica_state import MILLI
-from applehub.registry.replies import Replies, fresh_base
+from applehub.registry.replies import Replies, initial_version
 from applehub.registry.server_leases import SECOND, ServerLeases
 
 ERRORS = {
@@ -26,7 +26,7 @@
 
 
 class Registration(BaseModel):
-    """What a writer says of a server."""
+    """The body of a request that registers a server."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -42,10 +42,10 @@
 
 
 class AdminApi:
-    """Answers writers and staff."""
+    """Handles requests of writers and operators."""
 
     def __init__(self, config: Config, list_api: ListApi, metrics: Metrics, leases: ServerLeases) -> None:
-        """list_api: of the same replica, for its figures."""
+        """list_api: the list API of the same replica, whose statistics are reported."""
         self._name = config.name
         self._host: Host = list_api.host
         self._list_api = list_api
@@ -54,7 +54,7 @@
         self.replies = Replies(config, self._host, metrics)
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
-        """Adds the calls that this class answers."""
+        """Adds the routes that this class handles."""
         router.add_put("/v1/servers/{uid}", self.put)
         router.add_post("/v1/servers/{uid}/renew", self.renew)
         router.add_post("/v1/servers/{uid}/state", self.set_state)
@@ -63,30 +63,30 @@
         router.add_get("/v1/status", self.status)
         router.add_get("/metrics", self.scrape)
 
-    async def _agree(self, command: Command) -> web.Response:
-        """Has a command agreed on; its result is the writer's answer."""
+    async def _propose(self, command: Command) -> web.Response:
+        """Proposes a command and returns its result as a response."""
         try:
             result = await self._host.propose(command)
-        except NotLeaseHolderError as problem:
-            return self.replies.elsewhere(str(problem))
-        return self._answer(result)
+        except NotLeaseHolderError as error:
+            return self.replies.not_leader(str(error))
+        return self._response(result)
 
-    def _answer(self, result: CommandResult) -> web.Response:
+    def _response(self, result: CommandResult) -> web.Response:
         content: dict[str, object] = {"version": result.list_version, "entry": result.entry_version}
         if result.status in ERRORS:
             content["error"] = ERRORS[result.status]
         return self.replies.json(result.status, content)
 
     async def put(self, request: web.Request) -> web.Response:
-        """Registers a server, or changes it; the same again changes nothing."""
+        """Registers or updates a server. The request is idempotent."""
         try:
             registration = Registration.model_validate_json(await request.read())
             expected = _expected(request)
         except ValidationError as error:
             return self.replies.invalid(error)
         except ValueError:
-            problem = "expected: expected a whole number"
-            return self.replies.json(HTTPStatus.BAD_REQUEST, {"error": problem})
+            message = "expected: expected a whole number"
+            return self.replies.json(HTTPStatus.BAD_REQUEST, {"error": message})
         uid = request.match_info["uid"]
         command = PutServer(
             uid=uid,
@@ -95,18 +95,20 @@
             state=ServerState(registration.state),
             lease_ms=registration.lease_ms,
             expected=expected,
-            base=fresh_base(),
+            base=initial_version(),
         )
-        answer = await self._agree(command)
+        answer = await self._propose(command)
         if answer.status == HTTPStatus.OK:
             self._leases.renew(time.monotonic_ns(), uid)
         return answer
 
     async def renew(self, request: web.Request) -> web.Response:
-        """Renews a lease: known to the lease holder alone, so it costs no agreement."""
+        """Renews the lease of a server.
+
+        Renewals are kept in memory at the leader only, so they are not replicated."""
         uid = request.match_info["uid"]
         if not self._host.is_lease_holder():
-            return self.replies.elsewhere()
+            return self.replies.not_leader()
         version = self._host.endpoints.version
         entry = self._host.endpoints.entries.get(uid)
         if entry is None or entry.state is ServerState.GONE:
@@ -116,7 +118,7 @@
         return self.replies.json(HTTPStatus.OK, {"version": version, "lease_ms": entry.lease_ms})
 
     async def set_state(self, request: web.Request) -> web.Response:
-        """Ready, Terminating or Gone."""
+        """Sets the state of a server: Ready, Terminating or Gone."""
         try:
             state = ServerState(orjson.loads(await request.read())["state"])
             expected = _expected(request)
@@ -125,53 +127,53 @@
             content = {"error": f"expected state: one of {states}"}
             return self.replies.json(HTTPStatus.BAD_REQUEST, content)
         uid = request.match_info["uid"]
-        return await self._agree(SetState(uid=uid, state=state, expected=expected, base=fresh_base()))
+        return await self._propose(SetState(uid=uid, state=state, expected=expected, base=initial_version()))
 
     async def delete(self, request: web.Request) -> web.Response:
-        """Sets a server to Gone."""
+        """Sets the state of a server to Gone."""
         uid = request.match_info["uid"]
-        return await self._agree(SetState(uid=uid, state=ServerState.GONE, base=fresh_base()))
+        return await self._propose(SetState(uid=uid, state=ServerState.GONE, base=initial_version()))
 
     async def servers(self, _: web.Request) -> web.Response:
-        """All entries, with their versions."""
+        """Returns all entries with their versions."""
         endpoints = self._host.endpoints
         servers = [
             {
-                **one.target(""), "version": one.version, "lease_ms": one.lease_ms, "suspect": one.suspect,
-                "endpoints": one.endpoints,
+                **entry.target(""), "version": entry.version, "lease_ms": entry.lease_ms,
+                "suspect": entry.suspect, "endpoints": entry.endpoints,
             }
-            for one in endpoints.entries.values()
+            for entry in endpoints.entries.values()
         ]  # fmt: skip
         return self.replies.json(HTTPStatus.OK, {"version": endpoints.version, "servers": servers})
 
     async def status(self, _: web.Request) -> web.Response:
-        """How this replica stands."""
+        """Returns the status of this replica."""
         host = self._host
         replica = host.replica
         content = {
             "name": self._name, "role": replica.role, "primary": host.is_lease_holder(),
             "term": replica.term, "version": host.endpoints.version, "commit": replica.commit_index,
-            "applied": host.applied_index, "log": len(replica.log), "callers": self._list_api.callers,
-            "staleness_ms": host.staleness() // MILLI, "braked": self._leases.braked,
+            "applied": host.applied_index, "log": len(replica.log), "callers": self._list_api.active_requests,
+            "staleness_ms": host.staleness() // MILLI, "braked": self._leases.expiry_paused,
             "disk_refuses": host.disk_refuses,
         }  # fmt: skip
         return self.replies.json(HTTPStatus.OK, content)
 
     async def scrape(self, _: web.Request) -> web.Response:
-        """Figures for Prometheus."""
+        """Returns the metrics in the Prometheus text format."""
         metrics = self._metrics
         endpoints = self._host.endpoints
         metrics.version.set(endpoints.version)
-        metrics.servers.set(sum(one.state is not ServerState.GONE for one in endpoints.entries.values()))
+        metrics.servers.set(sum(entry.state is not ServerState.GONE for entry in endpoints.entries.values()))
         metrics.watchers.set(len(self._list_api.watchers.waiting))
         metrics.primary.set(self._host.is_lease_holder())
-        metrics.braked.set(self._leases.braked)
+        metrics.expiry_paused.set(self._leases.expiry_paused)
         metrics.disk_refuses.set(self._host.disk_refuses)
         metrics.staleness.set(self._host.staleness() / SECOND)
         return web.Response(body=metrics.text(), content_type="text/plain")
 
 
 def _expected(request: web.Request) -> int | None:
-    """The version that the entry has to have. Raises ValueError."""
+    """Returns the version that the entry must have, or None for any. Raises ValueError."""
     expected = request.query.get("expected")
     return None if expected is None else int(expected)
--- a/applehub/registry/descriptors.py
+++ b/applehub/registry/descriptors.py
@@ -1,20 +1,23 @@
-"""The limit on descriptors: each router keeps a connection, and systems give a process 1,024 at its start."""
+"""Raises the limit on file descriptors, because each router keeps a connection open."""
 
 import logging
 import resource
 
-BESIDE_CALLERS = 64  # streams, store, listeners, other replicas, writers and staff
+RESERVED_DESCRIPTORS = 64  # standard streams, store, listeners, peers, writers and operators
 log = logging.getLogger("applehub.registry")
 
 
-def allow_callers(callers: int) -> None:
-    """Raises this process's limit so far that so many callers may be connected, or as far as the system lets
-    it, and says so where that is less."""
-    wanted = callers + BESIDE_CALLERS
+def raise_descriptor_limit(connections: int) -> None:
+    """Raises the file descriptor limit of this process for a number of router connections.
+
+    Logs a warning if the hard limit allows fewer."""
+    required = connections + RESERVED_DESCRIPTORS
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft == resource.RLIM_INFINITY or soft >= wanted:
+    if soft == resource.RLIM_INFINITY or soft >= required:
         return
-    granted = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
+    granted = required if hard == resource.RLIM_INFINITY else min(required, hard)
     resource.setrlimit(resource.RLIMIT_NOFILE, (granted, hard))
-    if granted < wanted:
-        log.warning("limits.callers: %d need %d descriptors, the system allows %d", callers, wanted, granted)
+    if granted < required:
+        log.warning(
+            "limits.callers: %d need %d descriptors, the system allows %d", connections, required, granted
+        )
--- a/applehub/registry/lease_watch.py
+++ b/applehub/registry/lease_watch.py
@@ -1,4 +1,4 @@
-"""Takes servers out of the list whose leases have run out, at the group's lease holder."""
+"""Removes servers with expired leases from the list; active at the leader only."""
 
 import asyncio
 import logging
@@ -15,21 +15,21 @@
 
 
 class LeaseWatch:
-    """Checks the leases again and again."""
+    """Checks the leases of servers periodically."""
 
     def __init__(self, config: Leases, host: Host, events: EventWriter) -> None:
-        """This replica leads nobody yet."""
+        """Starts with a replica that is not the leader."""
         self.leases = ServerLeases(config.brake_part, config.brake_least)
         self._config = config
         self._host = host
         self._events = events
         self._was_lease_holder = False
 
-    def retune(self, config: Leases) -> None:
-        """Takes up other limits."""
+    def update_config(self, config: Leases) -> None:
+        """Applies a new configuration."""
         self._config = config
-        self.leases.brake_part = config.brake_part
-        self.leases.brake_least = config.brake_least
+        self.leases.pause_fraction = config.brake_part
+        self.leases.pause_minimum = config.brake_least
 
     async def run(self) -> None:
         """Runs until it is cancelled."""
@@ -42,15 +42,15 @@
                 event = EventKind.LEADERSHIP_WON if is_lease_holder else EventKind.LEADERSHIP_LOST
                 self._events.write(event, term=self._host.replica.term)
                 if is_lease_holder:
-                    self.leases.begin(now, self._host.endpoints.entries)
+                    self.leases.reset(now, self._host.endpoints.entries)
             if is_lease_holder:
                 await self._check(now)
 
     async def _check(self, now: int) -> None:
-        braked = self.leases.braked
+        was_paused = self.leases.expiry_paused
         suspect, gone, recovered = self.leases.check(now, self._host.endpoints.entries)
-        if self.leases.braked is not braked:
-            self._events.write(EventKind.EXPIRY_PAUSED, on=self.leases.braked)
+        if self.leases.expiry_paused is not was_paused:
+            self._events.write(EventKind.EXPIRY_PAUSED, on=self.leases.expiry_paused)
         try:
             if suspect:
                 await self._host.propose(SetSuspect(on=True, uids=tuple(suspect)))
@@ -58,5 +58,5 @@
                 await self._host.propose(SetSuspect(on=False, uids=tuple(recovered)))
             if gone:
                 await self._host.propose(RemoveSuspects(uids=tuple(gone)))
-        except NotLeaseHolderError as problem:
-            log.warning("leases that ran out are left to the next primary: %s", problem)
+        except NotLeaseHolderError as error:
+            log.warning("expired leases are left to the next leader: %s", error)
--- a/applehub/registry/list_api.py
+++ b/applehub/registry/list_api.py
@@ -1,4 +1,4 @@
-"""`/api/targets` for routers, as PROTOCOL has it: the complete list, or a watch for changes."""
+"""The HTTP API for routers, `/api/targets`: the complete list, or a long poll for changes."""
 
 import asyncio
 import math
@@ -15,83 +15,84 @@
 from applehub.registry.replica_state import MILLI
 from applehub.registry.watchers import Watchers
 
-MAX_HOLD = 60.0  # s, by the protocol
-CATCH_UP = 1.0  # s that a follower waits for a version that its caller has from another replica
-CROWDED_RETRY = 2.0  # s after which a caller past the limit may come again
+MAX_WAIT = 60.0  # seconds; given by the protocol
+CATCH_UP_TIMEOUT = 1.0  # seconds that a follower waits for a version that the router has from another replica
+OVERLOAD_RETRY_AFTER = 2.0  # Retry-After, in seconds, for requests above the limit
 
 
-class _Call(NamedTuple):
-    """What a router asks for."""
+class _ListRequest(NamedTuple):
+    """The parsed request of a router."""
 
-    name: str  # of its view, or its address
+    name: str  # the view of the router, or else its address
     view: str
-    since: int | None  # the version that it has
-    hold: float  # s that it waits for a change
+    since: int | None  # the version that the router has
+    max_wait: float  # maximum wait for a change, in seconds
 
 
 class ListApi:
-    """Answers routers."""
+    """Handles requests of routers."""
 
     def __init__(self, config: Config, host: Host, events: EventWriter, metrics: Metrics) -> None:
-        """Nobody has called. Needs a running event loop."""
+        """Needs a running event loop."""
         self.host = host
         self.watchers = Watchers()
-        self.callers = 0  # that are being answered, or wait
+        self.active_requests = 0  # requests being answered or waiting
         self._events = events
         self._metrics = metrics
         self._answers = AnswerCache()
         self._loop = asyncio.get_running_loop()
-        self._ending = False
-        self.retune(config)
+        self._closing = False
+        self.update_config(config)
 
-    def retune(self, config: Config) -> None:
-        """Takes up views and limits."""
+    def update_config(self, config: Config) -> None:
+        """Applies new views and limits."""
         self._config = config
         limits = config.limits
         self.admission = Admission(limits.whole_a_second, limits.patience_ms / 1000, self._loop.time)
 
-    def end(self) -> None:
-        """Has all watches end with an answer."""
-        self._ending = True
+    def end_watches(self) -> None:
+        """Ends all long polls with a response."""
+        self._closing = True
         self.watchers.wake()
 
     def application(self) -> web.Application:
-        """The routes."""
+        """Returns the application with its routes."""
         application = web.Application()
         application.router.add_get("/api/targets", self.targets)
         return application
 
     async def targets(self, request: web.Request) -> web.StreamResponse:
-        """The complete list, or a watch."""
-        self.callers += 1
+        """Answers with the complete list or, after a long poll, with the changes."""
+        self.active_requests += 1
         try:
-            if self.callers > self._config.limits.callers:
-                return self._rejected("crowded", CROWDED_RETRY)
+            if self.active_requests > self._config.limits.callers:
+                return self._rejected("crowded", OVERLOAD_RETRY_AFTER)
             try:
-                call = self._read(request)
+                list_request = self._parse_request(request)
             except ValueError:
                 self._metrics.calls.labels("malformed").inc()
                 return web.Response(status=400, text="expected from and hold_ms to be whole numbers\n")
             if self._config.log_calls:
-                self._events.write(EventKind.LIST_POLLED, router=call.name, since=call.since)
-            rejected = await self._await_turn(call)
-            return rejected if rejected is not None else await self._answer(request, call)
+                self._events.write(EventKind.LIST_POLLED, router=list_request.name, since=list_request.since)
+            rejected = await self._wait_until_ready(list_request)
+            return rejected if rejected is not None else await self._answer(request, list_request)
         finally:
-            self.callers -= 1
+            self.active_requests -= 1
 
-    def _read(self, request: web.Request) -> _Call:
-        """Reads a call. Raises ValueError."""
+    def _parse_request(self, request: web.Request) -> _ListRequest:
+        """Parses a request. Raises ValueError."""
         address = request.remote or ""
         view = self._config.views.get(address, "")
         since = int(request.query["from"]) if "from" in request.query else None
-        hold = min(MAX_HOLD, max(0.0, int(request.query.get("hold_ms", "0")) / 1000))
-        return _Call(view or address, view, since, hold)
+        max_wait = min(MAX_WAIT, max(0.0, int(request.query.get("hold_ms", "0")) / 1000))
+        return _ListRequest(view or address, view, since, max_wait)
 
-    async def _await_turn(self, call: _Call) -> web.Response | None:
-        """Waits until the call is to be answered; gives the answer to one that is rejected."""
-        since = call.since
+    async def _wait_until_ready(self, list_request: _ListRequest) -> web.Response | None:
+        """Waits until the request can be answered. Returns the response if the request is rejected."""
+        since = list_request.since
         if since is not None and since > self.host.endpoints.version and not self.host.is_lease_holder():
-            await self._wait_newer(since - 1, CATCH_UP)  # its caller has it from one that is ahead
+            # The router has this version from a replica that is ahead.
+            await self._wait_newer(since - 1, CATCH_UP_TIMEOUT)
             if since > self.host.endpoints.version:
                 return self._rejected("behind")
         if not self._is_recent():
@@ -101,39 +102,39 @@
             if admitted.retry_after:
                 return self._rejected("overload", admitted.retry_after)
             await asyncio.sleep(admitted.wait)
-        elif call.hold and since is not None:
-            await self._wait_newer(since, call.hold)
+        elif list_request.max_wait and since is not None:
+            await self._wait_newer(since, list_request.max_wait)
             if not self._is_recent():
                 return self._rejected("stale")
         return None
 
-    def _rejected(self, how: str, retry_after: float = 1.0) -> web.Response:
-        self._metrics.calls.labels(how).inc()
+    def _rejected(self, outcome: str, retry_after: float = 1.0) -> web.Response:
+        self._metrics.calls.labels(outcome).inc()
         return web.Response(status=503, headers={"Retry-After": str(max(1, math.ceil(retry_after)))})
 
     def _is_recent(self) -> bool:
-        """Whether what this replica has is recent enough to be served."""
+        """Returns whether the list of this replica is recent enough to be served."""
         return self.host.staleness() <= self._config.limits.stale_ms * MILLI
 
     async def _wait_newer(self, version: int, seconds: float) -> None:
-        """Returns when there is something newer than a version, or the time is over."""
-        end = self._loop.time() + seconds
-        while self.host.endpoints.version <= version and (remaining := end - self._loop.time()) > 0:
-            if self._ending:
+        """Waits until the list is newer than a version, or until the time is over."""
+        deadline = self._loop.time() + seconds
+        while self.host.endpoints.version <= version and (remaining := deadline - self._loop.time()) > 0:
+            if self._closing:
                 break
             await self.watchers.wait(remaining)
 
-    async def _answer(self, request: web.Request, call: _Call) -> web.StreamResponse:
+    async def _answer(self, request: web.Request, list_request: _ListRequest) -> web.StreamResponse:
         version = self.host.endpoints.version
-        answer = self._answers.get(self.host.endpoints, call.since, call.view)
+        answer = self._answers.get(self.host.endpoints, list_request.since, list_request.view)
         response = web.Response(body=answer.body, content_type="application/json")
         try:
-            # A caller that never reads must not keep memory.
+            # Bounds the time that an unread response stays in memory.
             async with asyncio.timeout(self._config.limits.slow_s):
                 await response.prepare(request)
                 await response.write_eof()
                 if request.protocol.transport is not None:
-                    await request.protocol._drain_helper()  # noqa: SLF001 (there is no public way to wait)
+                    await request.protocol._drain_helper()  # noqa: SLF001 (no public equivalent)
         except TimeoutError:
             self._metrics.calls.labels("slow").inc()
             if request.transport is not None:
@@ -143,7 +144,7 @@
         if self._config.log_calls:
             self._events.write(
                 EventKind.LIST_SENT,
-                router=call.name,
+                router=list_request.name,
                 version=version,
                 whole=answer.complete,
                 states=answer.states,
--- a/applehub/registry/model/state.py
+++ b/applehub/registry/model/state.py
@@ -1,4 +1,4 @@
-"""The states of the model: replicas, disks, messages on their way, and what an observer remembers."""
+"""The state of the model: replicas, disks, messages in flight, and the history that invariants need."""
 
 import copy
 from dataclasses import dataclass, field, replace
@@ -16,60 +16,60 @@
 
 GROUP = (0, 1, 2)
 TIMING = Timing(heartbeat=0, election=10, lease=8, batch=1)
-LONG_AGO = 2 * TIMING.election + 1  # past that, how long ago something was makes no difference
+TIME_HORIZON = 2 * TIMING.election + 1  # older times are equivalent
 Envelope = tuple[int, int, Message]  # sender, receiver, message
 
 
 @dataclass(slots=True)
 class Bounds:
-    """What keeps the model finite."""
+    """The bounds that make the state space finite."""
 
     terms: int = 4
     proposals: int = 2
-    messages: int = 3  # on their way at once
-    delayed: int = 1  # coarse: delayed at once
+    messages: int = 3  # in flight at the same time
+    delayed: int = 1  # coarse model: delayed at the same time
     restarts: int = 2
-    refusals: int = 0  # times that a disk begins to refuse writes
+    refusals: int = 0  # number of times that a disk starts to refuse writes
 
 
 @dataclass(slots=True)
 class State:
-    """All replicas, disks and messages, and what an observer remembers."""
+    """All replicas, disks and messages, and the history of leaders and committed entries."""
 
     replicas: list[Replica]
     disks: list[StoredState]
-    unsynced: list[tuple[Action, ...]]  # what waits for a sync, by replica
-    applied: list[int] = field(default_factory=lambda: [0, 0, 0])  # index that each host has applied
+    unsynced: list[tuple[Action, ...]]  # actions that wait for a sync, by replica
+    applied: list[int] = field(default_factory=lambda: [0, 0, 0])  # last index by host
     messages: tuple[Envelope, ...] = ()
     now: int = 100
     proposals: int = 0
     restarts: int = 0
     refusals: int = 0
-    refusing: dict[int, bool] = field(default_factory=dict)  # disks, and whether a refused write is there
-    leaders: dict[int, int] = field(default_factory=dict)  # by term
+    refusing: dict[int, bool] = field(default_factory=dict)  # whether refused writes are stored, by disk
+    leaders: dict[int, int] = field(default_factory=dict)  # replica by term
     committed: tuple[LogEntry, ...] = ()
-    commit_terms: tuple[int, ...] = ()  # of the leader that first committed each entry
+    commit_terms: tuple[int, ...] = ()  # term of the replica that first applied each entry
     trace: tuple[str, ...] = ()
 
     def clone(self) -> "State":
-        """A state that may be changed without changing this one."""
-        one = copy.copy(self)
-        one.replicas = [_clone_replica(replica) for replica in self.replicas]
-        one.disks = [replace(disk) for disk in self.disks]
-        one.unsynced = list(self.unsynced)
-        one.applied = list(self.applied)
-        one.leaders = dict(self.leaders)
-        one.refusing = dict(self.refusing)
-        return one
+        """Returns an independent copy of this state."""
+        state = copy.copy(self)
+        state.replicas = [_clone_replica(replica) for replica in self.replicas]
+        state.disks = [replace(disk) for disk in self.disks]
+        state.unsynced = list(self.unsynced)
+        state.applied = list(self.applied)
+        state.leaders = dict(self.leaders)
+        state.refusing = dict(self.refusing)
+        return state
 
     def key(self) -> object:
-        """Equal for states that behave alike: times count from now, and only as far as they matter."""
+        """Returns a key that is equal for equivalent states; times in it are relative to now and bounded."""
         return (
             tuple(_replica_key(replica, self.now) for replica in self.replicas),
-            tuple((one.term, one.voted_for, one.snapshot, one.log) for one in self.disks),
+            tuple((disk.term, disk.voted_for, disk.snapshot, disk.log) for disk in self.disks),
             tuple(map(repr, self.unsynced)),
             tuple(self.applied),
-            tuple(sorted(map(repr, (_without_time(one, self.now) for one in self.messages)))),
+            tuple(sorted(map(repr, (_with_relative_time(message, self.now) for message in self.messages)))),
             self.proposals,
             self.restarts,
             self.refusals,
@@ -79,49 +79,50 @@
             self.commit_terms,
         )
 
-    def between(self, sender: int, receiver: int) -> tuple[Envelope, ...]:
-        """The messages on their way from one replica to another."""
+    def messages_between(self, sender: int, receiver: int) -> tuple[Envelope, ...]:
+        """Returns the messages in flight from one replica to another."""
         return tuple(one for one in self.messages if one[:2] == (sender, receiver))
 
-    def take(self, envelope: Envelope) -> None:
-        """Takes a message off its way."""
+    def remove_message(self, envelope: Envelope) -> None:
+        """Removes a message in flight."""
         at = self.messages.index(envelope)
         self.messages = self.messages[:at] + self.messages[at + 1 :]
 
 
 def _clone_replica(replica: Replica) -> Replica:
-    one = copy.copy(replica)
-    one.progress = {follower: copy.copy(progress) for follower, progress in replica.progress.items()}
-    return one
+    clone = copy.copy(replica)
+    clone.progress = {follower: copy.copy(progress) for follower, progress in replica.progress.items()}
+    return clone
 
 
-def _relative(then: int, now: int) -> int:
-    return max(-LONG_AGO, min(LONG_AGO, then - now))
+def _relative(at: int, now: int) -> int:
+    return max(-TIME_HORIZON, min(TIME_HORIZON, at - now))
 
 
-def _without_time(envelope: Envelope, now: int) -> Envelope:
-    """The message with its time counted from now."""
+def _with_relative_time(envelope: Envelope, now: int) -> Envelope:
+    """Returns the envelope with times relative to now."""
     sender, receiver, message = envelope
     if isinstance(message, AppendEntries | AppendEntriesResponse | InstallSnapshot):
         return sender, receiver, message._replace(sent_at=_relative(message.sent_at, now))
     return envelope
 
 
-def _replica_key(one: Replica, now: int) -> object:
+def _replica_key(replica: Replica, now: int) -> object:
     progress = tuple(
         (
-            follower, known.next_index, known.match_index,
-            _relative(known.acknowledged_at, now), _relative(known.sent_at, now),
+            follower, follower_progress.next_index, follower_progress.match_index,
+            _relative(follower_progress.acknowledged_at, now), _relative(follower_progress.sent_at, now),
         )
-        for follower, known in one.progress.items()
+        for follower, follower_progress in replica.progress.items()
     )  # fmt: skip
     return (
-        one.role, one.term, one.voted_for, one.snapshot, one.log, one.commit_index, one.last_applied,
-        one.leader, one.pre_vote, one.votes, _relative(one.leader_contact, now),
-        _relative(one.election_due, now), _relative(one.leader_since, now), progress, one.storage_failed,
+        replica.role, replica.term, replica.voted_for, replica.snapshot, replica.log, replica.commit_index,
+        replica.last_applied, replica.leader, replica.pre_vote, replica.votes,
+        _relative(replica.leader_contact, now), _relative(replica.election_due, now),
+        _relative(replica.leader_since, now), progress, replica.storage_failed,
     )  # fmt: skip
 
 
-def fold(entries: tuple[LogEntry, ...]) -> bytes:
-    """The snapshot's data after these entries."""
+def snapshot_data(entries: tuple[LogEntry, ...]) -> bytes:
+    """Returns the snapshot data after these entries."""
     return b"|".join(b"%d %s" % (entry.term, entry.command) for entry in entries)
--- a/applehub/registry/model/steps.py
+++ b/applehub/registry/model/steps.py
@@ -1,4 +1,4 @@
-"""How states follow one another: what hosts do with actions, and the steps that both grains have."""
+"""State transitions: how hosts execute actions, and the steps that both models have in common."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable, Iterator, Sequence
@@ -21,7 +21,7 @@
     Tick,
 )
 from applehub.registry.model.invariants import check_leases, check_replica, record_applied, record_restored
-from applehub.registry.model.state import GROUP, LONG_AGO, TIMING, Bounds, Envelope, State, fold
+from applehub.registry.model.state import GROUP, TIME_HORIZON, TIMING, Bounds, Envelope, State, snapshot_data
 from applehub.registry.replica import Replica
 from applehub.registry.replica_state import Role
 
@@ -29,56 +29,59 @@
 
 
 class Model(ABC):
-    """The steps of a group whose replicas are of a class, within bounds."""
+    """The steps of a group of replicas of one class, within bounds."""
 
-    def __init__(self, replica_class: type[Replica], bounds: Bounds, holds_back: bool = True) -> None:
-        """holds_back: whether the host holds what follows a Save until it is on disk, as it must."""
+    def __init__(self, replica_class: type[Replica], bounds: Bounds, delays_until_sync: bool = True) -> None:
+        """delays_until_sync: whether hosts delay the actions after a Save until it is on disk."""
         self.replica_class = replica_class
         self.bounds = bounds
-        self.holds_back = holds_back
+        self.delays_until_sync = delays_until_sync
 
     @abstractmethod
     def steps(self, state: State) -> Iterator[Step]:
-        """All that may happen next."""
+        """Yields all possible next steps."""
 
-    def first(self) -> State:
-        """The empty group."""
+    def empty_group(self) -> State:
+        """Returns the state of a new group without stored data."""
         disks = [StoredState() for _ in GROUP]
-        replicas = [self.replica_class(one, GROUP, TIMING, 0, replace(disks[one])) for one in GROUP]
+        replicas = [
+            self.replica_class(replica_id, GROUP, TIMING, 0, replace(disks[replica_id]))
+            for replica_id in GROUP
+        ]
         return State(replicas, disks, [() for _ in GROUP])
 
-    # What hosts do
+    # Behaviour of hosts
 
     def handle(self, state: State, replica_id: int, event: Event) -> None:
-        """Has a replica handle an event; what it wants done waits for its sync."""
+        """Passes an event to a replica; the resulting actions wait for the sync of its disk."""
         actions = tuple(state.replicas[replica_id].handle(state.now, event))
         check_replica(state, replica_id)
         unsynced = (*state.unsynced[replica_id], *actions)
-        if not self.holds_back:
-            state.unsynced[replica_id] = tuple(one for one in unsynced if isinstance(one, Save))
-            self.carry_out(state, replica_id, [one for one in unsynced if not isinstance(one, Save)])
+        if not self.delays_until_sync:
+            state.unsynced[replica_id] = tuple(action for action in unsynced if isinstance(action, Save))
+            self.execute(state, replica_id, [action for action in unsynced if not isinstance(action, Save)])
             return
         state.unsynced[replica_id] = unsynced
-        if not any(isinstance(one, Save) for one in unsynced):
+        if not any(isinstance(action, Save) for action in unsynced):
             self.sync(state, replica_id)
 
     def sync(self, state: State, replica_id: int) -> None:
-        """The disk takes all that waits, or refuses it."""
+        """Syncs the disk: the waiting actions are executed, or the disk refuses the writes."""
         actions = state.unsynced[replica_id]
         state.unsynced[replica_id] = ()
-        if replica_id in state.refusing and any(isinstance(one, Save) for one in actions):
+        if replica_id in state.refusing and any(isinstance(action, Save) for action in actions):
             self.refuse_save(state, replica_id, actions)
         else:
-            self.carry_out(state, replica_id, actions)
+            self.execute(state, replica_id, actions)
 
     def refuse_save(self, state: State, replica_id: int, actions: Sequence[Action]) -> None:
-        """The disk refuses what waits: the host sends nothing of it, and applies what the others have."""
+        """Handles refused writes: the host sends no messages but applies committed entries."""
         kinds = (Save, Apply, Restore) if state.refusing[replica_id] else (Apply, Restore)
-        self.carry_out(state, replica_id, [one for one in actions if isinstance(one, kinds)])
+        self.execute(state, replica_id, [action for action in actions if isinstance(action, kinds)])
         self.handle(state, replica_id, StorageFailed())
 
-    def carry_out(self, state: State, replica_id: int, actions: Sequence[Action]) -> None:
-        """Does what a replica wants done, in order."""
+    def execute(self, state: State, replica_id: int, actions: Sequence[Action]) -> None:
+        """Executes the actions of a replica in order."""
         for action in actions:
             match action:
                 case Save():
@@ -93,7 +96,7 @@
     # Steps
 
     def restart(self, state: State, replica_id: int) -> None:
-        """Loses what was not synced, and all that it remembered."""
+        """Restarts a replica, which loses unsynced actions and its memory."""
         state.unsynced[replica_id] = ()
         state.restarts += 1
         disk = state.disks[replica_id]
@@ -101,51 +104,51 @@
         state.replicas[replica_id] = self.replica_class(replica_id, GROUP, TIMING, state.now, replace(disk))
 
     def compact(self, state: State, replica_id: int) -> None:
-        """The host makes a snapshot of what it has applied."""
+        """Compacts the log up to the last applied entry."""
         index = state.applied[replica_id]
-        self.handle(state, replica_id, Compact(index, fold(state.committed[:index])))
+        self.handle(state, replica_id, Compact(index, snapshot_data(state.committed[:index])))
 
     def propose(self, state: State, replica_id: int) -> None:
-        """A writer has a new command."""
+        """Proposes a new command."""
         state.proposals += 1
         self.handle(state, replica_id, Propose((b"p%d" % state.proposals,)))
 
     def wait(self, state: State) -> None:
-        """Time passes, and nobody looks at the clock."""
-        state.now += LONG_AGO
+        """Advances the time without ticks."""
+        state.now += TIME_HORIZON
         check_leases(state)
 
     def time_out(self, state: State, replica_id: int) -> None:
-        """A replica's election timeout is over."""
+        """Advances the time to the election timeout of a replica."""
         state.now = max(state.now, state.replicas[replica_id].election_due)
         self.handle(state, replica_id, Tick(0.0))
 
     def send_heartbeat(self, state: State, replica_id: int) -> None:
-        """A leader's heartbeat is due."""
+        """Makes a leader send its heartbeats."""
         self.handle(state, replica_id, Tick(0.0))
 
-    def deliver(self, state: State, envelope: Envelope, doubled: bool = False) -> None:
-        """A message arrives; doubled: and will once more."""
-        if not doubled:
-            state.take(envelope)
+    def deliver(self, state: State, envelope: Envelope, duplicate: bool = False) -> None:
+        """Delivers a message; with `duplicate`, it stays in flight and may be delivered again."""
+        if not duplicate:
+            state.remove_message(envelope)
         sender, receiver, message = envelope
         self.handle(state, receiver, MessageReceived(sender, message))
 
     def refuse(self, state: State, replica_id: int, written: bool) -> None:
-        """From now on the disk refuses each write; with `written`, the write is there all the same."""
+        """Makes a disk refuse writes; with `written`, refused writes are stored anyway."""
         state.refusals += 1
         state.refusing[replica_id] = written
 
     def accept(self, state: State, replica_id: int) -> None:
-        """The disk takes writes again."""
+        """Makes a disk accept writes again."""
         del state.refusing[replica_id]
 
     def retry_storage(self, state: State, replica_id: int) -> None:
-        """The host tries its disk again."""
+        """Makes the host retry its disk."""
         self.handle(state, replica_id, StorageRetried())
 
     def disk_steps(self, state: State, replica_id: int) -> Iterator[Step]:
-        """What may happen to a disk that refuses, or begins to."""
+        """Yields the steps of a disk that refuses writes or may start to."""
         if replica_id in state.refusing:
             yield f"accept {replica_id}", partial(self.accept, replica_id=replica_id)
         elif state.refusals < self.bounds.refusals:
@@ -155,7 +158,7 @@
             yield f"retry {replica_id}", partial(self.retry_storage, replica_id=replica_id)
 
     def common_steps(self, state: State) -> Iterator[Step]:
-        """Steps of one replica by itself."""
+        """Yields the steps that involve a single replica."""
         for replica_id in GROUP:
             replica = state.replicas[replica_id]
             yield from self.disk_steps(state, replica_id)
--- a/applehub/registry/service.py
+++ b/applehub/registry/service.py
@@ -1,5 +1,5 @@
-"""The service over HTTP: `/api/targets` for routers as PROTOCOL has it, and a second address for writers and
-staff."""
+"""The HTTP service of a replica: one address for routers (`/api/targets`), another one for writers and
+operators."""
 
 import asyncio
 import contextlib
@@ -17,16 +17,16 @@
 from applehub.registry.lock_api import LockApi
 from applehub.registry.metrics import Metrics
 
-MAX_BODY = 1 << 16  # bytes of a writer's call
-KEEPALIVE = 75.0  # s that a connection may be idle: more than the longest watch
-SHUTDOWN_TIMEOUT = 0.5  # s for calls under way
+MAX_BODY = 1 << 16  # bytes of a request body
+KEEPALIVE = 75.0  # seconds; longer than the longest long poll
+SHUTDOWN_TIMEOUT = 0.5  # seconds for requests in progress
 
 
 class Service:
-    """One replica's two addresses."""
+    """Serves the HTTP APIs of one replica."""
 
     def __init__(self, config: Config, host: Host, events: EventWriter) -> None:
-        """Takes up the host's list. Needs a running event loop."""
+        """Needs a running event loop."""
         self.config = config
         self.host = host
         self.events = events
@@ -35,27 +35,27 @@
         self.list_api = ListApi(config, host, events, metrics)
         self.admin_api = AdminApi(config, self.list_api, metrics, self.lease_watch.leases)
         self.lock_api = LockApi(host, self.admin_api.replies)
-        self._version = host.endpoints.version  # up to which changes were logged
+        self._version = host.endpoints.version  # changes up to this version were logged
         self._listeners: list[Listener] = []
         self._runners: list[web.AppRunner] = []
         self._task: asyncio.Task[None] | None = None
         host.on_new_version = self._on_new_version
 
-    def retune(self, config: Config) -> None:
-        """Takes up what may change while it runs: views, limits, leases."""
+    def update_config(self, config: Config) -> None:
+        """Applies the settings that may change at run time: views, limits, leases."""
         self.config = config
-        self.list_api.retune(config)
-        self.lease_watch.retune(config.leases)
+        self.list_api.update_config(config)
+        self.lease_watch.update_config(config.leases)
 
     async def start(self) -> tuple[str, str]:
-        """Listens; gives the addresses for routers and for staff. Raises OSError where it can't."""
-        staff = web.Application(client_max_size=MAX_BODY)
-        self.admin_api.add_routes(staff.router)
-        self.lock_api.add_routes(staff.router)
-        public_address = await self._listen(self.list_api.application(), self.config.listen)
-        staff_address = await self._listen(staff, self.config.staff)
+        """Starts to listen. Returns the addresses for routers and for operators. Raises OSError."""
+        admin_application = web.Application(client_max_size=MAX_BODY)
+        self.admin_api.add_routes(admin_application.router)
+        self.lock_api.add_routes(admin_application.router)
+        router_address = await self._listen(self.list_api.application(), self.config.listen)
+        admin_address = await self._listen(admin_application, self.config.staff)
         self._task = asyncio.get_running_loop().create_task(self.lease_watch.run())
-        return public_address, staff_address
+        return router_address, admin_address
 
     async def _listen(self, application: web.Application, address: str) -> str:
         runner = web.AppRunner(
@@ -74,19 +74,19 @@
         return f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Watches end with an answer; then the addresses close."""
+        """Answers all long polls and closes the listeners and connections."""
         if self._task is not None:
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await self._task
-        self.list_api.end()
+        self.list_api.end_watches()
         for listener in self._listeners:
             listener.close()
         for runner in self._runners:
             await runner.cleanup()
 
     def _on_new_version(self) -> None:
-        """Logs changes, where this replica made them, and wakes the watchers."""
+        """Logs the changes if this replica is the leader, and wakes the watchers."""
         endpoints = self.host.endpoints
         if self.host.is_lease_holder():
             for change in endpoints.changes:
--- a/applehub/registry/store.py
+++ b/applehub/registry/store.py
@@ -1,17 +1,16 @@
-"""A replica's disk: SQLite with a rollback journal, synced at each commit, so that a batch of Saves is there
-complete or not at all. Each row carries a checksum of its own (crc32 over its key and content: in the
-standard library, and made for flipped bits), since SQLite has none of its pages.
+"""Persistent storage of a replica: a SQLite database with a rollback journal, synced at each commit, so that
+a batch of Saves is stored atomically. Each row has a CRC-32 over its key and content, because SQLite has no
+page checksums.
 
-Not a write-ahead log: SQLite takes a frame of it that does not add up for its end, so one flipped bit drops
-every later commit without a word, acknowledged ones too. With the journal, what was committed stands in the
-file itself, where the checksums find it; that costs a second sync.
+The write-ahead log mode is not used: SQLite treats a corrupt frame as the end of the log, so that one flipped
+bit would silently discard all later commits. With a rollback journal, committed data is in the database file,
+where the checksums cover it, at the cost of a second sync.
 
-A store that does not add up is refused, never served: the error names file, row and reason.
+A corrupt store is rejected with an error that names file, row and reason.
 
-A disk that takes no writes (it is full, or fails) is another matter: what is there stays good, so the same
-Saves are written again later, on a connection made anew, which undoes first what the failed write left. A
-write that failed may be on the disk all the same (only the last sync failed): Saves give the same when they
-are written twice."""
+If the disk refuses a write (for example because it is full), the stored data is intact and the same Saves are
+written again later on a new connection, which first rolls back the failed transaction. A failed write may be
+on disk nevertheless (if only the last sync failed), so Saves are idempotent."""
 
 import contextlib
 import errno
@@ -26,7 +25,7 @@
 from applehub.registry.errors import StoreError, StoreRefusedError
 from applehub.registry.messages import NO_SNAPSHOT, LogEntry, Snapshot
 
-FORMAT = 1
+FORMAT_VERSION = 1
 NO_VOTE = -1
 TABLES = """
 CREATE TABLE IF NOT EXISTS meta (name TEXT PRIMARY KEY, value INTEGER, crc INTEGER) WITHOUT ROWID;
@@ -34,7 +33,7 @@
 CREATE TABLE IF NOT EXISTS snapshot
     (one INTEGER PRIMARY KEY, place INTEGER, term INTEGER, data BLOB, crc INTEGER);
 """
-# What passes by itself or by staff's hand: no room, a failing or read-only disk, no descriptors, no memory.
+# Errors that may be temporary: a full, failing or read-only disk, and a lack of descriptors or memory.
 REFUSALS = frozenset(
     {
         errno.ENOSPC, errno.EDQUOT, errno.EFBIG, errno.EIO, errno.EROFS, errno.EMFILE, errno.ENFILE,
@@ -47,18 +46,18 @@
         sqlite3.SQLITE_NOMEM, sqlite3.SQLITE_BUSY,
     }
 )  # fmt: skip
-PRIMARY_CODE = 0xFF  # mask: SQLite's extended codes say more in the bits above
+PRIMARY_CODE_MASK = 0xFF  # mask of the primary code in an extended SQLite error code
 
 
-def _store_error(path: Path, problem: OSError | sqlite3.Error) -> StoreError:
-    """The problem as an error of the package: refused for now, or of no use."""
-    if isinstance(problem, OSError):
-        refused = problem.errno in REFUSALS
-        text = problem.strerror or str(problem)
+def _store_error(path: Path, error: OSError | sqlite3.Error) -> StoreError:
+    """Converts an error to StoreRefusedError if it may be temporary, else to StoreError."""
+    if isinstance(error, OSError):
+        refused = error.errno in REFUSALS
+        text = error.strerror or str(error)
     else:
-        code = getattr(problem, "sqlite_errorcode", sqlite3.SQLITE_ERROR)
-        refused = code & PRIMARY_CODE in SQLITE_REFUSALS
-        text = str(problem)
+        code = getattr(error, "sqlite_errorcode", sqlite3.SQLITE_ERROR)
+        refused = code & PRIMARY_CODE_MASK in SQLITE_REFUSALS
+        text = str(error)
     return (StoreRefusedError if refused else StoreError)(f"{path}: {text}")
 
 
@@ -69,9 +68,9 @@
     return checksum
 
 
-def _sync_folder(folder: Path) -> None:
-    """Has the names in a folder on disk. Raises OSError."""
-    descriptor = os.open(folder, os.O_RDONLY)
+def _sync_directory(directory: Path) -> None:
+    """Syncs a directory, so that its file names are on disk. Raises OSError."""
+    descriptor = os.open(directory, os.O_RDONLY)
     try:
         os.fsync(descriptor)
     finally:
@@ -79,38 +78,39 @@
 
 
 class ReplicaStore:
-    """The file of one replica, locked while it is open."""
+    """The database of one replica, locked while it is open."""
 
-    def __init__(self, folder: Path) -> None:
-        """Raises StoreError where another process has it, or it is of no use; StoreRefusedError where the
-        disk refuses."""
-        self.path = folder / "replica.sqlite"
-        self._made = folder / "made"
+    def __init__(self, directory: Path) -> None:
+        """Opens the store. Raises StoreError if another process has locked it or it is corrupt, and
+        StoreRefusedError if the disk refuses access."""
+        self.path = directory / "replica.sqlite"
+        self._marker = directory / "made"
         self._connection: sqlite3.Connection | None = None
         try:
-            folder.mkdir(parents=True, exist_ok=True)
-            self._lock = (folder / "lock").open("wb")
-        except OSError as problem:
-            raise _store_error(folder, problem) from problem
+            directory.mkdir(parents=True, exist_ok=True)
+            self._lock = (directory / "lock").open("wb")
+        except OSError as error:
+            raise _store_error(directory, error) from error
         try:
-            self._open(folder)
+            self._open(directory)
         except BaseException:
             self.close()
             raise
 
-    def _open(self, folder: Path) -> None:
+    def _open(self, directory: Path) -> None:
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             self._connect()
-            _sync_folder(folder)  # the file's name, too
-        except BlockingIOError as problem:
-            raise StoreError(f"{folder}: another process has it") from problem
-        except OSError as problem:
-            raise _store_error(folder, problem) from problem
+            _sync_directory(directory)  # the new file names must be on disk, too
+        except BlockingIOError as error:
+            raise StoreError(f"{directory}: the store is locked by another process") from error
+        except OSError as error:
+            raise _store_error(directory, error) from error
 
     def _connect(self) -> sqlite3.Connection:
-        """The connection, made anew after a failure: that undoes what a write has left half done. Raises
-        StoreError."""
+        """Returns the connection, or a new one after a failure. Opening rolls back an incomplete transaction.
+
+        Raises StoreError."""
         if self._connection is not None:
             return self._connection
         connection = None
@@ -119,19 +119,19 @@
             connection.execute("PRAGMA journal_mode=TRUNCATE")
             connection.execute("PRAGMA synchronous=FULL")
             (result,) = connection.execute("PRAGMA quick_check(1)").fetchone()
-            self._check(result == "ok", result)
+            self._verify(result == "ok", result)
             connection.executescript(TABLES)
-        except (sqlite3.DatabaseError, StoreError) as problem:
+        except (sqlite3.DatabaseError, StoreError) as error:
             if connection is not None:
                 connection.close()
-            if isinstance(problem, StoreError):
+            if isinstance(error, StoreError):
                 raise
-            raise _store_error(self.path, problem) from problem
+            raise _store_error(self.path, error) from error
         self._connection = connection
         return connection
 
     def _disconnect(self) -> None:
-        """Closes the connection: the system takes its locks back, and the next one undoes what it began."""
+        """Closes the connection; the next connection rolls back an incomplete transaction."""
         connection = self._connection
         self._connection = None
         if connection is not None:
@@ -139,35 +139,38 @@
                 connection.close()
 
     def load(self) -> StoredState:
-        """All that was saved. Raises StoreError where a checksum, the order of entries or the format is
+        """Returns the stored state. Raises StoreError if a checksum, the order of entries or the format is
         wrong."""
         connection = self._connect()
         try:
             meta = self._load_meta(connection)
             if not meta:
-                self._check(not self._made.exists(), "it is empty, and was not")
+                self._verify(not self._marker.exists(), "it is empty, expected stored state")
                 return StoredState()
-            self._check(meta.get("format") == FORMAT, f"format {meta.get('format')}, expected {FORMAT}")
+            self._verify(
+                meta.get("format") == FORMAT_VERSION,
+                f"format {meta.get('format')}, expected {FORMAT_VERSION}",
+            )
             snapshot = self._load_snapshot(connection)
             log = self._load_log(connection, snapshot.last_index)
-        except sqlite3.DatabaseError as problem:
-            raise _store_error(self.path, problem) from problem
+        except sqlite3.DatabaseError as error:
+            raise _store_error(self.path, error) from error
         last = snapshot.last_index + len(log)
-        self._check(meta.get("last") == last, f"log ends at {last}, expected {meta.get('last')}")
+        self._verify(meta.get("last") == last, f"log ends at {last}, expected {meta.get('last')}")
         voted_for = meta.get("voted", NO_VOTE)
         return StoredState(meta["term"], None if voted_for < 0 else voted_for, snapshot, tuple(log))
 
     def _load_meta(self, connection: sqlite3.Connection) -> dict[str, int]:
         meta: dict[str, int] = {}
         for name, value, checksum in connection.execute("SELECT name, value, crc FROM meta"):
-            self._check(checksum == _checksum(name, value), f"meta {name}")
+            self._verify(checksum == _checksum(name, value), f"checksum mismatch in meta row {name!r}")
             meta[name] = value
         return meta
 
     def _load_snapshot(self, connection: sqlite3.Connection) -> Snapshot:
         snapshot = NO_SNAPSHOT
         for index, term, data, checksum in connection.execute("SELECT place, term, data, crc FROM snapshot"):
-            self._check(checksum == _checksum(index, term, data), "snapshot")
+            self._verify(checksum == _checksum(index, term, data), "checksum mismatch in the snapshot")
             snapshot = Snapshot(index, term, data)
         return snapshot
 
@@ -175,33 +178,37 @@
         log = []
         rows = connection.execute("SELECT place, term, data, crc FROM log ORDER BY place")
         for expected, (index, term, command, checksum) in enumerate(rows, after + 1):
-            self._check(index == expected, f"log: index {index} where {expected} is due")
-            self._check(checksum == _checksum(index, term, command), f"log {index}")
+            self._verify(index == expected, f"log index {index}, expected {expected}")
+            self._verify(
+                checksum == _checksum(index, term, command), f"checksum mismatch in log entry {index}"
+            )
             log.append(LogEntry(term, command))
         return log
 
-    def _check(self, holds: bool, what: str) -> None:
-        if not holds:
-            raise StoreError(f"{self.path}: {what}: not what was written")
+    def _verify(self, condition: bool, description: str) -> None:
+        if not condition:
+            raise StoreError(f"{self.path}: corrupt store: {description}")
 
     def save(self, saves: Iterable[Save]) -> None:
-        """Writes a batch in one transaction; it is on disk on return. Raises StoreRefusedError where the disk
-        refuses: the batch is there complete or not at all; other StoreErrors where the store is of no use."""
+        """Writes a batch in one transaction, which is on disk on return.
+
+        Raises StoreRefusedError if the disk refuses, in which case the batch is stored completely or not at
+        all, and StoreError if the store is unusable."""
         try:
-            if not self._made.exists():  # from now on, an empty file is one that was lost
-                self._made.touch()
-                _sync_folder(self._made.parent)
-        except OSError as problem:
-            raise _store_error(self._made, problem) from problem
+            if not self._marker.exists():  # marks that an empty database is lost data from now on
+                self._marker.touch()
+                _sync_directory(self._marker.parent)
+        except OSError as error:
+            raise _store_error(self._marker, error) from error
         connection = self._connect()
         try:
             connection.execute("BEGIN IMMEDIATE")
-            for one in saves:
-                self._write(connection, one)
+            for save in saves:
+                self._write(connection, save)
             connection.execute("COMMIT")
-        except sqlite3.DatabaseError as problem:
+        except sqlite3.DatabaseError as error:
             self._disconnect()
-            raise _store_error(self.path, problem) from problem
+            raise _store_error(self.path, error) from error
         except BaseException:
             self._disconnect()
             raise
@@ -223,7 +230,7 @@
 
     def _write_meta(self, connection: sqlite3.Connection, save: Save) -> None:
         meta = {
-            "format": FORMAT,
+            "format": FORMAT_VERSION,
             "term": save.term,
             "voted": NO_VOTE if save.voted_for is None else save.voted_for,
             "last": save.start + len(save.entries) - 1,
@@ -232,6 +239,6 @@
         connection.executemany("INSERT OR REPLACE INTO meta VALUES (?, ?, ?)", rows)
 
     def close(self) -> None:
-        """Lets the file go."""
+        """Closes the database and releases its lock."""
         self._disconnect()
         self._lock.close()
