--- a/applehub/peers/__init__.py
+++ b/applehub/peers/__init__.py
@@ -1,14 +1,14 @@
-"""What the router processes share by gossip: membership, origin limits, range shares and health verdicts.
+"""Gossip between router processes: membership, origin limits, key range fractions and health verdicts.
 
-The package is pure: it opens no socket, reads no clock and draws random numbers only from a seeded generator.
-`applehub.node.peering` carries its datagrams over UDP, `applehub.lab` over a simulated network.
+The package does no I/O: it opens no socket, reads no clock and draws random numbers only from seeded
+generators. `applehub.node.peering` sends its datagrams over UDP, `applehub.lab` over a simulated network.
 
-- `records`: what routers publish about themselves and about servers.
-- `record_store`: the records that a process holds, with the merge rule and its bounds.
-- `codec`: the wire form of a datagram.
-- `member_table`: the processes that a process knows, and which telling of one of them wins.
-- `membership`: SWIM's probes, suspicion and refutation over that table.
-- `agent`: one process: ticks and datagrams in, datagrams out.
-- `fleet_view`: the fleet as one process sees it, computed from the records that it holds.
-- `policy_adapter`: translates between the agent and the decision module.
+- `records`: the records that routers publish about themselves and about servers.
+- `record_store`: the records that a process has received, with the merge rule and the size limits.
+- `codec`: the wire format of a datagram.
+- `member_table`: the known router processes, and the precedence of conflicting descriptions of one of them.
+- `membership`: SWIM probes, suspicion and refutation.
+- `agent`: the gossip state machine of one process; ticks and datagrams in, datagrams out.
+- `fleet_view`: the state of the fleet, computed from the records of one process.
+- `policy_adapter`: the translation between the agent and the decision module.
 """
--- a/applehub/peers/agent.py
+++ b/applehub/peers/agent.py
@@ -1,6 +1,6 @@
-"""One process among its peers: ticks and datagrams in, datagrams out.
+"""Gossip state machine of one router process: ticks and datagrams in, datagrams out.
 
-The host calls `tick` each period and `receive` for each datagram, and sends what they return.
+The caller invokes `tick` periodically and `receive` for each datagram, and sends the datagrams returned.
 """
 
 from collections import Counter
@@ -21,28 +21,28 @@
     encode_record,
 )
 from applehub.peers.fleet_view import FleetView, compute_view
-from applehub.peers.member_table import FORGET_AFTER
+from applehub.peers.member_table import ABSENT_MEMBER_RETENTION
 from applehub.peers.membership import MAX_UPDATES, Membership, OutgoingMessage
 from applehub.peers.record_store import RecordStore
 from applehub.peers.records import SECOND, Body, Limit, Record, RecordKey, Shares, Verdict, sampled_writers
 
-# ns after which an unchanged record is published again: well before peers drop it (records.RETENTION).
+# Age, in ns, at which an unchanged record is republished; below the maximum age in records.RETENTION.
 REPUBLISH_AFTER: dict[type[Body], int] = {Limit: SECOND // 2, Shares: 2 * SECOND, Verdict: SECOND // 2}
-PEERS_PER_DATAGRAM = 4  # besides changes
-PEERS_TO_NEWCOMER = 20  # the same, to a process that knows nobody yet
-PEERS_MAX_BYTES = MAX_DATAGRAM_BYTES * 3 // 4  # of a datagram, while there are records to send
-URGENT_REPEATS = 4  # times that a verdict is sent before it is no longer urgent
-URGENT_FANOUT = 2  # further members that urgent verdicts are sent to with each tick
-MAX_RECORDS_CONSIDERED = 40  # for one datagram
-MIN_REPEATS = 4  # times that limits and shares are sent
-MIN_VERDICT_REPEATS = 2  # the same for verdicts, besides the logarithm of the members
+MAX_PEERS_PER_DATAGRAM = 4  # in addition to membership changes
+MAX_PEERS_TO_NEW_MEMBER = 20  # the same, in answers to a process that has just joined
+MAX_PEER_BYTES = MAX_DATAGRAM_BYTES * 3 // 4  # datagram size up to which peers are added before records
+URGENT_VERDICT_SENDS = 4  # sends after which a verdict is no longer urgent
+URGENT_FANOUT = 2  # additional recipients per tick while verdicts are urgent
+MAX_CANDIDATE_RECORDS = 40  # records considered for one datagram
+MIN_RECORD_SENDS = 4  # minimum number of sends of a Limit or Shares record
+MIN_VERDICT_SENDS = 2  # sends of a verdict in addition to log2 of the member count
 
-Outgoing = tuple[Peer | str, bytes]  # to a known peer or a configured router's name; the datagram
+OutgoingDatagram = tuple[Peer | str, bytes]  # recipient (peer or name of a configured router) and content
 
 
 @dataclass(slots=True)
 class PublishedRecord:
-    """What this process published last of one type and subject; body None: withdrawn."""
+    """Latest publication of one record type and subject; `body` is None once it is withdrawn."""
 
     version: int = 0
     published_at: int = -SECOND
@@ -50,37 +50,38 @@
 
 
 class GossipAgent:
-    """Membership and records of one process."""
+    """Membership and gossip records of one process."""
 
-    def __init__(self, me: Peer, fleet: str, names: list[str], seed: int, tick: int) -> None:
-        """Begin without peers.
+    def __init__(self, local_peer: Peer, fleet: str, names: list[str], seed: int, tick_interval: int) -> None:
+        """Starts without peers.
 
-        fleet: name of the fleet; datagrams of others are dropped. names: of the configured routers, without
-        this one. tick: ns between two calls of `tick`.
+        fleet: name of the fleet; datagrams of other fleets are dropped.
+        names: names of the other configured routers.
+        tick_interval: ns between two calls of `tick`.
         """
-        self.fleet = crc32(fleet.encode())
-        self.membership = Membership(me, names, seed, tick)
+        self.fleet_id = crc32(fleet.encode())
+        self.membership = Membership(local_peer, names, seed, tick_interval)
         self.store = RecordStore()
         self.published: dict[tuple[type[Body], int], PublishedRecord] = {}
-        self.pruned_at = 0  # when old entries of `published` were last dropped
-        self.pending: dict[RecordKey, int] = {}  # records still to be gossiped, with how often they were
-        self.dropped: Counter[str] = Counter()  # datagrams, by reason
-        self.sent = 0  # datagrams
-        self.accepted = 0  # datagrams
+        self.last_prune_at = 0
+        self.pending_records: dict[RecordKey, int] = {}  # number of sends by record
+        self.drop_counts: Counter[str] = Counter()  # dropped datagrams by reason
+        self.datagrams_sent = 0
+        self.datagrams_accepted = 0
         self.bytes_sent = 0
 
     @property
     def member_id(self) -> int:
-        """The number that stands for this process."""
-        return self.membership.me.member_id
+        """Member id of this process."""
+        return self.membership.local_peer.member_id
 
     def publish(self, now: int, body: Body, subject: int = 0) -> None:
-        """Publish a record of this process: at once if a verdict changed, else when it is due again.
+        """Publishes a record of this process: a changed verdict at once, others when they are due.
 
         subject: digest of the server that a verdict is about.
         """
-        if now - self.pruned_at >= FORGET_AFTER:
-            self._prune(now)
+        if now - self.last_prune_at >= ABSENT_MEMBER_RETENTION:
+            self._prune_published(now)
         published = self.published.setdefault((type(body), subject), PublishedRecord())
         due = now - published.published_at >= REPUBLISH_AFTER[type(body)]
         if due or _is_changed_verdict(published.body, body):
@@ -90,70 +91,77 @@
             self._merge(Record(self.member_id, subject, published.version, now, body))
 
     def withdraw(self, body_type: type[Body], subject: int) -> None:
-        """Stop publishing a record; peers drop it by its age.
+        """Stops publishing a record; peers drop it when it expires.
 
-        Its version is kept for a while: a record that began at version 1 again would lose against the one
-        that peers still hold.
+        The version counter is retained, because peers would ignore a record that restarts at version 1 while
+        they store a higher one.
         """
         published = self.published.get((body_type, subject))
         if published is not None:
             published.body = None
 
-    def tick(self, now: int) -> list[Outgoing]:
-        """One period has passed: return the datagrams to send."""
+    def tick(self, now: int) -> list[OutgoingDatagram]:
+        """Advances the protocol by one interval; returns the datagrams to send."""
         for key in self.store.expire(now):
-            self.pending.pop(key, None)
+            self.pending_records.pop(key, None)
         messages = self.membership.tick(now)
-        if any(key.body_type is Verdict and sent < URGENT_REPEATS for key, sent in self.pending.items()):
+        if any(
+            key.body_type is Verdict and sent < URGENT_VERDICT_SENDS
+            for key, sent in self.pending_records.items()
+        ):
             messages += self.membership.gossip_messages(URGENT_FANOUT)
         return self._encode(now, messages)
 
-    def receive(self, now: int, data: bytes) -> list[Outgoing]:
-        """Take a datagram; return the answers. One that can't be used is dropped and counted by reason."""
+    def receive(self, now: int, data: bytes) -> list[OutgoingDatagram]:
+        """Handles a datagram; returns the answers. Invalid datagrams are dropped and counted by reason."""
         try:
-            datagram = decode(data, self.fleet)
-        except DatagramError as problem:
-            self.dropped[str(problem)] += 1
+            datagram = decode(data, self.fleet_id)
+        except DatagramError as error:
+            self.drop_counts[str(error)] += 1
             return []
         if datagram.sender == self.member_id:
-            self.dropped["own"] += 1
+            self.drop_counts["own"] += 1
             return []
         if datagram.target not in (0, self.member_id) and datagram.kind is not MessageKind.PING_REQUEST:
-            self.dropped["stranger"] += 1
+            self.drop_counts["stranger"] += 1
             return []
-        self.accepted += 1
-        is_newcomer = datagram.sender not in self.membership.table.peers or datagram.target == 0
+        self.datagrams_accepted += 1
+        is_new_sender = datagram.sender not in self.membership.table.peers or datagram.target == 0
         for peer in datagram.peers:
             self.membership.merge(now, peer)
         self._merge_received(now, datagram.records)
         answers = self.membership.handle(
             now, datagram.kind, datagram.sender, datagram.sequence, datagram.target
         )
-        return self._encode(now, answers, PEERS_TO_NEWCOMER if is_newcomer else PEERS_PER_DATAGRAM)
+        return self._encode(
+            now, answers, MAX_PEERS_TO_NEW_MEMBER if is_new_sender else MAX_PEERS_PER_DATAGRAM
+        )
 
-    def leave(self, now: int) -> list[Outgoing]:
-        """Return the last datagrams of a process that ends."""
+    def leave(self, now: int) -> list[OutgoingDatagram]:
+        """Returns the datagrams that announce the shutdown of this process."""
         return self._encode(now, self.membership.leave_messages(), 0)
 
     def view(self, now: int) -> FleetView:
-        """Return the fleet as it is known at `now`."""
+        """Returns the state of the fleet at `now` (ns)."""
         return compute_view(self.membership, self.store, now)
 
     @property
     def publishes_limits(self) -> bool:
-        """Whether this process is one of those whose limits and shares the fleet holds."""
+        """Whether the fleet stores the limits and key range fractions of this process."""
         others = (peer.member_id for peer in self.membership.members())
         return self.member_id in sampled_writers([self.member_id, *others])
 
-    def _prune(self, now: int) -> None:
-        self.pruned_at = now
+    def _prune_published(self, now: int) -> None:
+        self.last_prune_at = now
         self.published = {
-            key: record for key, record in self.published.items() if now - record.published_at < FORGET_AFTER
+            key: record
+            for key, record in self.published.items()
+            if now - record.published_at < ABSENT_MEMBER_RETENTION
         }
 
     def _merge(self, record: Record) -> None:
         if self.store.merge(record):
-            self.pending[record.key] = 0
+            self.pending_records[record.key] = 0
 
     def _merge_received(self, now: int, records: Iterable[Record]) -> None:
         for record in records:
@@ -161,47 +169,49 @@
                 self._merge(replace(record, created_at=now + record.created_at))
 
     def _encode(
-        self, now: int, messages: list[OutgoingMessage], max_peers: int = PEERS_PER_DATAGRAM
-    ) -> list[Outgoing]:
-        outgoing: list[Outgoing] = []
+        self, now: int, messages: list[OutgoingMessage], max_peers: int = MAX_PEERS_PER_DATAGRAM
+    ) -> list[OutgoingDatagram]:
+        outgoing: list[OutgoingDatagram] = []
         for message in messages:
             data = self._encode_message(now, message, max_peers)
-            self.sent += 1
+            self.datagrams_sent += 1
             self.bytes_sent += len(data)
             outgoing.append((message.to, data))
         return outgoing
 
     def _encode_message(self, now: int, message: OutgoingMessage, max_peers: int) -> bytes:
-        builder = DatagramBuilder(self.fleet, message.kind, self.member_id, message.sequence, message.target)
+        builder = DatagramBuilder(
+            self.fleet_id, message.kind, self.member_id, message.sequence, message.target
+        )
         if isinstance(message.to, Peer) and message.to.state is not PeerState.ALIVE:
-            builder.add(encode_peer(message.to))  # so that a suspect can refute (Lifeguard)
+            builder.add(encode_peer(message.to))  # lets a suspect refute (Lifeguard)
         self._add_peers(builder, 1 + MAX_UPDATES + max_peers)
         self._add_records(now, builder)
         return builder.build()
 
     def _add_peers(self, builder: DatagramBuilder, max_peers: int) -> None:
-        """Add peers; while there are records to send, a part of the datagram is kept for them."""
-        max_size = PEERS_MAX_BYTES if self.pending else MAX_DATAGRAM_BYTES
-        self.membership.fill(lambda peer: builder.add(encode_peer(peer), max_size), max_peers)
+        """Adds peers to the datagram; reserves space for pending records, if any."""
+        max_size = MAX_PEER_BYTES if self.pending_records else MAX_DATAGRAM_BYTES
+        self.membership.add_peers(lambda peer: builder.add(encode_peer(peer), max_size), max_peers)
 
     def _add_records(self, now: int, builder: DatagramBuilder) -> None:
-        """Add pending records, the least often sent first."""
-        pending = self.pending
-        for key in nsmallest(MAX_RECORDS_CONSIDERED, pending, key=pending.__getitem__):
+        """Adds pending records to the datagram, the least often sent first."""
+        pending = self.pending_records
+        for key in nsmallest(MAX_CANDIDATE_RECORDS, pending, key=pending.__getitem__):
             record = self.store.records.get(key)
             if record is None:
                 del pending[key]
             elif builder.add(encode_record(record, now)):
                 pending[key] += 1
-                if pending[key] > self._max_repeats(key):
+                if pending[key] > self._max_sends(key):
                     del pending[key]
 
-    def _max_repeats(self, key: RecordKey) -> int:
-        """How often a record is sent on. Limits and shares may miss a router: they are published again."""
-        log_members = self.membership.alive.bit_length()
+    def _max_sends(self, key: RecordKey) -> int:
+        """Returns how often a record is sent; verdicts more often, as other types tolerate lost updates."""
+        log_member_count = self.membership.member_count.bit_length()
         if key.body_type is Verdict:
-            return MIN_VERDICT_REPEATS + log_members
-        return max(MIN_REPEATS, 1 + log_members // 2)
+            return MIN_VERDICT_SENDS + log_member_count
+        return max(MIN_RECORD_SENDS, 1 + log_member_count // 2)
 
 
 def _is_changed_verdict(before: Body | None, after: Body) -> bool:
--- a/applehub/peers/codec.py
+++ b/applehub/peers/codec.py
@@ -1,9 +1,9 @@
-"""The wire form of the datagrams between routers.
+"""Wire format of the gossip datagrams between routers.
 
 Layout, in network byte order: magic 2s, format version B, message kind B, fleet I (CRC-32 of its name),
-sender Q, sequence number I, target Q; then items, each with type B, length B and body; at last the CRC-32 of
-all before. CRC-32 detects every burst error of up to 32 bits; it is no protection against forgery, which the
-network between routers has to exclude.
+sender Q, sequence number I, target Q; then items, each with type B, length B and body; then the CRC-32 of
+all preceding bytes. The checksum detects corruption, including every burst error of up to 32 bits, but not
+forgery: the network between the routers must be trusted.
 """
 
 import struct
@@ -16,12 +16,12 @@
 
 MAGIC = b"aH"
 FORMAT_VERSION = 1
-MAX_DATAGRAM_BYTES = 1200  # within the least MTU of IPv6 (1,280), so that no network fragments it
-MAX_NAME_BYTES = 48  # of a router's name
-MAX_KINDS_PER_RECORD = 16  # of servers: an item's length is one byte
-MAX_AGE_MS = 0xFFFF  # ages are sent in 16 bits
+MAX_DATAGRAM_BYTES = 1200  # fits the minimum IPv6 MTU of 1,280 bytes, so datagrams are not fragmented
+MAX_NAME_BYTES = 48  # UTF-8 bytes of a router name
+MAX_KINDS_PER_RECORD = 16  # server kinds; the length of an item is encoded in one byte
+MAX_AGE_MS = 0xFFFF  # maximum of the 16-bit age field
 MAX_ATTEMPTS = 0xFFFF
-MAX_FIGURE = 1e9  # tokens a second beyond which a limit is no router's
+MAX_RATE = 1e9  # tokens per second; a limit record at or above it is rejected
 NS_PER_MS = 1_000_000
 FORMAT_VERSION_OFFSET = 2
 HEADER = struct.Struct("!2sBBIQIQ")
@@ -30,22 +30,22 @@
 PEER_FIELDS = struct.Struct("!QIB4sH")
 RECORD_HEADER = struct.Struct("!QQIH")  # writer, subject, version, age in ms
 LIMIT_FIELDS = struct.Struct("!2f")
-SHARE_FIELDS = struct.Struct("!Qf")
+KIND_FRACTION_FIELDS = struct.Struct("!Qf")
 VERDICT_FIELDS = struct.Struct("!?H")
 
 
 class MessageKind(IntEnum):
-    """The message of a datagram, in SWIM's terms."""
+    """Message type of a datagram, as in SWIM."""
 
     PING = 1
-    ACK = 2  # to a ping, or passed on to whom had it requested
-    PING_REQUEST = 3  # ping the target on the sender's behalf
-    LEAVE = 4  # the sender ends
-    GOSSIP = 5  # records and members alone; no answer is expected
+    ACK = 2  # answers a ping; also relayed to the member that requested the ping
+    PING_REQUEST = 3  # asks the receiver to ping the target on behalf of the sender
+    LEAVE = 4  # announces the shutdown of the sender
+    GOSSIP = 5  # carries only peers and records; has no answer
 
 
 class ItemType(IntEnum):
-    """What an item of a datagram carries."""
+    """Content type of an item in a datagram."""
 
     PEER = 1
     LIMIT = 2
@@ -54,7 +54,7 @@
 
 
 class PeerState(IntEnum):
-    """What is known of a peer; within one incarnation the greater state wins."""
+    """Status of a peer; within one incarnation the greater value takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -64,11 +64,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """One process of a router, as datagrams describe it.
+    """Description of one router process.
 
-    member_id: drawn at random at each start, so that a restarted process is another member.
-    incarnation: raised by the process itself to refute a suspicion (SWIM).
-    host: the four bytes of an IPv4 address.
+    member_id: drawn at random at each start, so that a restarted process is a new member.
+    incarnation: incremented only by the process itself, to refute a suspicion (SWIM).
+    host: IPv4 address, four bytes.
+    name: name of the router.
     """
 
     member_id: int
@@ -80,7 +81,7 @@
 
     @property
     def rank(self) -> tuple[int, PeerState]:
-        """The order of two descriptions of one process: the higher one is the newer."""
+        """Precedence among descriptions of one process; the higher one is newer."""
         return self.incarnation, self.state
 
 
@@ -88,8 +89,8 @@
 class Datagram:
     """A decoded datagram.
 
-    target: the member id that is meant, 0 for whoever listens at the address.
-    records: each with minus its age (ns) as `created_at`.
+    target: member id of the addressee; 0 for any process that listens at the address.
+    records: with the negated age, in ns, as `created_at`.
     """
 
     kind: MessageKind
@@ -101,7 +102,7 @@
 
 
 class DatagramError(ValueError):
-    """A datagram that is dropped; its text is the reason under which it is counted."""
+    """Raised for an invalid datagram; its text is the reason in the drop counters."""
 
 
 ITEM_TYPES: dict[type[Body], ItemType] = {
@@ -112,51 +113,52 @@
 
 
 def encode_peer(peer: Peer) -> bytes:
-    """Return the item that describes a peer."""
+    """Returns the item that describes a peer."""
     fields = PEER_FIELDS.pack(peer.member_id, peer.incarnation, peer.state, peer.host, peer.port)
     content = fields + peer.name.encode()[:MAX_NAME_BYTES]
     return ITEM_HEADER.pack(ItemType.PEER, len(content)) + content
 
 
 def encode_record(record: Record, now: int) -> bytes:
-    """Return the item for a record, with the age that it has at `now` (ns)."""
+    """Returns the item for a record, with its age at `now` (ns)."""
     age_ms = min(max(0, now - record.created_at) // NS_PER_MS, MAX_AGE_MS)
     header = RECORD_HEADER.pack(record.writer, record.subject, record.version, age_ms)
     content = header + _encode_body(record.body)
     return ITEM_HEADER.pack(ITEM_TYPES[type(record.body)], len(content)) + content
 
 
-def decode(data: bytes, fleet: int) -> Datagram:
-    """Decode a datagram; `fleet` is the CRC-32 of the receiver's own fleet name.
+def decode(data: bytes, fleet_id: int) -> Datagram:
+    """Returns the decoded datagram.
 
+    fleet_id: CRC-32 of the receiver's fleet name.
     Raises DatagramError with the reason: foreign, format, checksum, fleet, cut, figures or malformed.
-    Items of unknown types are skipped, so that two versions of the program can share what both know.
+    Items of unknown types are skipped, so that different versions of the program can interoperate.
     """
     _check_envelope(data)
-    _, _, kind, sender_fleet, sender, sequence, target = HEADER.unpack_from(data)
-    if sender_fleet != fleet:
+    _, _, kind, sender_fleet_id, sender, sequence, target = HEADER.unpack_from(data)
+    if sender_fleet_id != fleet_id:
         raise DatagramError("fleet")
     try:
         datagram = Datagram(MessageKind(kind), sender, sequence, target)
-        for item_type, content in _items(data):
+        for item_type, content in _iter_items(data):
             _decode_item(datagram, item_type, content)
     except DatagramError:
         raise
-    except (struct.error, ValueError) as problem:
-        raise DatagramError("malformed") from problem
+    except (struct.error, ValueError) as error:
+        raise DatagramError("malformed") from error
     return datagram
 
 
 class DatagramBuilder:
     """Assembles one datagram up to a size limit."""
 
-    def __init__(self, fleet: int, kind: MessageKind, sender: int, sequence: int, target: int) -> None:
-        """Begin a datagram; the fields are those of `Datagram`, fleet is the CRC-32 of its name."""
-        self.parts = [HEADER.pack(MAGIC, FORMAT_VERSION, kind, fleet, sender, sequence, target)]
+    def __init__(self, fleet_id: int, kind: MessageKind, sender: int, sequence: int, target: int) -> None:
+        """Starts a datagram. fleet_id: CRC-32 of the fleet name; for the others see `Datagram`."""
+        self.parts = [HEADER.pack(MAGIC, FORMAT_VERSION, kind, fleet_id, sender, sequence, target)]
         self.size = HEADER.size + CHECKSUM.size
 
     def add(self, item: bytes, max_size: int = MAX_DATAGRAM_BYTES) -> bool:
-        """Add an item if the datagram then has at most `max_size` bytes; return whether it was added."""
+        """Adds an item unless the datagram would exceed `max_size` bytes; returns whether it was added."""
         if self.size + len(item) > max_size:
             return False
         self.parts.append(item)
@@ -164,23 +166,26 @@
         return True
 
     def build(self) -> bytes:
-        """Return the datagram with its checksum."""
+        """Returns the encoded datagram, with its checksum."""
         content = b"".join(self.parts)
         return content + CHECKSUM.pack(crc32(content))
 
 
 def _encode_body(body: Body) -> bytes:
     match body:
-        case Limit(rate, spent):
-            return LIMIT_FIELDS.pack(rate, spent)
-        case Shares(by_kind):
-            return b"".join(SHARE_FIELDS.pack(kind, share) for kind, share in by_kind[:MAX_KINDS_PER_RECORD])
+        case Limit(throttle_rate, spend_rate):
+            return LIMIT_FIELDS.pack(throttle_rate, spend_rate)
+        case Shares(kind_fractions):
+            return b"".join(
+                KIND_FRACTION_FIELDS.pack(kind, fraction)
+                for kind, fraction in kind_fractions[:MAX_KINDS_PER_RECORD]
+            )
         case Verdict(failing, attempts):
             return VERDICT_FIELDS.pack(failing, min(attempts, MAX_ATTEMPTS))
 
 
 def _check_envelope(data: bytes) -> None:
-    """Raise DatagramError unless magic, format version and checksum are right."""
+    """Raises DatagramError unless magic, format version and checksum are valid."""
     if len(data) < HEADER.size + CHECKSUM.size or data[: len(MAGIC)] != MAGIC:
         raise DatagramError("foreign")
     if data[FORMAT_VERSION_OFFSET] != FORMAT_VERSION:
@@ -190,8 +195,8 @@
         raise DatagramError("checksum")
 
 
-def _items(data: bytes) -> Iterator[tuple[int, bytes]]:
-    """Yield the type and the content of each item."""
+def _iter_items(data: bytes) -> Iterator[tuple[int, bytes]]:
+    """Yields the type and the content of each item; raises DatagramError if one is truncated."""
     position = HEADER.size
     end = len(data) - CHECKSUM.size
     while position < end:
@@ -223,7 +228,7 @@
 def _decode_record(item_type: int, content: bytes) -> Record:
     writer, subject, version, age_ms = RECORD_HEADER.unpack_from(content)
     body = _decode_body(item_type, content[RECORD_HEADER.size :])
-    if not _is_plausible(body) or (subject and not isinstance(body, Verdict)):
+    if not _is_valid_body(body) or (subject and not isinstance(body, Verdict)):
         raise DatagramError("figures")
     return Record(writer, subject, version, -age_ms * NS_PER_MS, body)
 
@@ -232,16 +237,16 @@
     if item_type == ItemType.LIMIT:
         return Limit(*LIMIT_FIELDS.unpack_from(content))
     if item_type == ItemType.SHARES:
-        return Shares(tuple(SHARE_FIELDS.iter_unpack(content)))
+        return Shares(tuple(KIND_FRACTION_FIELDS.iter_unpack(content)))
     return Verdict(*VERDICT_FIELDS.unpack_from(content))
 
 
-def _is_plausible(body: Body) -> bool:
-    """Whether a router could have these figures; not-a-number is none."""
+def _is_valid_body(body: Body) -> bool:
+    """Returns whether all numbers are in their valid ranges; NaN is not."""
     match body:
-        case Limit(rate, spent):
-            return 0 <= rate < MAX_FIGURE and 0 <= spent < MAX_FIGURE
-        case Shares(by_kind):
-            return all(0 < share <= 1 for _, share in by_kind)
+        case Limit(throttle_rate, spend_rate):
+            return 0 <= throttle_rate < MAX_RATE and 0 <= spend_rate < MAX_RATE
+        case Shares(kind_fractions):
+            return all(0 < fraction <= 1 for _, fraction in kind_fractions)
         case Verdict():
             return True
--- a/applehub/peers/member_table.py
+++ b/applehub/peers/member_table.py
@@ -1,4 +1,4 @@
-"""The processes that a process knows, and which description of one of them wins."""
+"""Table of the known router processes, with precedence rules for conflicting descriptions."""
 
 import math
 import random
@@ -8,101 +8,108 @@
 from applehub.peers.codec import Peer, PeerState
 from applehub.peers.records import SECOND
 
-SUSPICION_TICKS = 5  # times the logarithm of the members: ticks in which a suspect may refute
-MIN_SUSPICION = SECOND
-FORGET_AFTER = 60 * SECOND  # from a death until the member id is forgotten; nobody gossips it for as long
-ABSENT = (PeerState.DEAD, PeerState.LEFT)
+SUSPICION_MULTIPLIER = 5  # suspicion timeout in ticks, as a multiple of log2 of the member count
+MIN_SUSPICION_TIMEOUT = SECOND  # ns
+ABSENT_MEMBER_RETENTION = 60 * SECOND  # ns; longer than any peer gossips the end of a member
+ABSENT_STATES = (PeerState.DEAD, PeerState.LEFT)
 
 
 class MemberTable:
-    """The members as one process knows them, itself among them."""
-
-    def __init__(self, me: Peer, generator: random.Random, tick: int) -> None:
-        """Begin with this process alone. tick: ns between two probes."""
-        self.me = me
-        self.random = generator
-        self.period = tick
-        self.peers: dict[int, Peer] = {}  # by member id: all but itself, absent ones for a while too
-        self.state_since: dict[int, int] = {}  # by member id: when its state was taken up
-        self.updates: dict[int, int] = {}  # by member id: how often a change was gossiped
-        self.probe_order: list[int] = []  # member ids still to be probed in this round
-        self.alive = 1  # members, itself and suspects included
+    """Members that are known to the local process, which is one of them."""
+
+    def __init__(self, local_peer: Peer, rng: random.Random, tick_interval: int) -> None:
+        """Creates a table with only the local process. tick_interval: ns between two probes."""
+        self.local_peer = local_peer
+        self.rng = rng
+        self.tick_interval = tick_interval
+        self.peers: dict[int, Peer] = {}  # by member id; without the local process
+        self.state_changed_at: dict[int, int] = {}  # by member id; time of the last change of state
+        self.update_send_counts: dict[int, int] = {}  # by member id; how often its latest change was sent
+        self.probe_order: list[int] = []  # member ids still to be probed in the current round
+        self.member_count = 1  # members present, including suspects and the local process
 
     def members(self) -> Iterator[Peer]:
-        """Yield the peers that are alive or suspected."""
-        return (peer for peer in self.peers.values() if peer.state not in ABSENT)
+        """Yields the peers that are alive or suspected."""
+        return (peer for peer in self.peers.values() if peer.state not in ABSENT_STATES)
 
     def is_present(self, member_id: int) -> bool:
-        """Whether a process is held to be alive or only suspected; itself always is."""
+        """Returns whether a process is alive or suspected; the local process always is."""
         peer = self.peers.get(member_id)
-        return member_id == self.me.member_id or (peer is not None and peer.state not in ABSENT)
+        return member_id == self.local_peer.member_id or (
+            peer is not None and peer.state not in ABSENT_STATES
+        )
 
     @property
-    def log_members(self) -> int:
-        """The binary logarithm of the members, rounded up: rounds that gossip takes to reach all."""
-        return math.ceil(math.log2(self.alive + 1))
+    def log_member_count(self) -> int:
+        """Binary logarithm of the member count, rounded up: the gossip rounds needed to reach all members."""
+        return math.ceil(math.log2(self.member_count + 1))
 
     @property
     def suspicion_timeout(self) -> int:
-        """How long a suspect may refute, ns."""
-        return max(MIN_SUSPICION, SUSPICION_TICKS * self.log_members * self.period)
+        """Time, in ns, that a suspect has to refute before it is declared dead."""
+        return max(MIN_SUSPICION_TIMEOUT, SUSPICION_MULTIPLIER * self.log_member_count * self.tick_interval)
 
     def merge(self, now: int, peer: Peer) -> bool:
-        """Take up a description of a process; return whether it was newer than what was known.
+        """Merges a description of a process; returns whether it was newer than the known one.
 
-        A description that doubts this process itself is refuted by raising the own incarnation.
+        If the description suspects the local process, its incarnation is incremented to refute it.
         """
-        if peer.member_id == self.me.member_id:
+        if peer.member_id == self.local_peer.member_id:
             self._refute(peer)
             return False
         known = self.peers.get(peer.member_id)
         if known is not None and peer.rank <= known.rank:
             return False
-        if known is None and peer.state in ABSENT:
-            return False  # an end is of interest only to those who knew the process
+        if known is None and peer.state in ABSENT_STATES:
+            return False  # the end of an unknown process is not worth storing
         self.peers[peer.member_id] = peer
-        self.updates[peer.member_id] = 0
-        was_present = known is not None and known.state not in ABSENT
+        self.update_send_counts[peer.member_id] = 0
+        was_present = known is not None and known.state not in ABSENT_STATES
         if known is None or known.state is not peer.state:
-            self.state_since[peer.member_id] = now
-        self.alive += (peer.state not in ABSENT) - was_present
+            self.state_changed_at[peer.member_id] = now
+        self.member_count += (peer.state not in ABSENT_STATES) - was_present
         if known is None:
-            self.probe_order.insert(self.random.randrange(len(self.probe_order) + 1), peer.member_id)
+            self.probe_order.insert(self.rng.randrange(len(self.probe_order) + 1), peer.member_id)
         return True
 
-    def shift_times(self, duration: int) -> None:
-        """Count a time in which this process stood still (ns) for nobody's suspicion."""
-        self.state_since = {member_id: since + duration for member_id, since in self.state_since.items()}
+    def shift_state_times(self, duration: int) -> None:
+        """Excludes a pause of the local process, in ns, from the suspicion timeouts of the peers."""
+        self.state_changed_at = {
+            member_id: since + duration for member_id, since in self.state_changed_at.items()
+        }
 
     def expire(self, now: int) -> None:
-        """Declare suspects dead that did not refute in time; forget members that ended long ago."""
+        """Declares suspects dead after the suspicion timeout; removes long-absent members."""
         for member_id, peer in list(self.peers.items()):
-            elapsed = now - self.state_since[member_id]
+            elapsed = now - self.state_changed_at[member_id]
             if peer.state is PeerState.SUSPECT and elapsed > self.suspicion_timeout:
                 self.merge(now, replace(peer, state=PeerState.DEAD))
-            elif peer.state in ABSENT and elapsed > FORGET_AFTER:
+            elif peer.state in ABSENT_STATES and elapsed > ABSENT_MEMBER_RETENTION:
                 del self.peers[member_id]
-                del self.state_since[member_id]
-                self.updates.pop(member_id, None)
+                del self.state_changed_at[member_id]
+                self.update_send_counts.pop(member_id, None)
 
     def next_to_probe(self) -> Peer | None:
-        """Return the next peer of a shuffled round, so that nobody waits longer than one round (SWIM)."""
+        """Returns the next peer to probe, or None; each peer is probed once per shuffled round (SWIM)."""
         for _ in range(len(self.probe_order) + len(self.peers) + 1):
             if not self.probe_order:
                 self.probe_order = [peer.member_id for peer in self.members()]
-                self.random.shuffle(self.probe_order)
+                self.rng.shuffle(self.probe_order)
                 if not self.probe_order:
                     return None
             peer = self.peers.get(self.probe_order.pop())
-            if peer is not None and peer.state not in ABSENT:
+            if peer is not None and peer.state not in ABSENT_STATES:
                 return peer
         return None
 
-    def sample(self, count: int) -> list[Peer]:
-        """Draw at most so many present peers."""
+    def sample_members(self, count: int) -> list[Peer]:
+        """Returns up to `count` random peers that are present."""
         present = list(self.members())
-        return self.random.sample(present, min(count, len(present)))
+        return self.rng.sample(present, min(count, len(present)))
 
     def _refute(self, description: Peer) -> None:
-        if description.state is not PeerState.ALIVE and description.incarnation >= self.me.incarnation:
-            self.me = replace(self.me, incarnation=description.incarnation + 1)
+        if (
+            description.state is not PeerState.ALIVE
+            and description.incarnation >= self.local_peer.incarnation
+        ):
+            self.local_peer = replace(self.local_peer, incarnation=description.incarnation + 1)
--- a/applehub/peers/policy_adapter.py
+++ b/applehub/peers/policy_adapter.py
@@ -1,4 +1,7 @@
-"""Translates between the gossip agent and the decision module: names for digests, indexes for kinds."""
+"""Translation between the gossip agent and the decision module.
+
+The agent identifies servers and kinds by digest, the decision module by name and index.
+"""
 
 from collections.abc import Iterable
 
@@ -7,44 +10,46 @@
 from applehub.peers.codec import MAX_KINDS_PER_RECORD
 from applehub.peers.records import SECOND, Limit, Shares, Verdict, digest
 
-# ns between two checks of whether this process is one of those whose limits the fleet holds.
-SAMPLE_CHECK_INTERVAL = SECOND // 4
+LIMIT_PUBLISH_INTERVAL = SECOND // 4  # minimum ns between two updates of limits and key range fractions
 
 
 class PolicyAdapter:
-    """Publishes what the decision module says, and reports the fleet to it."""
+    """Publishes reports of the decision module and summarizes the fleet for it."""
 
     def __init__(self, agent: GossipAgent) -> None:
-        """Translate for an agent."""
+        """Creates an adapter for a gossip agent."""
         self.agent = agent
-        self.judged_servers: set[str] = set()  # names that verdicts are published of
-        self.sample_checked_at = -SAMPLE_CHECK_INTERVAL
+        self.published_verdicts: set[str] = set()  # names of servers with a published verdict
+        self.limits_published_at = -LIMIT_PUBLISH_INTERVAL
 
     def publish(self, now: int, report: api.Tell, kinds: dict[str, int]) -> None:
-        """Publish a report of the decision module. kinds: index of each kind by its name."""
+        """Publishes a report of the decision module. kinds: index of each server kind, by name."""
         self._publish_verdicts(now, report)
-        if now - self.sample_checked_at < SAMPLE_CHECK_INTERVAL or not self.agent.publishes_limits:
+        if now - self.limits_published_at < LIMIT_PUBLISH_INTERVAL or not self.agent.publishes_limits:
             return
-        self.sample_checked_at = now
+        self.limits_published_at = now
         self.agent.publish(now, Limit(report.rate, report.spent))
-        shares = [
+        kind_fractions = [
             (digest(name), report.shares[kind]) for name, kind in kinds.items() if kind in report.shares
         ]
-        self.agent.publish(now, Shares(self._shares_for_one_record(shares)))
+        self.agent.publish(now, Shares(self._select_kind_fractions(kind_fractions)))
+
+    def gossip_summary(self, now: int, servers: Iterable[str], kinds: dict[str, int]) -> api.Fleet:
+        """Returns the state of the fleet for the decision module, restricted to the servers and kinds given.
 
-    def fleet_event(self, now: int, servers: Iterable[str], kinds: dict[str, int]) -> api.Fleet:
-        """Return the fleet as the decision module takes it: of the listed servers alone."""
+        servers: names of the servers on the endpoint list. kinds: index of each server kind, by name.
+        """
         view = self.agent.view(now)
         fleet = api.Fleet(view.routers)
         for name, kind in kinds.items():
-            share = view.shares.get(digest(name))
-            if share is not None:
-                fleet.shares[kind] = share
-        if view.accused:
+            fraction = view.range_fractions.get(digest(name))
+            if fraction is not None:
+                fleet.shares[kind] = fraction
+        if view.failure_reports:
             for name in servers:
-                accusation = view.accused.get(digest(name))
-                if accusation is not None:
-                    fleet.accused[name] = (accusation.failing, accusation.reporters)
+                reports = view.failure_reports.get(digest(name))
+                if reports is not None:
+                    fleet.accused[name] = (reports.failing, reports.reporters)
         return fleet
 
     def _publish_verdicts(self, now: int, report: api.Tell) -> None:
@@ -52,21 +57,23 @@
             self.agent.publish(now, Verdict(True, attempts), digest(name))
         for name in report.vouched:
             self.agent.publish(now, Verdict(False, 0), digest(name))
-        judged = report.failing.keys() | set(report.vouched)
-        for name in self.judged_servers - judged:
+        reported = report.failing.keys() | set(report.vouched)
+        for name in self.published_verdicts - reported:
             self.agent.publish(now, Verdict(False, 0), digest(name))
             self.agent.withdraw(Verdict, digest(name))
-        self.judged_servers = judged
+        self.published_verdicts = reported
 
-    def _shares_for_one_record(self, shares: list[tuple[int, float]]) -> tuple[tuple[int, float], ...]:
-        """Return as many kinds as one record holds.
+    def _select_kind_fractions(
+        self, kind_fractions: list[tuple[int, float]]
+    ) -> tuple[tuple[int, float], ...]:
+        """Returns at most as many kinds as fit in one record.
 
-        Where there are more, they take turns with each publication, and each router starts with other kinds,
-        so that at any time some router publishes each of them.
+        If there are more, publications rotate through them. The starting point depends on the member id, so
+        that different routers publish different kinds at the same time.
         """
-        if len(shares) <= MAX_KINDS_PER_RECORD:
-            return tuple(shares)
+        if len(kind_fractions) <= MAX_KINDS_PER_RECORD:
+            return tuple(kind_fractions)
         published = self.agent.published.get((Shares, 0))
         publications = published.version if published is not None else 0
-        start = (self.agent.member_id + publications * MAX_KINDS_PER_RECORD) % len(shares)
-        return tuple((shares[start:] + shares[:start])[:MAX_KINDS_PER_RECORD])
+        start = (self.agent.member_id + publications * MAX_KINDS_PER_RECORD) % len(kind_fractions)
+        return tuple((kind_fractions[start:] + kind_fractions[:start])[:MAX_KINDS_PER_RECORD])
--- a/applehub/peers/record_store.py
+++ b/applehub/peers/record_store.py
@@ -1,91 +1,91 @@
-"""The records that a process holds of all writers.
+"""The gossip records that a process has received or published.
 
-The merge keeps, for each key, the highest version; of one version the record with the earlier creation; and
-of each subject the writers with the lowest ids. Both are a maximum over a total order and the lowest k of a
-union, so the merge is commutative, associative and idempotent.
+For each key, a merge keeps the record with the highest version and, within a version, the earliest creation
+time. For each subject, it keeps the records of the writers with the lowest ids. The former is a maximum over
+a total order and the latter the lowest k of a union, so merges commute, associate and are idempotent.
 """
 
 from collections.abc import Iterator
 
 from applehub.peers.records import RETENTION, Body, Record, RecordKey, Verdict
 
-MAX_SUBJECTS = 4096  # servers that verdicts are held of, those with the lowest digests; fleets have 3,200
+MAX_VERDICT_SUBJECTS = 4096  # servers with stored verdicts; those with the lowest digests are kept
 
 
 class RecordStore:
-    """Records that are not too old, bounded in the writers of a subject and in the subjects."""
+    """Records by key, with a limit on the writers per subject and on the servers with verdicts."""
 
     def __init__(self) -> None:
-        """Create an empty store."""
+        """Creates an empty store."""
         self.records: dict[RecordKey, Record] = {}
         self.writers: dict[tuple[type[Body], int], list[int]] = {}
-        self.judged: set[int] = set()  # digests of the servers that verdicts are held of
+        self.verdict_subjects: set[int] = set()  # digests of the servers with stored verdicts
 
     def merge(self, record: Record) -> bool:
-        """Take up a record; return whether it was not known before in this version."""
+        """Merges a record; returns whether it was stored and its version is new."""
         key = record.key
-        held = self.records.get(key)
-        if held is not None:
-            if not record.supersedes(held):
+        current = self.records.get(key)
+        if current is not None:
+            if not record.supersedes(current):
                 return False
             self.records[key] = record
-            return record.version > held.version
-        if not self._make_room_for_writer(key):
+            return record.version > current.version
+        if not self._free_writer_slot(key):
             return False
         self.writers.setdefault((key.body_type, key.subject), []).append(key.writer)
         self.records[key] = record
         if key.body_type is Verdict:
-            self.judged.add(key.subject)
-        return not self._evicts_subject_of(key)
+            self.verdict_subjects.add(key.subject)
+        return not self._evict_excess_subject(key)
 
     def expire(self, now: int) -> list[RecordKey]:
-        """Drop records older than their type allows; return their keys."""
+        """Removes the records older than the maximum age of their type; returns their keys."""
         expired = [
             key
             for key, record in self.records.items()
             if now - record.created_at > RETENTION[key.body_type].max_age
         ]
         for key in expired:
-            self._drop(key)
+            self._remove(key)
         return expired
 
     def fresh_records(self, body_type: type[Body], subject: int, now: int) -> Iterator[Record]:
-        """Yield the records of one subject that still count."""
+        """Yields the records of one subject that are within the maximum age."""
         max_age = RETENTION[body_type].max_age
         for writer in self.writers.get((body_type, subject), ()):
             record = self.records[RecordKey(body_type, subject, writer)]
             if now - record.created_at <= max_age:
                 yield record
 
-    def judged_servers(self) -> list[int]:
-        """Return the digests of the servers that verdicts are held of."""
-        return list(self.judged)
+    def list_verdict_subjects(self) -> list[int]:
+        """Returns the digests of the servers with stored verdicts."""
+        return list(self.verdict_subjects)
 
-    def _make_room_for_writer(self, key: RecordKey) -> bool:
-        """Drop the highest writer of a full subject; return False where the new one is higher still."""
+    def _free_writer_slot(self, key: RecordKey) -> bool:
+        """Evicts the highest writer of a full subject; returns False if the new writer is higher."""
         writers = self.writers.get((key.body_type, key.subject), [])
         if len(writers) < RETENTION[key.body_type].max_writers:
             return True
         highest = max(writers)
         if key.writer > highest:
             return False
-        self._drop(key._replace(writer=highest))
+        self._remove(key._replace(writer=highest))
         return True
 
-    def _evicts_subject_of(self, key: RecordKey) -> bool:
-        """Drop the highest judged server if there are too many; return whether it is the key's."""
-        if key.body_type is not Verdict or len(self.judged) <= MAX_SUBJECTS:
+    def _evict_excess_subject(self, key: RecordKey) -> bool:
+        """Evicts the server with the highest digest above the limit; returns whether the key is about it."""
+        if key.body_type is not Verdict or len(self.verdict_subjects) <= MAX_VERDICT_SUBJECTS:
             return False
-        highest = max(self.judged)
+        highest = max(self.verdict_subjects)
         for writer in list(self.writers[Verdict, highest]):
-            self._drop(RecordKey(Verdict, highest, writer))
+            self._remove(RecordKey(Verdict, highest, writer))
         return highest == key.subject
 
-    def _drop(self, key: RecordKey) -> None:
+    def _remove(self, key: RecordKey) -> None:
         del self.records[key]
         subject = key.body_type, key.subject
         self.writers[subject].remove(key.writer)
         if not self.writers[subject]:
             del self.writers[subject]
             if key.body_type is Verdict:
-                self.judged.discard(key.subject)
+                self.verdict_subjects.discard(key.subject)
--- a/applehub/peers/records.py
+++ b/applehub/peers/records.py
@@ -1,6 +1,6 @@
-"""What routers publish by gossip: origin limits, range shares and health verdicts.
+"""Records that routers publish by gossip: origin limits, key range fractions and health verdicts.
 
-Times are nanoseconds of the holder's own monotonic clock.
+Times are in nanoseconds of the local monotonic clock.
 """
 
 from collections.abc import Iterable
@@ -9,42 +9,43 @@
 from heapq import nsmallest
 from typing import NamedTuple
 
-SECOND = 1_000_000_000
+SECOND = 1_000_000_000  # ns
 DIGEST_BYTES = 8
 
 
 def digest(name: str) -> int:
-    """Return the 64-bit number that stands for a name in datagrams, the same at every router."""
+    """Returns the 64-bit hash that identifies a name in datagrams; it is equal on all routers."""
     return int.from_bytes(blake2b(name.encode(), digest_size=DIGEST_BYTES).digest())
 
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """What a router may draw from the origin, and what it draws.
+    """Origin load that one router may send, and that it does send.
 
-    rate: tokens a second that the router's throttle admits; 0 means that the throttle is off.
-    spent: tokens a second that it spends.
+    throttle_rate: tokens per second that the router's throttle admits; 0 if the throttle is off.
+    spend_rate: tokens per second that the router spends.
     """
 
-    rate: float
-    spent: float
+    throttle_rate: float
+    spend_rate: float
 
 
 @dataclass(frozen=True, slots=True)
 class Shares:
-    """The part of an equal key range that servers of each kind can bear.
+    """Fraction of an equal key range that a server of each kind can serve.
 
-    by_kind: pairs of a kind's digest and its part, above 0 and at most 1.
+    kind_fractions: pairs of the digest of a kind and its fraction, which is in (0, 1].
     """
 
-    by_kind: tuple[tuple[int, float], ...]
+    kind_fractions: tuple[tuple[int, float], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """Whether a server fails the writer.
+    """Health of a server as the writer of the record sees it.
 
-    attempts: failed attempts in a row on which the verdict rests.
+    failing: whether the writer's attempts at the server fail.
+    attempts: number of consecutive failed attempts.
     """
 
     failing: bool
@@ -55,9 +56,9 @@
 
 
 class RecordKey(NamedTuple):
-    """What identifies a record; a newer version with the same key replaces it.
+    """Identity of a record; a newer version with the same key replaces the record.
 
-    subject: digest of the server that a verdict is about, 0 for the other types.
+    subject: digest of the server that a verdict is about; 0 for the other types.
     writer: member id of the process that published the record.
     """
 
@@ -68,10 +69,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Retention:
-    """How long records of one type count, and how many are held.
+    """Retention limits of one type of record.
 
-    max_age: ns after which a record no longer counts.
-    max_writers: records held for one subject.
+    max_age: age, in ns, beyond which a record is ignored and dropped.
+    max_writers: maximum number of records stored per subject.
     """
 
     max_age: int
@@ -86,7 +87,7 @@
 
 
 def type_name(body_type: type[Body]) -> str:
-    """Return the name under which operators see a type of record: `limit`, `shares` or `verdict`."""
+    """Returns the name of a record type in metrics: `limit`, `shares` or `verdict`."""
     return body_type.__name__.lower()
 
 
@@ -94,8 +95,8 @@
 class Record:
     """One published record.
 
-    version: raised by the writer with each publication.
-    created_at: when the writer published it, in the holder's clock; in a decoded datagram minus its age.
+    version: incremented by the writer with each publication.
+    created_at: time of publication on the local clock; in a decoded datagram, the negated age.
     """
 
     writer: int
@@ -106,17 +107,20 @@
 
     @property
     def key(self) -> RecordKey:
-        """What identifies the record among others."""
+        """Identity of the record, without its version."""
         return RecordKey(type(self.body), self.subject, self.writer)
 
     def supersedes(self, other: "Record") -> bool:
-        """Whether this record replaces another with the same key: a higher version, or the same, older."""
+        """Returns whether this record replaces another with the same key.
+
+        The higher version wins; of two records with one version, the earlier creation time wins.
+        """
         return (self.version, -self.created_at) > (other.version, -other.created_at)
 
 
 def sampled_writers(member_ids: Iterable[int]) -> set[int]:
-    """Return the processes whose limits and shares the fleet holds: those with the lowest ids.
+    """Returns the member ids whose limits and key range fractions the fleet stores: the lowest ones.
 
-    Ids are drawn evenly, so the lowest ones are an even sample of the fleet.
+    Member ids are uniformly random, so the lowest ones are a uniform sample of the fleet.
     """
     return set(nsmallest(RETENTION[Limit].max_writers, member_ids))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""What routers share: its laws, what it takes from a bad network, and what the module makes of it."""
+"""Tests of gossip between routers: records, wire format, membership, use by the policy, and settings."""
 
 import random
 import re
@@ -34,83 +34,91 @@
 from applehub.peers.records import RETENTION, Limit, Record, Shares, Verdict, digest
 from applehub.settings import SettingError
 
-PERIOD = 50 * MILLI
+TICK_INTERVAL = 50 * MILLI
 
 
-def agent(number: int) -> GossipAgent:
-    me = Peer(number + 1, 0, PeerState.ALIVE, number.to_bytes(4), 1, f"n{number}")
-    return GossipAgent(me, "fleet", [f"n{one}" for one in range(3) if one != number], number, PERIOD)
+def make_agent(number: int) -> GossipAgent:
+    local_peer = Peer(number + 1, 0, PeerState.ALIVE, number.to_bytes(4), 1, f"n{number}")
+    return GossipAgent(
+        local_peer, "fleet", [f"n{other}" for other in range(3) if other != number], number, TICK_INTERVAL
+    )
 
 
-def made(writer: int, subject: int, version: int) -> Record:
-    """One writer's record of one version is one record: only its reckoned birth may differ."""
-    kind = subject % 3
+def make_record(writer: int, subject: int, version: int) -> Record:
+    """Returns a record whose content depends only on its key and version, as real records do."""
+    type_index = subject % 3
     bodies = Limit(version, writer), Shares(((1, 0.5),)), Verdict(version % 2 == 0, version)
-    return Record(writer, subject if kind == 2 else 0, version, 0, bodies[kind])
+    return Record(writer, subject if type_index == 2 else 0, version, 0, bodies[type_index])
 
 
 RECORDS = st.builds(
     replace,
-    st.builds(made, st.integers(1, 50), st.integers(0, 6), st.integers(1, 4)),
+    st.builds(make_record, st.integers(1, 50), st.integers(0, 6), st.integers(1, 4)),
     created_at=st.integers(0, 5),
 )
 
 
 @given(st.lists(RECORDS, max_size=120), st.randoms(use_true_random=False))
 @settings(max_examples=200, deadline=None)
-def test_the_merge_does_not_care_for_order_or_repetition(records: list[Record], drawn: random.Random) -> None:
-    one, other = RecordStore(), RecordStore()
+def test_merge_is_commutative_associative_and_idempotent(records: list[Record], rng: random.Random) -> None:
+    first, second = RecordStore(), RecordStore()
     for record in records:
-        one.merge(record)
-    again = records + [drawn.choice(records) for _ in records]
-    drawn.shuffle(again)
-    half = RecordStore()  # what is merged by way of another store
-    for record in again[: len(again) // 2]:
-        half.merge(record)
-    for record in [*again[len(again) // 2 :], *half.records.values()]:
-        other.merge(record)
-    assert one.records == other.records
-    assert all(len(writers) <= RETENTION[kind].max_writers for (kind, _), writers in one.writers.items())
-
-
-def test_what_has_passed_its_bound_counts_no_more_and_is_dropped() -> None:
-    heard, other = agent(0), agent(1)
-    other.publish(0, Verdict(True, 5), 7)
-    introduce(0, heard, other)
-    assert heard.view(SECOND).accused[7].failing == 1
-    assert not heard.view(3 * SECOND).accused
-    heard.tick(3 * SECOND)
-    assert not heard.store.records
-
-
-def introduce(now: int, one: GossipAgent, other: GossipAgent) -> None:
-    """Lets two hear of each other, with all that the other has to tell."""
-    for first, second in ((other, one), (one, other), (other, one)):
-        for _, data in first.tick(now):
-            second.receive(now, data)
-    assert one.membership.alive == other.membership.alive == 2
+        first.merge(record)
+    shuffled = records + [rng.choice(records) for _ in records]
+    rng.shuffle(shuffled)
+    intermediate = RecordStore()  # receives records before they reach the second store
+    for record in shuffled[: len(shuffled) // 2]:
+        intermediate.merge(record)
+    for record in [*shuffled[len(shuffled) // 2 :], *intermediate.records.values()]:
+        second.merge(record)
+    assert first.records == second.records
+    assert all(
+        len(writers) <= RETENTION[body_type].max_writers for (body_type, _), writers in first.writers.items()
+    )
+
+
+def test_expired_record_is_ignored_and_dropped() -> None:
+    receiver, sender = make_agent(0), make_agent(1)
+    sender.publish(0, Verdict(True, 5), 7)
+    exchange_datagrams(0, receiver, sender)
+    assert receiver.view(SECOND).failure_reports[7].failing == 1
+    assert not receiver.view(3 * SECOND).failure_reports
+    receiver.tick(3 * SECOND)
+    assert not receiver.store.records
+
+
+def exchange_datagrams(now: int, first: GossipAgent, second: GossipAgent) -> None:
+    """Introduces two agents and delivers the records of the second to the first."""
+    for sender, receiver in ((second, first), (first, second), (second, first)):
+        for _, data in sender.tick(now):
+            receiver.receive(now, data)
+    assert first.membership.member_count == second.membership.member_count == 2
 
 
 @given(st.data())
 @settings(max_examples=300, deadline=None)
-def test_a_datagram_that_is_not_whole_is_dropped_and_counted(data: st.DataObject) -> None:
-    one, other = agent(0), agent(1)
-    other.publish(0, Limit(3.0, 2.0))
-    whole = bytearray(other.tick(0)[0][1])
-    how = data.draw(st.sampled_from(["flip", "cut", "noise"]))
-    if how == "flip":
-        whole[data.draw(st.integers(0, len(whole) - 1))] ^= 1 << data.draw(st.integers(0, 7))
-    spoilt = {
-        "flip": bytes(whole),
-        "cut": bytes(whole[: data.draw(st.integers(0, len(whole) - 1))]),
+def test_corrupted_datagram_is_dropped_and_counted(data: st.DataObject) -> None:
+    receiver, sender = make_agent(0), make_agent(1)
+    sender.publish(0, Limit(3.0, 2.0))
+    datagram = bytearray(sender.tick(0)[0][1])
+    corruption = data.draw(st.sampled_from(["flip", "cut", "noise"]))
+    if corruption == "flip":
+        datagram[data.draw(st.integers(0, len(datagram) - 1))] ^= 1 << data.draw(st.integers(0, 7))
+    corrupted = {
+        "flip": bytes(datagram),
+        "cut": bytes(datagram[: data.draw(st.integers(0, len(datagram) - 1))]),
         "noise": data.draw(st.binary(max_size=80)),
-    }[how]
-    assert one.receive(0, spoilt) == []
-    assert sum(one.dropped.values()) == 1 and one.membership.alive == 1 and not one.store.records
+    }[corruption]
+    assert receiver.receive(0, corrupted) == []
+    assert (
+        sum(receiver.drop_counts.values()) == 1
+        and receiver.membership.member_count == 1
+        and not receiver.store.records
+    )
 
 
-# A datagram of the program's version 0447801, with each type of item.
-DATAGRAM_OF_VERSION_0447801 = bytes.fromhex(
+# Datagram of format version 1 with each type of item, as encoded by an earlier release.
+REFERENCE_DATAGRAM = bytes.fromhex(
     "61480103a05e1e47000000000000000700000009112233445566778801151122334455667788000000"
     "03017f00000110926e31021e000000000000000700000000000000000000000500fa41480000405000"
     "00032e000000000000000700000000000000000000000600fa00000000000000013f00000000000000"
@@ -118,7 +126,7 @@
 )
 
 
-def test_the_wire_form_is_that_of_the_version_before() -> None:
+def test_wire_format_matches_reference_datagram() -> None:
     suspect = Peer(0x1122334455667788, 3, PeerState.SUSPECT, bytes([127, 0, 0, 1]), 4242, "n1")
     records = [
         Record(7, 0, 5, 0, Limit(12.5, 3.25)),
@@ -130,143 +138,149 @@
     builder.add(encode_peer(suspect))
     for record in records:
         builder.add(encode_record(record, age))
-    assert builder.build() == DATAGRAM_OF_VERSION_0447801
-    read = decode(DATAGRAM_OF_VERSION_0447801, fleet)
-    assert (read.kind, read.sender, read.sequence) == (MessageKind.PING_REQUEST, 7, 9)
-    assert read.target == suspect.member_id and read.peers == [suspect]
-    assert read.records == [replace(record, created_at=-age) for record in records]
-
-
-def test_another_fleet_a_newer_format_and_a_former_life_are_told_apart() -> None:
-    one = agent(0)
-    newer = bytearray(DatagramBuilder(one.fleet, MessageKind.PING, 9, 1, 0).build())
-    newer[2] += 1
-    spoilt = {
+    assert builder.build() == REFERENCE_DATAGRAM
+    decoded = decode(REFERENCE_DATAGRAM, fleet)
+    assert (decoded.kind, decoded.sender, decoded.sequence) == (MessageKind.PING_REQUEST, 7, 9)
+    assert decoded.target == suspect.member_id and decoded.peers == [suspect]
+    assert decoded.records == [replace(record, created_at=-age) for record in records]
+
+
+def test_drop_reasons_distinguish_fleet_format_target_and_own_datagrams() -> None:
+    receiver = make_agent(0)
+    newer_format = bytearray(DatagramBuilder(receiver.fleet_id, MessageKind.PING, 9, 1, 0).build())
+    newer_format[2] += 1
+    datagrams = {
         "fleet": DatagramBuilder(1, MessageKind.PING, 9, 1, 0).build(),
-        "format": bytes(newer),
-        "stranger": DatagramBuilder(one.fleet, MessageKind.PING, 9, 1, 12345).build(),
-        "own": DatagramBuilder(one.fleet, MessageKind.PING, one.member_id, 1, 0).build(),
+        "format": bytes(newer_format),
+        "stranger": DatagramBuilder(receiver.fleet_id, MessageKind.PING, 9, 1, 12345).build(),
+        "own": DatagramBuilder(receiver.fleet_id, MessageKind.PING, receiver.member_id, 1, 0).build(),
     }
-    for data in spoilt.values():
-        one.receive(0, data)
-    assert one.dropped == dict.fromkeys(spoilt, 1)
+    for data in datagrams.values():
+        receiver.receive(0, data)
+    assert receiver.drop_counts == dict.fromkeys(datagrams, 1)
 
 
-def test_figures_that_no_router_has_are_not_believed_and_a_datagram_keeps_to_its_bound() -> None:
-    packer = DatagramBuilder(5, MessageKind.GOSSIP, 9, 0, 0)
-    packer.add(encode_record(Record(9, 0, 1, 0, Limit(float("nan"), 1.0)), 0))
+def test_invalid_rate_is_rejected_and_datagram_size_is_bounded() -> None:
+    builder = DatagramBuilder(5, MessageKind.GOSSIP, 9, 0, 0)
+    builder.add(encode_record(Record(9, 0, 1, 0, Limit(float("nan"), 1.0)), 0))
     with pytest.raises(DatagramError, match="figures"):
-        decode(packer.build(), 5)
+        decode(builder.build(), 5)
     full = DatagramBuilder(5, MessageKind.GOSSIP, 9, 0, 0)
     while full.add(encode_record(Record(9, 0, 1, 0, Limit(1.0, 1.0)), 0)):
         pass
     assert len(full.build()) <= MAX_DATAGRAM_BYTES
 
 
-def test_a_process_that_slept_blames_nobody_and_refutes_what_was_said_of_it() -> None:
-    me = Peer(1, 0, PeerState.ALIVE, bytes(4), 1, "n0")
-    there = Membership(me, [], 1, PERIOD)
-    there.merge(0, Peer(2, 0, PeerState.ALIVE, bytes(4), 1, "n1"))
+def test_process_suspects_no_peer_after_a_pause_and_refutes_its_own_death() -> None:
+    local_peer = Peer(1, 0, PeerState.ALIVE, bytes(4), 1, "n0")
+    membership = Membership(local_peer, [], 1, TICK_INTERVAL)
+    membership.merge(0, Peer(2, 0, PeerState.ALIVE, bytes(4), 1, "n1"))
     for tick in range(4):
-        there.tick(tick * PERIOD)  # probes go out; nobody answers
-    there.tick(30 * SECOND)
-    assert [one.state for one in there.members()] == [PeerState.ALIVE]
-    there.merge(30 * SECOND, replace(me, state=PeerState.DEAD))
-    assert there.me.rank > (0, PeerState.DEAD)
+        membership.tick(tick * TICK_INTERVAL)  # sends probes that are not answered
+    membership.tick(30 * SECOND)
+    assert [peer.state for peer in membership.members()] == [PeerState.ALIVE]
+    membership.merge(30 * SECOND, replace(local_peer, state=PeerState.DEAD))
+    assert membership.local_peer.rank > (0, PeerState.DEAD)
     for tick in range(1, 60):
-        there.tick(30 * SECOND + tick * PERIOD)
-    assert not list(there.members())
+        membership.tick(30 * SECOND + tick * TICK_INTERVAL)
+    assert not list(membership.members())
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
-def test_a_fleet_finds_itself_again_after_a_cut_and_buries_those_that_ended(loss: float) -> None:
-    plan = Gossip(12, loss=loss, seconds=3, cut_s=10, kill=0.7)
-    measured = Talk(plan, 4).play()
-    assert measured.missing == 0 and measured.records < 100
-    assert 0 < measured.known_s < 5 and 0 < measured.healed_s < 10 and 0 < measured.buried_s < 10
-    for kind, ages in measured.ages_ms.items():
+def test_fleet_rejoins_after_a_partition_and_removes_ended_routers(loss: float) -> None:
+    parameters = Gossip(12, loss=loss, seconds=3, cut_s=10, kill=0.7)
+    result = Talk(parameters, 4).play()
+    assert result.missing == 0 and result.records < 100
+    assert 0 < result.known_s < 5 and 0 < result.healed_s < 10 and 0 < result.buried_s < 10
+    for type_name, ages in result.ages_ms.items():
         assert (
-            max(ages) <= max(bound.max_age for of, bound in RETENTION.items() if of.__name__ == kind) / MILLI
+            max(ages)
+            <= max(
+                retention.max_age
+                for body_type, retention in RETENTION.items()
+                if body_type.__name__ == type_name
+            )
+            / MILLI
         )
 
 
-# What the module makes of it
+# Use of gossip by the policy
 
 
-def hearing() -> Router:
+def router_with_peers() -> Router:
     return Router(router_settings(peers=True))
 
 
-def test_a_server_is_left_alone_by_a_quorum_and_not_by_one_router() -> None:
-    router = hearing()
+def test_server_is_excluded_by_a_quorum_of_reports_but_not_by_a_single_report() -> None:
+    router = router_with_peers()
     name = router.serve("k")
     router.wait(3 * SECOND)
     router.tell(api.Fleet(9, accused={name: (1, 1)}))
     assert router.balancer.roster.avoided == 0
     router.tell(api.Fleet(9, accused={name: (3, 9)}))
-    assert router.balancer.roster.avoided == 0  # most of those who speak of it say that it answers
+    assert router.balancer.roster.avoided == 0  # most reporters see the server as healthy
     router.tell(api.Fleet(40, accused={name: (4, 4)}))
-    assert router.balancer.roster.avoided == 0  # too few of so many
+    assert router.balancer.roster.avoided == 0  # too few reporters for a fleet of 40 routers
     router.tell(api.Fleet(9, accused={name: (3, 4)}))
     assert router.balancer.roster.avoided == 1
     _, (send,) = router.ask("k")
     assert isinstance(send, api.Send) and send.server != name
 
 
-def test_an_answer_of_its_own_counts_for_more_than_hearsay_and_hearsay_is_not_passed_on() -> None:
-    router = hearing()
+def test_own_responses_override_gossiped_health_and_gossip_is_not_forwarded() -> None:
+    router = router_with_peers()
     name = router.serve("k")
     router.tell(api.Fleet(9, accused={name: (8, 8)}))
     assert router.balancer.roster.avoided == 0
-    (told, *_) = [action for action in router.wait(SECOND) if isinstance(action, api.Tell)]
-    assert told.vouched == [name] and not told.failing
+    (report, *_) = [action for action in router.wait(SECOND) if isinstance(action, api.Tell)]
+    assert report.vouched == [name] and not report.failing
     router.wait(3 * SECOND)
     router.tell(api.Fleet(9, accused={name: (8, 8), "never-listed": (8, 8), "origin": (8, 8)}))
     assert router.balancer.roster.avoided == 1
-    later = [action for action in router.wait(2 * SECOND) if isinstance(action, api.Tell)]
-    assert later and not any(action.failing or action.vouched for action in later)
+    later_reports = [action for action in router.wait(2 * SECOND) if isinstance(action, api.Tell)]
+    assert later_reports and not any(action.failing or action.vouched for action in later_reports)
 
 
-def test_no_more_than_a_part_of_the_servers_is_out_by_hearsay() -> None:
-    router = hearing()
+def test_gossiped_health_excludes_a_bounded_part_of_the_servers() -> None:
+    router = router_with_peers()
     router.wait(3 * SECOND)
     router.tell(api.Fleet(9, accused={f"c{number}": (9, 9) for number in range(4)}))
-    assert router.balancer.roster.avoided == 1  # of five listed, the origin among them
+    assert router.balancer.roster.avoided == 1  # of five listed servers, including the origin
 
 
-def test_what_fails_a_router_is_told_until_it_answers_again() -> None:
-    router = hearing()
+def test_failing_server_is_published_until_it_responds() -> None:
+    router = router_with_peers()
     _, (first,) = router.ask("k")
     assert isinstance(first, api.Send)
     router.end(first, api.Status.CONNECT_FAILED)
-    (told, *_) = [one for one in router.wait(SECOND) if isinstance(one, api.Tell)]
-    assert told.failing == {first.server: 1}
-    adapter, kinds = PolicyAdapter(agent(0)), {"cache": 0}
-    adapter.publish(0, told, kinds)
+    (report, *_) = [action for action in router.wait(SECOND) if isinstance(action, api.Tell)]
+    assert report.failing == {first.server: 1}
+    adapter, kinds = PolicyAdapter(make_agent(0)), {"cache": 0}
+    adapter.publish(0, report, kinds)
     assert adapter.agent.published[Verdict, digest(first.server)].body == Verdict(True, 1)
-    adapter.publish(SECOND, replace(told, failing={}), kinds)
-    (record,) = [one for key, one in adapter.agent.store.records.items() if key[0] is Verdict]
+    adapter.publish(SECOND, replace(report, failing={}), kinds)
+    (record,) = [stored for key, stored in adapter.agent.store.records.items() if key[0] is Verdict]
     assert record.body == Verdict(False, 0)
-    adapter.publish(SECOND + 1, told, kinds)
-    (again,) = [one for key, one in adapter.agent.store.records.items() if key[0] is Verdict]
-    assert again.body == Verdict(True, 1) and again.supersedes(
+    adapter.publish(SECOND + 1, report, kinds)
+    (republished,) = [stored for key, stored in adapter.agent.store.records.items() if key[0] is Verdict]
+    assert republished.body == Verdict(True, 1) and republished.supersedes(
         record
-    )  # for those who hold the one before, too
+    )  # also at peers that store the previous version
 
 
-def test_a_router_that_starts_takes_over_the_fleets_shares_and_then_draws_near() -> None:
-    router = hearing()
+def test_starting_router_adopts_gossiped_range_fraction_and_then_converges() -> None:
+    router = router_with_peers()
     router.tell(api.Fleet(9, shares={0: 0.4}))
     assert router.balancer.roster.kinds[0].share == pytest.approx(0.4)
     router.tell(api.Fleet(9, shares={0: 0.8}))
     assert router.balancer.roster.kinds[0].share == pytest.approx(0.5)
 
 
-# The socket
+# Settings
 
 
 @pytest.mark.parametrize(
-    ("spoilt", "named"),
+    ("overrides", "expected_text"),
     [
         ({"listen": "nowhere"}, "IPv4"),
         ({"listen": None}, "peers.listen"),
@@ -277,17 +291,19 @@
         ({"seeds": []}, "peers.seeds"),
     ],
 )
-def test_a_configuration_that_makes_no_sense_names_the_key(spoilt: dict[str, object], named: str) -> None:
+def test_invalid_peers_setting_is_named_in_the_error(
+    overrides: dict[str, object], expected_text: str
+) -> None:
     good = {"fleet": "f", "listen": "127.0.0.1:0", "routers": {"n2": "127.0.0.1:9"}}
     assert read_peers(good, read_endpoint).routers == {"n2": ("127.0.0.1", 9)}
-    with pytest.raises(SettingError, match=re.escape(named)):
-        read_peers({**good, **spoilt}, read_endpoint)
+    with pytest.raises(SettingError, match=re.escape(expected_text)):
+        read_peers({**good, **overrides}, read_endpoint)
 
 
-def test_where_the_platform_forbids_it_no_router_speaks() -> None:
-    told = {"name": "n1", "peers": {"fleet": "f", "listen": "127.0.0.1:0"}}
-    assert read_peers_of(told, {"ceilings": {"mayTell": False}}) is None
+def test_gossip_is_disabled_when_the_platform_forbids_it() -> None:
+    configuration = {"name": "n1", "peers": {"fleet": "f", "listen": "127.0.0.1:0"}}
+    assert read_peers_of(configuration, {"ceilings": {"mayTell": False}}) is None
     assert read_peers_of({}, {}) is None
-    assert read_peers_of(told, {"ceilings": {}}) is not None
+    assert read_peers_of(configuration, {"ceilings": {}}) is not None
     with pytest.raises(ConfigurationError, match="name"):
-        read_peers_of({**told, "name": ""}, {"ceilings": {}})
+        read_peers_of({**configuration, "name": ""}, {"ceilings": {}})
