--- a/applehub/peers/agent.py
+++ b/applehub/peers/agent.py
@@ -35,7 +35,7 @@
 URGENT_FANOUT = 2  # additional recipients per tick while verdicts are urgent
 MAX_CANDIDATE_RECORDS = 40  # records considered for one datagram
 MIN_RECORD_SENDS = 4  # minimum number of sends of a Limit or Shares record
-MIN_VERDICT_SENDS = 2  # sends of a verdict in addition to log2 of the member count
+BASE_VERDICT_SENDS = 2  # sends of a verdict, to which log2 of the member count is added
 
 OutgoingDatagram = tuple[Peer | str, bytes]  # recipient (peer or name of a configured router) and content
 
@@ -76,8 +76,9 @@
         return self.membership.local_peer.member_id
 
     def publish(self, now: int, body: Body, subject: int = 0) -> None:
-        """Publishes a record of this process: a changed verdict at once, others when they are due.
+        """Publishes a record of this process if it is due.
 
+        A changed verdict is published at once, any other record when REPUBLISH_AFTER has passed.
         subject: digest of the server that a verdict is about.
         """
         if now - self.last_prune_at >= ABSENT_MEMBER_RETENTION:
@@ -210,7 +211,7 @@
         """Returns how often a record is sent; verdicts more often, as other types tolerate lost updates."""
         log_member_count = self.membership.member_count.bit_length()
         if key.body_type is Verdict:
-            return MIN_VERDICT_SENDS + log_member_count
+            return BASE_VERDICT_SENDS + log_member_count
         return max(MIN_RECORD_SENDS, 1 + log_member_count // 2)
 
 
--- a/applehub/peers/codec.py
+++ b/applehub/peers/codec.py
@@ -20,7 +20,7 @@
 MAX_NAME_BYTES = 48  # UTF-8 bytes of a router name
 MAX_KINDS_PER_RECORD = 16  # server kinds; the length of an item is encoded in one byte
 MAX_AGE_MS = 0xFFFF  # maximum of the 16-bit age field
-MAX_ATTEMPTS = 0xFFFF
+MAX_ATTEMPTS = 0xFFFF  # maximum of the 16-bit field for failed attempts
 MAX_RATE = 1e9  # tokens per second; a limit record at or above it is rejected
 NS_PER_MS = 1_000_000
 FORMAT_VERSION_OFFSET = 2
@@ -89,7 +89,7 @@
 class Datagram:
     """A decoded datagram.
 
-    target: member id of the addressee; 0 for any process that listens at the address.
+    target: member id of the receiver or, in a ping request, of the member to ping; 0 for any receiver.
     records: with the negated age, in ns, as `created_at`.
     """
 
--- a/applehub/peers/membership.py
+++ b/applehub/peers/membership.py
@@ -20,7 +20,7 @@
 PING_REQUEST_FANOUT = 3  # members that relay an indirect probe
 LEAVE_FANOUT = 8  # members that receive a leave message directly; the others learn of it by gossip
 UPDATE_SEND_MULTIPLIER = 3  # sends of a membership change, as a multiple of log2 of the member count
-RECONNECT_TICKS = 20  # ticks between pings to configured routers and dead members
+RECONNECT_TICKS = 20  # ticks between pings to absent configured routers or dead members
 ISOLATED_RECONNECT_TICKS = 4  # the same while no other member is present
 LOCAL_PAUSE_TICKS = 4  # tick intervals without a tick after which the local process counts as paused
 MAX_RELAYED_PINGS = 1024  # pings in flight on behalf of other members
@@ -32,7 +32,7 @@
     """A message to send.
 
     to: a known peer, or the name of a configured router.
-    target: member id of the subject of the message; 0 for any process that listens at the address.
+    target: member id of the recipient or, in a ping request, of the member to ping; 0 for any recipient.
     """
 
     to: Peer | str
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Probe:
-    """A ping in flight."""
+    """A ping in flight to detect the failure of a member."""
 
     member_id: int
     sent_at: int
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
-def test_fleet_rejoins_after_a_partition_and_removes_ended_routers(loss: float) -> None:
+def test_fleet_rejoins_after_a_partition_and_removes_dead_routers(loss: float) -> None:
     parameters = Gossip(12, loss=loss, seconds=3, cut_s=10, kill=0.7)
     result = Talk(parameters, 4).play()
     assert result.missing == 0 and result.records < 100
