--- a/applehub/lab/__init__.py
+++ b/applehub/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: an emulator of the system that the router serves. Not part of the router itself."""
+"""Emulator of the system around the router, for experiments and tests; no part of the router itself."""
--- a/applehub/lab/clients.py
+++ b/applehub/lab/clients.py
@@ -1,154 +1,193 @@
-"""Clients: their tries, time-outs and retries, and the front that deals them to routers."""
+"""Clients with their attempts, timeouts and retries, and the front-end load balancer that assigns
+them to routers."""
 
 from collections.abc import Callable
 
 from applehub import interface as api
 from applehub.lab.account import Account
 from applehub.lab.clock import MILLI, SECOND, Clock
-from applehub.lab.demand import Demand, try_id
-from applehub.lab.network import Net
+from applehub.lab.demand import Demand, client_attempt_id
+from applehub.lab.network import EmulatedNetwork
 from applehub.lab.routers import RouterHost
 from applehub.lab.rules import Rules
-from applehub.lab.spec import Day
-from applehub.lab.streams import Draws
+from applehub.lab.spec import Scenario
+from applehub.lab.streams import RandomStream
 from applehub.lab.tries import Asked
 from applehub.lab.workload import Workload
 
 
 class Clients:
-    """All clients of one play."""
+    """All clients of one simulation."""
 
     def __init__(
         self,
-        day: Day,
+        scenario: Scenario,
         classes: list[api.RequestClass],
         clock: Clock,
         workload: Workload,
-        net: Net,
+        net: EmulatedNetwork,
         account: Account,
         rules: Rules,
-        routers_in: list[list[RouterHost]],
-        draws: Callable[[str], Draws],
-        follow: Callable[[Asked], None],
+        routers_by_zone: list[list[RouterHost]],
+        random_stream: Callable[[str], RandomStream],
+        record_attempt: Callable[[Asked], None],
     ) -> None:
-        """routers_in: by zone. draws: a stream of its own for each name. follow: is told of each try."""
-        self.day, self.classes, self.clock, self.workload = day, classes, clock, workload
-        self.net, self.account, self.rules, self.follow = net, account, rules, follow
-        self.routers_in = routers_in
-        self.routers = sorted((one for near in routers_in for one in near), key=lambda one: one.index)
-        self.spec = day.clients
-        self.draws, self.dealt = draws("clients"), draws("front")
-        self.next = 0  # of the workload
-        self.noticed_down: set[int] = set()  # routers that the front deals nobody to
-
-    def begin(self) -> None:
+        """Args:
+        random_stream: Returns an independent stream of random numbers for a name.
+        record_attempt: Called with each client attempt.
+        """
+        self.scenario, self.classes, self.clock, self.workload = scenario, classes, clock, workload
+        self.net, self.account, self.rules, self.record_attempt = net, account, rules, record_attempt
+        self.routers_by_zone = routers_by_zone
+        self.routers = sorted(
+            (one for candidates in routers_by_zone for one in candidates), key=lambda one: one.index
+        )
+        self.spec = scenario.clients
+        self.random_stream, self.router_random = random_stream("clients"), random_stream("front")
+        self.next_request = 0  # index in the workload
+        self.down_routers: set[int] = set()  # indexes of routers that the front-end excludes
+
+    def start(self) -> None:
+        """Schedules the first request of the workload."""
         if self.workload.times:
-            self.clock.at(self.workload.times[0], self._arrive)
-
-    def _arrive(self, _: None) -> None:
-        load, number = self.workload, self.next
-        self.next += 1
-        if self.next < len(load.times):
-            self.clock.at(load.times[self.next], self._arrive)
-        cls = load.classes[number]
-        spec, work = self.day.workload.classes[cls], load.works[number]
-        worth = spec.worth * work / (spec.work_ms * MILLI)
+            self.clock.at(self.workload.times[0], self._start_request)
+
+    def _start_request(self, _: None) -> None:
+        workload, number = self.workload, self.next_request
+        self.next_request += 1
+        if self.next_request < len(workload.times):
+            self.clock.at(workload.times[self.next_request], self._start_request)
+        cls = workload.classes[number]
+        spec, work = self.scenario.workload.classes[cls], workload.work[number]
+        weight = spec.worth * work / (spec.work_ms * MILLI)
         demand = Demand(
-            number, cls, load.zones[number], load.keys[number], spec.write, work, self.clock.now, worth
+            number,
+            cls,
+            workload.zones[number],
+            workload.keys[number],
+            spec.write,
+            work,
+            self.clock.now,
+            weight,
         )
         self.account.asked_for(demand)
-        self._try(demand)
+        self._start_attempt(demand)
+
+    def _choose_router(self, zone: int) -> RouterHost | None:
+        """Returns a random router of the client's zone, or of any zone where that zone has none available.
 
-    def _deal(self, zone: int) -> RouterHost | None:
-        """A router of the client's zone; where there is none, any."""
-        near = self.routers_in[zone]
-        if self.noticed_down or not near:
-            near = [one for one in near if one.index not in self.noticed_down]
-            near = near or [one for one in self.routers if one.index not in self.noticed_down]
-        return near[self.dealt.below(len(near))] if near else None
+        Returns None where all routers are down.
+        """
+        candidates = self.routers_by_zone[zone]
+        if self.down_routers or not candidates:
+            candidates = [one for one in candidates if one.index not in self.down_routers]
+            candidates = candidates or [one for one in self.routers if one.index not in self.down_routers]
+        return candidates[self.router_random.below(len(candidates))] if candidates else None
 
-    def _try(self, demand: Demand) -> None:
+    def _start_attempt(self, demand: Demand) -> None:
         now, spec = self.clock.now, self.classes[demand.cls]
         low, high = self.spec.try_share
-        deadline = min(now + int(spec.deadline * self.draws.between(low, high)), demand.born + spec.deadline)
-        router = self._deal(demand.zone)
-        demand.tries += 1
+        deadline = min(
+            now + int(spec.deadline * self.random_stream.between(low, high)),
+            demand.created_at + spec.deadline,
+        )
+        router = self._choose_router(demand.zone)
+        demand.client_attempts += 1
         self.account.tries += 1
         if router is None:
             self._retry(demand, "unreachable", 0)
             return
-        asked = Asked(try_id(demand), demand, router, deadline, demand.tries > 1)
-        self.follow(asked)
-        self.clock.after(self.net.client, router.take, asked)
-        self.clock.at(deadline, self._give_up, asked)
-        if self.spec.leave_early and self.draws.uniform() < self.spec.leave_early:
-            self.clock.after(int((deadline - now) * self.draws.uniform()), self._leave, asked)
-
-    def answered(self, asked: Asked, how: str, retry_after: int, way: int) -> None:
-        """A router has answered; the client hears it after a while."""
-        self.clock.after(way, self._hear, (asked, how, retry_after))
-
-    def _hear(self, what: tuple[Asked, str, int]) -> None:
-        asked, how, retry_after = what
-        if asked.heard:
+        client_attempt = Asked(
+            client_attempt_id(demand), demand, router, deadline, demand.client_attempts > 1
+        )
+        self.record_attempt(client_attempt)
+        self.clock.after(self.net.client_delay, router.receive, client_attempt)
+        self.clock.at(deadline, self._time_out, client_attempt)
+        if self.spec.leave_early and self.random_stream.uniform() < self.spec.leave_early:
+            self.clock.after(
+                int((deadline - now) * self.random_stream.uniform()), self._abandon, client_attempt
+            )
+
+    def answered(self, client_attempt: Asked, outcome: str, retry_after: int, delay: int) -> None:
+        """Schedules the arrival of a router's answer at the client, `delay` ns from now."""
+        self.clock.after(delay, self._deliver_answer, (client_attempt, outcome, retry_after))
+
+    def _deliver_answer(self, argument: tuple[Asked, str, int]) -> None:
+        client_attempt, outcome, retry_after = argument
+        if client_attempt.heard:
             return
-        asked.heard = True
-        demand = asked.demand
-        if how == "ok":
+        client_attempt.heard = True
+        demand = client_attempt.demand
+        if outcome == "ok":
             self.account.served(demand)
             return
-        if how == "refused":
-            how = f"refused after {asked.last}" if asked.last else "refused unsent"
-        elif how == "failed":
-            how = f"failed after {asked.last}" if asked.last else "failed unsent"
-        self._retry(demand, how, retry_after)
-
-    def _leave(self, asked: Asked) -> None:
-        if not asked.heard:
-            asked.heard = True
-            asked.router.withdraw(asked)
-            self.account.lost(asked.demand, "left early")
-
-    def _give_up(self, asked: Asked) -> None:
-        """The client stops waiting; the router still owes an answer for the rule's slack."""
-        if asked.final < 0:
-            self.clock.after(self.rules.slack, self.rules.overdue, asked)
-        if asked.heard:
+        if outcome == "refused":
+            outcome = f"refused after {client_attempt.last}" if client_attempt.last else "refused unsent"
+        elif outcome == "failed":
+            outcome = f"failed after {client_attempt.last}" if client_attempt.last else "failed unsent"
+        self._retry(demand, outcome, retry_after)
+
+    def _abandon(self, client_attempt: Asked) -> None:
+        if not client_attempt.heard:
+            client_attempt.heard = True
+            client_attempt.router.withdraw(client_attempt)
+            self.account.lost(client_attempt.demand, "left early")
+
+    def _time_out(self, client_attempt: Asked) -> None:
+        """Ends the client's wait, and schedules the check that the router answers within the rule's slack."""
+        if client_attempt.final < 0:
+            self.clock.after(self.rules.slack, self.rules.overdue, client_attempt)
+        if client_attempt.heard:
             return
-        asked.heard = True
-        self._retry(asked.demand, f"timed out {self.account.where(asked)}", 0)
+        client_attempt.heard = True
+        self._retry(client_attempt.demand, f"timed out {self.account.where(client_attempt)}", 0)
 
-    def _retry(self, demand: Demand, why: str, retry_after: int) -> None:
-        """Tries again after a wait, where the class and what is known of the last try allow it."""
+    def _retry(self, demand: Demand, cause: str, retry_after: int) -> None:
+        """Schedules a retry after a backoff, or counts the request as lost.
+
+        A retry is allowed where the last attempt was not executed, the class is safe to repeat, or its
+        idempotency key is still valid.
+        """
         spec, now = self.classes[demand.cls], self.clock.now
-        harmless = why.startswith("refused") or why == "unreachable"
-        windowed = spec.effect is api.Effect.KEYED and now < demand.born + spec.window
-        wait = int(self.spec.backoff_ms * MILLI * (1 << (demand.tries - 1)) * self.draws.between(0.5, 1.5))
-        if retry_after and self.draws.uniform() < self.spec.honour:
-            wait = max(wait, retry_after)
-        allowed = harmless or spec.effect is api.Effect.SAFE or windowed
-        if not allowed or demand.tries > self.spec.retries or now + wait >= demand.born + spec.deadline:
-            self.account.lost(demand, why)
+        not_executed = cause.startswith("refused") or cause == "unreachable"
+        within_window = spec.effect is api.Effect.KEYED and now < demand.created_at + spec.window
+        backoff = int(
+            self.spec.backoff_ms
+            * MILLI
+            * (1 << (demand.client_attempts - 1))
+            * self.random_stream.between(0.5, 1.5)
+        )
+        if retry_after and self.random_stream.uniform() < self.spec.honour:
+            backoff = max(backoff, retry_after)
+        allowed = not_executed or spec.effect is api.Effect.SAFE or within_window
+        if (
+            not allowed
+            or demand.client_attempts > self.spec.retries
+            or now + backoff >= demand.created_at + spec.deadline
+        ):
+            self.account.lost(demand, cause)
             return
-        self.clock.after(wait, self._again, demand)
+        self.clock.after(backoff, self._start_retry, demand)
 
-    def _again(self, demand: Demand) -> None:
-        if not demand.over:
-            self._try(demand)
+    def _start_retry(self, demand: Demand) -> None:
+        if not demand.finished:
+            self._start_attempt(demand)
 
-    def notice(self, router: RouterHost) -> None:
-        """The front learns after some time that a router is down, at once that one is back."""
-        if router.taking:
-            self.noticed_down.discard(router.index)
+    def schedule_health_update(self, router: RouterHost) -> None:
+        """Lets the front-end detect that a router is down after a delay, or that it is back at once."""
+        if router.accepting:
+            self.down_routers.discard(router.index)
         else:
             self.clock.after(
-                int(self.spec.notice_s * SECOND * self.draws.between(0.5, 1.5)), self._noticed, router
+                int(self.spec.notice_s * SECOND * self.random_stream.between(0.5, 1.5)),
+                self._mark_down_if_stopped,
+                router,
             )
 
-    def leave_out(self, router: RouterHost) -> None:
-        """The front is told of a planned restart."""
-        self.noticed_down.add(router.index)
+    def mark_down(self, router: RouterHost) -> None:
+        """Excludes a router before its planned restart."""
+        self.down_routers.add(router.index)
 
-    def _noticed(self, router: RouterHost) -> None:
-        if not router.taking:
-            self.noticed_down.add(router.index)
+    def _mark_down_if_stopped(self, router: RouterHost) -> None:
+        if not router.accepting:
+            self.down_routers.add(router.index)
--- a/applehub/lab/clock.py
+++ b/applehub/lab/clock.py
@@ -1,4 +1,4 @@
-"""Simulated time: integer nanoseconds and a heap of what is due."""
+"""Simulated time in integer nanoseconds, with a heap of scheduled callbacks."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -9,31 +9,32 @@
 
 
 class Clock:
-    """Plays callbacks in the order of their times; those of one time as they were asked for."""
+    """Runs callbacks in order of time; those of equal time run in the order in which they were scheduled."""
 
-    __slots__ = ("_count", "_heap", "now")
+    __slots__ = ("_heap", "_sequence", "now")
 
     def __init__(self) -> None:
         self.now = 0
         self._heap: list[tuple[int, int, Callable[[Any], None], Any]] = []
-        self._count = 0
+        self._sequence = 0
 
-    def at(self, time: int, call: Callable[[Any], None], argument: Any = None) -> None:
-        """Calls at a time, ns; one that has passed counts as now."""
-        self._count += 1
-        heappush(self._heap, (time, self._count, call, argument))
+    def at(self, time: int, callback: Callable[[Any], None], argument: Any = None) -> None:
+        """Schedules a callback at a time, in ns; one in the past runs at the current time."""
+        self._sequence += 1
+        heappush(self._heap, (time, self._sequence, callback, argument))
 
-    def after(self, delay: int, call: Callable[[Any], None], argument: Any = None) -> None:
-        self.at(self.now + delay, call, argument)
+    def after(self, delay: int, callback: Callable[[Any], None], argument: Any = None) -> None:
+        """Schedules a callback `delay` ns from now."""
+        self.at(self.now + delay, callback, argument)
 
     def run(self, until: int) -> int:
-        """Plays all that is due by a time; gives the number of calls."""
-        heap, played = self._heap, 0
+        """Runs all callbacks due by a time, and advances to it; returns how many ran."""
+        heap, events_run = self._heap, 0
         while heap and heap[0][0] <= until:
-            time, _, call, argument = heappop(heap)
+            time, _, callback, argument = heappop(heap)
             if time > self.now:
                 self.now = time
-            call(argument)
-            played += 1
+            callback(argument)
+            events_run += 1
         self.now = max(self.now, until)
-        return played
+        return events_run
--- a/applehub/lab/demand.py
+++ b/applehub/lab/demand.py
@@ -1,13 +1,13 @@
-"""What clients want, and the ids of their tries."""
+"""Requests as clients issue them, and the ids of the client attempts."""
 
 from dataclasses import dataclass
 
-MOST_TRIES = 11  # of one demand
+MAX_CLIENT_ATTEMPTS = 11  # for one demand, at most ten retries included
 
 
 @dataclass(slots=True, eq=False)
 class Demand:
-    """What a client wants, over all of its tries."""
+    """A client's request, across all of its attempts. Times and work are in ns."""
 
     number: int
     cls: int
@@ -15,17 +15,20 @@
     key: str
     write: bool
     work: int
-    born: int
-    worth: float
-    tries: int = 0
-    over: bool = False
+    created_at: int
+    weight: float
+    client_attempts: int = 0
+    finished: bool = False
 
 
-def try_id(demand: Demand) -> str:
-    """The id of its latest try: a new one for each, from which the demand's number can be told."""
-    return f"{demand.number * MOST_TRIES + demand.tries:016x}"
+def client_attempt_id(demand: Demand) -> str:
+    """Returns the id of the latest client attempt; it is unique and encodes the demand's number."""
+    return f"{demand.number * MAX_CLIENT_ATTEMPTS + demand.client_attempts:016x}"
 
 
-def demand_of(identity: str) -> int:
-    """The number of the demand that a try's id belongs to; raises ValueError for what is no id."""
-    return int(identity, 16) // MOST_TRIES
+def demand_number(attempt_id: str) -> int:
+    """Returns the number of the demand that a client attempt's id belongs to.
+
+    Raises ValueError where the text is not an id.
+    """
+    return int(attempt_id, 16) // MAX_CLIENT_ATTEMPTS
--- a/applehub/lab/discovery.py
+++ b/applehub/lab/discovery.py
@@ -1,4 +1,4 @@
-"""The service that lists servers: late, of bounded capacity, and the same for all routers."""
+"""The emulated discovery service, with notification delays and bounded capacity."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,39 +6,39 @@
 from applehub import interface as api
 from applehub.lab.clock import MILLI, SECOND, Clock
 from applehub.lab.spec import Discovery
-from applehub.lab.streams import Draws
+from applehub.lab.streams import RandomStream
 
-Listener = Callable[[api.Members, int], None]  # what is told, and the version that it leads to
+Listener = Callable[[api.Members, int], None]  # called with an update and the list's version after it
 
 
 @dataclass(slots=True)
 class Subscriber:
-    """A router's subscription, and the version that it has."""
+    """A router's watch, with the list version that the router has."""
 
-    tell: Listener
+    notify: Listener
     version: int = 0
-    on: bool = False
+    active: bool = False
 
 
 class Registry:
-    """The list by version. Calls are answered in turn; changes reach subscribers a little later."""
+    """The versioned endpoint list. Calls are answered in order; changes reach watches after a delay."""
 
-    def __init__(self, clock: Clock, spec: Discovery, draws: Draws) -> None:
-        self.clock, self.spec, self.draws = clock, spec, draws
+    def __init__(self, clock: Clock, spec: Discovery, random_stream: RandomStream) -> None:
+        self.clock, self.spec, self.random_stream = clock, spec, random_stream
         self.entries: dict[str, api.Member] = {}
-        self.changes: list[api.Member] = []  # by version
-        self.listed: dict[str, tuple[int, api.State]] = {}  # what it listed last, and when, by server
+        self.changes: list[api.Member] = []  # index: version before the change
+        self.listed: dict[str, tuple[int, api.State]] = {}  # by server: time and state of its last change
         self.subscribers: dict[int, Subscriber] = {}
-        self.free_at = 0
-        self.slower, self.down = 1.0, False
+        self.free_at = 0  # when the calls accepted so far are answered
+        self.slowdown, self.down = 1.0, False
         self.calls = self.failed = 0
 
-    def notice(self, entry: api.Member, after: float) -> None:
-        """Comes to know of a change after so many seconds, give or take half."""
-        self.clock.after(int(after * SECOND * self.draws.between(0.5, 1.5)), self.set, entry)
+    def schedule_update(self, entry: api.Member, after: float) -> None:
+        """Schedules an update after `after` seconds, with a random deviation of up to one half."""
+        self.clock.after(int(after * SECOND * self.random_stream.between(0.5, 1.5)), self.update, entry)
 
-    def set(self, entry: api.Member) -> None:
-        """Lists an entry from now on, and tells subscribers."""
+    def update(self, entry: api.Member) -> None:
+        """Applies an entry to the list and schedules notifications of the subscribers."""
         known = self.entries.get(entry.server)
         if known is not None and (known.state, known.since) == (entry.state, entry.since):
             return
@@ -48,58 +48,62 @@
             self.entries[entry.server] = entry
         self.changes.append(entry)
         self.listed[entry.server] = (self.clock.now, entry.state)
-        for number in self.subscribers:
-            if self.subscribers[number].on and not self.down:
-                delay = int(self.draws.uniform() * 2 * self.spec.spread_ms * MILLI)
-                self.clock.after(delay, self._push, number)
+        for router_index in self.subscribers:
+            if self.subscribers[router_index].active and not self.down:
+                delay = int(self.random_stream.uniform() * 2 * self.spec.spread_ms * MILLI)
+                self.clock.after(delay, self._push_changes, router_index)
 
-    def whole(self) -> list[api.Member]:
+    def all_entries(self) -> list[api.Member]:
+        """Returns the complete list."""
         return list(self.entries.values())
 
-    def forget(self, number: int) -> None:
-        """The router's process has ended."""
-        self.subscribers.pop(number, None)
+    def unsubscribe(self, router_index: int) -> None:
+        """Removes the watch of a router whose process has ended."""
+        self.subscribers.pop(router_index, None)
 
-    def subscribe(self, number: int, version: int, tell: Listener) -> None:
-        """A call: answered in turn with what has changed, or failed."""
+    def subscribe(self, router_index: int, version: int, notify: Listener) -> None:
+        """Starts a watch: answers, in order of the calls, with the changes since `version`.
+
+        The call fails where discovery is down or the wait would exceed the timeout.
+        """
         self.calls += 1
-        self.subscribers[number] = subscriber = Subscriber(tell, version)
+        self.subscribers[router_index] = subscriber = Subscriber(notify, version)
         now = self.clock.now
         lines = len(self.changes) - version
         cost = SECOND / self.spec.calls_per_s + lines * SECOND / self.spec.lines_per_s
         timeout = int(self.spec.timeout_ms * MILLI)
-        begin = max(now, self.free_at)
-        if self.down or begin - now > timeout:
+        starts_at = max(now, self.free_at)
+        if self.down or starts_at - now > timeout:
             self.failed += 1
-            self.clock.after(timeout if not self.down else MILLI, self._fail, (number, subscriber))
+            self.clock.after(timeout if not self.down else MILLI, self._fail, (router_index, subscriber))
             return
-        self.free_at = begin + int(cost * self.slower)
-        self.clock.at(self.free_at, self._subscribed, (number, subscriber))
+        self.free_at = starts_at + int(cost * self.slowdown)
+        self.clock.at(self.free_at, self._complete_subscription, (router_index, subscriber))
 
-    def break_off(self) -> None:
-        """Discovery goes down: every watch ends."""
+    def go_down(self) -> None:
+        """Takes discovery down, and ends every watch."""
         self.down = True
-        for number, subscriber in list(self.subscribers.items()):
-            self.clock.after(MILLI, self._fail, (number, subscriber))
-
-    def _fail(self, whose: tuple[int, Subscriber]) -> None:
-        number, subscriber = whose
-        if self.subscribers.get(number) is subscriber:
-            subscriber.on = False
-            subscriber.tell(api.Members(api.ListKind.FAILED, []), subscriber.version)
-
-    def _subscribed(self, whose: tuple[int, Subscriber]) -> None:
-        number, subscriber = whose
-        if self.subscribers.get(number) is subscriber:
-            subscriber.on = True
-            self._tell(subscriber)
-
-    def _push(self, number: int) -> None:
-        subscriber = self.subscribers.get(number)
-        if subscriber is not None and subscriber.on and subscriber.version < len(self.changes):
-            self._tell(subscriber)
-
-    def _tell(self, subscriber: Subscriber) -> None:
+        for router_index, subscriber in list(self.subscribers.items()):
+            self.clock.after(MILLI, self._fail, (router_index, subscriber))
+
+    def _fail(self, argument: tuple[int, Subscriber]) -> None:
+        router_index, subscriber = argument
+        if self.subscribers.get(router_index) is subscriber:
+            subscriber.active = False
+            subscriber.notify(api.Members(api.ListKind.FAILED, []), subscriber.version)
+
+    def _complete_subscription(self, argument: tuple[int, Subscriber]) -> None:
+        router_index, subscriber = argument
+        if self.subscribers.get(router_index) is subscriber:
+            subscriber.active = True
+            self._send_changes(subscriber)
+
+    def _push_changes(self, router_index: int) -> None:
+        subscriber = self.subscribers.get(router_index)
+        if subscriber is not None and subscriber.active and subscriber.version < len(self.changes):
+            self._send_changes(subscriber)
+
+    def _send_changes(self, subscriber: Subscriber) -> None:
         entries = self.changes[subscriber.version :]
         subscriber.version = len(self.changes)
-        subscriber.tell(api.Members(api.ListKind.DELTA, entries), subscriber.version)
+        subscriber.notify(api.Members(api.ListKind.DELTA, entries), subscriber.version)
--- a/applehub/lab/faults.py
+++ b/applehub/lab/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong, and when. Faults of the workload itself (bursts, hot keys) are drawn with it."""
+"""Schedules the faults of a scenario. Bursts, hot keys and other faults of the workload are drawn with it."""
 
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import replace
@@ -9,197 +9,211 @@
 from applehub.lab.clock import SECOND
 from applehub.lab.routers import RouterHost
 from applehub.lab.servers import CacheServer
-from applehub.lab.streams import Draws
-from applehub.lab.world import World
+from applehub.lab.simulation import Simulation
+from applehub.lab.streams import RandomStream
 
-Member = TypeVar("Member")
+T = TypeVar("T")
 
 
 def _ns(seconds: float) -> int:
     return int(seconds * SECOND)
 
 
-def _sample(population: Iterable[Member], part: float, draws: Draws) -> Iterator[Member]:
-    """Draws a part (0 to 1) of a population without replacement: none for 0, otherwise at least one.
+def _sample(population: Iterable[T], fraction: float, random_stream: RandomStream) -> Iterator[T]:
+    """Draws a fraction of a population without replacement: none for 0, otherwise at least one.
 
-    Each member is drawn as it is asked for, so that the caller may draw in between.
+    Members are drawn lazily, so that the caller may draw other numbers in between.
     """
-    left = list(population)
-    count = min(len(left), max(1, round(part * len(left)))) if part else 0
+    remaining = list(population)
+    count = min(len(remaining), max(1, round(fraction * len(remaining)))) if fraction else 0
     for _ in range(count):
-        yield left.pop(draws.below(len(left)))
-
-
-class Faults:
-    """Plans all faults of a play."""
-
-    def __init__(self, world: World) -> None:
-        self.world, self.clock = world, world.clock
-        planners: dict[type, Callable[[Any, Draws], None]] = {
-            spec.Neighbour: self._neighbours,
-            spec.Shrink: self._shrink,
-            spec.Sick: self._sick,
-            spec.ZoneLoss: self._zone_loss,
-            spec.Partition: self._partition,
-            spec.Breaks: self._breaks,
-            spec.Replace: self._shrink,
-            spec.KillRouters: self._kills,
-            spec.RollRouters: self._roll_routers,
-            spec.Reload: self._reload,
-            spec.DiscoveryTrouble: self._discovery,
+        yield remaining.pop(random_stream.below(len(remaining)))
+
+
+class FaultInjector:
+    """Schedules all faults of a simulation on its clock."""
+
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation, self.clock = simulation, simulation.clock
+        planners: dict[type, Callable[[Any, RandomStream], None]] = {
+            spec.NoisyNeighbour: self._schedule_neighbours,
+            spec.Shrink: self._schedule_drains,
+            spec.ServerFault: self._schedule_server_fault,
+            spec.ZoneLoss: self._schedule_zone_loss,
+            spec.Partition: self._schedule_partition,
+            spec.ConnectionFault: self._schedule_connection_fault,
+            spec.ServerReplacement: self._schedule_drains,
+            spec.KillRouters: self._schedule_kills,
+            spec.RollingRestart: self._schedule_rolling_restart,
+            spec.Reload: self._schedule_reload,
+            spec.DiscoveryFault: self._schedule_discovery_fault,
         }
-        for number, fault in enumerate(world.day.faults):
+        for number, fault in enumerate(simulation.scenario.faults):
             plan = planners.get(type(fault))
             if plan is not None:
-                plan(fault, world.draws(f"fault {number} struck"))
+                plan(fault, simulation.random_stream(f"fault {number} struck"))
 
-    def _between(self, at: float, length: float, switch: Callable[[bool], None]) -> None:
+    def _schedule_switch(self, at: float, length: float, switch: Callable[[bool], None]) -> None:
+        """Calls `switch` with True at `at` and with False `length` seconds later."""
         self.clock.at(_ns(at), lambda _: switch(True))
         self.clock.at(_ns(at + length), lambda _: switch(False))
 
-    def _some(self, part: float, draws: Draws) -> list[CacheServer]:
-        """A drawn part of the servers that the day begins with."""
-        return list(_sample(self.world.servers, part, draws))
+    def _sample_servers(self, fraction: float, random_stream: RandomStream) -> list[CacheServer]:
+        """Draws a fraction of the initial servers."""
+        return list(_sample(self.simulation.servers, fraction, random_stream))
 
     # Servers
 
-    def _neighbours(self, fault: spec.Neighbour, draws: Draws) -> None:
+    def _schedule_neighbours(self, fault: spec.NoisyNeighbour, random_stream: RandomStream) -> None:
         end = _ns(fault.at_s + fault.for_s)
-        for server in self._some(fault.part, draws):
-            step, at, on = _ns(fault.period_s * draws.between(0.5, 1.5)), _ns(fault.at_s), True
+        for server in self._sample_servers(fault.part, random_stream):
+            step, at, on = _ns(fault.period_s * random_stream.between(0.5, 1.5)), _ns(fault.at_s), True
             while at < end:
-                self.clock.at(at, self._take_cores, (server, fault.takes if on else 0.0))
+                self.clock.at(at, self._set_stolen_cores, (server, fault.takes if on else 0.0))
                 at, on = at + step, not on
-            self.clock.at(end, self._take_cores, (server, 0.0))
+            self.clock.at(end, self._set_stolen_cores, (server, 0.0))
 
-    def _take_cores(self, what: tuple[CacheServer, float]) -> None:
-        what[0].neighbour = what[1]
-        what[0].replan()
+    def _set_stolen_cores(self, argument: tuple[CacheServer, float]) -> None:
+        argument[0].stolen_core_share = argument[1]
+        argument[0].reschedule()
 
-    def _sick(self, fault: spec.Sick, draws: Draws) -> None:
-        for server in self._some(fault.part, draws):
-            self.clock.at(_ns(fault.at_s), self._fall_sick, (server, fault, True))
-            self.clock.at(_ns(fault.at_s + fault.for_s), self._fall_sick, (server, fault, False))
+    def _schedule_server_fault(self, fault: spec.ServerFault, random_stream: RandomStream) -> None:
+        for server in self._sample_servers(fault.part, random_stream):
+            self.clock.at(_ns(fault.at_s), self._set_server_fault, (server, fault, True))
+            self.clock.at(_ns(fault.at_s + fault.for_s), self._set_server_fault, (server, fault, False))
 
-    def _fall_sick(self, what: tuple[CacheServer, spec.Sick, bool]) -> None:
-        server, fault, on = what
+    def _set_server_fault(self, argument: tuple[CacheServer, spec.ServerFault, bool]) -> None:
+        server, fault, on = argument
         if fault.kind == "slow":
-            server.slowed = min(0.99, fault.size) if on else 0.0
-            server.replan()
+            server.slowdown = min(0.99, fault.size) if on else 0.0
+            server.reschedule()
         elif fault.kind == "failing":
-            server.failing = fault.size if on else server.spec.error_share
+            server.error_rate = fault.size if on else server.spec.error_share
         else:
-            server.silent = on
+            server.unresponsive = on
             if not on:
                 self._break_connections(server)
 
     def _break_connections(self, server: CacheServer) -> None:
-        """A machine that is back resets what was open while nobody heard of it."""
-        self.world.stop_server(server)
+        """Resets the connections that were open while the server was unresponsive."""
+        self.simulation.stop_server(server)
         server.up = True
 
-    def _shrink(self, fault: spec.Shrink | spec.Replace, draws: Draws) -> None:
-        """Servers drain and end in turn; where they are replaced, another joins as each begins to drain."""
-        leaving = self._some(fault.part, draws)
+    def _schedule_drains(
+        self, fault: spec.Shrink | spec.ServerReplacement, random_stream: RandomStream
+    ) -> None:
+        """Drains and stops servers one by one; on a replacement, a new one starts as each begins to drain."""
+        leaving = self._sample_servers(fault.part, random_stream)
         for number, server in enumerate(leaving):
             at = fault.at_s + fault.for_s * number / len(leaving)
-            if isinstance(fault, spec.Replace):
-                self.clock.at(_ns(at), self._join, server)
+            if isinstance(fault, spec.ServerReplacement):
+                self.clock.at(_ns(at), self._add_server, server)
             self.clock.at(_ns(at), self._drain, server)
-            self.clock.at(_ns(at + fault.drain_s), self._end, server)
+            self.clock.at(_ns(at + fault.drain_s), self._stop_server, server)
 
     def _drain(self, server: CacheServer) -> None:
-        self.world.registry.set(replace(self.world.entry(server), state=api.State.DRAINING))
+        self.simulation.registry.update(replace(self.simulation.entry(server), state=api.State.DRAINING))
 
-    def _end(self, server: CacheServer) -> None:
-        """A planned end: the list knows at once."""
-        self.world.stop_server(server)
-        self.world.registry.set(replace(self.world.entry(server), state=api.State.GONE))
+    def _stop_server(self, server: CacheServer) -> None:
+        """Stops a drained server; discovery is updated at once."""
+        self.simulation.stop_server(server)
+        self.simulation.registry.update(replace(self.simulation.entry(server), state=api.State.GONE))
 
-    def _join(self, like: CacheServer) -> None:
-        server = self.world.add_server(like.kind, like.zone)
+    def _add_server(self, replaced: CacheServer) -> None:
+        server = self.simulation.add_server(replaced.kind, replaced.zone)
         server.start()
-        self.world.registry.notice(self.world.entry(server), self.world.day.discovery.add_s)
+        self.simulation.registry.schedule_update(
+            self.simulation.entry(server), self.simulation.scenario.discovery.add_s
+        )
 
-    def _zone_loss(self, fault: spec.ZoneLoss, _: Draws) -> None:
-        for server in self.world.servers:
+    def _schedule_zone_loss(self, fault: spec.ZoneLoss, _: RandomStream) -> None:
+        for server in self.simulation.servers:
             if server.zone == fault.zone:
-                self.clock.at(_ns(fault.at_s), self._die, server)
-                self.clock.at(_ns(fault.at_s + fault.for_s), self._come_back, server)
+                self.clock.at(_ns(fault.at_s), self._crash_server, server)
+                self.clock.at(_ns(fault.at_s + fault.for_s), self._restart_server, server)
 
-    def _die(self, server: CacheServer) -> None:
-        self.world.stop_server(server)
-        gone = replace(self.world.entry(server), state=api.State.GONE)
-        self.world.registry.notice(gone, self.world.day.discovery.notice_s)
+    def _crash_server(self, server: CacheServer) -> None:
+        self.simulation.stop_server(server)
+        gone = replace(self.simulation.entry(server), state=api.State.GONE)
+        self.simulation.registry.schedule_update(gone, self.simulation.scenario.discovery.notice_s)
 
-    def _come_back(self, server: CacheServer) -> None:
+    def _restart_server(self, server: CacheServer) -> None:
         server.start()
-        self.world.registry.notice(self.world.entry(server), self.world.day.discovery.add_s)
+        self.simulation.registry.schedule_update(
+            self.simulation.entry(server), self.simulation.scenario.discovery.add_s
+        )
 
     # The network and discovery
 
-    def _partition(self, fault: spec.Partition, _: Draws) -> None:
-        cut, zone = self.world.net.cut, fault.zone
-        self._between(fault.at_s, fault.for_s, lambda on: cut.add(zone) if on else cut.discard(zone))
+    def _schedule_partition(self, fault: spec.Partition, _: RandomStream) -> None:
+        partitioned_zones, zone = self.simulation.net.partitioned_zones, fault.zone
+        self._schedule_switch(
+            fault.at_s,
+            fault.for_s,
+            lambda on: partitioned_zones.add(zone) if on else partitioned_zones.discard(zone),
+        )
 
-    def _breaks(self, fault: spec.Breaks, _: Draws) -> None:
-        net = self.world.net
+    def _schedule_connection_fault(self, fault: spec.ConnectionFault, _: RandomStream) -> None:
+        net = self.simulation.net
 
         def switch(on: bool) -> None:
-            net.lost, net.reset = (fault.lost, fault.reset) if on else (0.0, 0.0)
+            net.loss_rate, net.reset_rate = (fault.lost, fault.reset) if on else (0.0, 0.0)
 
-        self._between(fault.at_s, fault.for_s, switch)
+        self._schedule_switch(fault.at_s, fault.for_s, switch)
 
-    def _discovery(self, fault: spec.DiscoveryTrouble, _: Draws) -> None:
-        registry = self.world.registry
+    def _schedule_discovery_fault(self, fault: spec.DiscoveryFault, _: RandomStream) -> None:
+        registry = self.simulation.registry
 
         def switch(on: bool) -> None:
-            registry.slower = fault.slower if on else 1.0
+            registry.slowdown = fault.slower if on else 1.0
             if on and fault.down:
-                registry.break_off()
+                registry.go_down()
             elif not on:
                 registry.down = False
 
-        self._between(fault.at_s, fault.for_s, switch)
+        self._schedule_switch(fault.at_s, fault.for_s, switch)
 
     # Routers
 
-    def _kills(self, fault: spec.KillRouters, draws: Draws) -> None:
-        for router in _sample(self.world.routers, fault.part, draws):
-            down = fault.down_s * draws.between(0.5, 1.5) + self.world.day.routers.start_ms / 1000
-            self.clock.at(_ns(fault.at_s), self._kill, router)
+    def _schedule_kills(self, fault: spec.KillRouters, random_stream: RandomStream) -> None:
+        for router in _sample(self.simulation.routers, fault.part, random_stream):
+            down = (
+                fault.down_s * random_stream.between(0.5, 1.5)
+                + self.simulation.scenario.routers.start_ms / 1000
+            )
+            self.clock.at(_ns(fault.at_s), self._kill_router, router)
             self.clock.at(_ns(fault.at_s + down), self._start_router, router)
 
-    def _kill(self, router: RouterHost) -> None:
+    def _kill_router(self, router: RouterHost) -> None:
         router.stop()
-        self.world.clients.notice(router)
+        self.simulation.clients.schedule_health_update(router)
 
-    def _roll_routers(self, fault: spec.RollRouters, _: Draws) -> None:
-        routers = self.world.routers
+    def _schedule_rolling_restart(self, fault: spec.RollingRestart, _: RandomStream) -> None:
+        routers = self.simulation.routers
         for router in routers:
             batch = router.index * fault.batches // len(routers)
             at = fault.at_s + fault.for_s * batch / fault.batches
-            self.clock.at(_ns(at), self._restart, (router, fault.down_s))
+            self.clock.at(_ns(at), self._restart_router, (router, fault.down_s))
 
-    def _restart(self, what: tuple[RouterHost, float]) -> None:
-        router, down = what
-        self.world.clients.leave_out(router)
-        start = _ns(down + self.world.day.routers.start_ms / 1000)
+    def _restart_router(self, argument: tuple[RouterHost, float]) -> None:
+        router, down = argument
+        self.simulation.clients.mark_down(router)
+        start = _ns(down + self.simulation.scenario.routers.start_ms / 1000)
         router.drain(lambda one: self.clock.after(start, self._start_router, one))
 
     def _start_router(self, router: RouterHost) -> None:
-        self.world.start_router(router)
-        self.world.clients.notice(router)
+        self.simulation.start_router(router)
+        self.simulation.clients.schedule_health_update(router)
 
-    def _reload(self, fault: spec.Reload, _: Draws) -> None:
-        self.clock.at(_ns(fault.at_s), self._retune, fault)
+    def _schedule_reload(self, fault: spec.Reload, _: RandomStream) -> None:
+        self.clock.at(_ns(fault.at_s), self._change_settings, fault)
 
-    def _retune(self, fault: spec.Reload) -> None:
+    def _change_settings(self, fault: spec.Reload) -> None:
         max_attempts = fault.max_attempts
-        self.world.settings = replace(self.world.settings, max_attempts=max_attempts)
-        for router in self.world.routers:
+        self.simulation.settings = replace(self.simulation.settings, max_attempts=max_attempts)
+        for router in self.simulation.routers:
             if router.up:
                 router.max_attempts = max_attempts
-                router.deliver(api.Retuned(replace(self.world.settings)), router.alarm_cost)
+                router.deliver(api.Retuned(replace(self.simulation.settings)), router.timer_cost)
                 if fault.moves:
-                    router.move()
+                    router.restart_subscription()
--- a/applehub/lab/network.py
+++ b/applehub/lab/network.py
@@ -1,31 +1,39 @@
-"""Delays between zones, and what the network does to messages that cross it."""
+"""The emulated network: delays between zones, partitions, lost answers and reset connections."""
 
 from applehub.lab.clock import MILLI
 from applehub.lab.spec import Network
-from applehub.lab.streams import Draws
+from applehub.lab.streams import RandomStream
 
 
-class Net:
-    """One-way delays in ns. A zone that is cut off and the others hear nothing of each other."""
+class EmulatedNetwork:
+    """Network between clients, routers and servers. Delays are one-way, in ns."""
 
-    def __init__(self, spec: Network, draws: Draws) -> None:
-        self.draws = draws
-        self.same, self.cross = int(spec.same_ms * MILLI), int(spec.cross_ms * MILLI)
-        self.client = int(spec.client_ms * MILLI)
+    def __init__(self, spec: Network, random_stream: RandomStream) -> None:
+        self.random_stream = random_stream
+        self.same_zone, self.cross_zone = int(spec.same_ms * MILLI), int(spec.cross_ms * MILLI)
+        self.client_delay = int(spec.client_ms * MILLI)
         self.jitter = spec.jitter
         self.dial_timeout = int(spec.dial_timeout_ms * MILLI)
-        self.cut: set[int] = set()
-        self.lost = self.reset = 0.0  # parts of the answers
-
-    def delay(self, one: int, other: int) -> int:
-        base = self.same if one == other else self.cross
-        return int(base * (1 + self.jitter * (2 * self.draws.uniform() - 1)))
-
-    def apart(self, one: int, other: int) -> bool:
-        return bool(self.cut) and one != other and (one in self.cut or other in self.cut)
-
-    def loses(self) -> bool:
-        return self.lost > 0 and self.draws.uniform() < self.lost
-
-    def resets(self) -> bool:
-        return self.reset > 0 and self.draws.uniform() < self.reset
+        self.partitioned_zones: set[int] = set()
+        self.loss_rate = self.reset_rate = 0.0  # fractions of the answers
+
+    def delay(self, first: int, second: int) -> int:
+        """Draws the delay between two zones, with jitter."""
+        base = self.same_zone if first == second else self.cross_zone
+        return int(base * (1 + self.jitter * (2 * self.random_stream.uniform() - 1)))
+
+    def is_partitioned(self, first: int, second: int) -> bool:
+        """Returns whether a partition separates two zones."""
+        return (
+            bool(self.partitioned_zones)
+            and first != second
+            and (first in self.partitioned_zones or second in self.partitioned_zones)
+        )
+
+    def drops_answer(self) -> bool:
+        """Draws whether an answer is lost."""
+        return self.loss_rate > 0 and self.random_stream.uniform() < self.loss_rate
+
+    def resets_connection(self) -> bool:
+        """Draws whether the connection is reset before the answer."""
+        return self.reset_rate > 0 and self.random_stream.uniform() < self.reset_rate
--- a/applehub/lab/origin.py
+++ b/applehub/lab/origin.py
@@ -1,48 +1,61 @@
-"""The origin that all caches share: slow, bounded, and with a queue of its own."""
+"""The emulated origin that all cache servers share, with bounded capacity and a queue."""
 
 from applehub import interface as api
 from applehub.lab.clock import Clock
-from applehub.lab.servers import Job, Station
+from applehub.lab.servers import Job, ProcessorSharingQueue
 from applehub.lab.spec import Origin
-from applehub.lab.streams import Draws
+from applehub.lab.streams import RandomStream
 
-WRITE_WORK = 1.5  # of a write, by a read's mean
+WRITE_WORK_FACTOR = 1.5  # mean work of a write, relative to a read
 
 
-class OriginServer(Station):
-    """One server with many cores. It goes on with work that nobody waits for."""
+class OriginServer(ProcessorSharingQueue):
+    """The origin as one server with many cores. It also completes requests that were abandoned."""
 
-    def __init__(self, clock: Clock, name: str, spec: Origin, rate: float, aim: int, draws: Draws) -> None:
-        """rate: reads and writes a second that it can do; aim: the shortest, ns."""
-        self.work = spec.work_of_aim * aim  # of a read at speed 1, ns
-        cores = max(1, round(rate * self.work / 1e9))
-        speed = rate * self.work / 1e9 / cores
+    def __init__(
+        self,
+        clock: Clock,
+        name: str,
+        spec: Origin,
+        rate: float,
+        shortest_objective: int,
+        random_stream: RandomStream,
+    ) -> None:
+        """Args:
+        rate: Capacity, in reads and writes per second.
+        shortest_objective: Shortest latency objective of all classes, in ns.
+        """
+        self.read_work = spec.work_of_aim * shortest_objective  # mean, in ns at speed 1
+        cores = max(1, round(rate * self.read_work / 1e9))
+        speed = rate * self.read_work / 1e9 / cores
         super().__init__(clock, cores, speed, cores, max(1, int(rate * spec.queue_s)))
         self.choke, self.choke_at = spec.choke, cores * 4.0
-        self.id, self.spec, self.draws = name, spec, draws
-        self.together: dict[str, list[Job]] = {}  # reads that share one that is out, by key
+        self.id, self.spec, self.random_stream = name, spec, random_stream
+        self.coalesced: dict[str, list[Job]] = {}  # by key: reads that wait for one in progress
         self.reads = self.writes = self.rejected = 0
 
-    def take(self, attempt: Job) -> None:
-        """An attempt's last byte has come."""
+    def receive(self, attempt: Job) -> None:
+        """Processes an attempt whose last byte has arrived."""
         demand = attempt.asked.demand
         if demand.write:
             self.writes += 1
         else:
             self.reads += 1
-            if self.spec.coalesce and demand.key in self.together:
-                self.together[demand.key].append(attempt)
+            if self.spec.coalesce and demand.key in self.coalesced:
+                self.coalesced[demand.key].append(attempt)
                 return
-        work = self.work * (WRITE_WORK if demand.write else 1) * (0.5 + self.draws.uniform())
-        if not self.offer(attempt, int(work)):
+        work = (
+            self.read_work * (WRITE_WORK_FACTOR if demand.write else 1) * (0.5 + self.random_stream.uniform())
+        )
+        if not self.submit(attempt, int(work)):
             self.rejected += 1
             attempt.router.answered(attempt, api.Status.FULL, 0)
         elif self.spec.coalesce and not demand.write:
-            self.together[demand.key] = []
+            self.coalesced[demand.key] = []
 
-    def done(self, job: Job) -> None:
+    def job_done(self, job: Job) -> None:
         demand = job.asked.demand
-        others = [] if demand.write else self.together.pop(demand.key, [])
-        failed = self.spec.error_share and self.draws.uniform() < self.spec.error_share
-        for one in [job, *others]:
+        coalesced_jobs = [] if demand.write else self.coalesced.pop(demand.key, [])
+        failed = self.spec.error_share and self.random_stream.uniform() < self.spec.error_share
+        for one in [job, *coalesced_jobs]:
             one.router.answered(one, api.Status.ERROR if failed else api.Status.OK, 0)
--- a/applehub/lab/policies.py
+++ b/applehub/lab/policies.py
@@ -1,4 +1,4 @@
-"""Baselines behind the module's interface: where an experiment's floor and top lie."""
+"""Baseline policies with the decision module's interface, as lower and upper bounds for experiments."""
 
 import random
 from bisect import bisect
@@ -14,65 +14,66 @@
 from applehub.policy import Balancer
 from applehub.wirehost import Decider
 
-POINTS = 64  # of each server on the ring
-BOUND = 1.25  # times the mean of what is out that a server may have
-ASK_AGAIN = 1_000_000_000  # ns after a failed call to discovery
-NEVER_RAN = frozenset((api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.MOOT, api.Status.MISS))
+POINTS_PER_SERVER = 64  # on the hash ring
+LOAD_BOUND = 1.25  # limit of a server's attempts in flight, relative to the mean
+DISCOVERY_RETRY_DELAY = 1_000_000_000  # ns
+NOT_EXECUTED = frozenset((api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.MOOT, api.Status.MISS))
 
 
 @dataclass(slots=True, eq=False)
-class Job:
-    """A request that a baseline holds."""
+class PendingRequest:
+    """A request in progress."""
 
     request: api.Request
     at_origin: bool
-    made: int = 0
-    unsafe: bool = False  # an attempt that may have run rules out another
-    tried: set[str] = field(default_factory=set)
+    attempts_made: int = 0
+    retry_unsafe: bool = False  # an attempt may have executed a request that is not safe to repeat
+    tried_servers: set[str] = field(default_factory=set)
 
 
-class Plain:
-    """What all baselines do alike: caches by choice, the origin after a miss, another try after a failure."""
+class BaselinePolicy:
+    """Base of the baselines: sends reads to a chosen cache server, goes to the origin after a miss, and
+    retries after a failure."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings, self.random = settings, random.Random(seed)
-        self.ready: list[str] = []
+        self.ready_servers: list[str] = []
         self.members: dict[str, api.Member] = {}
         self.origin = ""
-        self.jobs: dict[str, Job] = {}
-        self.out: dict[str, int] = {}
-        self.total = 0
+        self.pending_requests: dict[str, PendingRequest] = {}
+        self.in_flight: dict[str, int] = {}
+        self.total_in_flight = 0
         self.now = 0
 
-    def choose(self, job: Job) -> str | None:
-        """A server for a read; none: refused."""
+    def choose(self, pending: PendingRequest) -> str | None:
+        """Returns the server for a read, or None to reject it."""
         raise NotImplementedError
 
-    def listed(self) -> None:
-        """The list has changed."""
+    def list_changed(self) -> None:
+        """Called after each change of the endpoint list."""
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Plays one event at its time."""
+        """Handles one event at time `now`, in ns, and returns the resulting actions."""
         self.now = now
         match event:
             case api.Request():
-                job = self.jobs[event.id] = Job(event, event.write)
-                return self._send(job)
+                pending = self.pending_requests[event.id] = PendingRequest(event, event.write)
+                return self._send(pending)
             case api.Outcome():
-                return self._ended(event)
+                return self._attempt_ended(event)
             case api.Withdrawn():
-                self.jobs.pop(event.id, None)
+                self.pending_requests.pop(event.id, None)
             case api.Members():
-                return self._list(event)
+                return self._update_list(event)
             case api.Alarm() if event.token == "ask":
                 return [api.Watch()]
             case api.Retuned():
                 self.settings = event.settings
         return []
 
-    def _list(self, event: api.Members) -> list[api.Action]:
+    def _update_list(self, event: api.Members) -> list[api.Action]:
         if event.kind is api.ListKind.FAILED:
-            return [api.Wake(ASK_AGAIN, "ask")]
+            return [api.Wake(DISCOVERY_RETRY_DELAY, "ask")]
         if event.kind is not api.ListKind.DELTA:
             self.members.clear()
         for entry in event.entries:
@@ -80,130 +81,151 @@
                 self.members.pop(entry.server, None)
             else:
                 self.members[entry.server] = entry
-        ready = [one for one in self.members.values() if one.state is api.State.READY]
-        self.ready = sorted(one.server for one in ready if one.kind != self.settings.origin_kind)
-        self.origin = next((one.server for one in ready if one.kind == self.settings.origin_kind), "")
-        self.listed()
+        ready_servers = [one for one in self.members.values() if one.state is api.State.READY]
+        self.ready_servers = sorted(
+            one.server for one in ready_servers if one.kind != self.settings.origin_kind
+        )
+        self.origin = next((one.server for one in ready_servers if one.kind == self.settings.origin_kind), "")
+        self.list_changed()
         return [api.Watch()] if event.kind is api.ListKind.CACHED and self.settings.must_ask else []
 
-    def _send(self, job: Job) -> list[api.Action]:
-        server = self.origin if job.at_origin else self.choose(job)
-        spent = job.made >= self.settings.max_attempts or self.now >= job.request.deadline
-        if not server or spent or job.unsafe:
-            del self.jobs[job.request.id]
-            return [api.Fail(job.request.id) if job.unsafe else api.Refuse(job.request.id)]
-        job.made += 1
-        job.tried.add(server)
-        self.out[server] = self.out.get(server, 0) + 1
-        self.total += 1
-        return [api.Send(job.request.id, server)]
-
-    def _ended(self, event: api.Outcome) -> list[api.Action]:
-        self.out[event.server] = max(0, self.out.get(event.server, 0) - 1)
-        self.total = max(0, self.total - 1)
-        job = self.jobs.get(event.id)
-        if event.closed or job is None:
-            self.jobs.pop(event.id, None)
+    def _send(self, pending: PendingRequest) -> list[api.Action]:
+        server = self.origin if pending.at_origin else self.choose(pending)
+        exhausted = (
+            pending.attempts_made >= self.settings.max_attempts or self.now >= pending.request.deadline
+        )
+        if not server or exhausted or pending.retry_unsafe:
+            del self.pending_requests[pending.request.id]
+            return [api.Fail(pending.request.id) if pending.retry_unsafe else api.Refuse(pending.request.id)]
+        pending.attempts_made += 1
+        pending.tried_servers.add(server)
+        self.in_flight[server] = self.in_flight.get(server, 0) + 1
+        self.total_in_flight += 1
+        return [api.Send(pending.request.id, server)]
+
+    def _attempt_ended(self, event: api.Outcome) -> list[api.Action]:
+        self.in_flight[event.server] = max(0, self.in_flight.get(event.server, 0) - 1)
+        self.total_in_flight = max(0, self.total_in_flight - 1)
+        pending = self.pending_requests.get(event.id)
+        if event.closed or pending is None:
+            self.pending_requests.pop(event.id, None)
             return []
-        if event.status not in NEVER_RAN:
-            effect = self.settings.classes[job.request.cls].effect
-            job.unsafe = effect is not api.Effect.SAFE
+        if event.status not in NOT_EXECUTED:
+            effect = self.settings.classes[pending.request.cls].effect
+            pending.retry_unsafe = effect is not api.Effect.SAFE
         if event.status is api.Status.MISS:
-            job.at_origin = True
-        return self._send(job)
+            pending.at_origin = True
+        return self._send(pending)
 
 
-class RandomChoice(Plain):
-    """Any server."""
+class RandomChoice(BaselinePolicy):
+    """Chooses a server uniformly at random."""
 
-    def choose(self, job: Job) -> str | None:
-        return self.ready[int(self.random.random() * len(self.ready))] if self.ready else None
+    def choose(self, pending: PendingRequest) -> str | None:
+        return (
+            self.ready_servers[int(self.random.random() * len(self.ready_servers))]
+            if self.ready_servers
+            else None
+        )
 
 
-class TwoChoices(Plain):
-    """Of two drawn servers the one with less out from here."""
+class TwoChoices(BaselinePolicy):
+    """Draws two servers and chooses the one with fewer attempts in flight from this router."""
 
-    def choose(self, job: Job) -> str | None:
-        if not self.ready:
+    def choose(self, pending: PendingRequest) -> str | None:
+        if not self.ready_servers:
             return None
-        one, other = (self.ready[int(self.random.random() * len(self.ready))] for _ in range(2))
-        return one if self.out.get(one, 0) <= self.out.get(other, 0) else other
+        one, other = (
+            self.ready_servers[int(self.random.random() * len(self.ready_servers))] for _ in range(2)
+        )
+        return one if self.in_flight.get(one, 0) <= self.in_flight.get(other, 0) else other
 
 
-class BoundedHash(Plain):
-    """Consistent hashing with bounded loads: the next on the ring that has not too much out from here."""
+class BoundedHash(BaselinePolicy):
+    """Consistent hashing with bounded loads: skips servers with too many attempts in flight from here."""
 
-    def listed(self) -> None:
-        ring = sorted((crc32(f"{name}#{n}".encode()), name) for name in self.ready for n in range(POINTS))
-        self.points, self.names = [point for point, _ in ring], [name for _, name in ring]
+    def list_changed(self) -> None:
+        ring = sorted(
+            (crc32(f"{name}#{n}".encode()), name)
+            for name in self.ready_servers
+            for n in range(POINTS_PER_SERVER)
+        )
+        self.ring_points, self.ring_servers = [point for point, _ in ring], [name for _, name in ring]
 
-    def choose(self, job: Job) -> str | None:
-        if not self.ready:
+    def choose(self, pending: PendingRequest) -> str | None:
+        if not self.ready_servers:
             return None
-        start = bisect(self.points, crc32((job.request.key or "").encode()))
-        most = 1 + BOUND * (self.total + 1) / len(self.ready)
-        for step in range(len(self.names)):
-            name = self.names[(start + step) % len(self.names)]
-            if name not in job.tried and self.out.get(name, 0) < most:
+        start = bisect(self.ring_points, crc32((pending.request.key or "").encode()))
+        limit = 1 + LOAD_BOUND * (self.total_in_flight + 1) / len(self.ready_servers)
+        for step in range(len(self.ring_servers)):
+            name = self.ring_servers[(start + step) % len(self.ring_servers)]
+            if name not in pending.tried_servers and self.in_flight.get(name, 0) < limit:
                 return name
-        return self.ready[0]
+        return self.ready_servers[0]
 
 
-class Sight(Protocol):
-    """The true state of a play, which no router sees."""
+class SystemState(Protocol):
+    """The true state of a simulation, which routers cannot observe."""
 
     mean_work: float
     origin: OriginServer
 
     def server(self, name: str) -> CacheServer:
-        """A cache server by its id."""
+        """Returns a cache server by its id."""
 
 
-class Oracle(Plain):
-    """Sees the true state: of the servers that store the key the one that is soonest done; else the origin by
-    way of the key's own server. Refuses what can't be timely."""
+class Oracle(BaselinePolicy):
+    """Chooses by the true state: the fastest server that stores the key, otherwise the fastest of the key's
+    candidates, which then miss. Rejects requests that cannot meet their latency objective."""
 
-    def __init__(self, settings: api.Settings, seed: int, sight: Sight) -> None:
+    def __init__(self, settings: api.Settings, seed: int, system_state: SystemState) -> None:
         super().__init__(settings, seed)
-        self.sight = sight
+        self.system_state = system_state
 
-    def _wait(self, name: str, work: float) -> float:
-        server = self.sight.server(name)
-        if not server.reachable or server.fallen or server.capacity <= 0:
+    def _expected_time(self, name: str, work: float) -> float:
+        server = self.system_state.server(name)
+        if not server.reachable or server.overloaded or server.capacity <= 0:
             return float("inf")
-        spread = max(1.0, (server.held + 1) / max(0.01, server.free_cores()))
-        return work * spread / server.pace()
-
-    def choose(self, job: Job) -> str | None:
-        key, work = job.request.key or "", self.sight.mean_work
-        due = self.settings.classes[job.request.cls].aim * 0.9
-        wait, name = self._soonest(
-            [one for one in self.ready if key in self.sight.server(one).memory], job, work
+        sharing_factor = max(1.0, (server.job_count + 1) / max(0.01, server.available_cores()))
+        return work * sharing_factor / server.core_speed()
+
+    def choose(self, pending: PendingRequest) -> str | None:
+        key, work = pending.request.key or "", self.system_state.mean_work
+        time_limit = self.settings.classes[pending.request.cls].aim * 0.9
+        expected_time, name = self._fastest(
+            [one for one in self.ready_servers if key in self.system_state.server(one).stored_keys],
+            pending,
+            work,
         )
-        if wait < due:
+        if expected_time < time_limit:
             return name
-        near = sorted(self.ready, key=lambda one: crc32(f"{one}{key}".encode()))[:4]
-        wait, name = self._soonest(near, job, work)
-        if wait >= due or self.sight.origin.held > 4 * self.sight.origin.slots:
+        candidates = sorted(self.ready_servers, key=lambda one: crc32(f"{one}{key}".encode()))[:4]
+        expected_time, name = self._fastest(candidates, pending, work)
+        if (
+            expected_time >= time_limit
+            or self.system_state.origin.job_count > 4 * self.system_state.origin.slots
+        ):
             return None
         return name
 
-    def _soonest(self, names: list[str], job: Job, work: float) -> tuple[float, str]:
-        places = [(self._wait(name, work), name) for name in names if name not in job.tried]
-        return min(places, default=(float("inf"), ""))
+    def _fastest(self, names: list[str], pending: PendingRequest, work: float) -> tuple[float, str]:
+        times = [
+            (self._expected_time(name, work), name) for name in names if name not in pending.tried_servers
+        ]
+        return min(times, default=(float("inf"), ""))
 
 
-BLIND: dict[str, type[Plain]] = {
+BASELINES: dict[str, type[BaselinePolicy]] = {
     "random": RandomChoice,
     "two-choices": TwoChoices,
     "bounded-hash": BoundedHash,
-}  # baselines that see no more than a router does
+}  # baselines that use only what a router can observe
 
 
-def maker(name: str, sight: Sight) -> Callable[[api.Settings, int], Decider]:
-    """What makes a router's decisions under a policy's name."""
+def policy_factory(name: str, system_state: SystemState) -> Callable[[api.Settings, int], Decider]:
+    """Returns the constructor of the decision module for a policy's name."""
     if name == "router":
         return Balancer
     if name == "oracle":
-        return partial(Oracle, sight=sight)
-    return BLIND[name]
+        return partial(Oracle, system_state=system_state)
+    return BASELINES[name]
--- a/applehub/lab/routers.py
+++ b/applehub/lab/routers.py
@@ -1,4 +1,4 @@
-"""Hosts of the routers: each plays one decision module and carries its actions out on the network."""
+"""Router hosts: each passes events to one decision module and executes its actions on the network."""
 
 from collections import deque
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 from applehub.lab.account import Account
 from applehub.lab.clock import MILLI, SECOND, Clock
 from applehub.lab.discovery import Registry
-from applehub.lab.network import Net
+from applehub.lab.network import EmulatedNetwork
 from applehub.lab.origin import OriginServer
 from applehub.lab.peering import Peering
 from applehub.lab.rules import Rules
@@ -18,176 +18,182 @@
 from applehub.policy import Balancer
 from applehub.wirehost import Decider
 
-STORES = 2  # servers that missed for a request and keep what the origin answered
-KILLED_AFTER = 700 * MILLI  # past the longest deadline, after SIGTERM
+MAX_STORES_PER_MISS = 2  # cache servers that store the origin's answer to one request
+TERMINATION_GRACE = 700 * MILLI  # ns past the longest deadline
 
 
 @dataclass(slots=True)
-class Surroundings:
-    """What all routers of a play share."""
+class RouterContext:
+    """Services and settings that all routers of a simulation share."""
 
     clock: Clock
     spec: spec.Routers
-    net: Net
+    net: EmulatedNetwork
     registry: Registry
-    places: dict[str, Place]
+    servers_by_id: dict[str, Place]
     servers: list[CacheServer]
     rules: Rules
     account: Account
     longest_deadline: int
-    answered: Callable[[Asked, str, int, int], None]  # the try, how, when to come back, the way to the client
+    answered: Callable[[Asked, str, int, int], None]  # client attempt, outcome, retry-after, delay in ns
     log: Callable[["RouterHost", str], None]
-    tipped: Callable[[CacheServer], None]
-    peering: Peering | None  # none: routers hear nothing of each other
+    on_overload: Callable[[CacheServer], None]
+    peering: Peering | None  # None: no gossip
 
 
 class RouterHost:
-    """One router: its processor, its connections, and what it holds."""
+    """One router: its processor, its connections and its requests in progress."""
 
-    def __init__(self, around: Surroundings, index: int, zone: int) -> None:
-        self.around, self.clock, self.index, self.zone = around, around.clock, index, zone
+    def __init__(self, context: RouterContext, index: int, zone: int) -> None:
+        self.context, self.clock, self.index, self.zone = context, context.clock, index, zone
         self.life = 0
-        self.up = self.taking = False
-        self.busy = 0  # until when its processor has work
-        self.cpu = 0
+        self.up = self.accepting = False
+        self.busy_until = 0  # when its processor has finished the work accepted so far
+        self.cpu_time = 0
         self.asked: dict[str, Asked] = {}
-        self.idle: dict[str, deque[tuple[int, int]]] = {}  # by server: idle since, its incarnation
+        # By server: start of the idle time, incarnation of the server.
+        self.idle_connections: dict[str, deque[tuple[int, int]]] = {}
         self.known: dict[str, api.Member] = {}
-        self.version = 0
-        self.told_away: dict[str, int] = {}  # when it was told that a server drains or is gone
-        self.asked_at = 0  # when it last asked discovery, and whether that is still on
+        self.list_version = 0
+        self.told_away: dict[str, int] = {}  # by server: when the list reported it draining or gone
+        self.asked_at = 0  # when it last started a watch
         self.subscribed = False
-        self.max_attempts = around.spec.max_attempts
-        costs = around.spec
+        self.max_attempts = context.spec.max_attempts
+        costs = context.spec
         self.request_cost, self.attempt_cost = int(costs.request_us * 1000), int(costs.attempt_us * 1000)
-        self.alarm_cost, self.member_cost = int(costs.alarm_us * 1000), int(costs.member_us * 1000)
-        self.idle_most = int(costs.idle_s * SECOND)
-        self.keeps = int(costs.keeps_s * SECOND)
-        self.kept: tuple[int, api.Learnt] | None = None  # when, and what it had learnt
+        self.timer_cost, self.list_entry_cost = int(costs.alarm_us * 1000), int(costs.member_us * 1000)
+        self.idle_timeout = int(costs.idle_s * SECOND)
+        self.save_interval = int(costs.keeps_s * SECOND)
+        self.saved_statistics: tuple[int, api.Learnt] | None = None  # with the time of saving
         self.decider: Decider
 
-    # Life
+    # Process lifetime
 
-    def start(self, make: Callable[[int], Decider]) -> None:
-        """A process starts, with the list as this router last had it and nothing else."""
+    def start(self, make_policy: Callable[[int], Decider]) -> None:
+        """Starts a process with the cached list and the saved statistics, if any."""
         self.life += 1
-        self.up = self.taking = True
-        self.busy = self.clock.now
+        self.up = self.accepting = True
+        self.busy_until = self.clock.now
         self.subscribed, self.asked_at = False, self.clock.now
-        self.max_attempts = self.around.spec.max_attempts
-        self.decider = make(self.life)
-        self._members(api.Members(api.ListKind.CACHED, list(self.known.values())), self.version)
-        if self.kept is not None:
-            at, learnt = self.kept
-            self.deliver(replace(learnt, age=self.clock.now - at), self.member_cost * len(learnt.servers))
-        if self.keeps and isinstance(self.decider, Balancer):
-            self.clock.after(self.keeps, self._keep, self.life)
-        if self.around.peering is not None:
-            self.around.peering.start(self)
-
-    def _keep(self, life: int) -> None:
+        self.max_attempts = self.context.spec.max_attempts
+        self.decider = make_policy(self.life)
+        self._receive_list(api.Members(api.ListKind.CACHED, list(self.known.values())), self.list_version)
+        if self.saved_statistics is not None:
+            at, statistics = self.saved_statistics
+            self.deliver(
+                replace(statistics, age=self.clock.now - at), self.list_entry_cost * len(statistics.servers)
+            )
+        if self.save_interval and isinstance(self.decider, Balancer):
+            self.clock.after(self.save_interval, self._save_statistics, self.life)
+        if self.context.peering is not None:
+            self.context.peering.start(self)
+
+    def _save_statistics(self, life: int) -> None:
         if self.life == life and isinstance(self.decider, Balancer):
-            self.kept = self.clock.now, self.decider.learnt()
-            self.clock.after(self.keeps, self._keep, life)
+            self.saved_statistics = self.clock.now, self.decider.learnt()
+            self.clock.after(self.save_interval, self._save_statistics, life)
 
     def stop(self) -> None:
-        """The process ends at once: clients see their connections break."""
-        self.up = self.taking = False
+        """Ends the process at once, as SIGKILL does; its clients see their connections break."""
+        self.up = self.accepting = False
         self.life += 1
-        self.around.registry.forget(self.index)
-        for asked in list(self.asked.values()):
-            for attempt in asked.out.values():
+        self.context.registry.unsubscribe(self.index)
+        for client_attempt in list(self.asked.values()):
+            for attempt in client_attempt.out.values():
                 attempt.ended = True
-                self._unlink(attempt)
-            if asked.final < 0:
-                asked.final = self.clock.now
-                self._note(asked, "router died")
-                self.around.answered(asked, "unreachable", 0, self.around.net.client)
+                self._release_connection(attempt)
+            if client_attempt.final < 0:
+                client_attempt.final = self.clock.now
+                self._record_event(client_attempt, "router stopped")
+                self.context.answered(client_attempt, "unreachable", 0, self.context.net.client_delay)
         self.asked.clear()
-        for name, idle in self.idle.items():
-            server = self.around.places[name]
-            for _, incarnation in idle:
-                self._disconnect(server, incarnation)
-        self.idle.clear()
-
-    def drain(self, then: Callable[["RouterHost"], None]) -> None:
-        """SIGTERM: takes nothing new, and ends once all is answered or its time is up."""
-        self.taking = False
-        self._drained((self.clock.now + self.around.longest_deadline + KILLED_AFTER, self.life, then))
-
-    def _drained(self, whose: tuple[int, int, Callable[["RouterHost"], None]]) -> None:
-        by, life, then = whose
+        for name, idle_connections in self.idle_connections.items():
+            server = self.context.servers_by_id[name]
+            for _, incarnation in idle_connections:
+                self._close_connection(server, incarnation)
+        self.idle_connections.clear()
+
+    def drain(self, on_stopped: Callable[["RouterHost"], None]) -> None:
+        """Shuts down gracefully, as on SIGTERM: accepts no requests, and stops once all are answered or the
+        grace period has passed."""
+        self.accepting = False
+        self._check_drained(
+            (self.clock.now + self.context.longest_deadline + TERMINATION_GRACE, self.life, on_stopped)
+        )
+
+    def _check_drained(self, argument: tuple[int, int, Callable[["RouterHost"], None]]) -> None:
+        deadline, life, on_stopped = argument
         if self.life != life:
             return
-        if self.asked and self.clock.now < by:
-            self.clock.after(20 * MILLI, self._drained, whose)
+        if self.asked and self.clock.now < deadline:
+            self.clock.after(20 * MILLI, self._check_drained, argument)
             return
         self.stop()
-        then(self)
+        on_stopped(self)
 
     # Events
 
     def deliver(self, event: api.Event, cost: int) -> None:
-        """An event reaches the process, which plays it once its processor is free."""
-        begin = max(self.clock.now, self.busy)
-        self.busy = begin + cost
-        self.cpu += cost
-        if begin == self.clock.now:
-            self._play((self.life, event))
+        """Queues an event, which the decision module handles once the processor is free."""
+        starts_at = max(self.clock.now, self.busy_until)
+        self.busy_until = starts_at + cost
+        self.cpu_time += cost
+        if starts_at == self.clock.now:
+            self._handle((self.life, event))
         else:
-            self.clock.at(begin, self._play, (self.life, event))
+            self.clock.at(starts_at, self._handle, (self.life, event))
 
     def work(self, cost: int) -> None:
-        """The processor has that much more to do."""
-        self.busy = max(self.clock.now, self.busy) + cost
-        self.cpu += cost
+        """Adds work to the processor, in ns."""
+        self.busy_until = max(self.clock.now, self.busy_until) + cost
+        self.cpu_time += cost
 
-    def _play(self, what: tuple[int, api.Event]) -> None:
-        life, event = what
+    def _handle(self, argument: tuple[int, api.Event]) -> None:
+        life, event = argument
         if life != self.life or not self.up:
             return
-        if type(event) is api.Withdrawn and not self._withdrawn(event.id):
+        if type(event) is api.Withdrawn and not self._cancel(event.id):
             return
         for action in self.decider.handle(self.clock.now, event):
             match action:
                 case api.Send():
                     self._send(action)
                 case api.Refuse():
-                    self._final(action.id, "refused", action.retry_after)
+                    self._finish(action.id, "refused", action.retry_after)
                 case api.Fail():
-                    self._final(action.id, "failed", 0)
+                    self._finish(action.id, "failed", 0)
                 case api.Wake():
-                    self.clock.after(action.delay, self._alarm, (self.life, action.token))
+                    self.clock.after(action.delay, self._fire_timer, (self.life, action.token))
                 case api.Watch():
                     self._subscribe()
                 case api.Log():
-                    self.around.log(self, action.text)
+                    self.context.log(self, action.text)
                 case api.Tell():
-                    assert self.around.peering is not None  # none tells that was not told that it may
-                    self.around.peering.say(self, action)
+                    assert self.context.peering is not None  # gossip is published only where it is enabled
+                    self.context.peering.say(self, action)
 
-    def _alarm(self, what: tuple[int, str]) -> None:
-        if what[0] == self.life:
-            self.deliver(api.Alarm(what[1]), self.alarm_cost)
+    def _fire_timer(self, argument: tuple[int, str]) -> None:
+        if argument[0] == self.life:
+            self.deliver(api.Alarm(argument[1]), self.timer_cost)
 
     def _subscribe(self) -> None:
         self.asked_at = self.clock.now
         life = self.life
 
-        def told(event: api.Members, version: int) -> None:
+        def on_list(event: api.Members, version: int) -> None:
             if self.life == life:
                 self.subscribed = event.kind is not api.ListKind.FAILED
-                self._members(event, version)
+                self._receive_list(event, version)
 
-        self.around.registry.subscribe(self.index, self.version, told)
+        self.context.registry.subscribe(self.index, self.list_version, on_list)
 
-    def move(self) -> None:
-        """Discovery is elsewhere from now on: a watch that is on begins anew there, at once."""
+    def restart_subscription(self) -> None:
+        """Restarts an active watch, as after a change of the discovery address."""
         if self.up and self.subscribed:
             self._subscribe()
 
-    def _members(self, event: api.Members, version: int) -> None:
-        self.version = version
+    def _receive_list(self, event: api.Members, version: int) -> None:
+        self.list_version = version
         for entry in event.entries:
             if entry.state is api.State.READY:
                 self.told_away.pop(entry.server, None)
@@ -195,249 +201,270 @@
                 self.told_away.setdefault(entry.server, self.clock.now)
             if entry.state is api.State.GONE:
                 self.known.pop(entry.server, None)
-                self._forget(entry.server)
+                self._close_idle_to(entry.server)
             else:
                 self.known[entry.server] = entry
-        self.deliver(event, self.member_cost * (1 + len(event.entries)))
+        self.deliver(event, self.list_entry_cost * (1 + len(event.entries)))
 
-    def _forget(self, name: str) -> None:
-        server = self.around.places[name]
-        for _, incarnation in self.idle.pop(name, ()):
-            self._disconnect(server, incarnation)
+    def _close_idle_to(self, name: str) -> None:
+        server = self.context.servers_by_id[name]
+        for _, incarnation in self.idle_connections.pop(name, ()):
+            self._close_connection(server, incarnation)
 
     # Requests
 
-    def take(self, asked: Asked) -> None:
-        """A client's last byte has come."""
+    def receive(self, client_attempt: Asked) -> None:
+        """Accepts a client's request whose last byte has arrived."""
         if not self.up:
-            self.around.answered(asked, "unreachable", 0, self.around.net.client)
+            self.context.answered(client_attempt, "unreachable", 0, self.context.net.client_delay)
             return
-        demand = asked.demand
-        self.asked[asked.id] = asked
-        request = api.Request(asked.id, demand.cls, asked.deadline, demand.key, demand.write, 0, asked.retry)
-        self._note(asked, f"taken by router {self.index}")
+        demand = client_attempt.demand
+        self.asked[client_attempt.id] = client_attempt
+        request = api.Request(
+            client_attempt.id,
+            demand.cls,
+            client_attempt.deadline,
+            demand.key,
+            demand.write,
+            0,
+            client_attempt.retry,
+        )
+        self._record_event(client_attempt, f"received by router {self.index}")
         self.deliver(request, self.request_cost)
 
-    def withdraw(self, asked: Asked) -> None:
-        """The client has left early."""
-        if self.up and asked.final < 0 and asked.id in self.asked:
-            self.deliver(api.Withdrawn(asked.id), self.alarm_cost)
+    def withdraw(self, client_attempt: Asked) -> None:
+        """Reports to the decision module that the client has closed the request early."""
+        if self.up and client_attempt.final < 0 and client_attempt.id in self.asked:
+            self.deliver(api.Withdrawn(client_attempt.id), self.timer_cost)
 
-    def _withdrawn(self, name: str) -> bool:
-        """Ends a request as its router hears of it, and not before; whether it was open."""
-        asked = self.asked.get(name)
-        if asked is None or asked.final >= 0:
+    def _cancel(self, name: str) -> bool:
+        """Ends a cancelled request once its router handles the event; returns whether it was still open."""
+        client_attempt = self.asked.get(name)
+        if client_attempt is None or client_attempt.final >= 0:
             return False
-        asked.final = self.clock.now
-        self._note(asked, "withdrawn")
-        self._release(asked)
+        client_attempt.final = self.clock.now
+        self._record_event(client_attempt, "cancelled by the client")
+        self._release_if_finished(client_attempt)
         return True
 
-    def _final(self, name: str, how: str, retry_after: int) -> None:
-        asked = self.asked.get(name)
-        if asked is None or asked.final >= 0:
+    def _finish(self, name: str, outcome: str, retry_after: int) -> None:
+        client_attempt = self.asked.get(name)
+        if client_attempt is None or client_attempt.final >= 0:
             return
-        if how == "refused":
-            self.around.rules.refusing(asked)
-        asked.final = self.clock.now
-        self._note(asked, how)
-        self.around.answered(asked, how, retry_after, self.around.net.client + self._behind())
-        self._release(asked)
+        if outcome == "refused":
+            self.context.rules.refusing(client_attempt)
+        client_attempt.final = self.clock.now
+        self._record_event(client_attempt, outcome)
+        self.context.answered(
+            client_attempt, outcome, retry_after, self.context.net.client_delay + self._backlog()
+        )
+        self._release_if_finished(client_attempt)
 
-    def _behind(self) -> int:
-        """How long its processor still has work with what came before now."""
-        return max(0, self.busy - self.clock.now)
+    def _backlog(self) -> int:
+        """Returns how long its processor is busy with earlier work, in ns."""
+        return max(0, self.busy_until - self.clock.now)
 
-    def _release(self, asked: Asked) -> None:
-        if asked.final >= 0 and not asked.out:
-            self.asked.pop(asked.id, None)
+    def _release_if_finished(self, client_attempt: Asked) -> None:
+        if client_attempt.final >= 0 and not client_attempt.out:
+            self.asked.pop(client_attempt.id, None)
 
     # Attempts
 
     def _send(self, action: api.Send) -> None:
-        now, asked, server = self.clock.now, self.asked.get(action.id), self.around.places[action.server]
-        if asked is None:
-            self.around.rules.unknown(action, self)
+        now, client_attempt, server = (
+            self.clock.now,
+            self.asked.get(action.id),
+            self.context.servers_by_id[action.server],
+        )
+        if client_attempt is None:
+            self.context.rules.unknown(action, self)
             return
-        number, asked.made = asked.made, asked.made + 1
+        number, client_attempt.made = client_attempt.made, client_attempt.made + 1
         incarnation = server.incarnation if isinstance(server, CacheServer) else 0
-        attempt = Attempt(asked, number, self, server, now, self.life, incarnation)
-        left = asked.deadline - now
-        wait = min(action.timeout, left) if action.timeout > 0 else left
-        if not self.around.rules.sending(attempt) or wait <= 0:
-            asked.out[number] = attempt
-            self.clock.after(0, self._moot, attempt)
+        attempt = Attempt(client_attempt, number, self, server, now, self.life, incarnation)
+        time_left = client_attempt.deadline - now
+        timeout = min(action.timeout, time_left) if action.timeout > 0 else time_left
+        if not self.context.rules.sending(attempt) or timeout <= 0:
+            client_attempt.out[number] = attempt
+            self.clock.after(0, self._end_unsent, attempt)
             return
-        asked.out[number] = asked.live[number] = attempt
-        self._note(asked, f"attempt {number} to {server.id}, {wait / MILLI:.0f} ms")
-        self.clock.after(wait, self._timed_out, attempt)
-        self._dial(attempt)
-
-    def _moot(self, attempt: Attempt) -> None:
-        self._ended(attempt, api.Status.MOOT, 0, None)
-
-    def _dial(self, attempt: Attempt) -> None:
-        """Takes an idle connection, the one used last, or opens one."""
-        server, net, account = attempt.server, self.around.net, self.around.account
-        behind = self._behind()
+        client_attempt.out[number] = client_attempt.live[number] = attempt
+        self._record_event(client_attempt, f"attempt {number} to {server.id}, {timeout / MILLI:.0f} ms")
+        self.clock.after(timeout, self._timed_out, attempt)
+        self._connect(attempt)
+
+    def _end_unsent(self, attempt: Attempt) -> None:
+        self._end_attempt(attempt, api.Status.MOOT, 0, None)
+
+    def _connect(self, attempt: Attempt) -> None:
+        """Reuses the most recently used idle connection, or opens a new one."""
+        server, net, account = attempt.server, self.context.net, self.context.account
+        backlog = self._backlog()
         if isinstance(server, OriginServer):
-            self.clock.after(behind + net.delay(0, 1), self._arrive, attempt)
+            self.clock.after(backlog + net.delay(0, 1), self._reach_server, attempt)
             return
         if server.zone != self.zone:
             account.crossings += 1
-        if self._reuse(attempt):
-            self.clock.after(behind + net.delay(self.zone, server.zone), self._arrive, attempt)
+        if self._reuse_connection(attempt):
+            self.clock.after(backlog + net.delay(self.zone, server.zone), self._reach_server, attempt)
             return
         attempt.opened = True
         account.handshakes += 1
-        if net.apart(self.zone, server.zone) or server.silent:
-            self.clock.after(net.dial_timeout, self._refused, attempt)
+        if net.is_partitioned(self.zone, server.zone) or server.unresponsive:
+            self.clock.after(net.dial_timeout, self._connect_failed, attempt)
             return
-        way = net.delay(self.zone, server.zone)
-        self.clock.after(behind + int(way * 2 * server.spec.handshake_rtts), self._connected, attempt)
-
-    def _reuse(self, attempt: Attempt) -> bool:
-        idle = self.idle.get(attempt.server.id)
-        while idle:
-            since, incarnation = idle.pop()
-            if self.clock.now - since < self.idle_most:
+        delay = net.delay(self.zone, server.zone)
+        self.clock.after(backlog + int(delay * 2 * server.spec.handshake_rtts), self._connected, attempt)
+
+    def _reuse_connection(self, attempt: Attempt) -> bool:
+        idle_connections = self.idle_connections.get(attempt.server.id)
+        while idle_connections:
+            since, incarnation = idle_connections.pop()
+            if self.clock.now - since < self.idle_timeout:
                 attempt.incarnation = incarnation
                 attempt.linked = True
                 return True
-            self._disconnect(attempt.server, incarnation)
+            self._close_connection(attempt.server, incarnation)
         return False
 
     def _connected(self, attempt: Attempt) -> None:
-        """The handshake is over, or is refused."""
+        """Completes the handshake, or fails where the server is down or its connection table is full."""
         server = attempt.server
         assert isinstance(server, CacheServer)
         full = server.connections >= server.spec.connections_per_core * server.cores
         if attempt.ended:
             return
-        if not server.up or server.fallen or full:
-            self._refused(attempt)
+        if not server.up or server.overloaded or full:
+            self._connect_failed(attempt)
             return
         attempt.incarnation = server.incarnation
         attempt.linked = True
         server.connections += 1
-        self.clock.after(self.around.net.delay(self.zone, server.zone), self._arrive, attempt)
+        self.clock.after(self.context.net.delay(self.zone, server.zone), self._reach_server, attempt)
 
-    def _refused(self, attempt: Attempt) -> None:
+    def _connect_failed(self, attempt: Attempt) -> None:
         if not attempt.ended:
-            self.around.account.refused_connects += 1
-            self._ended(attempt, api.Status.CONNECT_FAILED, 0, None)
+            self.context.account.refused_connects += 1
+            self._end_attempt(attempt, api.Status.CONNECT_FAILED, 0, None)
 
-    def _arrive(self, attempt: Attempt) -> None:
-        """The attempt's last byte is at the server."""
-        server, net = attempt.server, self.around.net
+    def _reach_server(self, attempt: Attempt) -> None:
+        """Delivers an attempt, whose last byte has arrived at the server."""
+        server, net = attempt.server, self.context.net
         if attempt.ended and not attempt.linked:
             return
         attempt.written = True
-        self.around.account.attempts += 1
+        self.context.account.attempts += 1
         if isinstance(server, OriginServer):
-            server.take(attempt)
+            server.receive(attempt)
             return
-        if net.apart(self.zone, server.zone) or server.silent:
+        if net.is_partitioned(self.zone, server.zone) or server.unresponsive:
             return
-        if not server.up or server.fallen or server.incarnation != attempt.incarnation:
-            self.clock.after(net.delay(self.zone, server.zone), self._broken, attempt)
+        if not server.up or server.overloaded or server.incarnation != attempt.incarnation:
+            self.clock.after(net.delay(self.zone, server.zone), self._reset, attempt)
             return
-        informed = self.around.rules.informed_of_start(self, server)
-        if server.take(attempt, informed):
-            self.around.tipped(server)
+        informed = self.context.rules.informed_of_start(self, server)
+        if server.receive(attempt, informed):
+            self.context.on_overload(server)
 
-    def _broken(self, attempt: Attempt) -> None:
+    def _reset(self, attempt: Attempt) -> None:
         if not attempt.ended and attempt.life == self.life:
-            self._ended(attempt, api.Status.RESET, 0, None)
+            self._end_attempt(attempt, api.Status.RESET, 0, None)
 
     def broken(self, attempt: Attempt) -> None:
-        """The server's process has ended under an attempt."""
+        """Reports the end of the server's process to a waiting attempt, after the network delay."""
         server = attempt.server
         assert isinstance(server, CacheServer)
-        self.clock.after(self.around.net.delay(self.zone, server.zone), self._broken, attempt)
+        self.clock.after(self.context.net.delay(self.zone, server.zone), self._reset, attempt)
 
     def answered(self, attempt: Attempt, status: api.Status, note: int) -> None:
-        """A server has answered; the answer is on its way."""
-        server, net, demand = attempt.server, self.around.net, attempt.asked.demand
+        """Sends a server's answer back over the network, which may lose it or reset the connection."""
+        server, net, demand = attempt.server, self.context.net, attempt.asked.demand
         if isinstance(server, OriginServer):
             if status is api.Status.OK:
-                self._carried_out(attempt)
-            self.clock.after(net.delay(0, 1), self._back, (attempt, status, note, None))
+                self._update_caches(attempt)
+            self.clock.after(net.delay(0, 1), self._receive_answer, (attempt, status, note, None))
             return
         if attempt.ended and status is api.Status.OK:
-            self.around.account.wasted += demand.work
-        if net.apart(self.zone, server.zone) or server.silent or net.loses():
+            self.context.account.wasted += demand.work
+        if net.is_partitioned(self.zone, server.zone) or server.unresponsive or net.drops_answer():
             return
-        if net.resets():
+        if net.resets_connection():
             self.broken(attempt)
             return
-        way = net.delay(self.zone, server.zone)
-        self.clock.after(way, self._back, (attempt, status, note, server.load()))
+        delay = net.delay(self.zone, server.zone)
+        self.clock.after(delay, self._receive_answer, (attempt, status, note, server.load()))
 
-    def _carried_out(self, attempt: Attempt) -> None:
-        """A write voids the copies of its key; a read that is waited for is stored where it missed."""
-        asked, demand = attempt.asked, attempt.asked.demand
+    def _update_caches(self, attempt: Attempt) -> None:
+        """Invalidates the cached copies of a written key; stores a read, if still wanted, where it missed."""
+        client_attempt, demand = attempt.asked, attempt.asked.demand
         if demand.write:
-            for server in self.around.servers:
-                server.memory.pop(demand.key, None)
-        elif asked.final < 0 and not attempt.ended:
-            for server in asked.missed[:STORES]:
-                if server.up and not server.fallen:
+            for server in self.context.servers:
+                server.stored_keys.pop(demand.key, None)
+        elif client_attempt.final < 0 and not attempt.ended:
+            for server in client_attempt.missed[:MAX_STORES_PER_MISS]:
+                if server.up and not server.overloaded:
                     server.store(demand.key)
 
-    def _back(self, what: tuple[Attempt, api.Status, int, api.Load | None]) -> None:
-        attempt, status, note, load = what
+    def _receive_answer(self, argument: tuple[Attempt, api.Status, int, api.Load | None]) -> None:
+        attempt, status, note, load = argument
         if attempt.ended or attempt.life != self.life:
             return
-        self._ended(attempt, status, note, load)
+        self._end_attempt(attempt, status, note, load)
 
     def _timed_out(self, attempt: Attempt) -> None:
         if not attempt.ended and attempt.life == self.life:
-            self._ended(attempt, api.Status.TIMEOUT if attempt.written else api.Status.MOOT, 0, None)
+            self._end_attempt(attempt, api.Status.TIMEOUT if attempt.written else api.Status.MOOT, 0, None)
 
-    def _ended(self, attempt: Attempt, status: api.Status, note: int, load: api.Load | None) -> None:
-        asked, server, now = attempt.asked, attempt.server, self.clock.now
+    def _end_attempt(self, attempt: Attempt, status: api.Status, note: int, load: api.Load | None) -> None:
+        client_attempt, server, now = attempt.asked, attempt.server, self.clock.now
         attempt.ended = True
         broken = status in (api.Status.RESET, api.Status.TIMEOUT, api.Status.CONNECT_FAILED, api.Status.MOOT)
         if broken:
-            self._unlink(attempt)
+            self._release_connection(attempt)
         elif attempt.linked:
-            self.idle.setdefault(server.id, deque()).append((now, attempt.incarnation))
-        asked.out.pop(attempt.number, None)
+            self.idle_connections.setdefault(server.id, deque()).append((now, attempt.incarnation))
+        client_attempt.out.pop(attempt.number, None)
         if status in (api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.MOOT, api.Status.MISS):
-            asked.live.pop(attempt.number, None)
+            client_attempt.live.pop(attempt.number, None)
         if status is api.Status.MISS and isinstance(server, CacheServer):
-            asked.missed.append(server)
-        asked.last = self.around.account.ended(status, server)
-        self._note(asked, f"attempt {attempt.number} at {server.id}: {status}")
-        won = status is api.Status.OK and asked.final < 0
-        if won:
-            asked.final = now
+            client_attempt.missed.append(server)
+        client_attempt.last = self.context.account.ended(status, server)
+        self._record_event(client_attempt, f"attempt {attempt.number} at {server.id}: {status}")
+        succeeded = status is api.Status.OK and client_attempt.final < 0
+        if succeeded:
+            client_attempt.final = now
         event = api.Outcome(
-            asked.id, attempt.number, server.id, status, asked.final >= 0, now - attempt.sent, note, load
+            client_attempt.id,
+            attempt.number,
+            server.id,
+            status,
+            client_attempt.final >= 0,
+            now - attempt.sent,
+            note,
+            load,
         )
         self.deliver(event, self.attempt_cost)
-        if won:
-            self.around.answered(asked, "ok", 0, self.around.net.client + self._behind())
-        self._release(asked)
+        if succeeded:
+            self.context.answered(client_attempt, "ok", 0, self.context.net.client_delay + self._backlog())
+        self._release_if_finished(client_attempt)
 
     # Connections
 
-    def _unlink(self, attempt: Attempt) -> None:
+    def _release_connection(self, attempt: Attempt) -> None:
         if attempt.linked:
             attempt.linked = False
-            self._disconnect(attempt.server, attempt.incarnation)
+            self._close_connection(attempt.server, attempt.incarnation)
 
-    def _disconnect(self, server: Place, incarnation: int) -> None:
+    def _close_connection(self, server: Place, incarnation: int) -> None:
         if isinstance(server, CacheServer) and server.incarnation == incarnation and server.connections:
             server.connections -= 1
 
-    def sweep(self) -> None:
-        """Closes what has idled too long, those first that idle longest."""
-        before = self.clock.now - self.idle_most
-        for name, idle in self.idle.items():
-            while idle and idle[0][0] < before:
-                self._disconnect(self.around.places[name], idle.popleft()[1])
+    def close_idle_connections(self) -> None:
+        """Closes the connections that exceed the idle timeout, the longest idle first."""
+        idle_before = self.clock.now - self.idle_timeout
+        for name, idle_connections in self.idle_connections.items():
+            while idle_connections and idle_connections[0][0] < idle_before:
+                self._close_connection(self.context.servers_by_id[name], idle_connections.popleft()[1])
 
-    def _note(self, asked: Asked, text: str) -> None:
-        asked.events.append((self.clock.now, text))
+    def _record_event(self, client_attempt: Asked, text: str) -> None:
+        client_attempt.events.append((self.clock.now, text))
--- a/applehub/lab/servers.py
+++ b/applehub/lab/servers.py
@@ -1,4 +1,4 @@
-"""Cache servers: shared cores, a bounded memory, a connection table, warm-up and tipping."""
+"""Emulated cache servers: shared cores, an LRU cache, a connection limit, slow start and overload."""
 
 import math
 from collections import deque
@@ -9,157 +9,159 @@
 from applehub.lab.clock import MILLI, SECOND, Clock
 from applehub.lab.demand import Demand
 from applehub.lab.spec import Kind, Servers
-from applehub.lab.streams import Draws
+from applehub.lab.streams import RandomStream
 
-LONG_AGO = -(1 << 62)
-FALLS = 3  # roots of its budget, and calls beside, past which a cold server falls over
-CHANCE = 2  # the same, up to which what passes its budget is put down to chance
-EVENTS_KEPT = 8
+STARTED_BEFORE_RUN = -(1 << 62)  # start time of the servers that are warm when the simulation begins
+OVERLOAD_DEVIATIONS = 3  # standard deviations above its budget at which a warming server fails
+RANDOM_DEVIATIONS = 2  # standard deviations above the budget that are attributed to random arrivals
+MAX_EVENTS = 8  # most recent events stored for each server
 
 
-class Answers(Protocol):
-    """Who waits for a job: a router."""
+class JobListener(Protocol):
+    """Receives the outcome of a job; implemented by the router host."""
 
     def answered(self, attempt: Any, status: api.Status, note: int) -> None:
-        """The job is done."""
+        """Called when the server answers the attempt."""
 
     def broken(self, attempt: Any) -> None:
-        """The server's process has ended under it."""
+        """Called when the server's process ends before it has answered."""
 
 
-class Tried(Protocol):
-    """The try that a job belongs to."""
+class ClientAttempt(Protocol):
+    """The client attempt that a job belongs to."""
 
     @property
     def demand(self) -> Demand:
-        """What the client wants."""
+        """The client's request."""
 
 
 class Job(Protocol):
-    """What a server knows of the work it is sent."""
+    """An attempt, as a server sees it."""
 
     hit: bool
     opened: bool  # on a new connection
-    ended: bool  # nobody waits for it any more
+    ended: bool  # the router no longer waits for it
 
     @property
-    def router(self) -> Answers:
-        """Who is told how it ended."""
+    def router(self) -> JobListener:
+        """Receives the outcome."""
 
     @property
-    def asked(self) -> Tried:
-        """The try."""
+    def asked(self) -> ClientAttempt:
+        """The client attempt."""
 
 
-class Station:
-    """Cores shared by the jobs in service, and a waiting room.
+class ProcessorSharingQueue:
+    """A processor-sharing server: the jobs in service share its cores, and others wait in a bounded queue.
 
-    A virtual clock counts the work done for each job in service, so that a change of speed is one step:
-    a job that enters at v with work w leaves when the clock shows v + w."""
+    A virtual clock counts the work done for each job in service. A job that starts at virtual time v with
+    work w ends at v + w, so that a change of speed needs no update of the jobs.
+    """
 
     __slots__ = (
-        "_count", "_due", "_jobs", "_last", "_rate", "_v", "choke", "choke_at", "clock", "cores",
-        "room", "slots", "speed", "waiting",
+        "_advanced_at", "_jobs", "_next_check", "_rate", "_serial", "_virtual_time", "choke", "choke_at",
+        "clock", "cores", "max_queue", "queue", "slots", "speed",
     )  # fmt: skip
 
-    def __init__(self, clock: Clock, cores: float, speed: float, slots: int, room: int) -> None:
-        self.clock, self.cores, self.speed, self.slots, self.room = clock, cores, speed, slots, room
+    def __init__(self, clock: Clock, cores: float, speed: float, slots: int, max_queue: int) -> None:
+        self.clock, self.cores, self.speed, self.slots, self.max_queue = clock, cores, speed, slots, max_queue
         self.choke, self.choke_at = 0.0, 1.0
-        self.waiting: deque[tuple[Any, int]] = deque()
+        self.queue: deque[tuple[Any, int]] = deque()
         self._jobs: list[tuple[float, int, Any]] = []
-        self._v, self._rate, self._last, self._due, self._count = 0.0, 0.0, 0, 0, 0
+        self._virtual_time, self._rate, self._advanced_at, self._next_check, self._serial = 0.0, 0.0, 0, 0, 0
 
     @property
-    def held(self) -> int:
-        return len(self._jobs) + len(self.waiting)
+    def job_count(self) -> int:
+        return len(self._jobs) + len(self.queue)
 
-    def pace(self) -> float:
-        """Speed of each core now."""
+    def core_speed(self) -> float:
+        """Returns the current speed of each core."""
         return self.speed
 
-    def free_cores(self) -> float:
+    def available_cores(self) -> float:
+        """Returns the number of cores that are not taken by other programs."""
         return self.cores
 
-    def offer(self, job: Any, work: int) -> bool:
-        """Takes a job with its work (ns on a core of speed 1), or has no place for it."""
+    def submit(self, job: Any, work: int) -> bool:
+        """Starts or queues a job with its work, in ns on a core of speed 1; returns False if it is full."""
         if len(self._jobs) < self.slots:
             self._advance()
-            self._enter(job, work)
-            self._plan()
-        elif len(self.waiting) < self.room:
-            self.waiting.append((job, work))
+            self._start_job(job, work)
+            self._schedule_completion()
+        elif len(self.queue) < self.max_queue:
+            self.queue.append((job, work))
         else:
             return False
         return True
 
-    def replan(self) -> None:
-        """Takes up a change of speed."""
+    def reschedule(self) -> None:
+        """Applies a change of speed to the jobs in service."""
         self._advance()
-        self._plan()
+        self._schedule_completion()
 
     def clear(self) -> list[Any]:
-        """Drops all that it holds, and gives it."""
-        jobs = [job for _, _, job in sorted(self._jobs)] + [job for job, _ in self.waiting]
+        """Removes and returns all jobs."""
+        jobs = [job for _, _, job in sorted(self._jobs)] + [job for job, _ in self.queue]
         self._jobs.clear()
-        self.waiting.clear()
+        self.queue.clear()
         return jobs
 
-    def done(self, job: Any) -> None:
-        """A job has had its work."""
+    def job_done(self, job: Any) -> None:
+        """Called when a job's work is complete."""
         raise NotImplementedError
 
-    def wanted(self, job: Any) -> bool:
-        """Whether a job that waited is still worth a start."""
+    def should_start(self, job: Any) -> bool:
+        """Returns whether a queued job is to be started."""
         return True
 
-    def _enter(self, job: Any, work: int) -> None:
-        self._count += 1
-        heappush(self._jobs, (self._v + work, self._count, job))
+    def _start_job(self, job: Any, work: int) -> None:
+        self._serial += 1
+        heappush(self._jobs, (self._virtual_time + work, self._serial, job))
 
     def _advance(self) -> None:
         now = self.clock.now
         if self._jobs:
-            self._v += (now - self._last) * self._rate
-        self._last = now
+            self._virtual_time += (now - self._advanced_at) * self._rate
+        self._advanced_at = now
 
-    def _plan(self) -> None:
-        """Sees to it that it looks again when the next job may be done; an earlier look is as good."""
+    def _schedule_completion(self) -> None:
+        """Schedules a check at the next possible completion, unless an earlier one is scheduled."""
         count = len(self._jobs)
         if not count:
             return
-        self._rate = self.pace() * min(1.0, self.free_cores() / count)
-        if self.choke and self.held > self.choke_at:
-            self._rate /= 1 + self.choke * (self.held / self.choke_at - 1)
+        self._rate = self.core_speed() * min(1.0, self.available_cores() / count)
+        if self.choke and self.job_count > self.choke_at:
+            self._rate /= 1 + self.choke * (self.job_count / self.choke_at - 1)
         if self._rate <= 0:
             return
-        due = self.clock.now + int((self._jobs[0][0] - self._v) / self._rate) + 1
-        if self._due <= self.clock.now or due < self._due:
-            self._due = due
-            self.clock.at(due, self._look, due)
+        completes_at = self.clock.now + int((self._jobs[0][0] - self._virtual_time) / self._rate) + 1
+        if self._next_check <= self.clock.now or completes_at < self._next_check:
+            self._next_check = completes_at
+            self.clock.at(completes_at, self._complete_due, completes_at)
 
-    def _look(self, due: int) -> None:
-        if due != self._due:
+    def _complete_due(self, completes_at: int) -> None:
+        if completes_at != self._next_check:
             return
-        self._due = 0
+        self._next_check = 0
         self._advance()
         jobs = self._jobs
-        while jobs and jobs[0][0] <= self._v + 1:
+        while jobs and jobs[0][0] <= self._virtual_time + 1:
             job = heappop(jobs)[2]
-            self.done(job)
-        while self.waiting and len(jobs) < self.slots:
-            job, work = self.waiting.popleft()
-            if self.wanted(job):
-                self._enter(job, work)
-        self._plan()
+            self.job_done(job)
+        while self.queue and len(jobs) < self.slots:
+            job, work = self.queue.popleft()
+            if self.should_start(job):
+                self._start_job(job, work)
+        self._schedule_completion()
 
 
-def bound_of(budget: float, slack: int = CHANCE) -> float:
-    """Up to how many calls a budget of so many may be passed by."""
+def request_bound(budget: float, slack: int = RANDOM_DEVIATIONS) -> float:
+    """Returns how many requests a budget allows, with a margin of `slack` standard deviations."""
     return budget + slack * math.sqrt(budget) + slack
 
 
-class CacheServer(Station):
-    """One cache server; what it stores, whom it lets in, and how it comes back cold."""
+class CacheServer(ProcessorSharingQueue):
+    """One cache server with its stored keys, admission, connections and slow start."""
 
     def __init__(
         self,
@@ -169,143 +171,153 @@
         model: Kind,
         spec: Servers,
         zone: int,
-        draws: Draws,
+        random_stream: RandomStream,
     ) -> None:
-        speed = max(0.1, model.speed * (1 + model.speed_cv * 1.7 * (2 * draws.uniform() - 1)))
+        speed = max(0.1, model.speed * (1 + model.speed_cv * 1.7 * (2 * random_stream.uniform() - 1)))
         slots = max(1, round(model.slots_per_core * model.cores))
         super().__init__(clock, model.cores, speed, slots, max(1, round(model.queue_per_core * model.cores)))
         self.choke, self.choke_at = spec.choke, spec.choke_at * model.cores
-        self.id, self.kind, self.zone, self.spec, self.draws = name, kind, zone, spec, draws
-        self.cold_from, self.ramp = model.cold_from, int(model.cold_s * SECOND)
-        self.started, self.up, self.silent, self.fallen = LONG_AGO, True, False, False
+        self.id, self.kind, self.zone, self.spec, self.random_stream = name, kind, zone, spec, random_stream
+        self.initial_capacity, self.warmup_time = model.cold_from, int(model.cold_s * SECOND)
+        self.started_at, self.up, self.unresponsive, self.overloaded = STARTED_BEFORE_RUN, True, False, False
         self.incarnation = 0
-        self.neighbour, self.slowed, self.failing = 0.0, 0.0, spec.error_share
-        self.memory: dict[str, None] = {}
-        self.memory_most = 1
+        self.stolen_core_share, self.slowdown, self.error_rate = 0.0, 0.0, spec.error_share
+        self.stored_keys: dict[str, None] = {}
+        self.max_keys = 1
         self.connections = 0
-        self.handshake = int(spec.handshake_ms * MILLI)
+        self.handshake_work = int(spec.handshake_ms * MILLI)
         self.mean_work = 1
-        self.report: api.Load | None = None
-        self.report_at = int(draws.uniform() * spec.report_ms * MILLI)
-        self.report_errors = 0
+        self.load_report: api.Load | None = None
+        self.next_report_at = int(random_stream.uniform() * spec.report_ms * MILLI)
+        self.errors_since_report = 0
         self.hits = self.misses = 0
-        self.events: deque[tuple[int, str]] = deque(maxlen=EVENTS_KEPT)
-        self.budget: deque[tuple[int, int, bool]] = deque()  # what came to it cold: when, work, informed
-        self.tip_multiple, self.tip_window = 0.0, 1
-        # Of the window in which it got most of its bound: sent, and budget, in requests of mean work.
-        self.fullest = (0.0, 0.0)
+        self.events: deque[tuple[int, str]] = deque(maxlen=MAX_EVENTS)
+        # Work received while warming up: time, work, sent by an informed router.
+        self.warmup_arrivals: deque[tuple[int, int, bool]] = deque()
+        self.overload_factor, self.overload_window = 0.0, 1
+        # The window closest to its bound: requests sent and budget, both in requests of mean work.
+        self.peak_load = (0.0, 0.0)
 
     # Speed
 
-    def warmth(self) -> float:
-        """The part of its full capacity that it has by now."""
-        age = self.clock.now - self.started
-        return 1.0 if age >= self.ramp else self.cold_from + (1 - self.cold_from) * age / self.ramp
+    def warmup_fraction(self) -> float:
+        """Returns its current capacity as a fraction of the capacity when warm."""
+        age = self.clock.now - self.started_at
+        return (
+            1.0
+            if age >= self.warmup_time
+            else self.initial_capacity + (1 - self.initial_capacity) * age / self.warmup_time
+        )
 
-    def pace(self) -> float:
+    def core_speed(self) -> float:
         tax = self.spec.full_tax * min(1.0, self.connections / (self.spec.connections_per_core * self.cores))
-        return self.speed * self.warmth() * (1 - self.slowed) * (1 - tax)
+        return self.speed * self.warmup_fraction() * (1 - self.slowdown) * (1 - tax)
 
-    def free_cores(self) -> float:
-        return self.cores * (1 - self.neighbour)
+    def available_cores(self) -> float:
+        return self.cores * (1 - self.stolen_core_share)
 
     @property
     def capacity(self) -> float:
-        """Work done in a unit of time with all its cores."""
-        return self.pace() * self.free_cores()
+        """Work done per unit of time by all available cores."""
+        return self.core_speed() * self.available_cores()
 
     @property
     def reachable(self) -> bool:
-        return self.up and not self.silent
+        return self.up and not self.unresponsive
 
-    # Life
+    # Process lifetime
 
     def start(self) -> None:
-        """Its process starts, cold and with an empty memory."""
-        self.up, self.fallen = True, False
-        self.started = self.clock.now
-        self.memory.clear()
+        """Starts the process with an empty cache, warming up."""
+        self.up, self.overloaded = True, False
+        self.started_at = self.clock.now
+        self.stored_keys.clear()
         self.events.append((self.clock.now, "started"))
 
     def stop(self) -> "list[Job]":
-        """Its process ends; what it held is given back, and its connections lead nowhere from now on."""
+        """Ends the process, invalidates its connections and returns the unfinished jobs."""
         self.up = False
         self.incarnation += 1
         self.connections = 0
-        self.budget.clear()
+        self.warmup_arrivals.clear()
         self.events.append((self.clock.now, "stopped"))
         return self.clear()
 
     # Requests
 
-    def take(self, attempt: Job, informed: bool) -> bool:
-        """An attempt's last byte has come; whether it tips this cold server over."""
+    def receive(self, attempt: Job, informed: bool) -> bool:
+        """Processes an attempt whose last byte has arrived; returns whether it overloads a warming server.
+
+        informed: the router was notified of this server's start.
+        """
         demand = attempt.asked.demand
-        work = demand.work + (self.handshake if attempt.opened else 0)
-        if self.started > LONG_AGO and self._tipped(work, informed):
+        work = demand.work + (self.handshake_work if attempt.opened else 0)
+        if self.started_at > STARTED_BEFORE_RUN and self._is_overloaded(work, informed):
             return True
-        if self.failing and self.draws.uniform() < self.failing:
-            self.report_errors += 1
+        if self.error_rate and self.random_stream.uniform() < self.error_rate:
+            self.errors_since_report += 1
             attempt.router.answered(attempt, api.Status.ERROR, 0)
             return False
         if not demand.write:
             key = demand.key
-            if key in self.memory:
-                del self.memory[key]
-                self.memory[key] = None
+            if key in self.stored_keys:
+                del self.stored_keys[key]
+                self.stored_keys[key] = None
                 self.hits += 1
                 attempt.hit = True
             else:
                 self.misses += 1
                 work = int(work * self.spec.miss_work)
                 attempt.hit = False
-        if not self.offer(attempt, work):
+        if not self.submit(attempt, work):
             attempt.router.answered(attempt, api.Status.FULL, 0)
         return False
 
     def store(self, key: str) -> None:
-        """Keeps an object, and drops those used longest ago."""
-        self.memory.pop(key, None)
-        self.memory[key] = None
-        if len(self.memory) > self.memory_most:
-            del self.memory[next(iter(self.memory))]
+        """Stores an object; evicts the least recently used one where the cache is full."""
+        self.stored_keys.pop(key, None)
+        self.stored_keys[key] = None
+        if len(self.stored_keys) > self.max_keys:
+            del self.stored_keys[next(iter(self.stored_keys))]
 
-    def done(self, job: Job) -> None:
+    def job_done(self, job: Job) -> None:
         job.router.answered(job, api.Status.OK if job.hit else api.Status.MISS, 1 if job.hit else 2)
 
-    def wanted(self, job: Job) -> bool:
+    def should_start(self, job: Job) -> bool:
         return not (self.spec.drops_abandoned and job.ended)
 
-    def _tipped(self, work: int, informed: bool) -> bool:
-        """Whether it has been sent more than it can bear since it started, in the rule's window."""
+    def _is_overloaded(self, work: int, informed: bool) -> bool:
+        """Returns whether the work received within the window exceeds the bound of a warming server."""
         now = self.clock.now
-        if now - self.started >= self.ramp:
-            self.budget.clear()
+        if now - self.started_at >= self.warmup_time:
+            self.warmup_arrivals.clear()
             return False
-        self.budget.append((now, work, informed))
-        while self.budget[0][0] < now - self.tip_window:
-            self.budget.popleft()
-        sent = sum(entry[1] for entry in self.budget)
-        budget = self.tip_multiple * self.capacity * self.tip_window
-        calls, most = sent / self.mean_work, budget / self.mean_work
-        if calls / bound_of(most) > self.fullest[0] / bound_of(self.fullest[1]):
-            self.fullest = calls, most
-        return calls > bound_of(most, FALLS)
+        self.warmup_arrivals.append((now, work, informed))
+        while self.warmup_arrivals[0][0] < now - self.overload_window:
+            self.warmup_arrivals.popleft()
+        sent = sum(entry[1] for entry in self.warmup_arrivals)
+        budget = self.overload_factor * self.capacity * self.overload_window
+        requests, allowed = sent / self.mean_work, budget / self.mean_work
+        if requests / request_bound(allowed) > self.peak_load[0] / request_bound(self.peak_load[1]):
+            self.peak_load = requests, allowed
+        return requests > request_bound(allowed, OVERLOAD_DEVIATIONS)
 
     @property
-    def informed_part(self) -> float:
-        """Of what came in the rule's window, the part that informed routers sent."""
-        sent = sum(entry[1] for entry in self.budget)
-        return sum(entry[1] for entry in self.budget if entry[2]) / max(1, sent)
+    def informed_fraction(self) -> float:
+        """Fraction of the work in the overload window that came from routers notified of the start."""
+        sent = sum(entry[1] for entry in self.warmup_arrivals)
+        return sum(entry[1] for entry in self.warmup_arrivals if entry[2]) / max(1, sent)
 
     def load(self) -> api.Load | None:
-        """The report that an answer carries: as it was last refreshed, a little wrong."""
+        """Returns the load report that an answer carries; it is refreshed periodically and includes noise."""
         now = self.clock.now
-        if now >= self.report_at:
+        if now >= self.next_report_at:
             period = self.spec.report_ms / 1000
-            since = max(0.1, (now - self.report_at) / SECOND + period)
-            noise = 1 + self.spec.report_noise * (2 * self.draws.uniform() - 1)
-            self.report = api.Load(queue=len(self.waiting) * noise, eps=self.report_errors / since * noise)
-            self.report_errors = 0
-            self.report_at = now + int(period * SECOND)
-        return self.report
+            since = max(0.1, (now - self.next_report_at) / SECOND + period)
+            noise = 1 + self.spec.report_noise * (2 * self.random_stream.uniform() - 1)
+            self.load_report = api.Load(
+                queue=len(self.queue) * noise, eps=self.errors_since_report / since * noise
+            )
+            self.errors_since_report = 0
+            self.next_report_at = now + int(period * SECOND)
+        return self.load_report
--- a/applehub/lab/spec.py
+++ b/applehub/lab/spec.py
@@ -1,6 +1,7 @@
-"""An experiment as its file tells it: types, defaults and checks. The only place where defaults stand.
+"""The schema of experiment files: types, defaults and validation.
 
-Durations carry their unit in their name (`_ms`, `_s`); shares are parts of one. Work is a time at speed 1.
+Names of durations end with their unit (`_ms`, `_s`); shares are fractions of one. Work is a time on a core
+of speed 1.
 """
 
 import copy
@@ -14,17 +15,17 @@
 
 Share = Annotated[float, Field(ge=0, le=1)]
 Positive = Annotated[float, Field(gt=0)]
-NotNegative = Annotated[float, Field(ge=0)]
+NonNegative = Annotated[float, Field(ge=0)]
 Count = Annotated[int, Field(ge=1)]
 PolicyName = Literal["router", "random", "two-choices", "bounded-hash", "oracle"]
 
 
 class SpecError(ValueError):
-    """An experiment's file is of no use; each line names the file, the key and what was expected."""
+    """An experiment file is invalid; each line names the file, the key and the expected value."""
 
 
 class Kind(Table):
-    """A model of cache server."""
+    """A machine type of cache servers."""
 
     name: str
     share: Positive
@@ -38,7 +39,7 @@
 
 
 class Topology(Table):
-    """The fleet."""
+    """Numbers of servers and routers, their zones and kinds."""
 
     servers: Count = 15
     routers: Count = 5
@@ -52,54 +53,54 @@
 
 
 class Servers(Table):
-    """What all cache servers have in common."""
+    """Settings that all cache servers share."""
 
-    memory: Positive = 1.3  # of the fleet, by the keys that one pooled cache needs for its hits
-    choke: NotNegative = 0  # part of its speed lost for each time its cores are held once more than choke_at
-    choke_at: Positive = 8
-    miss_work: Share = 0.1  # part of a request's work that finding out of a miss costs
-    drops_abandoned: bool = False  # waiting work that its router gave up on is dropped
+    memory: Positive = 1.3  # of all servers, relative to the keys that one pooled cache stores
+    choke: NonNegative = 0  # relative slowdown per multiple of choke_at by which the jobs exceed it
+    choke_at: Positive = 8  # jobs per core
+    miss_work: Share = 0.1  # work of a miss, as a fraction of the request's work
+    drops_abandoned: bool = False  # queued requests are dropped once the router has given up
     error_share: Share = 0.0003
-    report_ms: Positive = 860  # between two refreshments of the load report
+    report_ms: Positive = 860  # interval between updates of the load report
     report_noise: Share = 0.03
     connections_per_core: Count = 750
-    handshake_ms: NotNegative = 1.7  # of work
-    handshake_rtts: NotNegative = 2.5
+    handshake_ms: NonNegative = 1.7  # server work
+    handshake_rtts: NonNegative = 2.5
     idle_s: Positive = 10
-    full_tax: Share = 0.09  # part of its capacity that a full connection table takes
+    full_tax: Share = 0.09  # fraction of capacity that a full connection table costs
 
 
 class Origin(Table):
-    """The shared origin; its capacity follows from the reads that one pooled cache would miss."""
+    """The shared origin; its capacity derives from the reads that one pooled cache would miss."""
 
     headroom: Positive = 2.6
-    work_of_aim: Positive = 0.15  # mean time of a read, as a part of the shortest aim
+    work_of_aim: Positive = 0.15  # mean work of a read, relative to the shortest latency objective
     queue_s: Positive = 2
-    choke: NotNegative = 0.05
+    choke: NonNegative = 0.05
     coalesce: bool = False
     error_share: Share = 0
-    capacity_rps: NotNegative = 0  # 0: by headroom
+    capacity_rps: NonNegative = 0  # 0: derived from headroom
 
 
 class Network(Table):
-    """One-way delays and connects."""
+    """One-way network delays and the connect timeout."""
 
-    same_ms: NotNegative = 0.22
-    cross_ms: NotNegative = 7.8
-    client_ms: NotNegative = 0.7
+    same_ms: NonNegative = 0.22
+    cross_ms: NonNegative = 7.8
+    client_ms: NonNegative = 0.7
     jitter: Share = 0.2
     dial_timeout_ms: Positive = 120
 
 
 class Discovery(Table):
-    """The service that lists servers."""
+    """The discovery service."""
 
-    notice_s: NotNegative = 3  # until it knows that a process ended
-    add_s: NotNegative = 1.4  # until it knows that a process started
-    calls_per_s: Positive = 40  # calls that it answers in turn
+    notice_s: NonNegative = 3  # delay until a stopped server is reported
+    add_s: NonNegative = 1.4  # delay until a started server is reported
+    calls_per_s: Positive = 40  # capacity; calls are answered in order
     lines_per_s: Positive = 4000
-    timeout_ms: Positive = 2000  # a call that waited longer fails
-    spread_ms: NotNegative = 65  # until a change has reached a subscriber
+    timeout_ms: Positive = 2000  # longest wait of a call
+    spread_ms: NonNegative = 65  # mean delay of a change on its way to a watch
 
 
 class RequestClass(Table):
@@ -108,29 +109,29 @@
     name: str
     share: Positive
     work_ms: Positive
-    work_cv: NotNegative = 0.45
+    work_cv: NonNegative = 0.45
     aim_ms: Positive
     deadline_ms: Positive
     worth: Positive = 1
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
-    window_ms: NotNegative = 2000
+    window_ms: NonNegative = 2000
     write: bool = False
 
 
 class Keys(Table):
-    """What is asked for: Zipf popularity, p(rank) ~ 1 / (rank + offset) ** skew."""
+    """Requested keys, with Zipf popularity: p(rank) ~ 1 / (rank + offset) ** skew."""
 
     per_server: Count = 2000
     skew: Positive = 1.0
-    offset: NotNegative = 3
-    pooled_hits: Annotated[float, Field(gt=0, lt=1)] = 0.9  # of one cache of the fleet's size
-    drift_per_s: NotNegative = 0.0005  # part of the keys that others take the place of in a second
+    offset: NonNegative = 3
+    pooled_hits: Annotated[float, Field(gt=0, lt=1)] = 0.9  # hit ratio of one pooled cache
+    drift_per_s: NonNegative = 0.0005  # fraction of the keys that are replaced per second
 
 
 class Workload(Table):
     """Open-loop arrivals."""
 
-    load: Positive = 0.5  # part of what all warm servers can do
+    load: Positive = 0.5  # relative to the capacity of all warm servers
     zone_skew: Share = 0.3
     wave: Share = 0.1
     wave_s: Positive = 20
@@ -149,49 +150,47 @@
 
 
 class Clients(Table):
-    """What clients do on their own."""
+    """Client behaviour: timeouts, retries and early disconnects."""
 
     retries: Annotated[int, Field(ge=0, le=10)] = 2
     try_share: Annotated[list[Share], Field(min_length=2, max_length=2)] = [0.5, 0.8]
-    backoff_ms: NotNegative = 50  # doubled with each retry
+    backoff_ms: NonNegative = 50  # doubled with each retry
     leave_early: Share = 0.01
-    honour: Share = 0.9  # of those who are told when to come back
-    notice_s: NotNegative = 2  # until the front deals nobody to a dead router
+    honour: Share = 0.9  # fraction of clients that observe a retry-after
+    notice_s: NonNegative = 2  # mean delay until the front-end excludes a dead router
 
 
 class Routers(Table):
-    """What a router costs and is allowed."""
+    """Processing costs and limits of a router."""
 
-    request_us: NotNegative = 450  # processor time of a request on the router's part of a core
-    attempt_us: NotNegative = 300
-    alarm_us: NotNegative = 40
-    member_us: NotNegative = 25  # for each entry of a list
-    start_ms: NotNegative = 300
+    request_us: NonNegative = 450  # processor time per request
+    attempt_us: NonNegative = 300
+    alarm_us: NonNegative = 40
+    member_us: NonNegative = 25  # per entry of a list
+    start_ms: NonNegative = 300
     max_attempts: Annotated[int, Field(ge=1, le=16)] = 4
     idle_s: Positive = 5
-    retry_after_ms: NotNegative = 0  # 0: clients are told nothing
-    keeps_s: NotNegative = (
-        0  # between two times that it keeps what it has learnt, over its restarts; 0: never
-    )
+    retry_after_ms: NonNegative = 0  # 0: clients get no retry-after
+    keeps_s: NonNegative = 0  # interval between saves of the statistics that survive restarts; 0: never
 
 
 class Peers(Table):
-    """What routers tell one another, over the network of the day."""
+    """Gossip between routers over the emulated network."""
 
     on: bool = False
-    period_ms: Positive = 100  # between two probes of a router
+    period_ms: Positive = 100  # between health checks of a router
     loss: Share = 0  # of datagrams
-    datagram_us: NotNegative = 100  # of processor time, for one sent or taken
-    shares: bool = True  # which of what is heard the module is told
-    verdicts: bool = True
-    liars: Share = 0  # routers that say that every server fails them and bears nothing
+    datagram_us: NonNegative = 100  # processor time per datagram sent or received
+    shares: bool = True  # the decision module receives the gossiped range fractions
+    verdicts: bool = True  # the decision module receives the gossiped failure reports
+    liars: Share = 0  # fraction of routers that gossip failures and minimal fractions for every server
 
 
 class Rules(Table):
-    """The rules' figures; told to the routers."""
+    """Limits of the checked rules; they are also configured on the routers."""
 
-    answer_slack_ms: NotNegative = 20
-    drain_grace_ms: NotNegative = 500
+    answer_slack_ms: NonNegative = 20
+    drain_grace_ms: NonNegative = 500
     cold_from: Annotated[float, Field(gt=0, le=1)] = 0.12
     ramp_s: Positive = 24
     tip_multiple: Positive = 2.5
@@ -200,71 +199,71 @@
 
 
 class Goal(Table):
-    """How a day is weighed; prices are points taken off, each times its share."""
+    """Weights of a scenario's score; each price is multiplied by its rate and subtracted."""
 
     whole: Share = 0.55
     worst_window: Share = 0.1
     worst_class: Share = 0.35
     window_s: Positive = 10
-    cross_zone: NotNegative = 0.03
-    waste: NotNegative = 0.029
-    late_fail: NotNegative = 0.12
-    handshake: NotNegative = 0.02
+    cross_zone: NonNegative = 0.03
+    waste: NonNegative = 0.029
+    late_fail: NonNegative = 0.12
+    handshake: NonNegative = 0.02
 
 
 class Burst(Table):
-    """The rate rises to a multiple and falls again."""
+    """Raises the request rate to a multiple for a while."""
 
     kind: Literal["burst"]
-    at_s: NotNegative
+    at_s: NonNegative
     for_s: Positive
     factor: Positive
-    edge_s: Positive = 0.5  # how long it rises and falls
+    edge_s: Positive = 0.5  # duration of the rise and of the fall
 
 
 class Ramp(Table):
-    """The rate goes evenly to a multiple and stays there."""
+    """Changes the request rate linearly to a multiple, which then stays."""
 
     kind: Literal["ramp"]
-    at_s: NotNegative
+    at_s: NonNegative
     for_s: Positive
     factor: Positive
 
 
 class Shift(Table):
-    """Part of all traffic moves into one zone."""
+    """Shifts a share of all traffic to one zone."""
 
     kind: Literal["shift"]
-    at_s: NotNegative
+    at_s: NonNegative
     for_s: Positive
     zone: int = 0
     share: Share = 0.3
 
 
 class HotKey(Table):
-    """A few keys take a share of all reads."""
+    """Directs a share of all requests to a few keys."""
 
     kind: Literal["hot_key"]
-    at_s: NotNegative
+    at_s: NonNegative
     for_s: Positive
     share: Share = 0.15
     keys: Count = 2
 
 
 class Scan(Table):
-    """A share of the reads asks for keys that are wanted once."""
+    """Directs a share of all requests to keys that are requested only once."""
 
     kind: Literal["scan"]
-    at_s: NotNegative
+    at_s: NonNegative
     for_s: Positive
     share: Share = 0.1
 
 
-class Neighbour(Table):
-    """Another program takes cores on some servers, on and off."""
+class NoisyNeighbour(Table):
+    """Another program on some servers periodically takes a fraction of their cores."""
 
     kind: Literal["neighbour"]
-    at_s: NotNegative
+    at_s: NonNegative
     for_s: Positive
     part: Share = 0.3
     takes: Annotated[float, Field(ge=0, lt=1)] = 0.55
@@ -272,117 +271,117 @@
 
 
 class Shrink(Table):
-    """Servers drain and go, and the traffic falls with them."""
+    """Scales in: servers drain and stop, and the traffic falls with them."""
 
     kind: Literal["shrink"]
-    at_s: NotNegative
-    for_s: Positive = 16  # from the first that drains to the last
+    at_s: NonNegative
+    for_s: Positive = 16  # from the first drain to the last
     part: Share = 0.4
     drain_s: Positive = 4
 
 
-class Sick(Table):
-    """Some servers are slow, fail, or say nothing, for a while."""
+class ServerFault(Table):
+    """Makes some servers slow, failing or unresponsive for a while."""
 
     kind: Literal["slow", "failing", "silent"]
-    at_s: NotNegative
+    at_s: NonNegative
     for_s: Positive
     part: Share = 0.125
-    size: Share = 0.7  # of its speed that a slow one loses; of its answers that a failing one spoils
+    size: Share = 0.7  # fraction of speed lost (slow) or of answers that are errors (failing)
 
 
 class ZoneLoss(Table):
-    """All servers of a zone die and come back cold."""
+    """Stops all servers of a zone, and restarts them with empty caches."""
 
     kind: Literal["zone_loss"]
-    at_s: NotNegative
+    at_s: NonNegative
     for_s: Positive = 5
     zone: int = 0
 
 
 class Partition(Table):
-    """A zone is cut off from the others: what crosses says nothing."""
+    """Separates a zone from the others: messages across the boundary are lost without an error."""
 
     kind: Literal["partition"]
-    at_s: NotNegative
+    at_s: NonNegative
     for_s: Positive = 6
     zone: int = 0
 
 
-class Breaks(Table):
-    """Answers get lost, and connections are reset under requests."""
+class ConnectionFault(Table):
+    """Loses answers, and resets connections with requests in progress."""
 
     kind: Literal["breaks"]
-    at_s: NotNegative
+    at_s: NonNegative
     for_s: Positive
     lost: Share = 0.02
     reset: Share = 0.02
 
 
-class Replace(Table):
-    """Servers are replaced by new ones, cold, with new ids."""
+class ServerReplacement(Table):
+    """Replaces servers by new ones with new ids and empty caches."""
 
     kind: Literal["join"]
-    at_s: NotNegative
+    at_s: NonNegative
     for_s: Positive = 7
     part: Share = 0.6
     drain_s: Positive = 2
 
 
 class KillRouters(Table):
-    """Routers are killed at once and start again with nothing."""
+    """Kills a fraction of the routers at the same time; they restart without their state in memory."""
 
     kind: Literal["kill_routers"]
-    at_s: NotNegative
+    at_s: NonNegative
     part: Share = 0.7
     down_s: Positive = 1
 
 
-class RollRouters(Table):
-    """Routers are restarted in batches, each answering what it holds first."""
+class RollingRestart(Table):
+    """Restarts the routers in batches, each with a graceful shutdown."""
 
     kind: Literal["roll_routers"]
-    at_s: NotNegative
+    at_s: NonNegative
     for_s: Positive = 20
     batches: Count = 10
     down_s: Positive = 1
 
 
 class Reload(Table):
-    """Every router reads its settings anew (SIGHUP): another number of attempts, discovery elsewhere."""
+    """Reloads the settings of every router (SIGHUP), with a new attempt limit or discovery address."""
 
     kind: Literal["reload"]
-    at_s: NotNegative
+    at_s: NonNegative
     max_attempts: Annotated[int, Field(ge=1, le=16)] = 4
-    moves: bool = False
+    moves: bool = False  # the discovery address changes
 
 
-class DiscoveryTrouble(Table):
-    """Discovery answers nothing, or is that much slower."""
+class DiscoveryFault(Table):
+    """Takes the discovery service down, or slows it."""
 
     kind: Literal["discovery"]
-    at_s: NotNegative
+    at_s: NonNegative
     for_s: Positive
-    slower: Positive = 10
+    slower: Positive = 10  # factor on the time per call
     down: bool = False
 
 
 Fault = Annotated[
-    Burst | Ramp | Shift | HotKey | Scan | Neighbour | Shrink | Sick | ZoneLoss | Partition | Breaks | Replace
-    | KillRouters | RollRouters | Reload | DiscoveryTrouble,
+    Burst | Ramp | Shift | HotKey | Scan | NoisyNeighbour | Shrink | ServerFault | ZoneLoss | Partition
+    | ConnectionFault | ServerReplacement | KillRouters | RollingRestart | Reload | DiscoveryFault,
     Field(discriminator="kind"),
 ]  # fmt: skip
 
 
 class Seeds(Table):
-    """Which seeds are played."""
+    """The range of seeds to run."""
 
     first: Annotated[int, Field(ge=0)] = 1
     count: Annotated[int, Field(ge=1, le=10_000)] = 1
 
 
-class Day(Table):
-    """One point of an experiment: all that a play needs but its policy and its seed."""
+class Scenario(Table):
+    """All settings of a simulation except its policy and seed; one point of an experiment."""
 
     seconds: Annotated[float, Field(gt=0, le=7200)] = 50
     topology: Topology = Topology()
@@ -399,7 +398,7 @@
     faults: list[Fault] = []
 
     @model_validator(mode="after")
-    def _zones_exist(self) -> "Day":
+    def _zones_exist(self) -> "Scenario":
         for number, fault in enumerate(self.faults):
             zone = getattr(fault, "zone", 0)
             if not 0 <= zone < len(self.topology.zones):
@@ -409,8 +408,8 @@
         return self
 
 
-class Experiment(Day):
-    """A whole file."""
+class Experiment(Scenario):
+    """An experiment file: a scenario, its seeds, policies and a sweep over settings."""
 
     name: Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9-]*$")]
     about: str = ""
@@ -419,79 +418,82 @@
     sweep: dict[str, Annotated[list[Any], Field(min_length=1)]] = {}
 
 
-def _set(raw: Json, path: str, value: Any) -> None:
-    """Sets a value by its dotted path; a number steps into a list."""
-    at: Any = raw
+def _set_by_path(raw: Json, path: str, value: Any) -> None:
+    """Sets a value by its dotted path; numbers index lists."""
+    container: Any = raw
     *steps, last = path.split(".")
     for step in steps:
-        at = at[int(step)] if isinstance(at, list) else at.setdefault(step, {})
-    if isinstance(at, list):
-        at[int(last)] = value
+        container = container[int(step)] if isinstance(container, list) else container.setdefault(step, {})
+    if isinstance(container, list):
+        container[int(last)] = value
     else:
-        at[last] = value
+        container[last] = value
 
 
-def read_raw(name: str, raw: Json) -> tuple[Experiment, list[tuple[Json, Day]]]:
-    """Checks what a file holds; gives it and the points of its sweep, each with its settings.
+def parse_experiment(name: str, raw: Json) -> tuple[Experiment, list[tuple[Json, Scenario]]]:
+    """Validates an experiment and returns it with the points of its sweep: swept values and scenario.
 
-    name is what errors call it. Raises SpecError, a line for each fault, where it makes no sense."""
-    whole = validate(name, Experiment, raw, SpecError)
-    points: list[tuple[Json, Day]] = []
-    day = {key: value for key, value in raw.items() if key in Day.model_fields}
-    for values in itertools.product(*whole.sweep.values()):
-        point = dict(zip(whole.sweep, values, strict=True))
-        one = copy.deepcopy(day)
+    name: Name of the file in error messages.
+
+    Raises SpecError, with one line per error.
+    """
+    experiment = validate(name, Experiment, raw, SpecError)
+    points: list[tuple[Json, Scenario]] = []
+    scenario = {key: value for key, value in raw.items() if key in Scenario.model_fields}
+    for values in itertools.product(*experiment.sweep.values()):
+        point = dict(zip(experiment.sweep, values, strict=True))
+        point_settings = copy.deepcopy(scenario)
         try:
             for key, value in point.items():
-                _set(one, key, value)
-            points.append((point, Day.model_validate(one)))
+                _set_by_path(point_settings, key, value)
+            points.append((point, Scenario.model_validate(point_settings)))
         except ValidationError as error:
             raise SpecError(describe_faults(f"{name}: sweep {point}", error)) from None
         except (LookupError, TypeError, ValueError, AttributeError):
             raise SpecError(f"{name}: sweep {point}: expected the dotted path of a setting") from None
-    return whole, points
+    return experiment, points
 
 
-def _ns(milliseconds: float) -> int:
+def _milliseconds_to_ns(milliseconds: float) -> int:
     return int(milliseconds * 1_000_000)
 
 
-def settings_of(day: Day) -> Json:
-    """What a router is told: the object that the platform hands it, with the names of its page."""
-    rules, routers = day.rules, day.routers
-    kinds = [kind.name for kind in day.topology.kinds]
+def router_settings(scenario: Scenario) -> Json:
+    """Returns the settings that the platform passes to a router, under their external names."""
+    rules, routers = scenario.rules, scenario.routers
+    kinds = [kind.name for kind in scenario.topology.kinds]
     return {
-        "azs": list(day.topology.zones),
+        "azs": list(scenario.topology.zones),
         "hostTypes": [*kinds, "origin"],
-        "balancers": day.topology.routers,
+        "balancers": scenario.topology.routers,
         "ceilings": {
             "attemptsCap": routers.max_attempts,
-            "dialTimeout": _ns(day.network.dial_timeout_ms),
-            "keepalive": _ns(day.servers.idle_s * 1000),
+            "dialTimeout": _milliseconds_to_ns(scenario.network.dial_timeout_ms),
+            "keepalive": _milliseconds_to_ns(scenario.servers.idle_s * 1000),
             "retryAfter": routers.retry_after_ms > 0,
-            "maxRetryAfter": _ns(routers.retry_after_ms),
+            "maxRetryAfter": _milliseconds_to_ns(routers.retry_after_ms),
             "mostHeld": 20_000,
         },
         "classes": [
             {
-                "name": one.name,
-                "aim": _ns(one.aim_ms),
-                "deadline": _ns(one.deadline_ms),
-                "effect": one.effect,
+                "name": request_class.name,
+                "aim": _milliseconds_to_ns(request_class.aim_ms),
+                "deadline": _milliseconds_to_ns(request_class.deadline_ms),
+                "effect": request_class.effect,
                 "group": "all",
-                "repeatWindow": _ns(one.window_ms),
-                "gain": one.worth,
+                "repeatWindow": _milliseconds_to_ns(request_class.window_ms),
+                "gain": request_class.worth,
             }
-            for one in day.workload.classes
+            for request_class in scenario.workload.classes
         ],
         "registryMode": "on_request",
         "safety": {
-            "answerSlack": _ns(rules.answer_slack_ms),
-            "askWithin": _ns(rules.ask_within_s * 1000),
+            "answerSlack": _milliseconds_to_ns(rules.answer_slack_ms),
+            "askWithin": _milliseconds_to_ns(rules.ask_within_s * 1000),
             "coldFrom": rules.cold_from,
-            "fall": _ns(rules.fall_s * 1000),
-            "rampTime": _ns(rules.ramp_s * 1000),
-            "stopSendingWithin": _ns(rules.drain_grace_ms),
+            "fall": _milliseconds_to_ns(rules.fall_s * 1000),
+            "rampTime": _milliseconds_to_ns(rules.ramp_s * 1000),
+            "stopSendingWithin": _milliseconds_to_ns(rules.drain_grace_ms),
             "tipMultiple": rules.tip_multiple,
         },
         "specifics": {"mode": "aside", "originKind": len(kinds)},
