--- a/applehub/lab/__main__.py
+++ b/applehub/lab/__main__.py
@@ -1,4 +1,4 @@
-"""The lab's commands: python -m applehub.lab."""
+"""Command line of the lab: python -m applehub.lab."""
 
 import os
 import sys
@@ -33,7 +33,7 @@
 from applehub.lab.spec import SpecError
 from applehub.settings import Json
 
-LEAST_SHOWN = 0.001  # of the worth: causes that cost every policy less are summed
+LEAST_SHOWN = 0.001  # fraction of the weight; causes with a smaller loss under every policy are summed
 PICTURES = (".png", ".svg", ".pdf")
 MEASURES = ("G", "whole", "worst_window")
 SHIPPED = resources.files("applehub.lab") / "experiments"
@@ -41,16 +41,16 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """Plays routers, caches, origin and clients in simulated time."""
+    """Simulates routers, cache servers, the origin and clients."""
 
 
 def load_plan(file: str, seeds: int | None) -> Plan:
-    """An experiment's file, or the name of one that is shipped."""
+    """Reads an experiment from a file, or a shipped one by its name; raises SpecError if it is invalid."""
     path = Path(file)
     if not path.exists() and (SHIPPED / f"{file}.toml").is_file():
         path = Path(str(SHIPPED / f"{file}.toml"))
     if not path.exists():
-        raise SpecError(f"{file}: No such file or directory; `lab list` names those shipped")
+        raise SpecError(f"{file}: No such file or directory; `lab list` shows the shipped experiments")
     raw = read_toml(path, SpecError)
     if seeds is not None:
         table = raw.get("seeds")
@@ -61,7 +61,7 @@
 @main.command("list")
 @guarded
 def list_shipped() -> None:
-    """Names the experiments that are shipped."""
+    """Lists the shipped experiments."""
     for file in sorted(SHIPPED.iterdir(), key=lambda one: one.name):
         if file.name.endswith(".toml"):
             raw = tomllib.loads(file.read_text(encoding="utf-8"))
@@ -71,11 +71,11 @@
 @main.command()
 @click.argument("file")
 @click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="Results file [NAME.jsonl].")
-@click.option("--jobs", type=click.IntRange(1), default=None, help="Processes at once [all cores].")
-@click.option("--seeds", type=click.IntRange(1), default=None, help="How many seeds, in place of the file's.")
+@click.option("--jobs", type=click.IntRange(1), default=None, help="Parallel processes [all cores].")
+@click.option("--seeds", type=click.IntRange(1), default=None, help="Number of seeds, instead of the file's.")
 @guarded
 def run(file: str, out: Path | None, jobs: int | None, seeds: int | None) -> None:
-    """Plays an experiment FILE (or a shipped one by name); goes on where a run was cut off."""
+    """Runs an experiment FILE (or a shipped one by name); resumes an interrupted run."""
     plan = load_plan(file, seeds)
     path = out or Path(f"{plan.experiment.name}.jsonl")
     console, total = Console(stderr=True), len(plan.tasks)
@@ -96,17 +96,17 @@
                 click.echo(f"{place}/{total} {where}: G {figure}", err=True)
 
         played = run_plan(plan, path, jobs or os.cpu_count() or 1, told)
-    click.echo(f"{played} played, {total - played} were there: {path}", err=True)
+    click.echo(f"{played} runs made, {total - played} already in the file: {path}", err=True)
     _show(read_results(path)[1])
 
 
 @main.command()
 @click.argument("results", type=click.Path(path_type=Path))
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
-@click.option("--losses", is_flag=True, help="Where worth was lost, by cause.")
+@click.option("--losses", is_flag=True, help="Weight lost, by cause.")
 @guarded
 def show(results: Path, as_json: bool, losses: bool) -> None:
-    """Prints a table of RESULTS: means over seeds with 95% confidence intervals."""
+    """Prints RESULTS as a table of means over seeds with 95% confidence intervals."""
     _, records = read_results(results)
     if as_json:
         click.echo(orjson.dumps(_summary(records), option=orjson.OPT_INDENT_2).decode())
@@ -143,7 +143,7 @@
 
 
 def _show(records: list[Json]) -> None:
-    table = Table("point", "policy", "seeds", *MEASURES, "worst class", "floor to top", "rules broken")
+    table = Table("point", "policy", "seeds", *MEASURES, "worst class", "random to oracle", "rules broken")
     for row in _summary(records):
         figures = [
             _number(row[name]["mean"])
@@ -159,7 +159,7 @@
 
 
 def _show_losses(records: list[Json]) -> None:
-    """A table for each point: policies side by side, causes by what they cost the first of them."""
+    """Prints a table for each point, with policies as columns, causes by the first policy's loss."""
     rows = _summary(records)
     for point in dict.fromkeys(row["point"] for row in rows):
         here = [row for row in rows if row["point"] == point]
@@ -187,14 +187,14 @@
 @click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="PNG, SVG or PDF [RESULTS.png].")
 @guarded
 def plot(results: Path, out: Path | None) -> None:
-    """Draws RESULTS: worth served by second, and worth lost by cause."""
+    """Plots RESULTS: request weight served by second, and weight lost by cause."""
     header, records = read_results(results)
     if not records:
-        raise ResultsError(f"{results}: expected at least one play")
+        raise ResultsError(f"{results}: expected at least one record")
     path = out or results.with_suffix(".png")
     if path.suffix not in PICTURES:
         raise ResultsError(f"{path}: expected a file that ends in {', '.join(PICTURES)}")
-    from applehub.lab import picture  # here alone: it takes half a second, and no other command needs it
+    from applehub.lab import picture  # matplotlib is slow to import
 
     picture.draw(records, path, header["name"])
     click.echo(f"{path}")
@@ -204,12 +204,12 @@
 @click.argument("before", type=click.Path(path_type=Path))
 @click.argument("after", type=click.Path(path_type=Path))
 @click.option(
-    "--measure", "measures", multiple=True, help="A figure by its dotted path [G, whole, worst_window]."
+    "--measure", "measures", multiple=True, help="Value by its dotted path [G, whole, worst_window]."
 )
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 @guarded
 def compare(before: Path, after: Path, measures: tuple[str, ...], as_json: bool) -> None:
-    """Pairs the plays of two results files by seed; prints differences with 95% confidence intervals."""
+    """Pairs the runs of two results files by seed; prints differences with 95% confidence intervals."""
     first, second = (grouped(read_results(path)[1]) for path in (before, after))
     rows: list[Json] = []
     for key in first:
@@ -225,11 +225,13 @@
                     }
                 )  # fmt: skip
     if not rows:
-        raise ResultsError(f"{before} and {after}: expected plays of the same point, policy and seed in both")
+        raise ResultsError(
+            f"{before} and {after}: expected runs with the same point, policy and seed in both"
+        )
     if as_json:
         click.echo(orjson.dumps(rows, option=orjson.OPT_INDENT_2).decode())
         return
-    table = Table("point", "policy", "measure", "pairs", "before", "after", "difference", "told apart")
+    table = Table("point", "policy", "measure", "pairs", "before", "after", "difference", "significant")
     for row in rows:
         sure = row["half"] is not None and abs(row["difference"]) > row["half"]
         half = "" if row["half"] is None else f" ±{row['half']:.4f}"
@@ -243,12 +245,12 @@
 @main.command()
 @click.argument("results", type=click.Path(path_type=Path))
 @click.argument("request")
-@click.option("--policy", default=None, help="Of which policy [the first].")
-@click.option("--seed", type=int, default=None, help="Of which seed [the first].")
-@click.option("--point", type=click.IntRange(0), default=0, help="Of which point of the sweep, by number.")
+@click.option("--policy", default=None, help="Policy [the first].")
+@click.option("--seed", type=int, default=None, help="Seed [the first].")
+@click.option("--point", type=click.IntRange(0), default=0, help="Point of the sweep, by number.")
 @guarded
 def trace(results: Path, request: str, policy: str | None, seed: int | None, point: int) -> None:
-    """Plays one seed of RESULTS again and prints every event of a REQUEST: all of its tries, by one's id."""
+    """Repeats one run of RESULTS; prints all events of the REQUEST with this id, and of its retries."""
     header, _ = read_results(results)
     plan = make_plan(str(results), header["raw"])
     try:
@@ -265,7 +267,7 @@
     world.followed = number
     world.play()
     if not world.tries:
-        raise ResultsError(f"{request}: no such request in this play, which holds {world.account.requests}")
+        raise ResultsError(f"{request}: no such request in this run, which has {world.account.requests}")
     demand = world.tries[0].demand
     kind = world.day.workload.classes[demand.cls].name
     click.echo(f"{kind} for {demand.key}, {demand.work / MILLI:.1f} ms of work, from zone {demand.zone}")
@@ -282,7 +284,7 @@
 @click.option("--seed", type=int, default=1)
 @guarded
 def throttle(count: int, seed: int) -> None:
-    """Plays the throttle alone under Poisson arrivals, beside the paper's chain."""
+    """Simulates the throttle under Poisson arrivals and compares it with the Markov chain of the paper."""
     table = Table(
         "C_J + C_T", "C_J", "load", "throughput / r", "of the chain", "blocked", "of the chain", "agrees"
     )
@@ -296,7 +298,7 @@
 
 
 @main.command()
-@click.option("--seconds", type=click.FloatRange(1, 600), default=10.0, help="Simulated, for each size.")
+@click.option("--seconds", type=click.FloatRange(1, 600), default=10.0, help="Simulated time for each size.")
 @click.option(
     "--sizes",
     type=fleet_sizes("5x15,20x60"),
@@ -305,10 +307,8 @@
 )
 @guarded
 def speed(seconds: float, sizes: tuple[FleetSize, ...]) -> None:
-    """Measures how many requests a second of this machine's time are played, by fleet size, on one core."""
-    table = Table(
-        "routers x servers", "requests", "processor s", "requests/s", "µs an event", "simulated/real"
-    )
+    """Measures the simulated requests per second of CPU time on this machine, by fleet size."""
+    table = Table("routers x servers", "requests", "CPU s", "requests/s", "µs/event", "simulated/real")
     for size in sizes:
         topology = {"routers": size.routers, "servers": size.servers}
         raw = {"name": "speed", "seconds": seconds, "topology": topology}
@@ -324,14 +324,16 @@
 
 
 @main.command("cost")
-@click.option("--requests", type=click.IntRange(100, 1_000_000), default=20_000, help="Played for each size.")
+@click.option(
+    "--requests", type=click.IntRange(100, 1_000_000), default=20_000, help="Requests for each size."
+)
 @click.option(
     "--sizes", type=counts(1, 100_000, "15,60"), default="15,60,200,1000", help="Numbers of servers."
 )
 @guarded
 def module_cost(requests: int, sizes: tuple[int, ...]) -> None:
-    """Measures the module's processor time for a request with its outcome, by fleet size."""
-    result = Table("servers", "requests", "µs a request")
+    """Measures the decision module's CPU time for a request and its outcome, by fleet size."""
+    result = Table("servers", "requests", "µs/request")
     for row in cost.table(requests, sizes):
         result.add_row(str(row.servers), str(row.requests), f"{row.microseconds:.1f}")
     _print(result)
@@ -340,7 +342,7 @@
 @main.command()
 @click.argument("policy", type=click.Choice(sorted(BLIND)))
 def wire(policy: str) -> None:
-    """Hosts a baseline POLICY on the simulator's wire, as `sim` hosts the product's module."""
+    """Serves a baseline POLICY over the simulator's protocol, as `sim` serves the product's module."""
     sys.exit(wirehost.main(wirehost.Host(BLIND[policy])))
 
 
--- a/applehub/lab/account.py
+++ b/applehub/lab/account.py
@@ -1,4 +1,4 @@
-"""What a play was worth: the share of worth served, prices, and what became of the rest, by cause."""
+"""Result of one simulation run: the fraction of request weight served, penalties, and losses by cause."""
 
 from collections import Counter
 
@@ -20,22 +20,25 @@
 
 
 class Account:
-    """One play's book. Worth is counted by work: a class's worth, times work over its class's mean."""
+    """Collects the measurements of one simulation run.
+
+    A request's weight is the weight of its class, scaled by its work relative to the mean of the class.
+    """
 
     def __init__(self, day: Day, aims: list[int], clock: Clock) -> None:
-        """aims: of each class, ns."""
+        """aims: latency objective of each class, ns."""
         self.day, self.aims, self.clock = day, aims, clock
         classes = day.workload.classes
-        self.by_class = [[0.0, 0.0] for _ in classes]  # asked, served
+        self.by_class = [[0.0, 0.0] for _ in classes]  # weight requested, weight served
         self.by_second: list[list[float]] = []
-        self.causes: dict[str, float] = {}  # worth lost
-        self.examples: dict[str, str] = {}  # the first request lost by each cause
-        self.statuses: Counter[str] = Counter()  # of attempts
+        self.causes: dict[str, float] = {}  # weight lost, by cause
+        self.examples: dict[str, str] = {}  # id of the first request lost, by cause
+        self.statuses: Counter[str] = Counter()  # number of attempts, by status and type of server
         self.requests = self.tries = self.attempts = 0
         self.handshakes = self.crossings = self.refused_connects = 0
         self.late_lost = 0.0
         self.work = self.wasted = 0
-        self.times: list[int] = []  # ns to the answer, of those served
+        self.times: list[int] = []  # response times of the requests served, ns
 
     def asked_for(self, demand: Demand) -> None:
         self.requests += 1
@@ -72,13 +75,13 @@
         return "at cold server" if server.warmth() < 1 else "at server"
 
     def ended(self, status: api.Status, server: Place) -> str:
-        """Counts an attempt's end; gives a name for it."""
+        """Counts a finished attempt and returns the name that it is counted under."""
         name = f"{status} {self.place_of(server)}"
         self.statuses[name] += 1
         return name
 
     def where(self, asked: Asked) -> str:
-        """Where a request is that its client no longer waits for."""
+        """Returns where a client attempt was when its client stopped waiting."""
         if asked.final >= 0:
             return "on the way back"
         if asked.out:
@@ -88,7 +91,7 @@
     def result(
         self, cpu: list[int], origin: OriginServer, registry: Registry, servers: list[CacheServer]
     ) -> Json:
-        """The figures of the whole play. cpu: ns of each router's processor, in order of size."""
+        """Returns the result record of the run. cpu: CPU time of each router, ns, in ascending order."""
         goal, seconds = self.day.goal, self.by_second
         asked = sum(pair[0] for pair in self.by_class)
         whole = sum(pair[1] for pair in self.by_class) / asked if asked else 1.0
--- a/applehub/lab/berger.py
+++ b/applehub/lab/berger.py
@@ -1,4 +1,4 @@
-"""The throttle alone against Berger's analysis: Poisson jobs, evenly spaced tokens.
+"""Compares the throttle with Berger's analysis, for Poisson job arrivals and evenly spaced tokens.
 
 Source: A. W. Berger, "Performance Analysis of a Rate-Control Throttle where Tokens and Jobs Queue", section
 III. The state just before a token arrives is a Markov chain, Z' = max(min(Z + 1, C_T) - V, -C_J), V Poisson
@@ -19,7 +19,7 @@
 from applehub.policy.rates import SECOND
 from applehub.policy.throttle import Throttle
 
-PARTS = 20  # of a play, each with a mean of its own: their spread gives the confidence interval
+PARTS = 20  # batches of a run; the spread of their means gives the confidence interval
 RATE = 100.0  # tokens a second
 LOADS = (0.5, 0.8, 1.0, 1.2, 2.0)
 CAPACITIES = ((10, 0), (10, 5), (10, 8), (20, 0), (20, 10))  # C_J + C_T, C_J
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One row of the table; throughput is by r, blocked by the jobs offered."""
+    """One row of the table; throughput is relative to r, blocked to the jobs offered."""
 
     total: int
     buffer: int
@@ -39,12 +39,12 @@
 
     @property
     def agrees(self) -> bool:
-        """Whether the chain's blocking lies within the 95% interval of what was played."""
+        """Whether the blocking probability of the chain lies within the measured 95% interval."""
         return abs(self.blocked.value - self.chain_blocked) <= (self.blocked.half or 0.0) + 1e-4
 
 
 def chain(total: int, load: float) -> tuple[float, float]:
-    """Throughput by r, and the part of the jobs that is blocked, in steady state."""
+    """Returns the throughput relative to r and the blocking probability of the chain in steady state."""
     size = total + 1  # states 0..total, the paper's Z + C_J
     arrivals = [math.exp(-load + k * math.log(load) - math.lgamma(k + 1)) for k in range(size)]
     moves = np.zeros((size, size))
@@ -60,7 +60,7 @@
 
 
 def played(total: int, buffer: int, load: float, count: int, seed: int) -> tuple[Mean, Mean]:
-    """The product's throttle under Poisson jobs: throughput by r, and the part blocked."""
+    """Simulates the throttle under Poisson arrivals; returns throughput / r and the fraction blocked."""
     throttle = Throttle(0, RATE, total)
     throttle.bank, throttle.buffer = total - buffer, buffer
     throttle.level = throttle.bank
@@ -80,7 +80,7 @@
 
 
 def table(count: int, seed: int) -> Iterator[Row]:
-    """All rows, with so many jobs offered for each."""
+    """Yields all rows, each from `count` jobs."""
     for total, buffer in CAPACITIES:
         for load in LOADS:
             throughput, blocked = played(total, buffer, load, count, seed)
--- a/applehub/lab/cold.py
+++ b/applehub/lab/cold.py
@@ -1,4 +1,4 @@
-"""What all routers together send to a cold server, beside what the rule lets chance add to its budget."""
+"""Measures the load that all routers together send to a server that warms up, against the rule's bound."""
 
 import itertools
 import os
@@ -19,7 +19,7 @@
 
 JOIN = {"kind": "join", "at_s": 8, "for_s": 7, "part": 0.6}
 BURST = {"kind": "burst", "at_s": 12, "for_s": 10, "factor": 1.5}
-DAYS: dict[str, list[Json]] = {  # ways in which routers can come to send too much, by what they share
+DAYS: dict[str, list[Json]] = {  # fault schedules under which routers may exceed the bound
     "join": [JOIN],
     "burst": [JOIN, BURST],
     "uneven": [
@@ -37,19 +37,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Fullest:
-    """The fullest window of one cold server, in requests of mean work."""
+    """The window of one warming server with the highest load, in requests of mean work."""
 
     sent: float
     budget: float
 
     @property
     def part(self) -> float:
-        """Of the bound; over 1 the server may be taken for pushed over."""
+        """The load relative to the bound; the rule is exceeded over 1."""
         return self.sent / bound_of(self.budget)
 
 
 def play(day: str, routers: int, seed: int, load: float) -> list[Fullest]:
-    """The fullest window of each server that was cold on a day, in the order of the servers."""
+    """Simulates a scenario; returns the peak window of each server that warmed up, in server order."""
     servers = max(15, round(routers * 0.6))
     raw = {
         "name": "cold", "seconds": 34, "topology": {"routers": routers, "servers": servers},
@@ -69,7 +69,7 @@
 
 
 def table(sizes: Sequence[int], seeds: range, load: float, jobs: int) -> dict[tuple[str, int], list[Fullest]]:
-    """All fullest windows by day and number of routers."""
+    """Returns all peak windows by scenario and number of routers."""
     found: dict[tuple[str, int], list[Fullest]] = {(day, size): [] for day in DAYS for size in sizes}
     with ProcessPoolExecutor(jobs) as pool:
         for day, size, windows in pool.map(_play, _tasks(sizes, seeds, load)):
@@ -83,16 +83,16 @@
     help="Numbers of routers.",
 )  # fmt: skip
 @click.option("--seeds", type=click.IntRange(1, 1000), default=5, show_default=True)
-@click.option("--first", type=click.IntRange(0), default=1, show_default=True, help="The first seed.")
+@click.option("--first", type=click.IntRange(0), default=1, show_default=True, help="First seed.")
 @click.option("--load", type=click.FloatRange(0.05, 1.5), default=0.6, show_default=True)
-@click.option("--jobs", type=click.IntRange(1), default=None, help="Processes at once [all cores].")
+@click.option("--jobs", type=click.IntRange(1), default=None, help="Parallel processes [all cores].")
 @guarded
 def cold(sizes: tuple[int, ...], seeds: int, first: int, load: float, jobs: int | None) -> None:
-    """Measures what cold servers are sent by all routers in the rule's window, beside N + 2 x root of N + 2:
-    of each server its fullest window. Code 1 where one was over."""
+    """Measures the load that warming servers receive from all routers, per server in its peak window, against
+    the bound N + 2 x root of N + 2. Exits with code 1 if a server received more."""
     found = table(sizes, range(first, first + seeds), load, jobs or os.cpu_count() or 1)
     shown = Table(
-        "day", "routers", "cold servers", "fullest / bound, median", "p99", "most", "sent, N", "over"
+        "scenario", "routers", "cold servers", "peak / bound, median", "p99", "max", "sent, N", "over"
     )
     over = 0
     for (day, size), windows in found.items():
--- a/applehub/lab/compare.py
+++ b/applehub/lab/compare.py
@@ -1,4 +1,4 @@
-"""Figures over seeds: means with confidence intervals, and differences paired by seed."""
+"""Statistics over seeds: means with confidence intervals, and differences paired by seed."""
 
 import math
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Mean:
-    """A mean over seeds, and half its 95% confidence interval (Student's t); none for one seed."""
+    """A mean over seeds, and the half-width of its 95% confidence interval (Student's t); None for one seed."""
 
     value: float
     half: float | None
@@ -35,7 +35,10 @@
 
 
 def measure(result: Json, path: str) -> float | None:
-    """A figure by its dotted path: `G`, `losses.late`, `classes.consulta`. A loss that is not listed is 0."""
+    """Returns a value of a result by its dotted path, such as `G` or `losses.late`; None if it is absent.
+
+    Losses, statuses and rule counts that are not listed are 0.
+    """
     at: Any = result
     for step in path.split("."):
         if not isinstance(at, dict):
@@ -62,7 +65,7 @@
 
 
 def grouped(records: list[Json]) -> dict[tuple[str, str], list[Json]]:
-    """Records by point and policy, in the order in which they came."""
+    """Groups records by point and policy, in their order."""
     groups: dict[tuple[str, str], list[Json]] = {}
     for record in records:
         groups.setdefault(key_of(record), []).append(record)
@@ -70,7 +73,7 @@
 
 
 def mean_losses(records: list[Json]) -> dict[str, float]:
-    """Worth lost by cause, the mean over all plays: a cause that one does not list cost it nothing."""
+    """Returns the mean weight lost over all runs, by cause; a cause that a run does not list counts as 0."""
     causes = sorted({cause for one in records for cause in one["result"]["losses"]})
     return {
         cause: mean_of(one["result"]["losses"].get(cause, 0.0) for one in records).value for cause in causes
@@ -86,7 +89,7 @@
 
 
 def paired(before: list[Json], after: list[Json], path: str) -> tuple[Mean, Mean, Mean] | None:
-    """A measure before, after, and their difference over the seeds that both hold."""
+    """Returns the means before and after, and of the difference, over the seeds in both; None without any."""
     seeds = {one["seed"]: measure(one["result"], path) for one in before}
     pairs = []
     for one in after:
@@ -103,7 +106,10 @@
 
 
 def standing(groups: dict[tuple[str, str], list[Json]], point: str, policy: str) -> float | None:
-    """Where a policy's G lies between random choice (0) and the one that sees all (1)."""
+    """Returns where a policy's G lies between the `random` (0) and the `oracle` (1) policy.
+
+    None if a record of either is missing.
+    """
     names = {policy, "random", "oracle"}
     if any((point, name) not in groups for name in names):
         return None
--- a/applehub/lab/cost.py
+++ b/applehub/lab/cost.py
@@ -1,4 +1,4 @@
-"""What a decision costs: processor time of the module for a request and its outcome, by fleet size."""
+"""Measures the CPU time of the decision module for a request and its outcome, by fleet size."""
 
 import time
 from collections.abc import Iterator, Sequence
@@ -11,14 +11,14 @@
 from applehub.policy import Balancer
 from applehub.settings import read_settings
 
-OUT = 8  # requests that are under way at a time
+OUT = 8  # requests in flight
 KEYS = 4000
 ANSWER = 40 * MILLI
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """One row: µs of processor time for a request with its outcome."""
+    """One row of the table: CPU time for a request and its outcome, in µs."""
 
     servers: int
     requests: int
@@ -26,7 +26,7 @@
 
 
 def measure(servers: int, count: int) -> Cost:
-    """Plays so many reads that hit, on a warm fleet of equal servers, and times the module alone."""
+    """Measures `count` reads that hit the cache, on a warm fleet of equal servers; times the module alone."""
     settings, draws = read_settings(settings_of(Day())), Draws(1, "cost")
     balancer, now = Balancer(settings, 1), 0
     members = [api.Member(f"s-{number:08x}", kind=number % 2) for number in range(servers)]
@@ -47,7 +47,7 @@
 
 
 def table(count: int, sizes: Sequence[int]) -> Iterator[Cost]:
-    """A row for each number of servers, after a round that warms the process up."""
+    """Yields a row for each number of servers, after a run that warms up the process."""
     measure(sizes[0], count // 10 + 1)
     for servers in sizes:
         yield measure(servers, count)
--- a/applehub/lab/gossip.py
+++ b/applehub/lab/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip agents alone on a simulated network: how fast what routers share gets round, and what it costs."""
+"""Measures gossip agents on a simulated network: propagation delay, convergence time and cost."""
 
 import time
 from collections.abc import Iterator
@@ -12,42 +12,44 @@
 from applehub.settings import Json
 
 FLEET = "lab"
-SEEDS = 5  # routers that all are configured with
-SETTLE = 120 * SECOND  # the longest that is waited for the fleet to agree
+SEEDS = 5  # seed routers that every agent is configured with
+SETTLE = 120 * SECOND  # maximum wait for membership to converge
 
 
 @dataclass(frozen=True, slots=True)
 class Gossip:
-    """What is played. Times in seconds, loss as a part."""
+    """Parameters of a simulation; loss is the fraction of datagrams lost."""
 
     routers: int
     period_ms: float = 50.0
     loss: float = 0.0
-    near_ms: float = 0.3
-    far_ms: float = 8.0
-    seconds: float = 10.0  # of steady telling
-    cut_s: float = 0.0  # how long the fleet is cut in two; 0: never
-    kill: float = 0.0  # part of the routers that ends at once
+    near_ms: float = 0.3  # delay within a zone
+    far_ms: float = 8.0  # delay between zones
+    seconds: float = 10.0  # of steady state
+    cut_s: float = 0.0  # duration of a partition into two halves; 0: none
+    kill: float = 0.0  # fraction of the routers that crash together
 
 
 @dataclass(slots=True)
 class Measured:
-    """What was seen: seconds, and figures a router a second of steady telling."""
+    """Measurements; rates are per router and second of the steady state. A time of -1 means not in time."""
 
-    known_s: float = -1.0
-    verdict_ms: list[float] = field(default_factory=list)  # from a change until each other has it
-    ages_ms: dict[str, list[float]] = field(default_factory=dict)  # true ages of what counts
+    known_s: float = -1.0  # until all routers know all others
+    verdict_ms: list[float] = field(
+        default_factory=list
+    )  # delay from a change until another router received it
+    ages_ms: dict[str, list[float]] = field(default_factory=dict)  # true ages of the records in use, by type
     bytes_out: float = 0.0
     datagrams: float = 0.0
     cpu_ms: float = 0.0
-    healed_s: float = -1.0
-    buried_s: float = -1.0  # until the living hold all that ended for gone, and nobody else
-    missing: int = 0  # changes of a verdict that a router never had
-    records: int = 0  # most that a store held
+    healed_s: float = -1.0  # until membership converged after the partition
+    buried_s: float = -1.0  # until the live routers hold exactly the crashed ones for dead
+    missing: int = 0  # verdict changes that a router never received
+    records: int = 0  # most records in one store
 
 
 class Talk:
-    """Gossip agents, a clock and a network."""
+    """A simulation of gossip agents, a clock and a network."""
 
     def __init__(self, plan: Gossip, seed: int) -> None:
         self.plan, self.clock, self.draws = plan, Clock(), Draws(seed, "gossip")
@@ -68,9 +70,11 @@
         self.alive = [True] * plan.routers
         self.cut = False
         self.cpu, self.until = 0.0, 0
-        self.births: dict[tuple[int, str, int], int] = {}  # by writer, type and version: when
-        self.accused: dict[tuple[int, int], int] = {}  # verdicts, by subject and writer: since when
-        self.lacking: list[set[tuple[int, int]]] = [set() for _ in names]  # those that each has not heard
+        self.births: dict[tuple[int, str, int], int] = {}  # publication time, by writer, type and version
+        self.accused: dict[tuple[int, int], int] = {}  # publication time of verdicts, by subject and writer
+        self.lacking: list[set[tuple[int, int]]] = [
+            set() for _ in names
+        ]  # verdicts that each router has not received
         self.measured = Measured()
 
     def _zone(self, number: int) -> int:
@@ -119,7 +123,7 @@
         )  # fmt: skip
 
     def _until_agreed(self) -> float:
-        """Seconds until each living router holds just the living for there; -1: not in time."""
+        """Runs until each live router knows exactly the live ones; returns the time, s, or -1 on timeout."""
         begin = self.clock.now
         while not self._agreed():
             if self.clock.now - begin > SETTLE:
@@ -128,12 +132,12 @@
         return (self.clock.now - begin) / SECOND
 
     def _told(self, number: int) -> Iterator[Record]:
-        """What a router has of the others."""
+        """Returns the records that a router holds from other routers."""
         agent = self.agents[number]
         return (one for key, one in agent.store.records.items() if key[2] != agent.member_id)
 
     def _tell(self, number: int) -> None:
-        """What a router has to tell, each quarter of a second."""
+        """Publishes the records of a router, every quarter of a second."""
         agent, now = self.agents[number], self.clock.now
         for (kind, subject), own in list(agent.published.items()):
             if kind is Verdict and own.body is not None:
@@ -147,7 +151,7 @@
         self.clock.after(SECOND // 4, self._tell, number)
 
     def _accuse(self, count: int) -> None:
-        """A router finds that a server fails it."""
+        """Publishes a verdict of a random router about a failing server, and withdraws it after 3 s."""
         number = self.draws.below(len(self.agents))
         agent, subject = self.agents[number], digest(f"server {count}")
         agent.publish(self.clock.now, Verdict(True, 3), subject)
@@ -161,7 +165,7 @@
             self.clock.after(SECOND // 5, self._accuse, count + 1)
 
     def _look(self, _: None) -> None:
-        """The true ages of what counts, at one router."""
+        """Samples the true ages of the records in use at a random router."""
         number, now = self.draws.below(len(self.agents)), self.clock.now
         store = self.agents[number].store
         self.measured.records = max(self.measured.records, len(store.records))
@@ -174,7 +178,7 @@
             self.clock.after(SECOND // 20, self._look, None)
 
     def play(self) -> Measured:
-        """Starts all at once, lets them tell, then strikes."""
+        """Starts all agents, measures the steady state, then applies the partition and the crashes."""
         plan, measured = self.plan, self.measured
         for number in range(plan.routers):
             self._start(number)
@@ -212,7 +216,7 @@
 
 
 def figures(plan: Gossip, measured: Measured) -> Json:
-    """For a table or a file."""
+    """Returns the measurements for a table or a file; pairs are the median and the 99th percentile."""
     told = sorted(measured.ages_ms.items())
     ages = {name.lower(): (_at(values, 0.5), _at(values, 0.99)) for name, values in told}
     return {
--- a/applehub/lab/gossip_command.py
+++ b/applehub/lab/gossip_command.py
@@ -1,4 +1,4 @@
-"""The command that measures what routers share, alone."""
+"""The `peers` command, which measures the gossip between routers."""
 
 from collections.abc import Callable
 from typing import Any
@@ -18,13 +18,29 @@
 @click.option(
     "--sizes", type=counts(2, 5000, "5,50"), default="5,50", show_default=True, help="Numbers of routers."
 )
-@click.option("--loss", type=click.FloatRange(0, 0.9), default=0.0, show_default=True, help="Of datagrams.")
 @click.option(
-    "--period", type=click.FloatRange(5, 5000), default=50, show_default=True, help="Of probes, ms."
+    "--loss",
+    type=click.FloatRange(0, 0.9),
+    default=0.0,
+    show_default=True,
+    help="Fraction of datagrams lost.",
+)
+@click.option(
+    "--period",
+    type=click.FloatRange(5, 5000),
+    default=50,
+    show_default=True,
+    help="Between health checks, ms.",
+)
+@click.option(
+    "--seconds", type=click.FloatRange(1, 600), default=5, show_default=True, help="Of steady state."
+)
+@click.option(
+    "--cut", type=click.FloatRange(0, 600), default=0, show_default=True, help="Duration of a partition, s."
+)
+@click.option(
+    "--kill", type=click.FloatRange(0, 0.99), default=0.0, show_default=True, help="Fraction killed."
 )
-@click.option("--seconds", type=click.FloatRange(1, 600), default=5, show_default=True, help="Of telling.")
-@click.option("--cut", type=click.FloatRange(0, 600), default=0, show_default=True, help="In two, s.")
-@click.option("--kill", type=click.FloatRange(0, 0.99), default=0.0, show_default=True, help="Part killed.")
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="As JSON lines.")
 @guarded
@@ -38,8 +54,8 @@
     seed: int,
     as_json: bool,
 ) -> None:
-    """Measures what routers share, on a simulated network: how soon all know of all, how soon a verdict is
-    round, how old what counts is, what it costs a router, how soon a cut or a mass kill is over."""
+    """Measures the gossip between routers on a simulated network: membership convergence, propagation delay of
+    verdicts, age of records, cost for a router, and recovery from a partition or a mass crash."""
     played = []
     for count in sizes:
         plan = Gossip(count, period, loss, seconds=seconds, cut_s=cut, kill=kill)
@@ -59,14 +75,14 @@
 
 
 ROWS: dict[str, Callable[[Json], Any]] = {
-    "all know all, s": lambda one: one["known_s"],
-    "a verdict is there, ms": lambda one: one["verdict_ms"],
+    "membership converged, s": lambda one: one["known_s"],
+    "verdict propagation, ms": lambda one: one["verdict_ms"],
     "age of limits, ms": lambda one: one["ages_ms"].get("limit"),
     "age of shares, ms": lambda one: one["ages_ms"].get("shares"),
-    "bytes a second": lambda one: one["bytes_s"],
-    "datagrams a second": lambda one: one["datagrams_s"],
-    "processor, ms a second": lambda one: one["cpu_ms_s"],
-    "records held": lambda one: one["records"],
-    "healed after a cut, s": lambda one: one["healed_s"],
-    "the dead buried, s": lambda one: one["buried_s"],
+    "bytes/s": lambda one: one["bytes_s"],
+    "datagrams/s": lambda one: one["datagrams_s"],
+    "CPU, ms/s": lambda one: one["cpu_ms_s"],
+    "records stored": lambda one: one["records"],
+    "recovery after a partition, s": lambda one: one["healed_s"],
+    "crashed routers detected, s": lambda one: one["buried_s"],
 }
--- a/applehub/lab/live/__init__.py
+++ b/applehub/lab/live/__init__.py
@@ -1,1 +1,1 @@
-"""The lab on real sockets: stand-ins for all that a router meets, and an open-loop load."""
+"""Load tests of a router over loopback sockets, with fake servers and an open-loop client."""
--- a/applehub/lab/live/bench.py
+++ b/applehub/lab/live/bench.py
@@ -1,4 +1,4 @@
-"""Starts stand-ins and one router as `run` does, plays a load through it, and measures its process."""
+"""Starts fake servers and one router process, runs a load through it, and measures the process."""
 
 import asyncio
 import multiprocessing
@@ -25,15 +25,15 @@
 
 READY_WITHIN = 20.0  # s
 MB = 1 << 20
-SAMPLE = 0.2  # s between looks at the router's process
+SAMPLE = 0.2  # s between samples of the router's process
 
 
 class LiveError(RuntimeError):
-    """A stand-in or the router did not start, or ended."""
+    """Raised if the fake servers or the router did not start, or exited."""
 
 
 def settings(wait_ms: int, routers: int = 1) -> Json:
-    """What the router is told: two classes, the router fetches from the origin, lists come on request."""
+    """Returns router settings: two classes, misses fetched from the origin, endpoint lists on request."""
     deadline = wait_ms * MILLI
     classes = [
         {"name": "read", "aim": deadline // 2, "deadline": deadline, "effect": "safe"},
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class Use:
-    """What the router's process has used."""
+    """Resource usage of the router's process."""
 
     cpu_s: float = 0.0
     memory_mb: float = 0.0
@@ -69,7 +69,7 @@
 
 
 class RouterProcess:
-    """A router under `run`'s own command line, in this interpreter's environment."""
+    """A router process started by its command line, with this interpreter and environment."""
 
     def __init__(self, told: Json, folder: Path) -> None:
         self.path = folder / "config.json"
@@ -92,10 +92,10 @@
         self.use = Use()
 
     def sample(self) -> Use:
-        """Looks at the process; raises LiveError where it has ended."""
+        """Measures the process; raises LiveError if it has exited."""
         if self.process.poll() is not None:
             said = self.log.read_text()[-500:]
-            raise LiveError(f"the router ended with code {self.process.returncode}: {said}")
+            raise LiveError(f"the router exited with code {self.process.returncode}: {said}")
         times, use = self.watched.cpu_times(), self.use
         use.cpu_s = times.user + times.system
         use.memory_mb = self.watched.memory_info().rss / MB
@@ -105,7 +105,7 @@
         return use
 
     def _peak_mb(self) -> float:
-        """The most that the process has held, where the system tells it; else 0."""
+        """Returns the peak resident memory of the process; 0 where the system does not report it."""
         with suppress(OSError):
             for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
                 if line.startswith("VmHWM:"):
@@ -113,7 +113,7 @@
         return 0.0
 
     def stop(self) -> int:
-        """SIGTERM, and SIGKILL for one that does not end; gives its code."""
+        """Sends SIGTERM, then SIGKILL after 10 s; returns the exit code."""
         if self.process.poll() is None:
             self.process.terminate()
             try:
@@ -134,7 +134,7 @@
 
 
 class Site:
-    """Stand-ins in a process of their own, and one router before them."""
+    """Fake servers in a separate process, and a router process in front of them."""
 
     def __init__(self, folder: Path, plan: Plan, wait_ms: int, routers: int = 1) -> None:
         context = multiprocessing.get_context("spawn")
@@ -142,12 +142,12 @@
         self.standins = context.Process(target=host, args=(theirs, plan), daemon=True)
         self.standins.start()
         if not self.pipe.poll(READY_WITHIN):
-            raise LiveError("the stand-ins did not start")
+            raise LiveError("the fake servers did not start")
         theirs.close()
         try:
             discovery, self.targets = self.pipe.recv()
         except EOFError:
-            raise LiveError("the stand-ins ended: they said why") from None
+            raise LiveError("the fake servers exited; see their output on standard error") from None
         self.listen, self.console = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
         told = {
             "name": "demo",
@@ -171,12 +171,12 @@
         return counts
 
     def replace(self, part: float, within: float) -> None:
-        """Has this part of the cache servers replaced within so many s; returns at once."""
+        """Starts to replace this fraction of the cache servers over `within` s; returns at once."""
         self.pipe.send((part, within))
 
     def stop(self) -> int:
         code = self.router.stop()
-        with suppress(OSError):  # they have ended already
+        with suppress(OSError):  # they have exited already
             self.pipe.send("end")
         self.standins.join(5)
         if self.standins.is_alive():
@@ -186,7 +186,7 @@
 
 @contextmanager
 def site(plan: Plan, wait_ms: int, routers: int = 1) -> Iterator[Site]:
-    """A site that is ended whatever happens."""
+    """Starts a site and stops it on exit from the context."""
     with tempfile.TemporaryDirectory(prefix="lab-") as folder:
         one = Site(Path(folder), plan, wait_ms, routers)
         try:
@@ -196,7 +196,7 @@
 
 
 async def until_ready(one: Site) -> float:
-    """Waits until the router answers PING; gives how long that took, s."""
+    """Waits until the router answers PING; returns the time taken, s. Raises LiveError on timeout."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     while loop.time() - began < READY_WITHIN:
@@ -205,13 +205,13 @@
             if await say(one.listen, command(b"PING")) == b"+PONG\r\n":
                 return loop.time() - began
         except OSError:
-            pass  # it does not listen yet
+            pass  # the router does not listen yet
         await asyncio.sleep(0.01)
     raise LiveError(f"the router was not ready within {READY_WITHIN:.0f} s")
 
 
 async def say(address: tuple[str, int], words: bytes) -> bytes:
-    """Sends a command on a connection of its own and reads what comes back at once."""
+    """Sends a command on a new connection and returns the first bytes of the answer."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(words)
@@ -221,7 +221,7 @@
 
 
 async def figures(one: Site) -> dict[str, str]:
-    """What the console's DUMP tells."""
+    """Returns the metrics that the console's DUMP command prints."""
     reader, writer = await asyncio.open_connection(*one.console)
     writer.write(b"DUMP\n")
     lines = (await asyncio.wait_for(reader.read(), 5)).decode().splitlines()
@@ -231,7 +231,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """What a load showed, through the router and straight to the caches."""
+    """Results of a load test, through the router and directly to the cache servers."""
 
     through: Seen
     direct: Seen
@@ -241,7 +241,7 @@
 
     @property
     def microseconds(self) -> float:
-        """Processor time of the router for a request."""
+        """CPU time of the router for a request."""
         return (self.use.cpu_s - self.cpu_before) / max(1, self.through.asked) * 1e6
 
     def as_json(self) -> Json:
@@ -277,7 +277,7 @@
 
 
 async def through(one: Site, load: Load) -> Seen:
-    """The load through the router, whose process is looked at meanwhile."""
+    """Runs the load through the router and samples its process meanwhile."""
     sampler = asyncio.create_task(_sampled(one))
     try:
         return await Player(load, [one.listen]).play()
@@ -286,7 +286,7 @@
 
 
 async def play(one: Site, load: Load) -> Report:
-    """The load straight to the caches (reads alone, which they can answer), then through the router."""
+    """Runs reads directly against the cache servers, then the load through the router."""
     await until_ready(one)
     straight = replace(load, seconds=min(load.seconds, 3.0), write_part=0.0, seed=load.seed + 1)
     direct = await Player(straight, one.caches).play()
--- a/applehub/lab/live/client.py
+++ b/applehub/lab/live/client.py
@@ -1,5 +1,8 @@
-"""An open-loop client: requests go out at the times drawn for them, whatever came back, and each answer is
-counted from when its request was due. So a router that stalls is charged for all that comes meanwhile."""
+"""An open-loop load generator.
+
+Requests are sent on a random schedule, independently of the answers, and latency is measured from the
+scheduled time, so that a stall of the router counts against every request that was due meanwhile.
+"""
 
 import asyncio
 from collections import deque
@@ -18,21 +21,21 @@
 
 @dataclass(slots=True)
 class Load:
-    """What is asked for: reads of Zipf keys and a part of writes, at a mean rate, for so many seconds."""
+    """A load of reads and writes with Zipf-distributed keys."""
 
-    rate: float
+    rate: float  # mean requests/s
     seconds: float
     keys: int
-    write_part: float
+    write_part: float  # fraction of the requests
     value: int  # bytes of a written value
-    wait_ms: int
-    connections: int  # at the most
+    wait_ms: int  # timeout of the client
+    connections: int  # maximum
     seed: int
 
 
 @dataclass(slots=True)
 class Seen:
-    """What clients saw; times in µs, from when a request was due."""
+    """Results of a load; latencies in µs from the scheduled time of a request."""
 
     asked: int = 0
     served: int = 0
@@ -42,19 +45,19 @@
     times: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MOST_MICROSECONDS, 3))
     late: HdrHistogram = field(
         default_factory=lambda: HdrHistogram(1, MOST_MICROSECONDS, 3)
-    )  # the client's own
+    )  # delay of sending after the scheduled time, µs
 
     def at(self, percentile: float) -> float:
-        """ms."""
+        """Returns a percentile of the latency, ms."""
         return float(self.times.get_value_at_percentile(percentile)) / 1000
 
 
 def planned(load: Load) -> Iterator[tuple[float, bytes]]:
-    """Each request: when it is due (s from the beginning), and its command."""
+    """Yields the scheduled time, in seconds from the start, and the command of each request."""
     draw = generator(load.seed, "load")
     count = int(draw.poisson(load.rate * load.seconds))
     times = sorted((draw.random(count) * load.seconds).tolist())
-    ranks = (load.keys ** draw.random(count)).astype(int).tolist()  # p(rank) falls as 1 / rank
+    ranks = (load.keys ** draw.random(count)).astype(int).tolist()  # Zipf distribution: p(rank) ~ 1 / rank
     writes = (draw.random(count) < load.write_part).tolist()
     value = b"w" * load.value
     for number, (due, rank, write) in enumerate(zip(times, ranks, writes, strict=True)):
@@ -67,13 +70,13 @@
 
 
 class _Line(asyncio.Protocol):
-    """A connection with one request at a time."""
+    """A client connection with at most one request in flight."""
 
     def __init__(self, player: "Player") -> None:
         self.player = player
         self.reader = hiredis.Reader()
         self.transport: asyncio.Transport | None = None
-        self.due = 0.0  # loop's time of the request that is out; 0: none
+        self.due = 0.0  # scheduled time of the request in flight; 0: none
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -111,7 +114,7 @@
 
 
 class Player:
-    """Plays a load against one address, or in turn against several."""
+    """Runs a load against one or more addresses, which take connections in turn."""
 
     def __init__(self, load: Load, addresses: list[tuple[str, int]]) -> None:
         self.load, self.addresses = load, addresses
@@ -119,11 +122,11 @@
         self.seen = Seen()
         self.idle: list[_Line] = []
         self.all: set[_Line] = set()
-        self.waiting: deque[tuple[float, bytes]] = deque()  # due, and no connection free
+        self.waiting: deque[tuple[float, bytes]] = deque()  # requests that wait for a free connection
         self.dialling: set[asyncio.Task[None]] = set()
 
     async def play(self) -> Seen:
-        """All of it, and what is out after its end; gives what was seen."""
+        """Sends all requests and waits for those in flight; returns the results."""
         for _ in range(min(4, self.load.connections)):
             await self._dial()
         begin = self.loop.time() + 0.05
@@ -176,12 +179,12 @@
             self.idle.remove(line)
 
     def ended(self, line: _Line, due: float, answer: object) -> None:
-        """A request has its answer; none: it was given up on, or its connection broke."""
+        """Records the answer of a request; None: it timed out, or its connection broke."""
         if answer is None:
             self.seen.unanswered += 1
             return
         self.seen.times.record_value(max(1, int((self.loop.time() - due) * 1e6)))
-        if isinstance(answer, bytes | list):  # a list where a cache is asked directly, a miss too
+        if isinstance(answer, bytes | list):  # cache servers answer with a list, also for a miss
             self.seen.served += 1
         elif isinstance(answer, hiredis.ReplyError) and str(answer).startswith("BUSY"):
             self.seen.refused += 1
--- a/applehub/lab/live/commands.py
+++ b/applehub/lab/live/commands.py
@@ -1,4 +1,4 @@
-"""The lab's commands on real sockets: load and demo."""
+"""The `load` and `demo` commands, which run a router over loopback sockets."""
 
 import asyncio
 
@@ -13,28 +13,29 @@
 from applehub.lab.problems import guarded
 from applehub.node.resp import command
 
-MOST_REQUESTS = 2_000_000  # of one load
+MOST_REQUESTS = 2_000_000  # of one load test
 COUNTS = ("asked", "served", "refused", "failed", "unanswered")
 TOUR = (
     ("PING", command(b"PING")),
-    ("a read: no cache has it, so the origin is asked", command(b"C.GET", b"pedal", b"01", b"c=read,d=900")),
-    ("the same again: a cache has it", command(b"C.GET", b"pedal", b"02", b"c=read,d=900")),
+    (
+        "a read that misses and is fetched from the origin",
+        command(b"C.GET", b"pedal", b"01", b"c=read,d=900"),
+    ),
+    ("the same read again, a cache hit", command(b"C.GET", b"pedal", b"02", b"c=read,d=900")),
     ("a write goes to the origin", command(b"C.SET", b"pedal", b"03", b"c=put,d=900,k=1", b"new")),
     ("a class that nobody told of", command(b"C.GET", b"pedal", b"04", b"c=none,d=900")),
 )
 
 
 @click.command()
-@click.option(
-    "--rate", type=click.FloatRange(1, 20_000), default=500.0, help="Requests a second, on average."
-)
+@click.option("--rate", type=click.FloatRange(1, 20_000), default=500.0, help="Mean requests per second.")
 @click.option("--seconds", type=click.FloatRange(0.5, 3600), default=10.0)
-@click.option("--caches", type=click.IntRange(1), default=4, help="Stand-ins for cache servers.")
+@click.option("--caches", type=click.IntRange(1), default=4, help="Number of fake cache servers.")
 @click.option("--keys", type=click.IntRange(1), default=5000)
-@click.option("--writes", type=click.FloatRange(0, 1), default=0.04, help="Part of the requests.")
-@click.option("--value", type=click.IntRange(0, 65536), default=512, help="Bytes of a value.")
-@click.option("--wait-ms", type=click.IntRange(10, 60_000), default=1000, help="What a client waits.")
-@click.option("--connections", type=click.IntRange(1, 300), default=200, help="Of the clients, at the most.")
+@click.option("--writes", type=click.FloatRange(0, 1), default=0.04, help="Fraction of the requests.")
+@click.option("--value", type=click.IntRange(0, 65536), default=512, help="Size of a value, bytes.")
+@click.option("--wait-ms", type=click.IntRange(10, 60_000), default=1000, help="Timeout of the client.")
+@click.option("--connections", type=click.IntRange(1, 300), default=200, help="Maximum of the client.")
 @click.option("--seed", type=click.IntRange(0), default=1)
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 @guarded
@@ -42,7 +43,7 @@
     rate: float, seconds: float, caches: int, keys: int, writes: float, value: int, wait_ms: int,
     connections: int, seed: int, as_json: bool,
 ) -> None:  # fmt: skip
-    """Drives a router (`run`) over loopback before stand-ins, open loop, and measures it."""
+    """Runs an open-loop load against a router with fake servers on loopback, and measures the router."""
     if rate * seconds > MOST_REQUESTS:
         raise click.UsageError(f"--rate times --seconds: expected at most {MOST_REQUESTS} requests")
     wanted = Load(rate, seconds, keys, writes, value, wait_ms, connections, seed)
@@ -57,10 +58,10 @@
 
 
 def show(report: Report) -> None:
-    """Prints what a load showed."""
+    """Prints the results of a load test."""
     told, console = report.as_json(), Console(width=110)
     table = Table("", *COUNTS, "p50 ms", "p99 ms", "p99.9 ms")
-    for name, title in (("through", "through the router"), ("direct", "straight to caches")):
+    for name, title in (("through", "through the router"), ("direct", "directly to caches")):
         one = told[name]
         times = [f"{one[at]:.2f}" for at in ("p50_ms", "p99_ms", "p999_ms")]
         table.add_row(title, *(str(one[key]) for key in COUNTS), *times)
@@ -70,32 +71,35 @@
         f"added by the router: p50 {added[0]:.2f} ms, p99 {added[1]:.2f} ms, p99.9 {added[2]:.2f} ms"
     )
     use, caches, origin = told["router"], told["caches"], told["origin"]
-    console.print(f"router: {use['us_a_request']:.0f} µs of processor time a request")
-    console.print(f"router: {use['memory_mb']} MB, {use['most_memory_mb']} at most")
-    console.print(f"router: {use['descriptors']} descriptors, {use['most_descriptors']} at most")
+    console.print(f"router: {use['us_a_request']:.0f} µs of CPU time per request")
+    console.print(f"router: {use['memory_mb']} MB, peak {use['most_memory_mb']}")
+    console.print(f"router: {use['descriptors']} descriptors, peak {use['most_descriptors']}")
     console.print(f"caches: {caches['hits']} hits, {caches['misses']} misses")
     console.print(f"origin: {origin['reads']} reads, {origin['writes']} writes")
     late = report.through.late.get_value_at_percentile(99) / 1000
-    console.print(f"the client sent up to {late:.2f} ms late (p99); answers count from when they were due")
+    console.print(f"the client sent up to {late:.2f} ms late (p99); latency counts from the scheduled time")
 
 
 @click.command()
 @click.option(
-    "--seconds", type=click.FloatRange(0.5, 60), default=3.0, help="Of load, 200 requests a second."
+    "--seconds",
+    type=click.FloatRange(0.5, 60),
+    default=3.0,
+    help="Duration of the load of 200 requests per second.",
 )
 @guarded
 def demo(seconds: float) -> None:
-    """Starts stand-ins and one router, asks it a few things, then plays a short load through it."""
+    """Starts fake servers and one router, sends it sample commands, then runs a short load through it."""
     with site(Plan(3, 64), 1000) as one:
         asyncio.run(_tour(one, seconds))
         code = one.router.stop()
-    click.echo(f"the router was told to end (SIGTERM) and ended with code {code}")
+    click.echo(f"the router received SIGTERM and ended with code {code}")
 
 
 async def _tour(one: Site, seconds: float) -> None:
     took, port = await until_ready(one), one.listen[1]
-    click.echo("3 cache servers, an origin and discovery stand in")
-    click.echo(f"a router listens on port {port}, ready after {took:.2f} s")
+    click.echo("started 3 fake cache servers, an origin and a discovery service")
+    click.echo(f"router listens on port {port}, ready after {took:.2f} s")
     for what, words in TOUR:
         answer = await say(one.listen, words)
         click.echo(f"  {what}: {answer[:24]!r}{'...' if len(answer) > 24 else ''}")
--- a/applehub/lab/live/standins.py
+++ b/applehub/lab/live/standins.py
@@ -1,7 +1,8 @@
-"""Stand-ins on loopback for cache servers, the origin and discovery, as the protocol page describes them.
+"""Fake cache servers, origin and discovery service on loopback, which speak the documented protocols.
 
-Unless a plan gives requests some work they answer at once, so that what a client sees is the router's and the
-sockets' own time."""
+They answer immediately unless a plan sets a service time, so that clients measure only the time of the router
+and the sockets.
+"""
 
 import asyncio
 import time
@@ -20,21 +21,23 @@
 
 from applehub.node.resp import bulk
 
-MOST_KEPT = 50_000  # keys of a cache; and misses remembered until the origin is asked
-QUEUE = 3  # requests that wait for each one in work; a cache server that has more says that it is busy
-DRAINS = 1.0  # s from the end of a server's service to its end
-GONE_FOR = 1.0  # s for which a server that is gone still listens
-Entry = dict[str, Any]  # of the list, as discovery tells it
+MOST_KEPT = 50_000  # maximum keys of a cache server, and misses not yet fetched from the origin
+QUEUE = 3  # queue limit of a cache server, in requests per slot; it answers BUSY beyond
+DRAINS = 1.0  # s from state Terminating to Gone
+GONE_FOR = 1.0  # s for which a server still listens in state Gone
+Entry = dict[str, Any]  # entry of the endpoint list, as in the answers of discovery
 
 
 def uid(kind: str, number: int) -> str:
-    """The name of a cache server. Like those of the protocol page it tells nothing: in the order of names,
-    which is that of their keys, those that are replaced lie between the others."""
+    """Returns the id of a cache server, prefixed by a hash.
+
+    Key ranges follow the order of the ids, so the hash spreads the replaced servers over the key space.
+    """
     return f"s-{crc32(b'%b-%d' % (kind.encode(), number)):08x}-{kind}-{number}"
 
 
 class Reply(NamedTuple):
-    """An answer over HTTP."""
+    """An HTTP response."""
 
     status: int
     body: bytes
@@ -43,37 +46,37 @@
 
 @dataclass(slots=True)
 class Counts:
-    """What the stand-ins have seen."""
+    """Counters of the fake servers."""
 
     hits: int = 0
     misses: int = 0
     reads: int = 0
     writes: int = 0
-    lists: int = 0
-    list_bytes: int = 0  # bodies of discovery's answers
-    busy: int = 0  # requests that a cache server had no room for
-    connections: int = 0  # taken by cache servers
+    lists: int = 0  # requests to discovery
+    list_bytes: int = 0  # bytes of bodies sent by discovery
+    busy: int = 0  # requests rejected by a cache server whose queue was full
+    connections: int = 0  # accepted by cache servers
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What stands in: how many cache servers, what they hold, and how much they bear."""
+    """Number and capacity of the fake cache servers."""
 
     caches: int
-    value: int  # bytes
-    at_once: int = 0  # requests that a cache server works on at once; 0: it answers all of them at once
-    work_s: float = 0.0  # of each request
+    value: int  # size of a value, bytes
+    at_once: int = 0  # slots of a cache server; 0: it answers immediately, without limit
+    work_s: float = 0.0  # service time of a request
 
 
 @dataclass(slots=True)
 class Store:
-    """One cache server: its keys, and what it has to do."""
+    """State of one cache server: its keys, connections and queue."""
 
     name: str
     kept: dict[bytes, None] = field(default_factory=dict)
     lines: set["Cache"] = field(default_factory=set)
     in_work: int = 0
-    waiting: list[Callable[[], None]] = field(default_factory=list)  # the first begins first
+    waiting: list[Callable[[], None]] = field(default_factory=list)  # FIFO queue
 
     def put(self, key: bytes) -> None:
         self.kept[key] = None
@@ -86,21 +89,23 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """All stand-ins of one play."""
+    """All fake servers of one load test."""
 
     plan: Plan
     counts: Counts = field(default_factory=Counts)
     stores: dict[str, Store] = field(default_factory=dict)
-    missed: dict[bytes, str] = field(default_factory=dict)  # by request, which cache lacked its key
+    missed: dict[bytes, str] = field(
+        default_factory=dict
+    )  # name of the cache server that missed, by request id
     servers: dict[str, asyncio.Server] = field(default_factory=dict)
     listed: dict[str, Entry] = field(default_factory=dict)
     rev: int = 1
-    changes: list[Entry] = field(default_factory=list)  # the one at n made version n + 2
+    changes: list[Entry] = field(default_factory=list)  # the change at index n led to version n + 2
     changed: asyncio.Event = field(default_factory=asyncio.Event)
     discovery: str = ""
 
     async def start(self) -> None:
-        """Listens on ports that the system gives."""
+        """Starts all servers on ephemeral ports."""
         for number in range(self.plan.caches):
             await self._add_cache(uid("cache", number), 0)
         self.listed["origin"] = self._entry("origin", await self._listen("origin", self._origin_peer), 0)
@@ -134,12 +139,14 @@
         }
 
     def targets(self) -> list[Entry]:
-        """The list as discovery gives it: the caches, then the origin."""
+        """Returns the endpoint list: the cache servers, then the origin."""
         return list(self.listed.values())
 
     async def replace(self, part: float, within: float) -> None:
-        """Replaces so many of the cache servers by cold ones, evenly over these seconds; each change is told
-        at once."""
+        """Replaces a fraction of the cache servers by empty ones, evenly over `within` seconds.
+
+        Each change is published immediately.
+        """
         loop = asyncio.get_running_loop()
         begun, names = loop.time(), [name for name in self.listed if name != "origin"]
         leaving = names[: round(part * len(names))]
@@ -159,7 +166,7 @@
             line.close()
 
     def _tell(self, entry: Entry) -> None:
-        """Makes a change known to all watches."""
+        """Publishes a change of an entry to all watches."""
         self.rev += 1
         self.changes.append(entry)
         if entry["state"] == "Gone":
@@ -170,7 +177,10 @@
         self.changed = asyncio.Event()
 
     async def origin(self, request: h11.Request, body: bytes) -> Reply:
-        """Answers a read with the value, and stores it where the request missed; a write with a receipt."""
+        """Handles a request to the origin.
+
+        A read also stores the key at the cache server that missed; a write removes it from all of them.
+        """
         key = request.target[1:]
         if request.method == b"PUT":
             self.counts.writes += 1
@@ -185,7 +195,7 @@
         return Reply(200, b"v" * self.plan.value)
 
     async def registry(self, request: h11.Request, body: bytes) -> Reply:
-        """The whole list, or a watch, which waits as long as it may for what changes."""
+        """Handles a request to discovery: the complete list, or a long poll for changes since a version."""
         self.counts.lists += 1
         asked = parse_qs(urlsplit(request.target.decode()).query)
         if "from" in asked:
@@ -202,7 +212,7 @@
 
 
 class Cache(asyncio.Protocol):
-    """A connection to a cache server: RESP2, answers in the order of the commands."""
+    """Server side of a connection to a cache server, which speaks RESP2."""
 
     def __init__(self, fleet: Fleet, store: Store) -> None:
         self.fleet, self.store = fleet, store
@@ -228,7 +238,7 @@
             self._take(command)
 
     def _take(self, command: object) -> None:
-        """Answers at once, or when the work of the command is done."""
+        """Answers immediately, or after the service time of the plan."""
         plan, store = self.fleet.plan, self.store
         if not plan.at_once:
             self._answer(command)
@@ -272,7 +282,7 @@
 
 
 class HttpPeer(asyncio.Protocol):
-    """A connection of HTTP/1.1, one request at a time."""
+    """Server side of an HTTP/1.1 connection, one request at a time."""
 
     def __init__(self, handle: Callable[[h11.Request, bytes], Awaitable[Reply]]) -> None:
         self.handle = handle
@@ -348,15 +358,16 @@
 
 
 def host(pipe: Connection, plan: Plan) -> None:
-    """A process of stand-ins: tells where they listen, then does as it is told, until told to end.
+    """Runs the fake servers in a child process: sends their addresses, then serves commands from the pipe.
 
-    "counts": it tells its counts. A pair: this part of the cache servers is replaced within so many s."""
-    with suppress(EOFError, KeyboardInterrupt):  # whoever started it is gone
+    "counts": sends the counters. "end": exits. A pair (fraction, seconds): replaces cache servers.
+    """
+    with suppress(EOFError, KeyboardInterrupt):  # the parent process has exited
         asyncio.run(_host(pipe, plan))
 
 
 def addressed(answer: Callable[[str, h11.Request], Awaitable[Reply]]) -> HttpPeer:
-    """A connection whose requests are answered by who asks: the caller's address, then the request."""
+    """Returns a connection whose handler gets the peer's IP address and the request."""
 
     async def handle(request: h11.Request, body: bytes) -> Reply:
         assert peer.transport is not None
--- a/applehub/lab/live/wide.py
+++ b/applehub/lab/live/wide.py
@@ -1,6 +1,7 @@
-"""The same traffic before N and 16 N cache servers: what one router may need more of there, line by line.
+"""Compares the resource usage of one router with N and 16 N cache servers under the same traffic.
 
-All cache servers together bear the same at both sizes: each of few works on more requests at once."""
+The total capacity of the cache servers is the same at both sizes: with fewer servers, each has more slots.
+"""
 
 import asyncio
 import sys
@@ -17,25 +18,25 @@
 from applehub.lab.problems import guarded
 from applehub.settings import Json
 
-WIDER = 16  # times the cache servers
-REPLACED = 0.6  # of the cache servers
+WIDER = 16  # ratio of the numbers of cache servers
+REPLACED = 0.6  # fraction of the cache servers
 REPLACED_WITHIN = 7.0  # s
-QUIET_FIRST = 0.3  # of a play, before the first is replaced
+QUIET_FIRST = 0.3  # fraction of the test before the first server is replaced
 CASES = ("calm", "replaced")
 SIZES = ("usual", "wide")
-BYTES = 1000  # in a kB
+BYTES = 1000  # bytes in a kB
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """One line of the operators' table: how far a need may grow over the one at the usual size."""
+    """One line of the operators' table: the limit of a metric, derived from its value at the usual size."""
 
     what: str
     unit: str
     times: float
     plus: float = 0.0
-    for_each_thousand: float = 0.0  # whole thousands of cache servers
-    at_least: bool = False  # the figure may not fall under the limit; else it may not rise over it
+    for_each_thousand: float = 0.0  # added for every complete thousand of cache servers
+    at_least: bool = False  # the limit is a lower bound; else an upper bound
 
     def limit(self, usual: float, servers: int) -> float:
         return self.times * usual + self.plus + self.for_each_thousand * (servers // 1000)
@@ -48,7 +49,7 @@
 CPU = Line("CPU seconds", "s", 1.4, 0.02, 0.12)
 LINES = {
     "cpu_s": CPU,
-    # Not in the table: reading programs in at the start, the same at both sizes, would hide what grows.
+    # Not in the table: excludes the CPU time of the start, which does not depend on the number of servers.
     "cpu_ready_s": Line("CPU seconds once ready", CPU.unit, CPU.times, CPU.plus, CPU.for_each_thousand),
     "memory_mb": Line("peak memory", "MB", 1.5, 8, 4),
     "descriptors": Line("descriptors", "", 2, 40),
@@ -60,11 +61,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Play:
-    """What one play showed."""
+    """Results of one load test."""
 
     seen: Seen
     counts: Counts
-    needs: dict[str, float]  # by the keys of LINES
+    needs: dict[str, float]  # values of the metrics, by the keys of LINES
 
     def as_json(self) -> Json:
         seen, counts = self.seen, self.counts
@@ -78,7 +79,7 @@
 
 
 def judged(usual: Play, wide: Play, servers: int) -> list[Json]:
-    """Each line of the table: both figures, the limit, and whether it holds."""
+    """Returns each line of the table: both values, the limit, and whether it holds."""
     return [
         {
             "line": name,
@@ -111,7 +112,7 @@
 
 
 def play(servers: int, bears: int, work_ms: float, load: Load, replaced: bool, routers: int) -> Play:
-    """One play, before so many cache servers that work on `bears` requests at once, all together."""
+    """Runs one load test with `servers` cache servers that have `bears` slots in total."""
     plan = Plan(servers, load.value, max(1, bears // servers), work_ms / 1000)
     with site(plan, load.wait_ms, routers) as one:
         return asyncio.run(_play(one, load, replaced))
@@ -119,13 +120,13 @@
 
 @click.command()
 @click.option("--caches", type=click.IntRange(1, 1000), default=200, help="Cache servers at the usual size.")
-@click.option("--rate", type=click.FloatRange(1, 5000), default=40.0, help="Requests a second, on average.")
-@click.option("--seconds", type=click.FloatRange(1, 60), default=20.0, help="Of each play.")
+@click.option("--rate", type=click.FloatRange(1, 5000), default=40.0, help="Mean requests per second.")
+@click.option("--seconds", type=click.FloatRange(1, 60), default=20.0, help="Of each load test.")
 @click.option("--keys", type=click.IntRange(1), default=6000)
-@click.option("--routers", type=click.IntRange(1), default=200, help="Of the fleet, as the router is told.")
-@click.option("--work-ms", type=click.FloatRange(0, 1000), default=4.0, help="Of a request.")
-@click.option("--wait-ms", type=click.IntRange(10, 60_000), default=1000, help="What a client waits.")
-@click.option("--case", "cases", type=click.Choice(CASES), multiple=True, help="Which plays [both].")
+@click.option("--routers", type=click.IntRange(1), default=200, help="Fleet size in the router's settings.")
+@click.option("--work-ms", type=click.FloatRange(0, 1000), default=4.0, help="Service time of a request.")
+@click.option("--wait-ms", type=click.IntRange(10, 60_000), default=1000, help="Timeout of the client.")
+@click.option("--case", "cases", type=click.Choice(CASES), multiple=True, help="Load test to run [both].")
 @click.option("--seed", type=click.IntRange(0), default=1)
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 @guarded
@@ -133,7 +134,7 @@
     caches: int, rate: float, seconds: float, keys: int, routers: int, work_ms: float, wait_ms: int,
     cases: tuple[str, ...], seed: int, as_json: bool,
 ) -> None:  # fmt: skip
-    """Plays the same traffic before N and 16 N cache servers; code 1 where a router needs too much more."""
+    """Runs the same traffic with N and 16 N cache servers; exits with code 1 if a limit is exceeded."""
     load = Load(rate, seconds, keys, 0.04, 512, wait_ms, 200, seed)
     told: Json = {}
     for case in cases or CASES:
@@ -152,7 +153,7 @@
 
 
 def show(case: str, told: Json, sizes: tuple[int, int]) -> None:
-    """Prints the lines of one case, at both sizes."""
+    """Prints the table of one case, at both sizes."""
     console = Console(width=None if sys.stdout.isatty() else 110)
     table = Table("", *(f"{size} cache servers" for size in sizes), "limit", "holds", title=case)
     for line in told["lines"]:
@@ -162,7 +163,7 @@
         name = f"{known.what}, {known.unit}" if known.unit else known.what
         table.add_row(name, figures[0], figures[1], bound, "yes" if line["holds"] else "NO")
     for name in ("hits", "misses", "reads", "busy", "lists"):
-        title = {"reads": "origin fetches", "busy": "refused by busy servers", "lists": "calls for lists"}
+        title = {"reads": "origin fetches", "busy": "rejected by busy servers", "lists": "list requests"}
         table.add_row(title.get(name, name), *(str(told[size][name]) for size in SIZES), "", "")
     for name in ("served", "refused", "failed", "unanswered"):
         table.add_row(f"requests {name}", *(str(told[size]["requests"][name]) for size in SIZES), "", "")
--- a/applehub/lab/peering.py
+++ b/applehub/lab/peering.py
@@ -1,4 +1,4 @@
-"""The routers' datagrams in the lab: each router's gossip agent, on the network of the day."""
+"""Carries gossip between simulated routers: runs an agent for each router on the simulated network."""
 
 from collections.abc import Iterable
 from typing import Protocol
@@ -13,12 +13,12 @@
 from applehub.peers.policy_adapter import PolicyAdapter
 
 FLEET = "lab"
-HEARD_EACH = 5  # periods between two tellings of the module
+HEARD_EACH = 5  # gossip periods between two summaries for the decision module
 LEAST_SHARE = 1 / 8
 
 
 class Talker(Protocol):
-    """A router, as those who carry its datagrams know it."""
+    """Interface of a router that sends and receives datagrams."""
 
     index: int
     zone: int
@@ -27,17 +27,17 @@
     known: dict[str, api.Member]
 
     def deliver(self, event: api.Event, cost: int) -> None:
-        """An event reaches the process."""
+        """Delivers an event to the process; cost: CPU time, ns."""
 
     def work(self, cost: int) -> None:
-        """Its processor has that much to do."""
+        """Occupies the router's CPU for `cost` ns."""
 
 
 class Peering:
-    """All gossip agents of a play."""
+    """All gossip agents of one simulation run."""
 
     def __init__(self, clock: Clock, told: spec.Peers, kinds: list[str], net: Net, draws: Draws) -> None:
-        """kinds: the names of all kinds of servers, in the order of their indexes."""
+        """kinds: names of all machine types of servers, in the order of their indexes."""
         self.clock, self.told, self.net, self.draws = clock, told, net, draws
         self.kinds = {name: number for number, name in enumerate(kinds)}
         self.period = int(told.period_ms * MILLI)
@@ -48,7 +48,7 @@
         self.datagrams = self.bytes = 0
 
     def know(self, talkers: Iterable[Talker]) -> None:
-        """All routers, before any starts; draws who lies."""
+        """Registers all routers, before any starts, and draws the ones that report false data."""
         self.talkers = {f"n{one.index}": one for one in talkers}
         if self.told.liars:
             self.liars = {
@@ -56,7 +56,7 @@
             }
 
     def start(self, talker: Talker) -> None:
-        """A process begins to speak, under a number of its own."""
+        """Starts the agent of a router process, with a new random incarnation."""
         name, life = f"n{talker.index}", int(self.draws.uniform() * (1 << 53)) + 1
         me = Peer(life, 0, PeerState.ALIVE, talker.index.to_bytes(4), 1, name)
         names = [one for one in self.talkers if one != name]
@@ -79,7 +79,7 @@
         self.clock.after(self.period, self._tick, (talker, life, count + 1))
 
     def say(self, talker: Talker, tell: api.Tell) -> None:
-        """What a router's module tells."""
+        """Publishes the gossip of a router's decision module, replaced by false data for a faulty router."""
         if talker.index in self.liars:
             shares, failing = dict.fromkeys(tell.shares, LEAST_SHARE), dict.fromkeys(talker.known, 9)
             tell = api.Tell(1e6, 1e6, shares, failing, [])
--- a/applehub/lab/picture.py
+++ b/applehub/lab/picture.py
@@ -1,4 +1,4 @@
-"""Pictures of results: the share of worth served by second, and where the rest went."""
+"""Plots results: the fraction of request weight served by second, and the weight lost by cause."""
 
 from pathlib import Path
 from typing import Any
@@ -8,15 +8,15 @@
 from applehub.lab.compare import grouped, mean_losses
 from applehub.settings import Json
 
-matplotlib.use("Agg")  # files alone: no screen is asked for
-from matplotlib import pyplot as plt  # after the choice above
+matplotlib.use("Agg")  # writes files without a display
+from matplotlib import pyplot as plt  # the backend has to be chosen before this import
 
-LEAST = 0.005  # of the worth: smaller causes are summed
-SMOOTHED = 3  # s over which the curves are averaged
+LEAST = 0.005  # fraction of the weight; smaller causes are summed
+SMOOTHED = 3  # s; width of the moving average
 
 
 def _mean_curve(group: list[Json]) -> list[float]:
-    """The mean over seeds, second by second, each with its neighbours, as far as all plays go."""
+    """Returns the mean over seeds by second, as a moving average, up to the end of the shortest run."""
     curves = [record["result"]["by_second"] for record in group]
     length = min(map(len, curves))
     mean = [sum(curve[at] for curve in curves) / len(curves) for at in range(length)]
@@ -35,14 +35,16 @@
 
 
 def draw(records: list[Json], path: Path, title: str) -> None:
-    """Writes a picture in the format that the file's ending names. A row for each point: on the left the
-    curves of all policies, on the right what each lost by cause."""
+    """Writes a figure in the format of the file's suffix.
+
+    Each point has a row: the curves of all policies on the left, their losses by cause on the right.
+    """
     groups = grouped(records)
     points = list(dict.fromkeys(point for point, _ in groups))
     figure, rows = plt.subplots(
         len(points), 2, figsize=(13, 3.6 * len(points) + 0.6), squeeze=False, layout="constrained"
     )
-    figure.suptitle(f"{title}: worth served in time, and worth lost by cause (means over seeds)")
+    figure.suptitle(f"{title}: weight served in time, and weight lost by cause (means over seeds)")
     causes = sorted({cause for group in groups.values() for cause in _losses(group)} - {"others"})
     colours = {cause: plt.get_cmap("tab20")(number % 20) for number, cause in enumerate([*causes, "others"])}
     for point, (left, right) in zip(points, rows, strict=True):
@@ -56,7 +58,7 @@
 def _draw_curves(axes: Any, here: dict[str, list[Json]], point: str) -> None:
     for policy, group in here.items():
         axes.plot(_mean_curve(group), label=f"{policy} ({len(group)} seeds)")
-    axes.set(xlabel="second of the day", ylabel="worth served", ylim=(0, 1.02), title=point)
+    axes.set(xlabel="time, s", ylabel="weight served", ylim=(0, 1.02), title=point)
     axes.grid(alpha=0.3)
     axes.legend(loc="lower right", fontsize=8)
 
@@ -70,6 +72,6 @@
         widths = [losses[policy].get(cause, 0.0) for policy in here]
         axes.barh(list(here), widths, left=list(begin.values()), label=cause, color=colours[cause])
         begin = {policy: begin[policy] + width for policy, width in zip(here, widths, strict=True)}
-    axes.set(xlabel="part of all worth lost")
+    axes.set(xlabel="fraction of all weight lost")
     axes.invert_yaxis()
     axes.legend(fontsize=7, loc="center left", bbox_to_anchor=(1.01, 0.5))
--- a/applehub/lab/powerloss.py
+++ b/applehub/lab/powerloss.py
@@ -1,7 +1,7 @@
-"""Every state that a loss of power may leave of a folder, and whether a store starts right from each.
+"""Enumerates the states that a power loss may leave of a directory, and checks that a store opens from each.
 
-The model: data that was not synced is there by sectors, as `remains` lists; a rename, a creation or a removal
-whose folder was not synced is there or not, each alone. What was synced stays.
+Unsynced data may survive in the forms that `remains` lists. Each rename, creation or removal whose directory
+was not synced may survive or be lost, independently of the others. Synced data stays.
 """
 
 import itertools
@@ -11,12 +11,12 @@
 from applehub.durable.store import Loaded, Store, StoreError
 
 SECTOR = 512
-Names = dict[str, int]  # what a folder holds: a file's number by its name
+Names = dict[str, int]  # directory entries: inode number by file name
 
 
 @dataclass(slots=True)
 class Inode:
-    """A file's data: as it was last synced, and as its process sees it."""
+    """Content of a file, as last synced and as the process sees it."""
 
     synced: bytes = b""
     now: bytes = b""
@@ -24,13 +24,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A change of the folder that was not synced: names, with the file of each (none: it is gone)."""
+    """An unsynced change of the directory: names with their inode number, None for a removed name."""
 
     changes: tuple[tuple[str, int | None], ...]
 
 
 class RecordedDisk:
-    """A folder in memory that knows what of it is on the platter."""
+    """A directory in memory that tracks which of its content was synced."""
 
     def __init__(self) -> None:
         self.inodes: list[Inode] = []
@@ -38,12 +38,12 @@
         self.synced: Names = {}
         self.pending: list[Entry] = []
         self.locked: set[str] = set()
-        self.fails: str = ""  # the operation that the disk refuses
+        self.fails: str = ""  # operation that fails with ENOSPC
         self.told: Callable[[], None] = lambda: None  # called after each operation
 
     def _may(self, what: str) -> None:
         if self.fails == what:
-            raise OSError(28, f"{what} refused")
+            raise OSError(28, f"{what} failed")
 
     def read(self, name: str) -> bytes | None:
         self._may("read")
@@ -87,10 +87,10 @@
         self.pending.append(Entry(changes))
         _apply(self.names, self.pending[-1])
 
-    # What a loss of power leaves
+    # States after a power loss
 
     def states(self) -> Iterator["RecordedDisk"]:
-        """Each state of the model, as a disk of its own."""
+        """Yields each possible state after a power loss, as a separate disk."""
         for done in itertools.product((False, True), repeat=len(self.pending)):
             names = dict(self.synced)
             for entry, there in zip(self.pending, done, strict=True):
@@ -101,7 +101,7 @@
                 yield disk_of(dict(zip(names, contents, strict=True)))
 
     def flipped(self, step: int) -> Iterator["RecordedDisk"]:
-        """What is on the platter, with one bit turned, every so many bits."""
+        """Yields the synced content with one bit flipped, for every `step`-th bit of each file."""
         at_rest = {name: self.inodes[number].synced for name, number in self.synced.items()}
         for name, data in at_rest.items():
             for bit in range(0, 8 * len(data), step):
@@ -119,7 +119,7 @@
 
 
 def disk_of(contents: dict[str, bytes]) -> RecordedDisk:
-    """A disk at rest that holds these files."""
+    """Returns a disk that holds these files, all synced."""
     disk = RecordedDisk()
     disk.inodes = [Inode(data, data) for data in contents.values()]
     disk.names = {name: number for number, name in enumerate(contents)}
@@ -128,9 +128,11 @@
 
 
 def remains(inode: Inode) -> Iterator[bytes]:
-    """What may be there of a file: all of the old or the new; the new up to any sector and then old, or
-    nothing, or zeros in its full length; one sector of the new that is old or zeros. A synced file is what it
-    is."""
+    """Yields the contents that a file may have after a power loss.
+
+    These are the old or the new content; the new content up to a sector boundary, followed by the old
+    content, nothing or zeros; and the new content with one sector old or zero. A synced file is unchanged.
+    """
     old, new = inode.synced, inode.now
     seen = {old, new}
     if old != new:
@@ -144,7 +146,7 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """What a search found: how many states were tried, and the first few that were wrong."""
+    """Result of a search: the number of states checked, and the first few failures."""
 
     states: int = 0
     wrong: list[str] = field(default_factory=list)
@@ -156,8 +158,11 @@
 
 
 def search(values: list[bytes], make: Callable[[RecordedDisk], Store], flip_step: int = 1) -> Verdict:
-    """Saves the values in order and opens the store from every state that a loss of power in between may
-    leave, and from every flipped bit after each save: there it must give the last value or the one before."""
+    """Saves the values in order and opens the store from every state that a power loss may leave.
+
+    After each save it also opens the store with each `flip_step`-th bit flipped: the store has to return the
+    last value or the one before, and report the damaged file if it is not the last.
+    """
     verdict, disk = Verdict(), RecordedDisk()
     store = make(disk)
     store.open()
@@ -184,21 +189,21 @@
     other = make(disk)
     try:
         other.open()
-        verdict.expect(False, "two hold the store at once")
+        verdict.expect(False, "two processes opened the store at once")
     except StoreError:
         verdict.expect(True, "")
     return verdict
 
 
 def _opened(store: Store, verdict: Verdict) -> Loaded:
-    """Opens it as a start would, and keeps a value: a start must be able to go on from any state."""
+    """Opens the store and saves a value, which has to work from any state."""
     try:
         loaded = store.open()
         store.save(b"next")
         after = store.load().value
-        verdict.expect(after == b"next", f"after a start it keeps {after!r:.40}")
-    except Exception as problem:  # any is a start that fails
-        verdict.expect(False, f"a start failed: {problem!r}")
+        verdict.expect(after == b"next", f"a value saved after opening reads back as {after!r:.40}")
+    except Exception as problem:  # any exception is a failed start
+        verdict.expect(False, f"opening the store failed: {problem!r}")
         return Loaded()
     return loaded
 
--- a/applehub/lab/rules.py
+++ b/applehub/lab/rules.py
@@ -1,4 +1,7 @@
-"""The rules as checks, on in every play. A violation names request, server, time and the last events."""
+"""Rule checks that run in every simulation.
+
+A violation holds the request, the server, the time and the events that preceded it.
+"""
 
 from dataclasses import asdict, dataclass, field
 
@@ -10,13 +13,13 @@
 from applehub.lab.tries import Asked, Attempt, Place, Router
 from applehub.settings import Json
 
-KEPT = 20  # violations told whole; the others are counted
-INFORMED = 2 / 3  # of what tipped a server over: the part from informed routers that breaks the rule
+KEPT = 20  # violations recorded in full; later ones are only counted
+INFORMED = 2 / 3  # least fraction of an overload, sent by informed routers, that breaks the rule
 
 
 @dataclass(slots=True)
 class Violation:
-    """One broken rule; times in ms since the day began."""
+    """One violation of a rule; times are in ms since the start of the run."""
 
     rule: str
     at_ms: float
@@ -31,7 +34,7 @@
 
 
 class Rules:
-    """All rules of one play."""
+    """All rule checks of one simulation run."""
 
     def __init__(
         self,
@@ -64,33 +67,35 @@
         now = self.clock.now / MILLI
         self.violations.append(Violation(rule, round(now, 3), name, server, what, events))
 
-    # One final answer, in time
+    # One final answer by the deadline
 
     def unknown(self, action: api.Send, router: Router) -> None:
-        what = f"router {router.index} sent a request that it does not hold: {action.id}"
+        what = f"router {router.index} sent a request that is not pending: {action.id}"
         self.broken("one answer", None, action.server, what)
 
     def overdue(self, asked: Asked) -> None:
-        """The deadline and its slack have passed."""
+        """Checks that the router answered; called when the deadline plus its slack has passed."""
         if asked.final < 0 and asked.router.up and asked.id in asked.router.asked:
             self.broken("one answer", asked, "", "no final answer by the deadline")
 
-    # No second effect, bounded attempts, drains
+    # No duplicate effect, bounded attempts, draining servers
 
     def sending(self, attempt: Attempt) -> bool:
-        """Checks an attempt before it goes out; whether it may."""
+        """Checks an attempt before it is sent; returns whether it may be sent."""
         asked, router = attempt.asked, attempt.router
         if asked.final >= 0:
             self.broken("one answer", asked, attempt.server.id, "sent after its final answer")
             return False
         if attempt.number >= router.max_attempts:
-            return False  # proved moot, as on the wire
+            return False  # the attempt ends with status MOOT, as on the wire
         if asked.live:
             self._repeated(asked, attempt.server.id)
         away = self.told_away(router, attempt.server.id)
         if away and self.clock.now - away > self.grace:
             late = (self.clock.now - away) / MILLI
-            self.broken("drains", asked, attempt.server.id, f"sent {late:.0f} ms after it was told")
+            self.broken(
+                "drains", asked, attempt.server.id, f"sent {late:.0f} ms after the router was notified"
+            )
         return True
 
     def _repeated(self, asked: Asked, server: str) -> None:
@@ -99,17 +104,27 @@
             return
         first = min(one.sent for one in asked.live.values())
         if spec.effect is api.Effect.UNSAFE:
-            self.broken("no second effect", asked, server, "an unsafe request was sent again")
+            self.broken("no second effect", asked, server, "a non-idempotent request was sent again")
         elif self.clock.now > first + spec.window:
-            self.broken("no second effect", asked, server, "a keyed request was sent again past its window")
+            self.broken(
+                "no second effect", asked, server, "a request was sent again after its idempotency window"
+            )
 
     def refusing(self, asked: Asked) -> None:
-        """A refusal says that another try is harmless."""
+        """Checks a rejection, which tells the client that a retry has no duplicate effect."""
         if asked.live and self.classes[asked.demand.cls].effect is api.Effect.UNSAFE:
-            self.broken("no second effect", asked, "", "an unsafe request that may have run was refused")
+            self.broken(
+                "no second effect",
+                asked,
+                "",
+                "a non-idempotent request that may have been executed was rejected",
+            )
 
     def told_away(self, router: Router, server: str) -> int:
-        """When the router was told, or counts as told, that a server drains or is gone; 0: never."""
+        """Returns when the router was or should have been notified that a server drains or is gone; 0: never.
+
+        A router without a watch should know a change once `ask_within` has passed since its last poll.
+        """
         now, told = self.clock.now, router.told_away.get(server, 0)
         if told or router.subscribed or now - router.asked_at <= self.ask_within:
             return told
@@ -119,18 +134,21 @@
         counts = max(listed[0], router.asked_at) + self.ask_within
         return counts if counts <= now else 0
 
-    # Cold servers
+    # Servers that warm up
 
     def informed_of_start(self, router: Router, server: CacheServer) -> bool:
-        """Whether this router was told of the server's latest start."""
+        """Returns whether the router was notified of the server's latest start."""
         if server.started == LONG_AGO:
             return True
         known = router.known.get(server.id)
         return known is not None and known.since >= server.started > LONG_AGO
 
     def tipped(self, server: CacheServer) -> None:
-        """A cold server fell over; informed routers broke the rule if they sent most of it."""
-        server.events.append((self.clock.now, "fell over"))
+        """Records the overload of a server that warms up.
+
+        The rule is broken if informed routers sent most of the load.
+        """
+        server.events.append((self.clock.now, "crashed from overload"))
         if server.informed_part >= INFORMED:
             age = (self.clock.now - server.started) / SECOND
-            self.broken("cold servers", None, server.id, f"pushed over {age:.1f} s after its start")
+            self.broken("cold servers", None, server.id, f"overloaded {age:.1f} s after its start")
--- a/applehub/lab/runner.py
+++ b/applehub/lab/runner.py
@@ -1,8 +1,8 @@
-"""Plays all points, policies and seeds of an experiment in parallel, and keeps each play's record.
+"""Runs all points, policies and seeds of an experiment in parallel and stores a record of each run.
 
-A results file holds a header line, then a line for each play, in the order of the plan: whole or absent. A
-run that was cut off goes on where the file ends. Nothing in it depends on the machine, its clock or the
-number of processes.
+A results file holds a header line, then one line for each simulation run, in the order of the plan. An
+interrupted experiment resumes where the file ends. The content does not depend on the machine, its clock or
+the number of processes.
 """
 
 import hashlib
@@ -21,16 +21,16 @@
 from applehub.lab.spec import Day, Experiment, read_raw
 from applehub.settings import Json
 
-DECIDING = ("interface.py", "settings.py")  # beside lab and policy, what figures depend on
+DECIDING = ("interface.py", "settings.py")  # besides lab, policy and peers, sources that results depend on
 
 
 class ResultsError(ValueError):
-    """A results file is of no use, or not of this experiment."""
+    """Raised for a results file that is invalid or belongs to another experiment."""
 
 
 @dataclass(frozen=True, slots=True)
 class Task:
-    """One play."""
+    """One simulation run."""
 
     point: int
     policy: str
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class Plan:
-    """What an experiment plays, in order."""
+    """The simulation runs of an experiment, in order."""
 
     experiment: Experiment
     raw: Json
@@ -63,7 +63,7 @@
 
 
 def program_hash() -> str:
-    """Of the sources that decide a play's figures: records of two programs are not mixed."""
+    """Returns a hash of the sources that results depend on, so that one file never mixes two versions."""
     root = Path(applehub.__file__).parent
     files = sorted((root / "lab").glob("*.py")) + sorted((root / "policy").glob("*.py"))
     files += sorted((root / "peers").glob("*.py"))
@@ -75,7 +75,7 @@
 
 
 def make_plan(name: str, raw: Json) -> Plan:
-    """Raises SpecError where it makes no sense."""
+    """Parses an experiment; raises SpecError if it is invalid."""
     experiment, points = read_raw(name, raw)
     return Plan(experiment, raw, points)
 
@@ -92,7 +92,7 @@
 
 
 def _whole_lines(path: Path) -> list[bytes]:
-    """The file's whole lines; what was cut off behind the last is removed."""
+    """Returns the complete lines of the file and truncates a partial line at its end."""
     if not path.exists():
         return []
     content = path.read_bytes()
@@ -103,25 +103,28 @@
 
 
 def done_before(path: Path, plan: Plan) -> int:
-    """How many plays the file already holds; raises ResultsError where it is another experiment's."""
+    """Returns the number of runs that the file holds; raises ResultsError for another experiment's file."""
     lines = _whole_lines(path)
     if not lines:
         return 0
     if lines[0] != orjson.dumps(plan.header):
         raise ResultsError(
-            f"{path}: holds results of another experiment or program; name another file with --out"
+            f"{path}: holds results of another experiment or program version; name another file with --out"
         )
     for line, task in zip(lines[1:], plan.tasks, strict=False):
         record = orjson.loads(line)
         if (record["policy"], record["seed"], record["point"]) != (
             task.policy, task.seed, plan.points[task.point][0],
         ):  # fmt: skip
-            raise ResultsError(f"{path}: its records are not in the order of the plan")
+            raise ResultsError(f"{path}: expected records in the order of the plan")
     return len(lines) - 1
 
 
 def run_plan(plan: Plan, path: Path, processes: int, told: Callable[[int, Json], None]) -> int:
-    """Plays what is missing, appends each record and tells of it; gives how many were played."""
+    """Runs what the file lacks, appends each record and reports it; returns the number of runs made.
+
+    told: called with the position of each run in the plan, from 1, and its record.
+    """
     before = done_before(path, plan)
     work = [(task, *plan.points[task.point]) for task in plan.tasks[before:]]
     with open(path, "ab", buffering=0) as file:
@@ -142,7 +145,7 @@
 
 
 def read_results(path: Path) -> tuple[Json, list[Json]]:
-    """The header and the records; raises ResultsError where it is no results file."""
+    """Returns the header and the records; raises ResultsError for a file that is not a results file."""
     try:
         lines = path.read_bytes().split(b"\n")[:-1]
         header, *records = map(orjson.loads, lines)
--- a/applehub/lab/sizes.py
+++ b/applehub/lab/sizes.py
@@ -1,4 +1,4 @@
-"""The option --sizes of the lab's commands: a list of fleet sizes, separated by commas."""
+"""Parameter type of the --sizes option: a comma-separated list of fleet sizes."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSize:
-    """A number of routers and of cache servers, written as in 5x15."""
+    """Numbers of routers and cache servers, written as in 5x15."""
 
     routers: int
     servers: int
@@ -21,18 +21,18 @@
 
 
 class SizesType(click.ParamType[tuple[Size, ...], Any]):
-    """Converts a comma-separated list to a tuple of sizes; ends the command with code 2 where that fails."""
+    """Converts a comma-separated list to a tuple of sizes; raises UsageError (exit code 2)."""
 
     name = "sizes"
 
     def __init__(self, parse: Callable[[str], Size], expected: str) -> None:
-        """parse: reads one size, raises ValueError. expected: names what is valid, with an example."""
+        """parse: converts one size, raises ValueError. expected: describes valid values, for errors."""
         self.parse, self.expected = parse, expected
 
     def convert(
         self, value: Any, param: click.Parameter | None, ctx: click.Context | None
     ) -> tuple[Size, ...]:
-        if isinstance(value, tuple):  # click converts a default that is converted already once more
+        if isinstance(value, tuple):  # click passes an already converted default through convert again
             return value
         try:
             return tuple(self.parse(one) for one in value.split(","))
@@ -42,7 +42,7 @@
 
 
 def counts(least: int, most: int, example: str) -> SizesType[int]:
-    """The type of a list of whole numbers from `least` to `most`, as in `example`."""
+    """Returns the type of a list of integers from `least` to `most`."""
 
     def parse(text: str) -> int:
         count = int(text)
@@ -54,7 +54,7 @@
 
 
 def fleet_sizes(example: str) -> SizesType[FleetSize]:
-    """The type of a list of numbers of routers and servers, as in `example`."""
+    """Returns the type of a list of `FleetSize`."""
 
     def parse(text: str) -> FleetSize:
         routers, servers = map(int, text.split("x"))
--- a/applehub/lab/tries.py
+++ b/applehub/lab/tries.py
@@ -1,4 +1,4 @@
-"""A client's try at a router, and the attempts that the router makes for it."""
+"""A client's attempt at a router, and the attempts that the router makes at servers to answer it."""
 
 from dataclasses import dataclass, field
 from typing import Protocol
@@ -12,7 +12,7 @@
 
 
 class Router(Protocol):
-    """What others know of the router that a try was made at."""
+    """Interface of a router as used by client attempts, server attempts and rule checks."""
 
     index: int
     up: bool
@@ -24,47 +24,49 @@
     max_attempts: int
 
     def withdraw(self, asked: "Asked") -> None:
-        """The client has left early."""
+        """Handles a client that cancelled its attempt."""
 
     def answered(self, attempt: "Attempt", status: api.Status, note: int) -> None:
-        """A server has answered."""
+        """Handles a server's response to an attempt; note: 1 for a cache hit, 2 for a miss, else 0."""
 
     def broken(self, attempt: "Attempt") -> None:
-        """The server's process has ended under an attempt."""
+        """Handles the end of the server's process while it held the attempt."""
 
 
 @dataclass(slots=True, eq=False)
 class Asked:
-    """One try of a client at one router."""
+    """One attempt of a client at one router."""
 
     id: str
     demand: Demand
     router: "Router"
     deadline: int
     retry: bool
-    final: int = -1  # when the router gave its answer
-    heard: bool = False  # the client has it, or no longer waits
+    final: int = -1  # time of the router's final answer, ns; -1: none yet
+    heard: bool = False  # the client received the answer or stopped waiting
     made: int = 0
-    live: "dict[int, Attempt]" = field(default_factory=dict)  # may have run
-    out: "dict[int, Attempt]" = field(default_factory=dict)
-    missed: list[CacheServer] = field(default_factory=list)
-    last: str = ""  # how its last attempt ended, and where
+    live: "dict[int, Attempt]" = field(
+        default_factory=dict
+    )  # attempts that a server may have executed, by number
+    out: "dict[int, Attempt]" = field(default_factory=dict)  # attempts in flight, by number
+    missed: list[CacheServer] = field(default_factory=list)  # servers that reported a cache miss
+    last: str = ""  # outcome of the last attempt, and the type of server
     events: list[tuple[int, str]] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt; ended: nobody waits for it any more."""
+    """One attempt of a router at a server."""
 
     asked: Asked
     number: int
     router: "Router"
     server: Place
     sent: int
-    life: int  # of the router
-    incarnation: int  # of the server
-    opened: bool = False  # on a new connection
-    linked: bool = False  # the connection counts at the server
+    life: int  # incarnation of the router's process
+    incarnation: int  # of the server's process
+    opened: bool = False  # uses a new connection
+    linked: bool = False  # the server counts its connection
     written: bool = False
-    ended: bool = False
+    ended: bool = False  # nothing waits for its result any more
     hit: bool = False
