--- a/applehub/lab/plots.py
+++ b/applehub/lab/plots.py
@@ -5,7 +5,7 @@
 
 import matplotlib
 
-from applehub.lab.compare import grouped, mean_losses
+from applehub.lab.compare import group_records, mean_losses
 from applehub.settings import Json
 
 matplotlib.use("Agg")  # writes files without a display
@@ -39,7 +39,7 @@
 
     Each point has a row: the curves of all policies on the left, their losses by cause on the right.
     """
-    groups = grouped(records)
+    groups = group_records(records)
     points = list(dict.fromkeys(point for point, _ in groups))
     figure, rows = plt.subplots(
         len(points), 2, figsize=(13, 3.6 * len(points) + 0.6), squeeze=False, layout="constrained"
