--- a/applehub/lab/runner.py
+++ b/applehub/lab/runner.py
@@ -85,9 +85,9 @@
 
 
 def _run_task(task_inputs: tuple[Task, Json, Day]) -> bytes:
-    task, point, day = task_inputs
+    task, point, scenario = task_inputs
     return orjson.dumps(
-        record_of(task, point, play(day, task.policy, task.seed)), option=orjson.OPT_APPEND_NEWLINE
+        record_of(task, point, play(scenario, task.policy, task.seed)), option=orjson.OPT_APPEND_NEWLINE
     )
 
 
