--- a/applehub/lab/__main__.py
+++ b/applehub/lab/__main__.py
@@ -1,4 +1,4 @@
-"""The lab's commands: python -m applehub.lab."""
+"""Command line of the lab: python -m applehub.lab."""
 
 import os
 import sys
@@ -15,10 +15,17 @@
 
 from applehub import wirehost
 from applehub.checked import read_toml
-from applehub.lab import berger, cost
+from applehub.lab import cost, throttle_analysis
 from applehub.lab.clock import MILLI
-from applehub.lab.cold import cold
-from applehub.lab.compare import broken_rules, grouped, mean_losses, mean_of, paired, point_name, standing
+from applehub.lab.compare import (
+    group_records,
+    mean_losses,
+    mean_of,
+    paired_means,
+    point_name,
+    relative_position,
+    rule_violations,
+)
 from applehub.lab.demand import demand_of
 from applehub.lab.fleet.commands import each_fault, fleet, judge_again, list_scale
 from applehub.lab.fleet.watch_commands import watches
@@ -31,26 +38,27 @@
 from applehub.lab.runner import Plan, ResultsError, make_plan, read_results, run_plan
 from applehub.lab.sizes import FleetSize, counts, fleet_sizes
 from applehub.lab.spec import SpecError
+from applehub.lab.warmup_load import cold
 from applehub.settings import Json
 
-LEAST_SHOWN = 0.001  # of the worth: causes that cost every policy less are summed
-PICTURES = (".png", ".svg", ".pdf")
+MIN_SHOWN_LOSS = 0.001  # fraction of the weight; causes with a smaller loss under every policy are summed
+PLOT_SUFFIXES = (".png", ".svg", ".pdf")
 MEASURES = ("G", "whole", "worst_window")
-SHIPPED = resources.files("applehub.lab") / "experiments"
+SHIPPED_EXPERIMENTS = resources.files("applehub.lab") / "experiments"
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """Plays routers, caches, origin and clients in simulated time."""
+    """Simulates routers, cache servers, the origin and clients."""
 
 
 def load_plan(file: str, seeds: int | None) -> Plan:
-    """An experiment's file, or the name of one that is shipped."""
+    """Reads an experiment from a file, or a shipped one by its name; raises SpecError if it is invalid."""
     path = Path(file)
-    if not path.exists() and (SHIPPED / f"{file}.toml").is_file():
-        path = Path(str(SHIPPED / f"{file}.toml"))
+    if not path.exists() and (SHIPPED_EXPERIMENTS / f"{file}.toml").is_file():
+        path = Path(str(SHIPPED_EXPERIMENTS / f"{file}.toml"))
     if not path.exists():
-        raise SpecError(f"{file}: No such file or directory; `lab list` names those shipped")
+        raise SpecError(f"{file}: No such file or directory; `lab list` shows the shipped experiments")
     raw = read_toml(path, SpecError)
     if seeds is not None:
         table = raw.get("seeds")
@@ -61,8 +69,8 @@
 @main.command("list")
 @guarded
 def list_shipped() -> None:
-    """Names the experiments that are shipped."""
-    for file in sorted(SHIPPED.iterdir(), key=lambda one: one.name):
+    """Lists the shipped experiments."""
+    for file in sorted(SHIPPED_EXPERIMENTS.iterdir(), key=lambda one: one.name):
         if file.name.endswith(".toml"):
             raw = tomllib.loads(file.read_text(encoding="utf-8"))
             click.echo(f"{file.name.removesuffix('.toml'):20} {raw.get('about', '')}")
@@ -71,11 +79,11 @@
 @main.command()
 @click.argument("file")
 @click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="Results file [NAME.jsonl].")
-@click.option("--jobs", type=click.IntRange(1), default=None, help="Processes at once [all cores].")
-@click.option("--seeds", type=click.IntRange(1), default=None, help="How many seeds, in place of the file's.")
+@click.option("--jobs", type=click.IntRange(1), default=None, help="Parallel processes [all cores].")
+@click.option("--seeds", type=click.IntRange(1), default=None, help="Number of seeds, instead of the file's.")
 @guarded
 def run(file: str, out: Path | None, jobs: int | None, seeds: int | None) -> None:
-    """Plays an experiment FILE (or a shipped one by name); goes on where a run was cut off."""
+    """Runs an experiment FILE (or a shipped one by name); resumes an interrupted run."""
     plan = load_plan(file, seeds)
     path = out or Path(f"{plan.experiment.name}.jsonl")
     console, total = Console(stderr=True), len(plan.tasks)
@@ -86,38 +94,38 @@
         TimeElapsedColumn(),
     )
     with Progress(*columns, console=console, disable=not console.is_terminal) as progress:
-        bar = progress.add_task(plan.experiment.name, total=total)
+        task_id = progress.add_task(plan.experiment.name, total=total)
 
-        def told(place: int, record: Json) -> None:
-            progress.update(bar, completed=place)
+        def on_record(position: int, record: Json) -> None:
+            progress.update(task_id, completed=position)
             if not console.is_terminal:
-                figure = record["result"]["G"]
-                where = f"{point_name(record['point'])}, {record['policy']}, seed {record['seed']}"
-                click.echo(f"{place}/{total} {where}: G {figure}", err=True)
+                score = record["result"]["G"]
+                description = f"{point_name(record['point'])}, {record['policy']}, seed {record['seed']}"
+                click.echo(f"{position}/{total} {description}: G {score}", err=True)
 
-        played = run_plan(plan, path, jobs or os.cpu_count() or 1, told)
-    click.echo(f"{played} played, {total - played} were there: {path}", err=True)
-    _show(read_results(path)[1])
+        run_count = run_plan(plan, path, jobs or os.cpu_count() or 1, on_record)
+    click.echo(f"{run_count} runs made, {total - run_count} already in the file: {path}", err=True)
+    _print_summary(read_results(path)[1])
 
 
 @main.command()
 @click.argument("results", type=click.Path(path_type=Path))
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
-@click.option("--losses", is_flag=True, help="Where worth was lost, by cause.")
+@click.option("--losses", is_flag=True, help="Weight lost, by cause.")
 @guarded
 def show(results: Path, as_json: bool, losses: bool) -> None:
-    """Prints a table of RESULTS: means over seeds with 95% confidence intervals."""
+    """Prints RESULTS as a table of means over seeds with 95% confidence intervals."""
     _, records = read_results(results)
     if as_json:
-        click.echo(orjson.dumps(_summary(records), option=orjson.OPT_INDENT_2).decode())
+        click.echo(orjson.dumps(_summarize(records), option=orjson.OPT_INDENT_2).decode())
     elif losses:
-        _show_losses(records)
+        _print_losses(records)
     else:
-        _show(records)
+        _print_summary(records)
 
 
-def _summary(records: list[Json]) -> list[Json]:
-    groups, rows = grouped(records), []
+def _summarize(records: list[Json]) -> list[Json]:
+    groups, rows = group_records(records), []
     for (point, policy), group in groups.items():
         means = {name: mean_of(one["result"][name] for one in group) for name in MEASURES}
         rows.append(
@@ -130,55 +138,58 @@
                     min((one for one in record["result"]["classes"].values() if one is not None), default=1.0)
                     for record in group
                 ).value,
-                "between": standing(groups, point, policy),
+                "between": relative_position(groups, point, policy),
                 "losses": mean_losses(group),
-                "broken": broken_rules(group),
+                "broken": rule_violations(group),
             }
         )
     return rows
 
 
-def _number(value: float | None, digits: int = 3) -> str:
+def _format_number(value: float | None, digits: int = 3) -> str:
     return "-" if value is None else f"{value:.{digits}f}"
 
 
-def _show(records: list[Json]) -> None:
-    table = Table("point", "policy", "seeds", *MEASURES, "worst class", "floor to top", "rules broken")
-    for row in _summary(records):
+def _print_summary(records: list[Json]) -> None:
+    table = Table("point", "policy", "seeds", *MEASURES, "worst class", "random to oracle", "rules broken")
+    for row in _summarize(records):
         figures = [
-            _number(row[name]["mean"])
+            _format_number(row[name]["mean"])
             + (f" ±{row[name]['half']:.3f}" if row[name]["half"] is not None else "")
             for name in MEASURES
         ]
         broken = ", ".join(f"{rule} {count}" for rule, count in row["broken"].items()) or "none"
         table.add_row(
-            row["point"], row["policy"], str(row["seeds"]), *figures, _number(row["worst_class"]),
-            _number(row["between"], 2), broken,
+            row["point"], row["policy"], str(row["seeds"]), *figures, _format_number(row["worst_class"]),
+            _format_number(row["between"], 2), broken,
         )  # fmt: skip
-    _print(table)
+    _print_table(table)
 
 
-def _show_losses(records: list[Json]) -> None:
-    """A table for each point: policies side by side, causes by what they cost the first of them."""
-    rows = _summary(records)
+def _print_losses(records: list[Json]) -> None:
+    """Prints a table for each point, with policies as columns, causes by the first policy's loss."""
+    rows = _summarize(records)
     for point in dict.fromkeys(row["point"] for row in rows):
-        here = [row for row in rows if row["point"] == point]
+        point_rows = [row for row in rows if row["point"] == point]
         causes = {
-            cause: max(row["losses"].get(cause, 0.0) for row in here)
-            for row in here
+            cause: max(row["losses"].get(cause, 0.0) for row in point_rows)
+            for row in point_rows
             for cause in row["losses"]
         }
-        large = [cause for cause in causes if causes[cause] >= LEAST_SHOWN]
-        large.sort(key=lambda cause: -here[0]["losses"].get(cause, 0.0))
-        table = Table("cause", *(row["policy"] for row in here), title=None if point == "-" else point)
-        for cause in large:
-            table.add_row(cause, *(f"{row['losses'].get(cause, 0.0):.4f}" for row in here))
-        rest = [sum(part for cause, part in row["losses"].items() if cause not in large) for row in here]
-        table.add_row("others", *(f"{part:.4f}" for part in rest))
-        _print(table)
+        shown_causes = [cause for cause in causes if causes[cause] >= MIN_SHOWN_LOSS]
+        shown_causes.sort(key=lambda cause: -point_rows[0]["losses"].get(cause, 0.0))
+        table = Table("cause", *(row["policy"] for row in point_rows), title=None if point == "-" else point)
+        for cause in shown_causes:
+            table.add_row(cause, *(f"{row['losses'].get(cause, 0.0):.4f}" for row in point_rows))
+        others = [
+            sum(part for cause, part in row["losses"].items() if cause not in shown_causes)
+            for row in point_rows
+        ]
+        table.add_row("others", *(f"{part:.4f}" for part in others))
+        _print_table(table)
 
 
-def _print(table: Table) -> None:
+def _print_table(table: Table) -> None:
     Console(width=None if sys.stdout.isatty() else 140).print(table)
 
 
@@ -187,16 +198,16 @@
 @click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="PNG, SVG or PDF [RESULTS.png].")
 @guarded
 def plot(results: Path, out: Path | None) -> None:
-    """Draws RESULTS: worth served by second, and worth lost by cause."""
+    """Plots RESULTS: request weight served by second, and weight lost by cause."""
     header, records = read_results(results)
     if not records:
-        raise ResultsError(f"{results}: expected at least one play")
+        raise ResultsError(f"{results}: expected at least one record")
     path = out or results.with_suffix(".png")
-    if path.suffix not in PICTURES:
-        raise ResultsError(f"{path}: expected a file that ends in {', '.join(PICTURES)}")
-    from applehub.lab import picture  # here alone: it takes half a second, and no other command needs it
+    if path.suffix not in PLOT_SUFFIXES:
+        raise ResultsError(f"{path}: expected a file that ends in {', '.join(PLOT_SUFFIXES)}")
+    from applehub.lab import plots  # matplotlib is slow to import
 
-    picture.draw(records, path, header["name"])
+    plots.draw(records, path, header["name"])
     click.echo(f"{path}")
 
 
@@ -204,17 +215,17 @@
 @click.argument("before", type=click.Path(path_type=Path))
 @click.argument("after", type=click.Path(path_type=Path))
 @click.option(
-    "--measure", "measures", multiple=True, help="A figure by its dotted path [G, whole, worst_window]."
+    "--measure", "measures", multiple=True, help="Value by its dotted path [G, whole, worst_window]."
 )
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 @guarded
 def compare(before: Path, after: Path, measures: tuple[str, ...], as_json: bool) -> None:
-    """Pairs the plays of two results files by seed; prints differences with 95% confidence intervals."""
-    first, second = (grouped(read_results(path)[1]) for path in (before, after))
+    """Pairs the runs of two results files by seed; prints differences with 95% confidence intervals."""
+    first, second = (group_records(read_results(path)[1]) for path in (before, after))
     rows: list[Json] = []
     for key in first:
         for name in measures or MEASURES:
-            figures = paired(first[key], second[key], name) if key in second else None
+            figures = paired_means(first[key], second[key], name) if key in second else None
             if figures is not None:
                 one, other, difference = figures
                 rows.append(
@@ -225,30 +236,32 @@
                     }
                 )  # fmt: skip
     if not rows:
-        raise ResultsError(f"{before} and {after}: expected plays of the same point, policy and seed in both")
+        raise ResultsError(
+            f"{before} and {after}: expected runs with the same point, policy and seed in both"
+        )
     if as_json:
         click.echo(orjson.dumps(rows, option=orjson.OPT_INDENT_2).decode())
         return
-    table = Table("point", "policy", "measure", "pairs", "before", "after", "difference", "told apart")
+    table = Table("point", "policy", "measure", "pairs", "before", "after", "difference", "significant")
     for row in rows:
-        sure = row["half"] is not None and abs(row["difference"]) > row["half"]
+        significant = row["half"] is not None and abs(row["difference"]) > row["half"]
         half = "" if row["half"] is None else f" ±{row['half']:.4f}"
         table.add_row(
             row["point"], row["policy"], row["measure"], str(row["pairs"]), f"{row['before']:.4f}",
-            f"{row['after']:.4f}", f"{row['difference']:+.4f}{half}", "yes" if sure else "no",
+            f"{row['after']:.4f}", f"{row['difference']:+.4f}{half}", "yes" if significant else "no",
         )  # fmt: skip
-    _print(table)
+    _print_table(table)
 
 
 @main.command()
 @click.argument("results", type=click.Path(path_type=Path))
 @click.argument("request")
-@click.option("--policy", default=None, help="Of which policy [the first].")
-@click.option("--seed", type=int, default=None, help="Of which seed [the first].")
-@click.option("--point", type=click.IntRange(0), default=0, help="Of which point of the sweep, by number.")
+@click.option("--policy", default=None, help="Policy [the first].")
+@click.option("--seed", type=int, default=None, help="Seed [the first].")
+@click.option("--point", type=click.IntRange(0), default=0, help="Point of the sweep, by number.")
 @guarded
 def trace(results: Path, request: str, policy: str | None, seed: int | None, point: int) -> None:
-    """Plays one seed of RESULTS again and prints every event of a REQUEST: all of its tries, by one's id."""
+    """Repeats one run of RESULTS; prints all events of the REQUEST with this id, and of its retries."""
     header, _ = read_results(results)
     plan = make_plan(str(results), header["raw"])
     try:
@@ -265,13 +278,15 @@
     world.followed = number
     world.play()
     if not world.tries:
-        raise ResultsError(f"{request}: no such request in this play, which holds {world.account.requests}")
+        raise ResultsError(f"{request}: no such request in this run, which has {world.account.requests}")
     demand = world.tries[0].demand
-    kind = world.day.workload.classes[demand.cls].name
-    click.echo(f"{kind} for {demand.key}, {demand.work / MILLI:.1f} ms of work, from zone {demand.zone}")
-    for asked in world.tries:
-        click.echo(f"try {asked.id}, due {asked.deadline / MILLI:.3f} ms")
-        for at, text in asked.events:
+    class_name = world.day.workload.classes[demand.cls].name
+    click.echo(
+        f"{class_name} for {demand.key}, {demand.work / MILLI:.1f} ms of work, from zone {demand.zone}"
+    )
+    for client_attempt in world.tries:
+        click.echo(f"try {client_attempt.id}, due {client_attempt.deadline / MILLI:.3f} ms")
+        for at, text in client_attempt.events:
             click.echo(f"  {at / MILLI:12.3f} ms  {text}")
 
 
@@ -282,21 +297,21 @@
 @click.option("--seed", type=int, default=1)
 @guarded
 def throttle(count: int, seed: int) -> None:
-    """Plays the throttle alone under Poisson arrivals, beside the paper's chain."""
+    """Simulates the throttle under Poisson arrivals and compares it with the Markov chain of the paper."""
     table = Table(
         "C_J + C_T", "C_J", "load", "throughput / r", "of the chain", "blocked", "of the chain", "agrees"
     )
-    for row in berger.table(count, seed):
+    for row in throttle_analysis.table(count, seed):
         table.add_row(
             str(row.total), str(row.buffer), f"{row.load:.2f}", str(row.throughput),
             f"{row.chain_throughput:.4f}", str(row.blocked), f"{row.chain_blocked:.4f}",
             "yes" if row.agrees else "no",
         )  # fmt: skip
-    _print(table)
+    _print_table(table)
 
 
 @main.command()
-@click.option("--seconds", type=click.FloatRange(1, 600), default=10.0, help="Simulated, for each size.")
+@click.option("--seconds", type=click.FloatRange(1, 600), default=10.0, help="Simulated time for each size.")
 @click.option(
     "--sizes",
     type=fleet_sizes("5x15,20x60"),
@@ -305,42 +320,42 @@
 )
 @guarded
 def speed(seconds: float, sizes: tuple[FleetSize, ...]) -> None:
-    """Measures how many requests a second of this machine's time are played, by fleet size, on one core."""
-    table = Table(
-        "routers x servers", "requests", "processor s", "requests/s", "µs an event", "simulated/real"
-    )
+    """Measures the simulated requests per second of CPU time on this machine, by fleet size."""
+    table = Table("routers x servers", "requests", "CPU s", "requests/s", "µs an event", "simulated/real")
     for size in sizes:
         topology = {"routers": size.routers, "servers": size.servers}
         raw = {"name": "speed", "seconds": seconds, "topology": topology}
         world = stage(make_plan("--sizes", raw).points[0][1], "router", 1)
-        began = time.process_time()
+        started_at = time.process_time()
         result = world.play()
-        took = time.process_time() - began
+        cpu_s = time.process_time() - started_at
         table.add_row(
-            str(size), str(result["requests"]), f"{took:.2f}", f"{result['requests'] / took:,.0f}",
-            f"{took / result['events'] * 1e6:.1f}", f"{seconds / took:.1f}",
+            str(size), str(result["requests"]), f"{cpu_s:.2f}", f"{result['requests'] / cpu_s:,.0f}",
+            f"{cpu_s / result['events'] * 1e6:.1f}", f"{seconds / cpu_s:.1f}",
         )  # fmt: skip
-    _print(table)
+    _print_table(table)
 
 
 @main.command("cost")
-@click.option("--requests", type=click.IntRange(100, 1_000_000), default=20_000, help="Played for each size.")
+@click.option(
+    "--requests", type=click.IntRange(100, 1_000_000), default=20_000, help="Requests for each size."
+)
 @click.option(
     "--sizes", type=counts(1, 100_000, "15,60"), default="15,60,200,1000", help="Numbers of servers."
 )
 @guarded
 def module_cost(requests: int, sizes: tuple[int, ...]) -> None:
-    """Measures the module's processor time for a request with its outcome, by fleet size."""
+    """Measures the decision module's CPU time for a request and its outcome, by fleet size."""
     result = Table("servers", "requests", "µs a request")
     for row in cost.table(requests, sizes):
         result.add_row(str(row.servers), str(row.requests), f"{row.microseconds:.1f}")
-    _print(result)
+    _print_table(result)
 
 
 @main.command()
 @click.argument("policy", type=click.Choice(sorted(BLIND)))
 def wire(policy: str) -> None:
-    """Hosts a baseline POLICY on the simulator's wire, as `sim` hosts the product's module."""
+    """Serves a baseline POLICY over the simulator's protocol, as `sim` serves the product's module."""
     sys.exit(wirehost.main(wirehost.Host(BLIND[policy])))
 
 
--- a/applehub/lab/account.py
+++ b/applehub/lab/account.py
@@ -1,43 +1,46 @@
-"""What a play was worth: the share of worth served, prices, and what became of the rest, by cause."""
+"""Result of one simulation run: the fraction of request weight served, penalties, and losses by cause."""
 
 from collections import Counter
 
 from applehub import interface as api
+from applehub.lab.attempts import Backend, ClientAttempt
 from applehub.lab.clock import MILLI, SECOND, Clock
 from applehub.lab.demand import Demand, try_id
 from applehub.lab.discovery import Registry
 from applehub.lab.origin import OriginServer
 from applehub.lab.servers import CacheServer
 from applehub.lab.spec import Day
-from applehub.lab.tries import Asked, Place
 from applehub.settings import Json
 
-DIGITS = 5
+RESULT_DIGITS = 5
 
 
 def _rounded(value: float) -> float:
-    return round(value, DIGITS)
+    return round(value, RESULT_DIGITS)
 
 
 class Account:
-    """One play's book. Worth is counted by work: a class's worth, times work over its class's mean."""
+    """Collects the measurements of one simulation run.
 
-    def __init__(self, day: Day, aims: list[int], clock: Clock) -> None:
-        """aims: of each class, ns."""
-        self.day, self.aims, self.clock = day, aims, clock
-        classes = day.workload.classes
-        self.by_class = [[0.0, 0.0] for _ in classes]  # asked, served
+    A request's weight is the weight of its class, scaled by its work relative to the mean of the class.
+    """
+
+    def __init__(self, scenario: Day, objectives: list[int], clock: Clock) -> None:
+        """objectives: latency objective of each class, ns."""
+        self.scenario, self.objectives, self.clock = scenario, objectives, clock
+        classes = scenario.workload.classes
+        self.by_class = [[0.0, 0.0] for _ in classes]  # weight requested, weight served
         self.by_second: list[list[float]] = []
-        self.causes: dict[str, float] = {}  # worth lost
-        self.examples: dict[str, str] = {}  # the first request lost by each cause
-        self.statuses: Counter[str] = Counter()  # of attempts
-        self.requests = self.tries = self.attempts = 0
-        self.handshakes = self.crossings = self.refused_connects = 0
-        self.late_lost = 0.0
+        self.causes: dict[str, float] = {}  # weight lost, by cause
+        self.examples: dict[str, str] = {}  # id of the first request lost, by cause
+        self.statuses: Counter[str] = Counter()  # number of attempts, by status and type of server
+        self.requests = self.client_attempts = self.attempts = 0
+        self.handshakes = self.cross_zone_attempts = self.refused_connects = 0
+        self.late_lost_weight = 0.0
         self.work = self.wasted = 0
-        self.times: list[int] = []  # ns to the answer, of those served
+        self.response_times: list[int] = []  # response times of the requests served, ns
 
-    def asked_for(self, demand: Demand) -> None:
+    def record_request(self, demand: Demand) -> None:
         self.requests += 1
         self.work += demand.work
         self.by_class[demand.cls][0] += demand.worth
@@ -46,93 +49,95 @@
             self.by_second.append([0.0, 0.0])
         self.by_second[second][0] += demand.worth
 
-    def served(self, demand: Demand) -> None:
+    def record_served(self, demand: Demand) -> None:
         demand.over = True
-        took = self.clock.now - demand.born
-        self.times.append(took)
-        if took > self.aims[demand.cls]:
-            self._note(demand, "late")
+        latency = self.clock.now - demand.born
+        self.response_times.append(latency)
+        if latency > self.objectives[demand.cls]:
+            self._record_loss(demand, "late")
             return
         self.by_class[demand.cls][1] += demand.worth
         self.by_second[demand.born // SECOND][1] += demand.worth
 
-    def lost(self, demand: Demand, why: str) -> None:
+    def record_lost(self, demand: Demand, cause: str) -> None:
         demand.over = True
-        self._note(demand, why)
-        if self.clock.now - demand.born > self.aims[demand.cls]:
-            self.late_lost += demand.worth
+        self._record_loss(demand, cause)
+        if self.clock.now - demand.born > self.objectives[demand.cls]:
+            self.late_lost_weight += demand.worth
 
-    def _note(self, demand: Demand, why: str) -> None:
-        self.causes[why] = self.causes.get(why, 0.0) + demand.worth
-        self.examples.setdefault(why, try_id(demand))
+    def _record_loss(self, demand: Demand, cause: str) -> None:
+        self.causes[cause] = self.causes.get(cause, 0.0) + demand.worth
+        self.examples.setdefault(cause, try_id(demand))
 
-    def place_of(self, server: Place) -> str:
+    def server_type(self, server: Backend) -> str:
         if isinstance(server, OriginServer):
             return "at origin"
         return "at cold server" if server.warmth() < 1 else "at server"
 
-    def ended(self, status: api.Status, server: Place) -> str:
-        """Counts an attempt's end; gives a name for it."""
-        name = f"{status} {self.place_of(server)}"
+    def record_attempt(self, status: api.Status, server: Backend) -> str:
+        """Counts a finished attempt and returns the name that it is counted under."""
+        name = f"{status} {self.server_type(server)}"
         self.statuses[name] += 1
         return name
 
-    def where(self, asked: Asked) -> str:
-        """Where a request is that its client no longer waits for."""
-        if asked.final >= 0:
+    def location_of(self, client_attempt: ClientAttempt) -> str:
+        """Returns where a client attempt was when its client stopped waiting."""
+        if client_attempt.answered_at >= 0:
             return "on the way back"
-        if asked.out:
-            return self.place_of(next(iter(asked.out.values())).server)
+        if client_attempt.in_flight:
+            return self.server_type(next(iter(client_attempt.in_flight.values())).server)
         return "in router"
 
     def result(
-        self, cpu: list[int], origin: OriginServer, registry: Registry, servers: list[CacheServer]
+        self, cpu_times: list[int], origin: OriginServer, registry: Registry, servers: list[CacheServer]
     ) -> Json:
-        """The figures of the whole play. cpu: ns of each router's processor, in order of size."""
-        goal, seconds = self.day.goal, self.by_second
-        asked = sum(pair[0] for pair in self.by_class)
-        whole = sum(pair[1] for pair in self.by_class) / asked if asked else 1.0
-        shares = [pair[1] / pair[0] for pair in self.by_class if pair[0]]
-        worst_window, worst_from = 1.0, 0
-        width = max(1, round(goal.window_s))
-        for first in range(max(1, len(seconds) - width + 1)):
-            part = seconds[first : first + width]
-            total = sum(pair[0] for pair in part)
-            if total and sum(pair[1] for pair in part) / total < worst_window:
-                worst_window, worst_from = sum(pair[1] for pair in part) / total, first
-        per_try = 1 / max(1, self.requests)
-        prices = {
-            "cross_zone": goal.cross_zone * self.crossings * per_try,
-            "handshake": goal.handshake * self.handshakes * per_try,
-            "late_fail": goal.late_fail * self.late_lost / max(1e-9, asked),
+        """Returns the result record of the run. cpu_times: of each router, ns, in ascending order."""
+        goal, seconds = self.scenario.goal, self.by_second
+        weight_requested = sum(pair[0] for pair in self.by_class)
+        served_fraction = (
+            sum(pair[1] for pair in self.by_class) / weight_requested if weight_requested else 1.0
+        )
+        class_fractions = [pair[1] / pair[0] for pair in self.by_class if pair[0]]
+        worst_window, worst_window_start = 1.0, 0
+        window_length = max(1, round(goal.window_s))
+        for first in range(max(1, len(seconds) - window_length + 1)):
+            window = seconds[first : first + window_length]
+            total = sum(pair[0] for pair in window)
+            if total and sum(pair[1] for pair in window) / total < worst_window:
+                worst_window, worst_window_start = sum(pair[1] for pair in window) / total, first
+        per_request = 1 / max(1, self.requests)
+        penalties = {
+            "cross_zone": goal.cross_zone * self.cross_zone_attempts * per_request,
+            "handshake": goal.handshake * self.handshakes * per_request,
+            "late_fail": goal.late_fail * self.late_lost_weight / max(1e-9, weight_requested),
             "waste": goal.waste * self.wasted / max(1, self.work),
         }
-        served = (
-            goal.whole * whole
+        weight_served = (
+            goal.whole * served_fraction
             + goal.worst_window * worst_window
-            + goal.worst_class * min(shares, default=1.0)
+            + goal.worst_class * min(class_fractions, default=1.0)
         )
-        times = sorted(self.times)
+        times = sorted(self.response_times)
         return {
-            "G": _rounded(served - sum(prices.values())),
-            "whole": _rounded(whole),
+            "G": _rounded(weight_served - sum(penalties.values())),
+            "whole": _rounded(served_fraction),
             "worst_window": _rounded(worst_window),
-            "worst_window_from_s": worst_from,
+            "worst_window_from_s": worst_window_start,
             "classes": {
                 spec.name: _rounded(pair[1] / pair[0]) if pair[0] else None
-                for spec, pair in zip(self.day.workload.classes, self.by_class, strict=True)
+                for spec, pair in zip(self.scenario.workload.classes, self.by_class, strict=True)
             },
-            "prices": {name: _rounded(value) for name, value in prices.items()},
-            "losses": {name: _rounded(self.causes[name] / asked) for name in sorted(self.causes)},
+            "prices": {name: _rounded(value) for name, value in penalties.items()},
+            "losses": {name: _rounded(self.causes[name] / weight_requested) for name in sorted(self.causes)},
             "examples": dict(sorted(self.examples.items())),
             "by_second": [_rounded(pair[1] / pair[0]) if pair[0] else 1.0 for pair in seconds],
             "requests": self.requests,
-            "tries": self.tries,
+            "tries": self.client_attempts,
             "attempts": self.attempts,
             "statuses": dict(sorted(self.statuses.items())),
             "handshakes": self.handshakes,
             "refused_connects": self.refused_connects,
-            "crossings": self.crossings,
+            "crossings": self.cross_zone_attempts,
             "origin": {
                 "reads": origin.reads,
                 "writes": origin.writes,
@@ -143,16 +148,16 @@
                 sum(one.hits for one in servers) / max(1, sum(one.hits + one.misses for one in servers))
             ),
             "ms": {
-                "p50": self._at(times, 0.5),
-                "p99": self._at(times, 0.99),
-                "p999": self._at(times, 0.999),
+                "p50": self._percentile_ms(times, 0.5),
+                "p99": self._percentile_ms(times, 0.99),
+                "p999": self._percentile_ms(times, 0.999),
             },
             "router_cpu_s": {
-                "median": _rounded(cpu[len(cpu) // 2] / SECOND),
-                "most": _rounded(cpu[-1] / SECOND),
+                "median": _rounded(cpu_times[len(cpu_times) // 2] / SECOND),
+                "most": _rounded(cpu_times[-1] / SECOND),
             },
         }
 
     @staticmethod
-    def _at(times: list[int], part: float) -> float | None:
-        return round(times[min(len(times) - 1, int(len(times) * part))] / MILLI, 3) if times else None
+    def _percentile_ms(times: list[int], fraction: float) -> float | None:
+        return round(times[min(len(times) - 1, int(len(times) * fraction))] / MILLI, 3) if times else None
--- a/applehub/lab/runner.py
+++ b/applehub/lab/runner.py
@@ -1,8 +1,8 @@
-"""Plays all points, policies and seeds of an experiment in parallel, and keeps each play's record.
+"""Runs all points, policies and seeds of an experiment in parallel and stores a record of each run.
 
-A results file holds a header line, then a line for each play, in the order of the plan: whole or absent. A
-run that was cut off goes on where the file ends. Nothing in it depends on the machine, its clock or the
-number of processes.
+A results file holds a header line, then one line for each simulation run, in the order of the plan. An
+interrupted experiment resumes where the file ends. The content does not depend on the machine, its clock or
+the number of processes.
 """
 
 import hashlib
@@ -21,16 +21,16 @@
 from applehub.lab.spec import Day, Experiment, read_raw
 from applehub.settings import Json
 
-DECIDING = ("interface.py", "settings.py")  # beside lab and policy, what figures depend on
+EXTRA_SOURCES = ("interface.py", "settings.py")  # in addition to lab, policy and peers
 
 
 class ResultsError(ValueError):
-    """A results file is of no use, or not of this experiment."""
+    """Raised for a results file that is invalid or belongs to another experiment."""
 
 
 @dataclass(frozen=True, slots=True)
 class Task:
-    """One play."""
+    """One simulation run."""
 
     point: int
     policy: str
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class Plan:
-    """What an experiment plays, in order."""
+    """The simulation runs of an experiment, in order."""
 
     experiment: Experiment
     raw: Json
@@ -48,8 +48,8 @@
     @property
     def tasks(self) -> list[Task]:
         seeds = range(self.experiment.seeds.first, self.experiment.seeds.first + self.experiment.seeds.count)
-        wanted = itertools.product(range(len(self.points)), self.experiment.policies, seeds)
-        return [Task(*one) for one in wanted]
+        combinations = itertools.product(range(len(self.points)), self.experiment.policies, seeds)
+        return [Task(*one) for one in combinations]
 
     @property
     def header(self) -> Json:
@@ -63,19 +63,19 @@
 
 
 def program_hash() -> str:
-    """Of the sources that decide a play's figures: records of two programs are not mixed."""
+    """Returns a hash of the sources that results depend on, so that one file never mixes two versions."""
     root = Path(applehub.__file__).parent
     files = sorted((root / "lab").glob("*.py")) + sorted((root / "policy").glob("*.py"))
     files += sorted((root / "peers").glob("*.py"))
-    files += [root / name for name in DECIDING]
-    whole = hashlib.sha256()
+    files += [root / name for name in EXTRA_SOURCES]
+    digest = hashlib.sha256()
     for file in files:
-        whole.update(file.name.encode() + b"\0" + file.read_bytes() + b"\0")
-    return whole.hexdigest()[:16]
+        digest.update(file.name.encode() + b"\0" + file.read_bytes() + b"\0")
+    return digest.hexdigest()[:16]
 
 
 def make_plan(name: str, raw: Json) -> Plan:
-    """Raises SpecError where it makes no sense."""
+    """Parses an experiment; raises SpecError if it is invalid."""
     experiment, points = read_raw(name, raw)
     return Plan(experiment, raw, points)
 
@@ -84,15 +84,15 @@
     return {"point": point, "policy": task.policy, "seed": task.seed, "result": result}
 
 
-def _play(work: tuple[Task, Json, Day]) -> bytes:
-    task, point, day = work
+def _run_task(task_inputs: tuple[Task, Json, Day]) -> bytes:
+    task, point, scenario = task_inputs
     return orjson.dumps(
-        record_of(task, point, play(day, task.policy, task.seed)), option=orjson.OPT_APPEND_NEWLINE
+        record_of(task, point, play(scenario, task.policy, task.seed)), option=orjson.OPT_APPEND_NEWLINE
     )
 
 
-def _whole_lines(path: Path) -> list[bytes]:
-    """The file's whole lines; what was cut off behind the last is removed."""
+def _complete_lines(path: Path) -> list[bytes]:
+    """Returns the complete lines of the file and truncates a partial line at its end."""
     if not path.exists():
         return []
     content = path.read_bytes()
@@ -102,47 +102,50 @@
     return content[:end].splitlines()
 
 
-def done_before(path: Path, plan: Plan) -> int:
-    """How many plays the file already holds; raises ResultsError where it is another experiment's."""
-    lines = _whole_lines(path)
+def count_completed(path: Path, plan: Plan) -> int:
+    """Returns the number of runs that the file holds; raises ResultsError for another experiment's file."""
+    lines = _complete_lines(path)
     if not lines:
         return 0
     if lines[0] != orjson.dumps(plan.header):
         raise ResultsError(
-            f"{path}: holds results of another experiment or program; name another file with --out"
+            f"{path}: holds results of another experiment or program version; name another file with --out"
         )
     for line, task in zip(lines[1:], plan.tasks, strict=False):
         record = orjson.loads(line)
         if (record["policy"], record["seed"], record["point"]) != (
             task.policy, task.seed, plan.points[task.point][0],
         ):  # fmt: skip
-            raise ResultsError(f"{path}: its records are not in the order of the plan")
+            raise ResultsError(f"{path}: expected records in the order of the plan")
     return len(lines) - 1
 
 
-def run_plan(plan: Plan, path: Path, processes: int, told: Callable[[int, Json], None]) -> int:
-    """Plays what is missing, appends each record and tells of it; gives how many were played."""
-    before = done_before(path, plan)
-    work = [(task, *plan.points[task.point]) for task in plan.tasks[before:]]
+def run_plan(plan: Plan, path: Path, processes: int, on_record: Callable[[int, Json], None]) -> int:
+    """Runs what the file lacks, appends each record and reports it; returns the number of runs made.
+
+    on_record: called with the position of each run in the plan, from 1, and its record.
+    """
+    completed = count_completed(path, plan)
+    task_inputs = [(task, *plan.points[task.point]) for task in plan.tasks[completed:]]
     with open(path, "ab", buffering=0) as file:
         if not file.tell():
             file.write(orjson.dumps(plan.header, option=orjson.OPT_APPEND_NEWLINE))
-        for place, line in enumerate(_played(work, processes), before + 1):
+        for position, line in enumerate(_run_tasks(task_inputs, processes), completed + 1):
             file.write(line)
-            told(place, orjson.loads(line))
-    return len(work)
+            on_record(position, orjson.loads(line))
+    return len(task_inputs)
 
 
-def _played(work: list[tuple[Task, Json, Day]], processes: int) -> Iterator[bytes]:
-    if processes <= 1 or len(work) <= 1:
-        yield from map(_play, work)
+def _run_tasks(task_inputs: list[tuple[Task, Json, Day]], processes: int) -> Iterator[bytes]:
+    if processes <= 1 or len(task_inputs) <= 1:
+        yield from map(_run_task, task_inputs)
         return
-    with ProcessPoolExecutor(min(processes, len(work))) as pool:
-        yield from pool.map(_play, work)
+    with ProcessPoolExecutor(min(processes, len(task_inputs))) as pool:
+        yield from pool.map(_run_task, task_inputs)
 
 
 def read_results(path: Path) -> tuple[Json, list[Json]]:
-    """The header and the records; raises ResultsError where it is no results file."""
+    """Returns the header and the records; raises ResultsError for a file that is not a results file."""
     try:
         lines = path.read_bytes().split(b"\n")[:-1]
         header, *records = map(orjson.loads, lines)
