--- a/applehub/lab/fleet/__init__.py
+++ b/applehub/lab/fleet/__init__.py
@@ -1,2 +1,1 @@
-"""The proving ground: several processes of the program, with faults between them, and checks of what
-happened."""
+"""Cluster test harness: runs router and stand-in processes, injects faults and checks invariants."""
--- a/applehub/lab/fleet/clients.py
+++ b/applehub/lab/fleet/clients.py
@@ -1,9 +1,7 @@
-"""Open-loop clients as a process: what is due goes out whatever came back, over connections that a front
-deals.
+"""Open-loop clients in one process, with a front end that assigns each request to a router.
 
-The front deals each request to a router that it believes to be up; it learns that one is away when no
-connection comes up there, and tries again a little later. A request whose connection is closed without a byte
-of an answer is sent once more on a new one where the connection had served before, as the protocol has it."""
+The front end picks a router that it considers up. A failed connect marks a router as down until it answers a
+health check. A request on a reused connection that closes without a response is retried once on a new one."""
 
 import asyncio
 import math
@@ -19,29 +17,29 @@
 from applehub.node.discovery import read_endpoint
 from applehub.node.resp import command
 
-TRY_AGAIN = 0.25  # s until the front tries a router that was away
-LINES = 40  # connections to a router at the most
+HEALTH_CHECK_DELAY_S = 0.25  # until the next health check of a router that is down
+MAX_CONNECTIONS = 40  # per router
 
 
-class Asked:
-    """One request."""
+class Request:
+    """A request in flight."""
 
     __slots__ = ("again", "at", "cls", "key", "leaves", "name", "router", "timer", "words")
 
     def __init__(self, name: str, router: str, cls: str, key: str, words: bytes) -> None:
         self.name, self.router, self.cls, self.key, self.words = name, router, cls, key, words
-        self.at, self.again = 0, False
-        self.leaves = 0.0  # s after it was sent; 0: it stays
+        self.at, self.again = 0, False  # send time, ns; whether it was retried
+        self.leaves = 0.0  # seconds from sending until the client disconnects; 0 for never
         self.timer: asyncio.TimerHandle | None = None
 
 
-class Line(asyncio.Protocol):
-    """A connection to a router, with one request at a time."""
+class Connection(asyncio.Protocol):
+    """A connection to a router, with at most one request in flight."""
 
     def __init__(self, router: "Router") -> None:
         self.router, self.reader = router, hiredis.Reader()
         self.transport: asyncio.Transport | None = None
-        self.asked: Asked | None = None
+        self.request: Request | None = None
         self.used = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -49,71 +47,71 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self.router.lost(self)
+        self.router.connection_closed(self)
 
     def data_received(self, data: bytes) -> None:
         self.reader.feed(data)
         while (answer := self.reader.gets()) is not False:
-            self.router.answered(self, answer)
+            self.router.response_received(self, answer)
 
-    def send(self, asked: Asked) -> None:
+    def send(self, request: Request) -> None:
         assert self.transport is not None
-        self.asked = asked
-        self.transport.write(asked.words)
+        self.request = request
+        self.transport.write(request.words)
 
 
 class Router:
-    """What the clients hold of one router."""
+    """The connections to one router and its health."""
 
     def __init__(self, clients: "Clients", name: str, address: str) -> None:
         self.clients, self.name, self.address = clients, name, read_endpoint(address)
-        self.up, self.leaving = True, False
-        self.idle: list[Line] = []
-        self.lines: set[Line] = set()
-        self.dialling: set[asyncio.Task[None]] = set()
-
-    def ask(self, asked: Asked, fresh: bool = False) -> None:
-        while self.idle and not fresh:
-            line = self.idle.pop()
-            if line.transport is not None and not line.transport.is_closing():
-                self._send(line, asked)
+        self.up, self.draining = True, False
+        self.idle: list[Connection] = []
+        self.connections: set[Connection] = set()
+        self.dial_tasks: set[asyncio.Task[None]] = set()
+
+    def submit(self, request: Request, new_connection: bool = False) -> None:
+        while self.idle and not new_connection:
+            connection = self.idle.pop()
+            if connection.transport is not None and not connection.transport.is_closing():
+                self._send(connection, request)
                 return
-        if len(self.lines) + len(self.dialling) >= LINES:
-            self.clients.unreached(asked, "no connection free")
+        if len(self.connections) + len(self.dial_tasks) >= MAX_CONNECTIONS:
+            self.clients.fail_connect(request, "no connection free")
             return
-        task = self.clients.loop.create_task(self._dial(asked))
-        self.dialling.add(task)
-        task.add_done_callback(self.dialling.discard)
+        task = self.clients.loop.create_task(self._dial(request))
+        self.dial_tasks.add(task)
+        task.add_done_callback(self.dial_tasks.discard)
 
-    async def _dial(self, asked: Asked) -> None:
+    async def _dial(self, request: Request) -> None:
         try:
             async with asyncio.timeout(1.0):
-                line = await self._connected()
+                connection = await self._connect()
         except (OSError, TimeoutError) as problem:
             if self.up:
                 self.up = False
-                self.clients.loop.call_later(TRY_AGAIN, self._try)
-            self.clients.unreached(asked, type(problem).__name__)
+                self.clients.loop.call_later(HEALTH_CHECK_DELAY_S, self._start_health_check)
+            self.clients.fail_connect(request, type(problem).__name__)
             return
-        if line.transport is None:
-            self.clients.unreached(asked, "closed at once")
+        if connection.transport is None:
+            self.clients.fail_connect(request, "closed at once")
         else:
-            self._send(line, asked)
+            self._send(connection, request)
 
-    async def _connected(self) -> Line:
-        _, line = await self.clients.loop.create_connection(
-            lambda: Line(self), *self.address, local_addr=(self.clients.source, 0)
+    async def _connect(self) -> Connection:
+        _, connection = await self.clients.loop.create_connection(
+            lambda: Connection(self), *self.address, local_addr=(self.clients.source, 0)
         )
-        self.lines.add(line)
-        return line
+        self.connections.add(connection)
+        return connection
 
-    def _try(self) -> None:
-        task = self.clients.loop.create_task(self._knock())
-        self.dialling.add(task)
-        task.add_done_callback(self.dialling.discard)
+    def _start_health_check(self) -> None:
+        task = self.clients.loop.create_task(self._check_health())
+        self.dial_tasks.add(task)
+        task.add_done_callback(self.dial_tasks.discard)
 
-    async def _knock(self) -> None:
-        """Takes up a router that answers PING again."""
+    async def _check_health(self) -> None:
+        """Marks a router as up if it answers PING, else schedules another health check."""
         try:
             async with asyncio.timeout(1.0):
                 reader, writer = await asyncio.open_connection(
@@ -127,41 +125,41 @@
         if pong == b"+PONG\r\n":
             self.up = True
         else:
-            self.clients.loop.call_later(TRY_AGAIN, self._try)
+            self.clients.loop.call_later(HEALTH_CHECK_DELAY_S, self._start_health_check)
 
-    def _send(self, line: Line, asked: Asked) -> None:
+    def _send(self, connection: Connection, request: Request) -> None:
         clients = self.clients
-        line.send(asked)
-        if not asked.again:
-            asked.at = time.monotonic_ns()
+        connection.send(request)
+        if not request.again:
+            request.at = time.monotonic_ns()
             clients.events.write(
-                EventKind.REQUEST_SENT, request=asked.name, router=self.name, cls=asked.cls, key=asked.key,
-                wait_ms=clients.wait_ms,
+                EventKind.REQUEST_SENT, request=request.name, router=self.name, cls=request.cls,
+                key=request.key, wait_ms=clients.wait_ms,
             )  # fmt: skip
-            left = clients.wait_ms / 1000 + clients.slack
-            asked.timer = clients.loop.call_later(left, self._give_up, line, asked)
-            if asked.leaves:
-                clients.loop.call_later(asked.leaves, self._leave, line, asked)
-
-    def _leave(self, line: Line, asked: Asked) -> None:
-        """Its client goes, if it still waits there: whatever else waits on that connection goes with it."""
-        if line.asked is asked:
-            line.asked = None
-            self.clients.end(asked, EventKind.CLIENT_LEFT)
-            if line.transport is not None:
-                line.transport.abort()
-
-    def _give_up(self, line: Line, asked: Asked) -> None:
-        self.clients.end(asked, EventKind.REQUEST_TIMED_OUT)
-        for one in self.lines:
-            if one.asked is asked:
-                one.asked = None
+            timeout_s = clients.wait_ms / 1000 + clients.slack
+            request.timer = clients.loop.call_later(timeout_s, self._time_out, connection, request)
+            if request.leaves:
+                clients.loop.call_later(request.leaves, self._disconnect, connection, request)
+
+    def _disconnect(self, connection: Connection, request: Request) -> None:
+        """Disconnects the client of a request by aborting its connection, if the request is still open."""
+        if connection.request is request:
+            connection.request = None
+            self.clients.end(request, EventKind.CLIENT_LEFT)
+            if connection.transport is not None:
+                connection.transport.abort()
+
+    def _time_out(self, connection: Connection, request: Request) -> None:
+        self.clients.end(request, EventKind.REQUEST_TIMED_OUT)
+        for one in self.connections:
+            if one.request is request:
+                one.request = None
                 if one.transport is not None:
                     one.transport.abort()
 
-    def answered(self, line: Line, answer: object) -> None:
-        asked, line.asked, line.used = line.asked, None, True
-        if asked is None:
+    def response_received(self, connection: Connection, answer: object) -> None:
+        request, connection.request, connection.used = connection.request, None, True
+        if request is None:
             self.clients.events.write(EventKind.ANSWER_UNEXPECTED, router=self.name, answer=repr(answer)[:60])
             return
         if isinstance(answer, bytes):
@@ -170,95 +168,103 @@
             how = "refused"
         else:
             how = "failed"
-        took = (time.monotonic_ns() - asked.at) / 1e6
-        self.clients.end(asked, EventKind.REQUEST_ANSWERED, how=how, ms=round(took, 1))
-        self.idle.append(line)
-
-    def lost(self, line: Line) -> None:
-        self.lines.discard(line)
-        if line in self.idle:
-            self.idle.remove(line)
-        asked, line.asked = line.asked, None
-        if asked is None or asked.name not in self.clients.open:
+        duration_ms = (time.monotonic_ns() - request.at) / 1e6
+        self.clients.end(request, EventKind.REQUEST_ANSWERED, how=how, ms=round(duration_ms, 1))
+        self.idle.append(connection)
+
+    def connection_closed(self, connection: Connection) -> None:
+        self.connections.discard(connection)
+        if connection in self.idle:
+            self.idle.remove(connection)
+        request, connection.request = connection.request, None
+        if request is None or request.name not in self.clients.in_flight:
             return
-        if line.used and not asked.again:
-            asked.again = True
-            self.ask(asked, fresh=True)
+        if connection.used and not request.again:
+            request.again = True
+            self.submit(request, new_connection=True)
         else:
-            self.clients.end(asked, EventKind.CLOSED_UNANSWERED)
+            self.clients.end(request, EventKind.CLOSED_UNANSWERED)
 
 
 class Clients:
-    """All clients of a play."""
-
-    def __init__(self, told: Json, events: EventWriter) -> None:
-        self.told, self.events, self.loop = told, events, asyncio.get_running_loop()
-        self.source, self.wait_ms, self.slack = told["source"], told["wait_ms"], told["slack_ms"] / 1000
-        self.routers = [Router(self, name, address) for name, address in told["routers"].items()]
-        self.draws = Draws(told["seed"], "clients")
-        self.value = b"w" * told["value"]
-        self.open: dict[str, Asked] = {}
+    """All clients of a run."""
+
+    def __init__(self, message: Json, events: EventWriter) -> None:
+        self.options, self.events, self.loop = message, events, asyncio.get_running_loop()
+        self.source, self.wait_ms, self.slack = (
+            message["source"],
+            message["wait_ms"],
+            message["slack_ms"] / 1000,
+        )
+        self.routers = [Router(self, name, address) for name, address in message["routers"].items()]
+        self.draws = Draws(message["seed"], "clients")
+        self.value = b"w" * message["value"]
+        self.in_flight: dict[str, Request] = {}
         self.count = 0
-        self.ending = asyncio.Event()
-        self.playing: asyncio.Task[None] | None = None
+        self.stopping = asyncio.Event()
+        self.load_task: asyncio.Task[None] | None = None
+
+    async def command(self, message: Json) -> Json:
+        """Executes a command of the harness; returns the number of requests sent.
 
-    async def command(self, told: Json) -> Json:
-        """begin: the load. leaving, back: the front sends no more to a router, or again. end: the load ends
-        once all that is out has ended; gives how many were asked."""
-        match told["do"]:
+        begin: starts the load. leaving, back: stops or resumes sending to a router. end: stops the load and
+        waits for the requests in flight."""
+        match message["do"]:
             case "begin":
-                self.playing = self.loop.create_task(self._play())
+                self.load_task = self.loop.create_task(self._generate_load())
             case "leaving" | "back":
                 for router in self.routers:
-                    if router.name == told["router"]:
-                        router.leaving = told["do"] == "leaving"
+                    if router.name == message["router"]:
+                        router.draining = message["do"] == "leaving"
             case "end":
-                self.ending.set()
-                if self.playing is not None:
-                    await self.playing
+                self.stopping.set()
+                if self.load_task is not None:
+                    await self.load_task
         return {"asked": self.count}
 
-    async def _play(self) -> None:
+    async def _generate_load(self) -> None:
         due = self.loop.time()
-        while not self.ending.is_set():
-            due += -math.log(1 - self.draws.uniform()) / self.told["rate"]
-            if (left := due - self.loop.time()) > 0:
-                await asyncio.sleep(left)
-            self._ask()
-        while self.open:
+        while not self.stopping.is_set():
+            due += -math.log(1 - self.draws.uniform()) / self.options["rate"]
+            if (delay := due - self.loop.time()) > 0:
+                await asyncio.sleep(delay)
+            self._send_request()
+        while self.in_flight:
             await asyncio.sleep(0.01)
 
-    def _ask(self) -> None:
+    def _send_request(self) -> None:
         self.count += 1
-        up = [router for router in self.routers if router.up and not router.leaving]
+        up = [router for router in self.routers if router.up and not router.draining]
         router = (up or self.routers)[self.draws.below(len(up or self.routers))]
-        key = b"key-%d" % int(self.told["keys"] ** self.draws.uniform())  # p(rank) falls as 1 / rank
-        kind, name = self.draws.uniform(), b"%016x" % (self.count + (self.told["seed"] << 40))
+        key = b"key-%d" % int(
+            self.options["keys"] ** self.draws.uniform()
+        )  # Zipf distribution: p(rank) ~ 1 / rank
+        kind, name = self.draws.uniform(), b"%016x" % (self.count + (self.options["seed"] << 40))
         info = b"d=%d" % self.wait_ms
-        if kind < self.told["puts"]:
+        if kind < self.options["puts"]:
             cls, words = "put", (b"C.SET", key, name, b"c=put,%s,k=%s" % (info, name), self.value)
-        elif kind < self.told["puts"] + self.told["once"]:
+        elif kind < self.options["puts"] + self.options["once"]:
             cls, words = "once", (b"C.SET", key, name, b"c=once," + info, self.value)
         else:
             cls, words = "read", (b"C.GET", key, name, b"c=read," + info)  # type: ignore[assignment]
-        asked = Asked(name.decode(), router.name, cls, key.decode(), command(*words))
-        if self.told["leaves"] and self.draws.uniform() < self.told["leaves"]:
-            asked.leaves = max(0.001, self.draws.uniform() * self.told["leaves_ms"] / 1000)
-        self.open[asked.name] = asked
-        router.ask(asked)
-
-    def end(self, asked: Asked, event: EventKind, **more: object) -> None:
-        if self.open.pop(asked.name, None) is None:
+        request = Request(name.decode(), router.name, cls, key.decode(), command(*words))
+        if self.options["leaves"] and self.draws.uniform() < self.options["leaves"]:
+            request.leaves = max(0.001, self.draws.uniform() * self.options["leaves_ms"] / 1000)
+        self.in_flight[request.name] = request
+        router.submit(request)
+
+    def end(self, request: Request, event: EventKind, **more: object) -> None:
+        if self.in_flight.pop(request.name, None) is None:
             return
-        if asked.timer is not None:
-            asked.timer.cancel()
-        self.events.write(event, request=asked.name, router=asked.router, **more)
+        if request.timer is not None:
+            request.timer.cancel()
+        self.events.write(event, request=request.name, router=request.router, **more)
 
-    def unreached(self, asked: Asked, why: str) -> None:
-        """No connection came up: the request was never taken, unless an earlier connection had taken it."""
-        self.end(asked, EventKind.CLOSED_UNANSWERED if asked.again else EventKind.CONNECT_FAILED, why=why)
+    def fail_connect(self, request: Request, why: str) -> None:
+        """Ends a request for lack of a connection; after a retry it counts as closed unanswered."""
+        self.end(request, EventKind.CLOSED_UNANSWERED if request.again else EventKind.CONNECT_FAILED, why=why)
 
 
-async def begin(told: Json) -> tuple[Json, Handler]:
-    clients = Clients(told, EventWriter(Path(told["events"]), told["name"], told["incarnation"]))
+async def begin(message: Json) -> tuple[Json, Handler]:
+    clients = Clients(message, EventWriter(Path(message["events"]), message["name"], message["incarnation"]))
     return {}, clients.command
--- a/applehub/lab/fleet/control.py
+++ b/applehub/lab/fleet/control.py
@@ -1,8 +1,7 @@
-"""How the ground speaks with its own processes: a JSON line on standard input, a JSON line back on standard
-output.
+"""Control protocol between the test harness and its stand-ins: JSON lines on standard input and output.
 
-The first line is what the process is told at its start, its answer says that it is ready. The end of standard
-input ends the process: so none outlives a ground that is gone."""
+The first line configures the process, and its reply means that it is ready; each later line is a command
+with a reply. The process exits at the end of standard input, so it does not outlive the harness."""
 
 import asyncio
 import sys
@@ -13,20 +12,20 @@
 
 Json = dict[str, Any]
 Handler = Callable[[Json], Awaitable[Json]]
-MOST_LINE = 8 << 20
+MAX_LINE_BYTES = 8 << 20
 
 
 async def serve(begin: Callable[[Json], Awaitable[tuple[Json, Handler]]]) -> None:
-    """Begins with what the first line tells, then carries out a command a line, in order."""
+    """Calls `begin` with the first message, then passes each command to the handler, in order."""
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(MOST_LINE)
+    reader = asyncio.StreamReader(MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     handle: Handler | None = None
     while line := await reader.readline():
-        told = orjson.loads(line)
+        message = orjson.loads(line)
         if handle is None:
-            answer, handle = await begin(told)
+            answer, handle = await begin(message)
         else:
-            answer = await handle(told)
+            answer = await handle(message)
         sys.stdout.buffer.write(orjson.dumps(answer) + b"\n")
         sys.stdout.buffer.flush()
--- a/applehub/lab/fleet/faults.py
+++ b/applehub/lab/fleet/faults.py
@@ -1,4 +1,4 @@
-"""How each fault of a plan is carried out, and undone."""
+"""Injects and removes each kind of fault of a plan."""
 
 import asyncio
 import shutil
@@ -13,81 +13,81 @@
 from applehub.events import EventKind
 from applehub.lab.fleet import plan as spec
 from applehub.lab.fleet.failing_calls import PREFIX, SEEN
-from applehub.lab.fleet.processes import KILLED_AFTER, Process, RouterProcess, Standin
+from applehub.lab.fleet.processes import KILL_DELAY_S, Process, RouterProcess, Standin
 from applehub.lab.fleet.rule import Rule
 from applehub.lab.fleet.shim import restore
 
 if TYPE_CHECKING:
-    from applehub.lab.fleet.ground import Ground
+    from applehub.lab.fleet.harness import Harness
 
-FRONT_LEAVES = 0.3  # s after SIGTERM, until the front sends no more
-SEEN_WITHIN = 1.0  # s that a router has to see that a fault has begun or ended
-SLICE = 0.05  # s: of a slow core's turns
+FRONT_STOP_DELAY_S = 0.3  # from SIGTERM until the client front end stops sending
+APPLY_TIMEOUT_S = 1.0  # for a router to apply or remove a fault
+SLOW_PERIOD_S = 0.05  # of the SIGSTOP and SIGCONT cycle of a slow process
 
 
-class Striking:
-    """A fault that strikes: what it names, how it begins and ends."""
+class Injection:
+    """One injected fault: the processes and edges that it affects, its begin and its end."""
 
-    def __init__(self, ground: "Ground", number: int) -> None:
-        self.ground, self.number = ground, number
+    def __init__(self, harness: "Harness", number: int) -> None:
+        self.harness, self.number = harness, number
         self.processes: list[str] = []
         self.edges: list[str] = []
 
     async def begin(self) -> None:
-        """Strikes; returns once it has."""
+        """Injects the fault; returns when it is in effect."""
 
     async def end(self) -> None:
-        """Undoes it; returns once all is as before."""
+        """Removes the fault; returns when its effect has ended."""
 
 
-class Struck(Striking):
-    """Strikes processes."""
+class ProcessInjection(Injection):
+    """Kills, stops, slows, signals or upgrades processes."""
 
-    def __init__(self, ground: "Ground", number: int, fault: spec.Process) -> None:
-        super().__init__(ground, number)
+    def __init__(self, harness: "Harness", number: int, fault: spec.ProcessFault) -> None:
+        super().__init__(harness, number)
         self.fault = fault
-        self.struck = ground.named(fault.target)
-        self.processes = [one.name for one in self.struck]
-        self.turns: list[asyncio.Task[None]] = []
+        self.targets = harness.matching_processes(fault.target)
+        self.processes = [one.name for one in self.targets]
+        self.slow_tasks: list[asyncio.Task[None]] = []
 
     async def begin(self) -> None:
         match self.fault.kind:
             case "kill" | "power":
-                await self._all(self._kill)
+                await self._for_each(self._kill)
             case "term":
-                await self._all(self._term)
+                await self._for_each(self._term)
             case "stop":
-                for one in self.struck:
+                for one in self.targets:
                     one.signal(signal.SIGSTOP)
             case "slow":
-                self.turns = [asyncio.create_task(self._slow(one)) for one in self.struck]
+                self.slow_tasks = [asyncio.create_task(self._slow(one)) for one in self.targets]
             case "hup":
-                for one in self.struck:
+                for one in self.targets:
                     one.signal(signal.SIGHUP)
             case "upgrade":
-                for one in self.struck:  # one after another, as a release goes
+                for one in self.targets:  # one at a time, as in a release
                     await self._upgrade(one)
 
     async def end(self) -> None:
         match self.fault.kind:
             case "kill" | "power" | "term":
-                await self._all(self.ground.restart)
+                await self._for_each(self.harness.restart)
             case "stop":
-                for one in self.struck:
+                for one in self.targets:
                     one.signal(signal.SIGCONT)
             case "slow":
-                for turn in self.turns:
-                    turn.cancel()
-                for one in self.struck:
+                for task in self.slow_tasks:
+                    task.cancel()
+                for one in self.targets:
                     one.signal(signal.SIGCONT)
 
-    async def _all(self, what: object) -> None:
-        assert callable(what)
-        await asyncio.gather(*(what(one) for one in self.struck))
+    async def _for_each(self, action: object) -> None:
+        assert callable(action)
+        await asyncio.gather(*(action(one) for one in self.targets))
 
     async def _kill(self, process: Process) -> None:
         await process.kill()
-        await self.ground.down(process)
+        await self.harness.mark_down(process)
         if isinstance(process, RouterProcess):
             if self.fault.kind == "power":
                 restore(process.disk, process.durable)
@@ -102,101 +102,105 @@
         process.planned = True
         process.signal(signal.SIGTERM)
         with suppress(TimeoutError):
-            await asyncio.wait_for(process.ended.wait(), FRONT_LEAVES)
-        await self.ground.clients.ask({"do": "leaving", "router": process.name})
+            await asyncio.wait_for(process.ended.wait(), FRONT_STOP_DELAY_S)
+        await self.harness.clients.ask({"do": "leaving", "router": process.name})
         with suppress(TimeoutError):
-            await asyncio.wait_for(process.ended.wait(), KILLED_AFTER - FRONT_LEAVES)
+            await asyncio.wait_for(process.ended.wait(), KILL_DELAY_S - FRONT_STOP_DELAY_S)
         if process.running:
             await process.kill()
-        await self.ground.down(process)
-        await self.ground.clients.ask({"do": "back", "router": process.name})
+        await self.harness.mark_down(process)
+        await self.harness.clients.ask({"do": "back", "router": process.name})
 
     async def _slow(self, process: Process) -> None:
         while True:
             process.signal(signal.SIGSTOP)
-            await asyncio.sleep(SLICE * (1 - self.fault.part))
+            await asyncio.sleep(SLOW_PERIOD_S * (1 - self.fault.part))
             process.signal(signal.SIGCONT)
-            await asyncio.sleep(SLICE * self.fault.part)
+            await asyncio.sleep(SLOW_PERIOD_S * self.fault.part)
 
     async def _upgrade(self, process: Process) -> None:
         assert isinstance(process, RouterProcess)
-        if not await self.ground.upgrade(process):
-            self.ground.undone(self.number, process)
+        if not await self.harness.upgrade(process):
+            self.harness.record_not_ready(self.number, process)
 
 
-class Linked(Striking):
-    """Strikes edges, in the relay."""
+class LinkInjection(Injection):
+    """Disturbs connections and datagrams of edges in the relay."""
 
-    def __init__(self, ground: "Ground", number: int, fault: spec.Link) -> None:
-        super().__init__(ground, number)
+    def __init__(self, harness: "Harness", number: int, fault: spec.LinkFault) -> None:
+        super().__init__(harness, number)
         self.fault = fault
-        self.edges = [name for name in ground.edges if any(fnmatchcase(name, one) for one in fault.edges)]
+        self.edges = [name for name in harness.edges if any(fnmatchcase(name, one) for one in fault.edges)]
 
     async def begin(self) -> None:
         fault = self.fault
         if fault.kind in ("reset", "hang"):
-            await self.ground.relay.ask({"do": fault.kind, "edges": fault.edges})
+            await self.harness.relay.ask({"do": fault.kind, "edges": fault.edges})
             return
         rule = {name: getattr(fault, name) for name in Rule.__slots__}
-        await self.ground.relay.ask({"do": "rule", "id": self.number, "edges": fault.edges, "rule": rule})
+        await self.harness.relay.ask({"do": "rule", "id": self.number, "edges": fault.edges, "rule": rule})
 
     async def end(self) -> None:
-        await self.ground.relay.ask({"do": "heal", "id": self.number})
+        await self.harness.relay.ask({"do": "heal", "id": self.number})
 
 
-class Inside(Striking):
-    """Strikes servers inside."""
+class ServerInjection(Injection):
+    """Makes stand-in servers fail requests or run slower."""
 
-    def __init__(self, ground: "Ground", number: int, fault: spec.Server) -> None:
-        super().__init__(ground, number)
+    def __init__(self, harness: "Harness", number: int, fault: spec.ServerFault) -> None:
+        super().__init__(harness, number)
         self.fault = fault
-        self.struck = [
-            one for one in ground.named(fault.target) if isinstance(one, Standin) and one.role != "list"
+        self.targets = [
+            one
+            for one in harness.matching_processes(fault.target)
+            if isinstance(one, Standin) and one.role != "list"
         ]
-        self.processes = [one.name for one in self.struck]
+        self.processes = [one.name for one in self.targets]
 
     async def begin(self) -> None:
-        await self._tell(self.fault.part)
+        await self._apply(self.fault.part)
 
     async def end(self) -> None:
-        await self._tell(0.0 if self.fault.kind == "errors" else 1.0)
+        await self._apply(0.0 if self.fault.kind == "errors" else 1.0)
 
-    async def _tell(self, part: float) -> None:
-        for one in self.struck:
+    async def _apply(self, part: float) -> None:
+        for one in self.targets:
             if one.running:
                 await one.ask({"do": self.fault.kind, "part": part})
 
 
-class Listed(Striking):
-    """Changes the list, or overloads the list service."""
+class DiscoveryInjection(Injection):
+    """Changes the server list, or overloads the stand-in for the list service."""
 
-    def __init__(self, ground: "Ground", number: int, fault: spec.Listing) -> None:
-        super().__init__(ground, number)
+    def __init__(self, harness: "Harness", number: int, fault: spec.DiscoveryFault) -> None:
+        super().__init__(harness, number)
         self.fault = fault
         if fault.kind == "overload":
             self.processes = ["list"]
-        self.servers = [one.name for one in ground.named(fault.target)]
+        self.servers = [one.name for one in harness.matching_processes(fault.target)]
 
     async def begin(self) -> None:
-        await self._tell({"drain": "Terminating", "gone": "Gone"}.get(self.fault.kind, ""), True)
+        await self._apply({"drain": "Terminating", "gone": "Gone"}.get(self.fault.kind, ""), True)
 
     async def end(self) -> None:
-        await self._tell("Ready", False)
+        await self._apply("Ready", False)
 
-    async def _tell(self, state: str, on: bool) -> None:
+    async def _apply(self, state: str, on: bool) -> None:
         if self.fault.kind == "overload":
-            await self.ground.list.ask({"do": "overload", "on": on})
+            await self.harness.list_standin.ask({"do": "overload", "on": on})
         for server in self.servers:
-            await self.ground.list_state(server, {"state": state})
+            await self.harness.list_state(server, {"state": state})
 
 
-class Called(Striking):
-    """Calls the routers' operators' address."""
+class OverrideInjection(Injection):
+    """Sends operator overrides to the consoles of routers."""
 
-    def __init__(self, ground: "Ground", number: int, fault: spec.ByHand) -> None:
-        super().__init__(ground, number)
+    def __init__(self, harness: "Harness", number: int, fault: spec.OverrideFault) -> None:
+        super().__init__(harness, number)
         self.fault = fault
-        self.struck = [one for one in ground.named(fault.target) if isinstance(one, RouterProcess)]
+        self.targets = [
+            one for one in harness.matching_processes(fault.target) if isinstance(one, RouterProcess)
+        ]
 
     async def begin(self) -> None:
         await self._call("OFFLINE")
@@ -205,91 +209,95 @@
         await self._call("ONLINE")
 
     async def _call(self, word: str) -> None:
-        for router in self.struck:
+        for router in self.targets:
             words = f"{word} {self.fault.server}"
             answer = await router.call(words)
-            self.ground.events.write(EventKind.OPERATOR_CALL, router=router.name, words=words, answer=answer)
+            self.harness.events.write(EventKind.OPERATOR_CALL, router=router.name, words=words, answer=answer)
 
 
-class Surrounded(Striking):
-    """Spoils what the shim spoils: the wall clock, writes to the disk."""
+class EnvironmentInjection(Injection):
+    """Changes the wall clock or fails disk writes through the shim."""
 
-    def __init__(self, ground: "Ground", number: int, fault: spec.Clock | spec.Disk) -> None:
-        super().__init__(ground, number)
+    def __init__(self, harness: "Harness", number: int, fault: spec.ClockFault | spec.DiskFault) -> None:
+        super().__init__(harness, number)
         self.fault = fault
-        self.struck = [one for one in ground.named(fault.target) if isinstance(one, RouterProcess)]
-        self.processes = [one.name for one in self.struck]
+        self.targets = [
+            one for one in harness.matching_processes(fault.target) if isinstance(one, RouterProcess)
+        ]
+        self.processes = [one.name for one in self.targets]
 
     async def begin(self) -> None:
-        if isinstance(self.fault, spec.Clock):
+        if isinstance(self.fault, spec.ClockFault):
             self._write("clock", str(int(self.fault.step_s * 1e9)))
         else:
             self._write("disk", f"{self.fault.kind} {self.fault.ms}")
 
     async def end(self) -> None:
-        self._write("clock" if isinstance(self.fault, spec.Clock) else "disk", "")
+        self._write("clock" if isinstance(self.fault, spec.ClockFault) else "disk", "")
 
     def _write(self, name: str, text: str) -> None:
-        for router in self.struck:
-            beside = router.control / (name + ".new")
-            beside.write_text(text)
-            beside.replace(router.control / name)
+        for router in self.targets:
+            temporary = router.control / (name + ".new")
+            temporary.write_text(text)
+            temporary.replace(router.control / name)
 
 
-class CallsFailing(Striking):
-    """Has system calls of routers fail, which the shim's `FailingCalls` carries out."""
+class SystemCallInjection(Injection):
+    """Fails system calls of routers through `FailingCalls` of the shim."""
 
-    def __init__(self, ground: "Ground", number: int, fault: spec.SystemCalls) -> None:
-        super().__init__(ground, number)
+    def __init__(self, harness: "Harness", number: int, fault: spec.SystemCallsFault) -> None:
+        super().__init__(harness, number)
         self.fault = fault
-        self.struck = [one for one in ground.named(fault.target) if isinstance(one, RouterProcess)]
-        self.processes = [one.name for one in self.struck]
-        self.edges = [f"clients>{name}" for name in self.processes if fault.breaks]
+        self.targets = [
+            one for one in harness.matching_processes(fault.target) if isinstance(one, RouterProcess)
+        ]
+        self.processes = [one.name for one in self.targets]
+        self.edges = [f"clients>{name}" for name in self.processes if fault.breaks_client_connections]
 
     async def begin(self) -> None:
-        for router in self.struck:
-            fault = self.fault.struck(
-                self.ground.peers_of(router.name, self.fault.side), str(router.disk)
+        for router in self.targets:
+            fault = self.fault.for_process(
+                self.harness.peer_pattern(router.name, self.fault.side), str(router.disk)
             )  # fmt: skip
-            beside = router.control / f"new-{self._name}"
-            beside.write_bytes(orjson.dumps(asdict(fault)))
-            beside.replace(router.control / self._name)
-        await self._seen(True)
+            temporary = router.control / f"new-{self._control_file}"
+            temporary.write_bytes(orjson.dumps(asdict(fault)))
+            temporary.replace(router.control / self._control_file)
+        await self._wait_until_applied(True)
 
     async def end(self) -> None:
-        for router in self.struck:
-            (router.control / self._name).unlink()
-        await self._seen(False)
+        for router in self.targets:
+            (router.control / self._control_file).unlink()
+        await self._wait_until_applied(False)
 
     @property
-    def _name(self) -> str:
+    def _control_file(self) -> str:
         return f"{PREFIX}{self.number}"
 
-    async def _seen(self, there: bool) -> None:
-        """Waits until each has seen it; not for one that has ended or stands still."""
-        end = asyncio.get_running_loop().time() + SEEN_WITHIN
-        for router in self.struck:
+    async def _wait_until_applied(self, active: bool) -> None:
+        """Waits until each running router has applied or removed the fault, up to a timeout."""
+        end = asyncio.get_running_loop().time() + APPLY_TIMEOUT_S
+        for router in self.targets:
             while router.running and asyncio.get_running_loop().time() < end:
                 with suppress(OSError, ValueError):
-                    if (self._name in orjson.loads((router.control / SEEN).read_bytes())) is there:
+                    if (self._control_file in orjson.loads((router.control / SEEN).read_bytes())) is active:
                         break
                 await asyncio.sleep(0.005)
 
 
-def of(ground: "Ground", number: int, fault: spec.AnyFault) -> Striking:
-    """The fault of a plan, ready to strike."""
+def make_injection(harness: "Harness", number: int, fault: spec.AnyFault) -> Injection:
+    """Returns the injection for a fault of the plan."""
     match fault:
-        case spec.Process():
-            return Struck(ground, number, fault)
-        case spec.Link():
-            return Linked(ground, number, fault)
-        case spec.Server():
-            return Inside(ground, number, fault)
-        case spec.Listing():
-            return Listed(ground, number, fault)
-        case spec.ByHand():
-            return Called(ground, number, fault)
-        case spec.Clock() | spec.Disk():
-            return Surrounded(ground, number, fault)
-        case spec.SystemCalls():
-            return CallsFailing(ground, number, fault)
+        case spec.ProcessFault():
+            return ProcessInjection(harness, number, fault)
+        case spec.LinkFault():
+            return LinkInjection(harness, number, fault)
+        case spec.ServerFault():
+            return ServerInjection(harness, number, fault)
+        case spec.DiscoveryFault():
+            return DiscoveryInjection(harness, number, fault)
+        case spec.OverrideFault():
+            return OverrideInjection(harness, number, fault)
+        case spec.ClockFault() | spec.DiskFault():
+            return EnvironmentInjection(harness, number, fault)
+        case spec.SystemCallsFault():
+            return SystemCallInjection(harness, number, fault)
--- a/applehub/lab/fleet/ground.py
+++ b/applehub/lab/fleet/harness.py
@@ -1,4 +1,4 @@
-"""The ground: the processes of a plan, how they find one another, and how each starts again."""
+"""The cluster under test: starts, connects and restarts the processes of a plan."""
 
 import asyncio
 import signal
@@ -12,30 +12,32 @@
 
 from applehub.events import EventKind, EventWriter
 from applehub.lab.clock import MILLI, SECOND
-from applehub.lab.fleet.lists import Lists
-from applehub.lab.fleet.plan import BAD_FAULTS, NEW, Plan
+from applehub.lab.fleet.plan import FIRST_BAD_VERSION_FAULT, NEW_VERSION, Plan
 from applehub.lab.fleet.processes import (
-    KILLED_AFTER,
+    KILL_DELAY_S,
     ControllerProcess,
     Process,
     RegistryProcess,
     RouterProcess,
     Standin,
 )
+from applehub.lab.fleet.registry_replicas import RegistryReplicas
 from applehub.lab.live.bench import LiveError
 from applehub.settings import Json
 
-VALUE = 64  # bytes of a value
-SPOILT = frozenset(("clock", "power", "full", "readonly", "torn", "slow_disk"))  # faults round a router
-READY_WITHIN = 6.0  # s that a new process of an upgrade has
-BLOCKS, CLAIM = (
+VALUE_BYTES = 64
+SHIM_FAULTS = frozenset(
+    ("clock", "power", "full", "readonly", "torn", "slow_disk")
+)  # faults that need the shim
+READY_TIMEOUT_S = 6.0  # for the new process of an upgrade
+ADDRESS_BLOCKS, CLAIM_PORT = (
     range(100, 250),
     20_000,
-)  # second numbers of loopback addresses; a port under those the system deals
+)  # second octets; a port below the ephemeral range
 
 
-def settings(plan: Plan) -> Json:
-    """What every router of the plan is told, as the platform words it."""
+def platform_settings(plan: Plan) -> Json:
+    """Returns the settings of every router of the plan, in the format of the platform."""
     wait, fleet = int(plan.load.wait_ms * MILLI), plan.fleet
     effects: tuple[tuple[str, Json], ...] = (
         ("read", {"effect": "safe"}),
@@ -61,65 +63,66 @@
 
 
 def claim_block() -> tuple[str, socket.socket]:
-    """Loopback addresses that no other ground of this machine binds meanwhile: the first two numbers of
-    theirs, and the socket that holds the claim. An edge that is shut keeps its port only where nobody else
-    asks for any."""
-    for block in BLOCKS:
-        held = socket.socket()
+    """Claims a block of loopback addresses that no other harness on this machine uses.
+
+    Returns the first two octets of the block, and the socket that holds the claim. A private block keeps
+    the port of a closed edge from being taken by another process. Raises LiveError if no block is free."""
+    for block in ADDRESS_BLOCKS:
+        claim = socket.socket()
         try:
-            held.bind((f"127.{block}.255.254", CLAIM))
+            claim.bind((f"127.{block}.255.254", CLAIM_PORT))
         except OSError:
-            held.close()
+            claim.close()
             continue
-        return f"127.{block}", held
-    raise LiveError(f"{len(BLOCKS)} grounds are at work on this machine")
+        return f"127.{block}", claim
+    raise LiveError(f"all {len(ADDRESS_BLOCKS)} loopback address blocks of this machine are in use")
 
 
-class Ground:
-    """The processes of one play, in a folder."""
+class Harness:
+    """The processes of one run, with their files in a folder."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan, self.folder = plan, folder
         self.events = EventWriter(folder / "events-ground.jsonl", "ground", 0)
         self.relay = Standin("relay", "relay", folder, self.events)
-        self.list = Standin("list", "list", folder, self.events)
-        self.lists = Lists(
+        self.list_standin = Standin("list", "list", folder, self.events)
+        self.registry = RegistryReplicas(
             [RegistryProcess(f"list-{n}", folder, self.events) for n in range(plan.fleet.lists)], self.events
         )
         self.origin = Standin("origin", "origin", folder, self.events)
         self.clients = Standin("clients", "clients", folder, self.events)
         self.caches = [Standin("cache", f"cache-{n}", folder, self.events) for n in range(plan.fleet.caches)]
         self.routers = [RouterProcess(f"router-{n}", folder, self.events) for n in range(plan.fleet.routers)]
-        self.addresses: dict[str, str] = {}  # where each target really listens
-        self.edges: dict[str, str] = {}  # where each edge's source finds it
+        self.addresses: dict[str, str] = {}  # listen address, by target
+        self.edges: dict[str, str] = {}  # listen address of the relay, by edge
         self.listeners: dict[str, socket.socket] = {}
-        self.block, self.claim = claim_block()
-        self.listed: Json = {}  # the list service's state, as it last told
+        self.block, self.claim_socket = claim_block()
+        self.list_snapshot: Json = {}  # latest state of the stand-in for the list service
         self.controller = ControllerProcess("controller", folder, self.events) if plan.release else None
-        self.release_file: Path | None = None  # the controller's
-        self.releasing = asyncio.Lock()
-        self.agents: dict[str, str] = {}  # by zone, where its agent listens
-        self.versions: dict[str, str] = {}  # by unit of a release, what runs there
-        self.bad: dict[str, int] = {}  # by unit on which a bad version runs, the fault that this is
+        self.release_file: Path | None = None  # release plan of the controller
+        self.release_lock = asyncio.Lock()
+        self.agents: dict[str, str] = {}  # listen address of the agent, by zone
+        self.versions: dict[str, str] = {}  # running version, by unit of the release
+        self.bad_version_faults: dict[str, int] = {}  # number of the fault, by unit that runs a bad version
 
     def processes(self) -> list[Process]:
         return [*self._served(), self.relay, self.clients]
 
     def _served(self) -> list[Process]:
-        lists: list[Process] = [*self.lists.replicas] or [self.list]
+        lists: list[Process] = [*self.registry.replicas] or [self.list_standin]
         controller = [] if self.controller is None else [self.controller]
         return [*self.routers, *self.caches, self.origin, *lists, *controller]
 
-    def named(self, patterns: Iterable[str]) -> list[Process]:
-        """The processes that faults may strike and that a pattern names."""
+    def matching_processes(self, patterns: Iterable[str]) -> list[Process]:
+        """Returns the processes that are open to fault injection and match any of the patterns."""
         return [one for one in self._served() if any(fnmatchcase(one.name, pattern) for pattern in patterns)]
 
     def sources(self) -> dict[str, str]:
-        """By the address that it dials from: which router it is."""
+        """Returns the name of each router by the source address of its connections."""
         return {f"{self.block}.{n + 1}.2": f"router-{n}" for n in range(len(self.routers))}
 
-    def peers_of(self, router: str, side: str) -> str | None:
-        """The pattern of the addresses that a router sees of its clients or servers; None: of anybody."""
+    def peer_pattern(self, router: str, side: str) -> str | None:
+        """Returns the pattern of the peer addresses that a router has on one side; None for any address."""
         number = [one.name for one in self.routers].index(router) + 1
         return {"clients": f"{self.block}.200.2:*", "servers": f"{self.block}.{number}.1:*"}.get(side)
 
@@ -127,24 +130,24 @@
         return f"zone-{number % self.plan.fleet.zones}"
 
     async def start(self) -> None:
-        """Starts all in order; returns once every router is ready."""
+        """Starts all processes in order and waits until every router is ready."""
         if self.plan.fleet.inherited:
             for number, router in enumerate(self.routers):
-                self.listeners[router.name] = held = socket.create_server(
+                self.listeners[router.name] = listener = socket.create_server(
                     (f"{self.block}.201.{number + 1}", 0), backlog=1024
                 )
-                self.addresses[router.name] = "{}:{}".format(*held.getsockname())
-        await together([self.start_cache(one, cold=False) for one in self.caches])
+                self.addresses[router.name] = "{}:{}".format(*listener.getsockname())
+        await wait_for_all([self.start_cache(one, cold=False) for one in self.caches])
         await self.start_origin()
         if self.plan.release is not None:
             for number, address in enumerate(self.agents.values()):
                 self.addresses[f"agent-{number}"] = address
-        wanted = {"seed": self.plan.load.seed, "edges": self._edges(), "datagrams": self._datagrams()}
-        self.edges = (await self.relay.start(wanted))["ports"]
-        await self.start_list()
+        message = {"seed": self.plan.load.seed, "edges": self._edges(), "datagrams": self._datagrams()}
+        self.edges = (await self.relay.start(message))["ports"]
+        await self.start_discovery()
         for name, address in self.addresses.items():
             await self.relay.ask({"do": "up", "target": name, "address": address})
-        await together([self.start_router(one) for one in self.routers])
+        await wait_for_all([self.start_router(one) for one in self.routers])
         load = self.plan.load
         await self.clients.start(
             {
@@ -158,13 +161,13 @@
                 "leaves": load.leaves,
                 "leaves_ms": load.leaves_ms,
                 "slack_ms": self.plan.rules.answer_slack_ms,
-                "value": VALUE,
+                "value": VALUE_BYTES,
                 "routers": {one.name: self.edges[f"clients>{one.name}"] for one in self.routers},
             }
         )
 
     def _edges(self) -> list[Json]:
-        lists = [one.name for one in self.lists.replicas]
+        lists = [one.name for one in self.registry.replicas]
         targets = [*(one.name for one in self.caches), "origin", *(lists or ["list"])]
         edges = [
             {
@@ -200,7 +203,7 @@
         return edges
 
     def _datagrams(self) -> list[Json]:
-        """A way from each router to each other, where they speak."""
+        """Returns the datagram edges between each pair of routers, if the plan has peers."""
         names = (
             {router: address for address, router in self.sources().items()} if self.plan.fleet.peers else {}
         )
@@ -220,13 +223,13 @@
                 "sources": self.sources(),
                 "rate": fleet.cache_rate,
                 "queue": fleet.cache_queue,
-                "value": VALUE,
+                "value": VALUE_BYTES,
                 "cold": cold,
                 "cold_from": fleet.cold_from,
                 "ramp_s": fleet.ramp_s,
                 "tip_multiple": fleet.tip_multiple,
                 "fall_s": fleet.fall_s,
-                **self._how_bad(cache.name),
+                **self._bad_version_options(cache.name),
             }
         )
         self.addresses[cache.name] = answer["address"]
@@ -240,7 +243,7 @@
                 "sources": self.sources(),
                 "rate": fleet.origin_rate,
                 "queue": fleet.origin_queue,
-                "value": VALUE,
+                "value": VALUE_BYTES,
                 "ms": fleet.origin_ms,
             }
         )
@@ -251,26 +254,26 @@
                     {"do": "cache", "name": cache.name, "address": self.addresses[cache.name]}
                 )
 
-    async def start_list(self) -> None:
+    async def start_discovery(self) -> None:
         routers = [one.name for one in self.routers]
         servers = [*(one.name for one in self.caches), "origin"]
-        if self.lists.replicas:
-            await together([self.start_replica(one) for one in self.lists.replicas])
-            for one in self.lists.replicas:
-                await self.up(one)
+        if self.registry.replicas:
+            await wait_for_all([self.start_replica(one) for one in self.registry.replicas])
+            for one in self.registry.replicas:
+                await self.mark_up(one)
             for number, name in enumerate(servers):
-                await self.lists.change("PUT", f"/v1/servers/{name}", self._registration(number, name))
+                await self.registry.change("PUT", f"/v1/servers/{name}", self._registration(number, name))
             return
         fresh = {
             "version": 1,
             "changed": {},
             "entries": [self._entry(n, name) for n, name in enumerate(servers)],
         }
-        self.listed = self.listed or fresh
+        self.list_snapshot = self.list_snapshot or fresh
         endpoints = {router: {name: self.edges[f"{router}>{name}"] for name in servers} for router in routers}
-        answer = await self.list.start(
+        answer = await self.list_standin.start(
             {
-                **self.listed,
+                **self.list_snapshot,
                 "sources": self.sources(),
                 "endpoints": endpoints,
                 "rate": self.plan.fleet.list_rate,
@@ -279,36 +282,36 @@
         self.addresses["list"] = answer["address"]
 
     async def start_replica(self, replica: Process) -> None:
-        """Starts a replica of the project's list service, with its own disk as it left it."""
+        """Starts a replica of the list service on its existing state folder."""
         assert isinstance(replica, RegistryProcess)
-        names = [one.name for one in self.lists.replicas]
+        names = [one.name for one in self.registry.replicas]
         peers = {
-            name: self._peers_of(name) if name == replica.name else self.edges[f"{replica.name}>{name}"]
+            name: self._peer_address(name) if name == replica.name else self.edges[f"{replica.name}>{name}"]
             for name in names
         }
         lines = [
-            f'name = "{replica.name}"', f'staff = "{self.staff_of(replica.name)}"', "log_calls = true",
+            f'name = "{replica.name}"', f'staff = "{self.staff_address(replica.name)}"', "log_calls = true",
             "[peers]",
         ]  # fmt: skip
         lines += [f'{name} = "{address}"' for name, address in peers.items()] if len(names) > 1 else []
         lines += ["[views]", *(f'"{address}" = "{router}"' for address, router in self.sources().items())]
         await replica.start(lines)
         self.addresses[replica.name] = replica.listen
-        self.addresses[f"{replica.name}.peers"] = self._peers_of(replica.name)
+        self.addresses[f"{replica.name}.peers"] = self._peer_address(replica.name)
 
-    def _peers_of(self, replica: str) -> str:
-        """Where a replica listens for the others: nobody else binds addresses of this block."""
+    def _peer_address(self, replica: str) -> str:
+        """Returns the address at which a replica listens for its peers, in the private address block."""
         return f"{self.block}.222.{int(replica.removeprefix('list-')) + 1}:7000"
 
-    def staff_of(self, replica: str) -> str:
-        """The same at each start, so that a controller's file holds."""
+    def staff_address(self, replica: str) -> str:
+        """Returns the staff address, which stays the same so that the release plan remains valid."""
         return f"{self.block}.223.{int(replica.removeprefix('list-')) + 1}:7000"
 
     def _registration(self, number: int, name: str) -> Json:
-        told = self._entry(number, name)
+        entry = self._entry(number, name)
         endpoints = {router.name: self.edges[f"{router.name}>{name}"] for router in self.routers}
         return {
-            **{key: told[key] for key in ("az", "model", "pod_group", "capacity_hint", "boot_ms", "state")},
+            **{key: entry[key] for key in ("az", "model", "pod_group", "capacity_hint", "boot_ms", "state")},
             "endpoint": self.addresses[name], "endpoints": endpoints,
         }  # fmt: skip
 
@@ -324,11 +327,10 @@
         }
 
     async def start_router(self, router: Process) -> None:
-        """Starts a router's next incarnation, with the list as it was when the play began, and waits until it
-        is ready."""
+        """Starts the next incarnation of a router with the initial server list, and waits until ready."""
         assert isinstance(router, RouterProcess)
-        told = self.told(router)
-        known = told["known"]
+        config = self.router_config(router)
+        known = config["known"]
         states = {one["uid"]: one["state"] for one in known["targets"]}
         self.events.write(
             EventKind.LIST_SENT,
@@ -340,83 +342,86 @@
         )
         inherited = self.listeners.get(router.name)
         if self.plan.fleet.peers:
-            self.addresses[f"{router.name}.peers"] = told["peers"]["listen"]
+            self.addresses[f"{router.name}.peers"] = config["peers"]["listen"]
         shim = self.shim(router.name)
-        await router.start(told, shim, None if inherited is None else inherited.fileno())
+        await router.start(config, shim, None if inherited is None else inherited.fileno())
         if inherited is None:
             self.addresses[router.name] = router.listen
         if inherited is None or self.plan.fleet.peers:
-            await self.up(router)
+            await self.mark_up(router)
         if not await router.ready():
-            self.undone(-1, router)
+            self.record_not_ready(-1, router)
 
     async def upgrade(self, router: RouterProcess) -> bool:
-        """A new process takes over on the listening socket that the platform holds; whether it is ready. One
-        that is not is ended, and the old one serves on."""
+        """Replaces the process of a router on the same listening socket; returns whether that succeeded.
+
+        A new process that does not become ready is terminated, and the old one continues to serve."""
         old, ended = router.process, router.ended
         assert old is not None
         ready = False
         with suppress(LiveError):
             await router.start(
-                self.told(router), self.shim(router.name), self.listeners[router.name].fileno()
+                self.router_config(router), self.shim(router.name), self.listeners[router.name].fileno()
             )
-            ready = await router.ready(READY_WITHIN)
-        leaves = old if ready else router.process
-        assert leaves is not None
+            ready = await router.ready(READY_TIMEOUT_S)
+        exiting = old if ready else router.process
+        assert exiting is not None
         if not ready:
             ended = router.ended
             router.planned = True
         with suppress(ProcessLookupError):
-            leaves.send_signal(signal.SIGTERM)
+            exiting.send_signal(signal.SIGTERM)
         with suppress(TimeoutError):
-            await asyncio.wait_for(ended.wait(), KILLED_AFTER)
-        if leaves.returncode is None:
-            leaves.kill()
+            await asyncio.wait_for(ended.wait(), KILL_DELAY_S)
+        if exiting.returncode is None:
+            exiting.kill()
             await ended.wait()
         return ready
 
     # A release
 
-    def _how_bad(self, unit: str) -> Json:
+    def _bad_version_options(self, unit: str) -> Json:
         release = self.plan.release
-        if release is None or not release.bad or self.versions.get(unit) != NEW:
+        if release is None or not release.bad or self.versions.get(unit) != NEW_VERSION:
             return {}
         return {"bad": release.bad, "part": release.part}
 
-    def strike_bad(self, unit: str) -> None:
-        """A bad version begins to run there: what becomes of requests on it is the version's doing."""
-        if self.plan.release is not None and self.plan.release.bad and unit not in self.bad:
-            number = self.bad[unit] = BAD_FAULTS + len(self.bad)
+    def begin_bad_version(self, unit: str) -> None:
+        """Records a fault that begins, because a unit is about to run a bad version."""
+        if self.plan.release is not None and self.plan.release.bad and unit not in self.bad_version_faults:
+            number = self.bad_version_faults[unit] = FIRST_BAD_VERSION_FAULT + len(self.bad_version_faults)
             self.events.write(
                 EventKind.FAULT_BEGUN, fault=number, kind="bad", processes=[unit], edges=[], keep_disk=True
             )
 
-    def heal_bad(self, unit: str) -> None:
-        """It runs there no more."""
-        if unit in self.bad:
-            self.events.write(EventKind.FAULT_ENDED, fault=self.bad[unit])
+    def end_bad_version(self, unit: str) -> None:
+        """Records the end of the fault of a bad version."""
+        if unit in self.bad_version_faults:
+            self.events.write(EventKind.FAULT_ENDED, fault=self.bad_version_faults[unit])
 
     def configure(self, router: RouterProcess) -> None:
-        """Writes a router's file anew, for its version of the configuration."""
-        router.write(self.told(router))
+        """Rewrites the configuration file of a router for its current version."""
+        router.write(self.router_config(router))
 
     async def release(self) -> None:
-        """Starts the controller, for the first time or again, unless it runs."""
+        """Starts the controller of the release unless it is running."""
         assert self.controller is not None and self.release_file is not None
-        async with self.releasing:  # faults that overlap each start what they ended
+        async with self.release_lock:  # overlapping faults may restart it concurrently
             if not self.controller.running:
                 await self.controller.start(self.release_file)
 
-    def undone(self, fault: int, router: Process) -> None:
-        """A router that a fault (-1: the play's begin, or a new start) calls for does not come up."""
+    def record_not_ready(self, fault: int, router: Process) -> None:
+        """Records that a router did not become ready.
+
+        fault: number of the fault that started the router; -1 for a start or restart."""
         why = f"{router.name} was never ready"
         self.events.write(EventKind.FAULT_NOT_BEGUN, fault=fault, of=router.name, why=why)
 
-    def told(self, router: RouterProcess) -> Json:
-        """The configuration of a router."""
+    def router_config(self, router: RouterProcess) -> Json:
+        """Returns the configuration of a router."""
         fleet, number = self.plan.fleet, self.routers.index(router)
         servers = [*(one.name for one in self.caches), "origin"]
-        lists = [one.name for one in self.lists.replicas] or ["list"]
+        lists = [one.name for one in self.registry.replicas] or ["list"]
         discoveries = [self.edges[f"{router.name}>{name}"] for name in lists]
         targets = [
             {**self._entry(n, name), "endpoint": self.edges[f"{router.name}>{name}"]}
@@ -432,56 +437,60 @@
             "known": {"rev": 1, "all": True, "targets": targets},
             "settings": self._settings(router.name),
             **({"state_dir": str(router.disk)} if fleet.keeps else {}),
-            **({"peers": self._peers(router)} if fleet.peers else {}),
+            **({"peers": self._peer_config(router)} if fleet.peers else {}),
         }
 
     def _settings(self, router: str) -> Json:
-        """By the router's version of the configuration, where a release changes that."""
-        told, release = settings(self.plan), self.plan.release
-        if release is not None and release.what == "configuration" and self.versions.get(router) == NEW:
+        """Returns the settings for the version of the configuration that a router has."""
+        config, release = platform_settings(self.plan), self.plan.release
+        if (
+            release is not None
+            and release.what == "configuration"
+            and self.versions.get(router) == NEW_VERSION
+        ):
             match release.bad:
                 case "rejected":
-                    told["classes"] = "none"
-                case "poisoned":  # no attempt is left for the origin after a cache has missed
-                    told["ceilings"]["attemptsCap"] = 1
+                    config["classes"] = "none"
+                case "poisoned":  # allows no second attempt, at the origin, after a cache miss
+                    config["ceilings"]["attemptsCap"] = 1
                 case _:
-                    told["ceilings"]["keepalive"] = 9 * SECOND
-        return told
+                    config["ceilings"]["keepalive"] = 9 * SECOND
+        return config
 
-    def _peers(self, router: RouterProcess) -> Json:
+    def _peer_config(self, router: RouterProcess) -> Json:
         others = [one.name for one in self.routers if one is not router]
         return {
             "fleet": self.plan.name,
-            # The same at each start: nobody else binds in this block.
+            # A fixed port is free because the address block is private.
             "listen": f"{self.block}.203.{self.routers.index(router) + 1}:7000",
             "routers": {name: self.edges[f"{router.name}>{name}"] for name in others},
         }
 
     def shim(self, router: str) -> Json | None:
-        """What is spoilt round a router, where this plan spoils any of it."""
+        """Returns the options of the shim, or None if the plan needs none."""
         kinds, release = {one.kind for one in self.plan.faults}, self.plan.release
         if release is not None and release.what == "routers" and release.bad:
-            return {"variant": release.bad if self.versions.get(router) == NEW else ""}
+            return {"variant": release.bad if self.versions.get(router) == NEW_VERSION else ""}
         calls = "system_call" in kinds
-        if self.plan.fleet.variant or calls or kinds & SPOILT:
+        if self.plan.fleet.variant or calls or kinds & SHIM_FAULTS:
             return {"variant": self.plan.fleet.variant, "system_calls": calls}
         return None
 
-    async def up(self, process: Process) -> None:
+    async def mark_up(self, process: Process) -> None:
         for name in (process.name, f"{process.name}.peers"):
             if name in self.addresses:
                 await self.relay.ask({"do": "up", "target": name, "address": self.addresses[name]})
 
-    async def down(self, process: Process) -> None:
+    async def mark_down(self, process: Process) -> None:
         for name in (process.name, f"{process.name}.peers"):
             await self.relay.ask({"do": "down", "target": name})
 
     async def restart(self, process: Process) -> None:
-        """Starts again what was ended, as the platform does: from nothing, under its name."""
+        """Restarts a process that has ended, under its name and without its state in memory."""
         if isinstance(process, RouterProcess):
             await self.start_router(process)
-        elif process is self.list:
-            await self.start_list()
+        elif process is self.list_standin:
+            await self.start_discovery()
         elif isinstance(process, RegistryProcess):
             await self.start_replica(process)
         elif process is self.origin:
@@ -492,40 +501,42 @@
         else:
             await self.start_cache(process, cold=True)
             await self.admit(process)
-        await self.up(process)
+        await self.mark_up(process)
 
     async def admit(self, cache: Process) -> None:
-        """Has the list name a cache server that has just started."""
+        """Lists a cache server that has just started as ready."""
         await self.list_state(cache.name, {"boot_ms": time.time_ns() // MILLI, "state": "Ready"})
 
     async def list_state(self, server: str, entry: Json) -> None:
-        """Changes an entry of the list: its state, or all of it where it was started anew."""
-        if self.lists.replicas and "boot_ms" in entry:
+        """Changes an entry of the server list: its state, or all fields after a restart."""
+        if self.registry.replicas and "boot_ms" in entry:
             number = [one.name for one in self.caches].index(server)
-            told = {**self._registration(number, server), **entry}
-            await self.lists.change("PUT", f"/v1/servers/{server}", told)
+            registration = {**self._registration(number, server), **entry}
+            await self.registry.change("PUT", f"/v1/servers/{server}", registration)
             return
-        if self.lists.replicas:
-            await self.lists.change("POST", f"/v1/servers/{server}/state", entry)
+        if self.registry.replicas:
+            await self.registry.change("POST", f"/v1/servers/{server}/state", entry)
             return
-        if self.list.running:
-            self.listed = await self.list.ask({"do": "state", "server": server, "entry": entry})
-        else:  # it learns of it at its own start
-            self.listed["version"] += 1
-            self.listed["changed"][server] = self.listed["version"]
-            next(one for one in self.listed["entries"] if one["uid"] == server).update(entry)
+        if self.list_standin.running:
+            self.list_snapshot = await self.list_standin.ask(
+                {"do": "state", "server": server, "entry": entry}
+            )
+        else:  # it reads the change when it starts
+            self.list_snapshot["version"] += 1
+            self.list_snapshot["changed"][server] = self.list_snapshot["version"]
+            next(one for one in self.list_snapshot["entries"] if one["uid"] == server).update(entry)
 
     async def stop(self) -> None:
-        """Ends every process, whatever state it is in."""
-        await self.lists.close()
-        await together([one.close() for one in self.processes() if one.running])
-        for listener in (*self.listeners.values(), self.claim):
+        """Ends every process, in any state, and closes the sockets."""
+        await self.registry.close()
+        await wait_for_all([one.close() for one in self.processes() if one.running])
+        for listener in (*self.listeners.values(), self.claim_socket):
             listener.close()
         self.events.close()
 
 
-async def together(tasks: list[Any]) -> None:
-    """Waits for all; the first failure is raised once all have ended."""
+async def wait_for_all(tasks: list[Any]) -> None:
+    """Waits for all tasks, then raises the first exception, if any."""
     done = await asyncio.gather(*tasks, return_exceptions=True)
     for one in done:
         if isinstance(one, BaseException):
--- a/applehub/lab/fleet/listing.py
+++ b/applehub/lab/fleet/listing.py
@@ -1,6 +1,6 @@
-"""Today's stand-in for the list service, as a process: versions, watches, and a bound on calls a second.
+"""Stand-in process for the list service, with versions, long polls and a limited call rate.
 
-It tells each router addresses of its own, and knows a caller by the address that it comes from."""
+Identifies a router by its source address, and returns the endpoints that are meant for that router."""
 
 import asyncio
 from pathlib import Path
@@ -13,76 +13,78 @@
 from applehub.lab.fleet.control import Handler, Json
 from applehub.lab.live.standins import Reply, addressed
 
-PATIENCE = 1.0  # s that a call waits for its turn
+MAX_QUEUE_S = 1.0  # a call that would wait longer is rejected
 
 
-class Listing:
-    """The list and its changes."""
+class ListServiceStandin:
+    """The server list and its changes."""
 
-    def __init__(self, told: Json, events: EventWriter) -> None:
-        self.events, self.sources, self.endpoints = events, told["sources"], told["endpoints"]
-        self.entries: dict[str, Json] = {one["uid"]: one for one in told["entries"]}
-        self.version: int = told["version"]
-        self.changed: dict[str, int] = told["changed"]  # by server, the version of its latest change
-        self.rate, self.free_at, self.overloaded = told["rate"], 0.0, False
+    def __init__(self, message: Json, events: EventWriter) -> None:
+        self.events, self.sources, self.endpoints = events, message["sources"], message["endpoints"]
+        self.entries: dict[str, Json] = {one["uid"]: one for one in message["entries"]}
+        self.version: int = message["version"]
+        self.changed: dict[str, int] = message["changed"]  # version of the latest change, by server
+        self.rate, self.idle_at, self.overloaded = message["rate"], 0.0, False
         self.loop = asyncio.get_running_loop()
-        self.news = asyncio.Event()
+        self.changed_event = asyncio.Event()
 
-    async def command(self, told: Json) -> Json:
-        """state, touch: a server's entry changes (a new start too, with boot_ms). overload: 503 to all, or no
-        more."""
-        if told["do"] == "overload":
-            self.overloaded = told["on"]
-        elif told["do"] in ("state", "touch"):
+    async def command(self, message: Json) -> Json:
+        """Executes a command of the harness.
+
+        state, touch: changes the entry of a server; state returns the whole list, touch the version only.
+        overload: starts or stops answering all calls with 503."""
+        if message["do"] == "overload":
+            self.overloaded = message["on"]
+        elif message["do"] in ("state", "touch"):
             self.version += 1
-            for name, value in told["entry"].items():
-                self.entries[told["server"]][name] = value
-            self.changed[told["server"]] = self.version
-            state = self.entries[told["server"]]["state"]
+            for name, value in message["entry"].items():
+                self.entries[message["server"]][name] = value
+            self.changed[message["server"]] = self.version
+            state = self.entries[message["server"]]["state"]
             self.events.write(
-                EventKind.LIST_CHANGED, version=self.version, server=told["server"], state=state
+                EventKind.LIST_CHANGED, version=self.version, server=message["server"], state=state
             )
-            news, self.news = self.news, asyncio.Event()
-            news.set()
-        if told["do"] == "touch":  # its caller keeps no copy of the state
+            changed_event, self.changed_event = self.changed_event, asyncio.Event()
+            changed_event.set()
+        if message["do"] == "touch":  # the caller needs no copy of the list
             return {"version": self.version}
         return {"version": self.version, "changed": self.changed, "entries": list(self.entries.values())}
 
     async def answer(self, address: str, request: h11.Request) -> Reply:
         router = self.sources.get(address, "")
-        asked = parse_qs(urlsplit(request.target.decode()).query)
-        since = int(asked["from"][0]) if "from" in asked else None
+        query = parse_qs(urlsplit(request.target.decode()).query)
+        since = int(query["from"][0]) if "from" in query else None
         self.events.write(EventKind.LIST_POLLED, router=router, since=since)
-        turn = max(self.free_at, self.loop.time())
-        if self.overloaded or turn - self.loop.time() > PATIENCE:
+        starts_at = max(self.idle_at, self.loop.time())
+        if self.overloaded or starts_at - self.loop.time() > MAX_QUEUE_S:
             return Reply(503, b"")
-        self.free_at = turn + 1 / self.rate
-        await asyncio.sleep(turn - self.loop.time())
-        whole = since is None or since > self.version
-        if since is not None and not whole:
-            until = self.loop.time() + min(60.0, int(asked.get("hold_ms", ["0"])[0]) / 1000)
-            while self.version <= since and (left := until - self.loop.time()) > 0:
+        self.idle_at = starts_at + 1 / self.rate
+        await asyncio.sleep(starts_at - self.loop.time())
+        full = since is None or since > self.version
+        if since is not None and not full:
+            deadline = self.loop.time() + min(60.0, int(query.get("hold_ms", ["0"])[0]) / 1000)
+            while self.version <= since and (remaining := deadline - self.loop.time()) > 0:
                 try:
-                    await asyncio.wait_for(self.news.wait(), left)
+                    await asyncio.wait_for(self.changed_event.wait(), remaining)
                 except TimeoutError:
                     break
         names = [
             name
             for name, entry in self.entries.items()
-            if (entry["state"] != "Gone" if whole else self.changed.get(name, 0) > (since or 0))
+            if (entry["state"] != "Gone" if full else self.changed.get(name, 0) > (since or 0))
         ]
         states = {name: self.entries[name]["state"] for name in names}
-        self.events.write(
-            EventKind.LIST_SENT, router=router, version=self.version, whole=whole, states=states
-        )
+        self.events.write(EventKind.LIST_SENT, router=router, version=self.version, whole=full, states=states)
         targets = [
             {**self.entries[name], "endpoint": self.endpoints.get(router, {}).get(name, "")} for name in names
         ]
-        return Reply(200, orjson.dumps({"rev": self.version, "all": whole, "targets": targets}))
+        return Reply(200, orjson.dumps({"rev": self.version, "all": full, "targets": targets}))
 
 
-async def begin(told: Json) -> tuple[Json, Handler]:
-    listing = Listing(told, EventWriter(Path(told["events"]), told["name"], told["incarnation"]))
+async def begin(message: Json) -> tuple[Json, Handler]:
+    listing = ListServiceStandin(
+        message, EventWriter(Path(message["events"]), message["name"], message["incarnation"])
+    )
     server = await asyncio.get_running_loop().create_server(
         lambda: addressed(listing.answer), "127.0.0.1", 0, backlog=512
     )
--- a/applehub/lab/fleet/plan.py
+++ b/applehub/lab/fleet/plan.py
@@ -1,5 +1,4 @@
-"""A plan: which processes run, what is asked of them, what goes wrong when, and what must hold all the
-same."""
+"""Schema of a plan: the processes, the load, the faults to inject, and the limits that checks enforce."""
 
 from pathlib import Path
 from typing import Annotated, Any, Literal
@@ -13,130 +12,130 @@
 from applehub.release.plan import GateSettings, Limits, Stage
 
 Positive = Annotated[float, Field(gt=0)]
-NotNegative = Annotated[float, Field(ge=0)]
-Part01 = Annotated[float, Field(ge=0, le=1)]
+NonNegative = Annotated[float, Field(ge=0)]
+Fraction = Annotated[float, Field(ge=0, le=1)]
 Count = Annotated[int, Field(ge=1)]
 Patterns = Annotated[list[str], Field(min_length=1)]
 
 
 class Fleet(Table):
-    """The processes."""
+    """The processes under test."""
 
     routers: Annotated[int, Field(ge=1, le=60)] = 3
     caches: Annotated[int, Field(ge=1, le=60)] = 3
     zones: Annotated[int, Field(ge=1, le=8)] = 1
-    inherited: bool = False  # the ground holds the listening sockets, as the platform does for upgrades
+    inherited: bool = False  # the harness holds the listening sockets, as the platform does for upgrades
     variant: str = ""  # a known-bad variant of the router, see variants.py
     memory_mb: Count = 192
     sockets: Annotated[int, Field(ge=64)] = 1024
-    cache_rate: Positive = 400.0  # requests a second that a warm cache server bears
+    cache_rate: Positive = 400.0  # capacity of a warm cache server, requests/s
     cache_queue: Count = 200
     cold_from: Annotated[float, Field(gt=0, le=1)] = 0.12
     ramp_s: Positive = 24.0
     tip_multiple: Positive = 2.5
     fall_s: Positive = 2.0
     origin_rate: Positive = 150.0
-    origin_ms: NotNegative = 20.0
+    origin_ms: NonNegative = 20.0
     origin_queue: Count = 60
-    list_rate: Positive = 500.0  # calls a second that the list service's stand-in bears
-    lists: Literal[0, 1, 3] = 0  # replicas of the project's own list service; 0: the stand-in
-    keeps: bool = False  # the routers keep the list on their disks (state_dir)
-    peers: bool = False  # the routers speak with each other
-    changes: NotNegative = 0.0  # changes of the list that a writer asks for, a second
+    list_rate: Positive = 500.0  # capacity of the stand-in for the list service, calls/s
+    lists: Literal[0, 1, 3] = 0  # replicas of the list service; 0: a stand-in
+    keeps: bool = False  # routers persist the server list (state_dir)
+    peers: bool = False  # routers gossip with each other
+    changes: NonNegative = 0.0  # rate at which a writer changes the server list, changes/s
 
 
 class Load(Table):
-    """Open loop: what is asked waits for no answer."""
+    """Open-loop load: requests are sent on schedule, independent of responses."""
 
     rate: Annotated[float, Field(gt=0, le=5000)] = 100.0
-    seconds: Annotated[float, Field(gt=0, le=3600)] = 10.0  # at least; it goes on until all faults are over
+    seconds: Annotated[float, Field(gt=0, le=3600)] = 10.0  # minimum; extended until all faults are over
     most_s: Annotated[float, Field(gt=0, le=3600)] = 120.0
-    after_s: NotNegative = 2.0  # past the last fault
+    after_s: NonNegative = 2.0  # duration after the last fault
     keys: Count = 500
-    puts: Part01 = 0.03
-    once: Part01 = 0.02
+    puts: Fraction = 0.03
+    once: Fraction = 0.02
     wait_ms: Annotated[int, Field(ge=10, le=60_000)] = 1000
-    leaves: Part01 = 0.0  # of the requests, those whose client leaves before it has an answer
-    leaves_ms: Positive = 200.0  # after its request, at the latest
+    leaves: Fraction = 0.0  # fraction of requests with a client that disconnects early
+    leaves_ms: Positive = 200.0  # maximum time from request to disconnect
     seed: Annotated[int, Field(ge=0)] = 1
 
 
-class Rules(Table):
-    """Bounds that the checks hold the fleet to."""
+class CheckLimits(Table):
+    """Limits that the checks enforce."""
 
-    answer_slack_ms: NotNegative = 500.0
-    drain_slack_ms: NotNegative = 550.0
-    by_hand_slack_ms: NotNegative = 1050.0
-    stale_ms: Positive = 3000.0  # from a change of the list until each router is told
-    told_ms: Positive = 6000.0  # the same, from when the way was free again, whatever struck it before
-    departed_ms: Positive = 100.0  # from a client's departure until no attempt begins for it
+    answer_slack_ms: NonNegative = 500.0
+    drain_slack_ms: NonNegative = 550.0
+    by_hand_slack_ms: NonNegative = 1050.0
+    stale_ms: Positive = 3000.0  # maximum time from a list change until all routers have it
+    told_ms: Positive = 6000.0  # the same, counted from when the path is free of faults
+    departed_ms: Positive = 100.0  # maximum time from a client disconnect to a start of an attempt
     keyed_window_ms: Positive = 2050.0
-    peers_ms: Positive = 10_000.0  # from a fault's end until each router knows of just those that are there
-
-
-OLD, NEW = "v1", "v2"  # versions of what a plan releases
-BAD_FAULTS = 1000  # number of the first fault that a bad version is
-BAD = {  # how a new version may be worse, and of what
-    "errors": "servers",  # fails `part` of what it is asked
-    "crawls": "servers",  # at `part` of its speed
-    "forgets": "servers",  # misses all
-    "mute": "servers",  # falls silent with its first request
-    "absent": "servers",  # never comes up
-    "unready": "routers",  # a new process never takes over
+    peers_ms: Positive = 10_000.0  # from the end of a fault until all routers agree on the live routers
+
+
+OLD_VERSION, NEW_VERSION = "v1", "v2"  # versions in a release
+FIRST_BAD_VERSION_FAULT = 1000  # number of the first fault that stands for a bad version
+BAD_VERSION_COMPONENTS = {  # the component that each kind of bad version applies to
+    "errors": "servers",  # fails a fraction `part` of its requests
+    "crawls": "servers",  # runs at a fraction `part` of its speed
+    "forgets": "servers",  # every read is a miss
+    "mute": "servers",  # hangs at its first request
+    "absent": "servers",  # does not start
+    "unready": "routers",  # the new process does not become ready
     "crashes": "routers",
-    "fails": "routers",  # as `variants.py` has these three
+    "fails": "routers",  # crashes, fails and burns are variants in variants.py
     "burns": "routers",
-    "rejected": "configuration",  # of no use
-    "poisoned": "configuration",  # of use, and fails under load
+    "rejected": "configuration",  # the router rejects it
+    "poisoned": "configuration",  # valid, but requests fail under load
 }
 
 
-class Released(Table):
-    """A release that the project's own controller carries out while the load goes on; bad: see BAD."""
+class Release(Table):
+    """A release by the release controller during the load; `bad` is a key of BAD."""
 
     what: Literal["servers", "routers", "configuration"]
-    bad: Literal["", *BAD] = ""  # type: ignore[valid-type]  # the table's own words
+    bad: Literal["", *BAD_VERSION_COMPONENTS] = ""  # type: ignore[valid-type]  # keys of the table
     part: Annotated[float, Field(gt=0, le=1)] = 0.5
     limits: Limits = Limits()
     gates: GateSettings = GateSettings()
     stages: Annotated[list[Stage], Field(min_length=1)]
     back_on_halt: bool = True
-    ends: Literal["done", "returned"] = "done"  # how it has to end
+    ends: Literal["done", "returned"] = "done"  # expected outcome
 
 
 class Trigger(Table):
-    """A moment: the count-th event of a kind, counted since the trigger was armed."""
+    """Fires at the count-th matching event after the trigger is armed."""
 
     event: EventKind
     process: str = "*"
     count: Count = 1
-    match: dict[str, Any] = Field(default={})  # fields and the values they must have
+    match: dict[str, Any] = Field(default={})  # required values of event fields
 
 
 class Fault(Table):
-    """What every fault has: when it begins (`at`: s of the load; or `on` an event) and when it ends."""
+    """Base of all faults: when it begins (`at` seconds into the load, or `on` an event) and when it ends."""
 
     name: str = ""
-    at: NotNegative | None = None
+    at: NonNegative | None = None
     on: Trigger | None = None
-    for_s: NotNegative | None = None
+    for_s: NonNegative | None = None
     until: Trigger | None = None
 
     @model_validator(mode="after")
-    def _one_moment(self) -> "Fault":
+    def _check_times(self) -> "Fault":
         if (self.at is None) == (self.on is None):
-            raise ValueError("expected either at or on")
+            raise ValueError("expected exactly one of at and on")
         if self.for_s is not None and self.until is not None:
             raise ValueError("expected for_s or until, not both")
         return self
 
 
-class Process(Fault):
-    """Strikes processes, by patterns of their names (`router-*`); `PRIMARY` is the list service's primary.
+class ProcessFault(Fault):
+    """Fault of the processes whose names match `target`; `PRIMARY` is the primary of the list service.
 
-    kill: SIGKILL, and a new start at the end. term: SIGTERM, SIGKILL as the platform does, then a new start.
-    stop: SIGSTOP until the end. slow: runs for `part` of the time only. upgrade: a new process takes over.
-    power: SIGKILL, and the disk goes back to what was synced. hup: SIGHUP with the file as it is."""
+    kill: SIGKILL, and a restart at the end. term: SIGTERM, SIGKILL as the platform does, then a restart.
+    stop: SIGSTOP until the end. slow: runs for a fraction `part` of the time. upgrade: replaced by a new one.
+    power: SIGKILL, and the disk reverts to what was synced. hup: SIGHUP without changes."""
 
     kind: Literal["kill", "term", "stop", "slow", "upgrade", "power", "hup"]
     target: Patterns
@@ -144,79 +143,84 @@
     keep_disk: bool = True
 
 
-class Link(Fault):
-    """Strikes edges, by patterns of their names (`router-1>cache-*`, `clients>router-2`, `*>list`).
+class LinkFault(Fault):
+    """Fault of the edges whose names match `edges` (`router-1>cache-*`, `clients>router-2`, `*>list`).
 
-    hang: connections that are open now carry nothing any more, for good; new ones are as ever.
-    silent: open connections carry nothing (`way`: both, there, back) and new ones never come up. delay: `ms`
-    and up to `jitter_ms` more. reset: open connections are reset. cut: each connection is reset past `bytes`
-    of answers. rate: at most `bytes` a second each way. pieces: what is carried arrives in pieces of `bytes`.
-    To datagrams alone, a `part` of them: lose, double, short (cut at any byte), swap (goes after the
-    next)."""
+    hang: connections that are open now carry no more data; new ones work. silent: open connections carry no
+    data (`way`: both, there, back) and new ones time out. delay: adds `ms` and up to `jitter_ms`. reset:
+    resets open connections. cut: resets each connection after `bytes` of response data. rate: limits each
+    direction to `bytes` a second. pieces: data arrives in pieces of `bytes`. For a fraction `part` of the
+    datagrams: lose, double, short (truncated at a random byte), swap (delivered after the next one)."""
 
     kind: Literal[
         "silent", "hang", "delay", "reset", "cut", "rate", "pieces", "lose", "double", "short", "swap"
     ]
     edges: Patterns
     way: Literal["both", "there", "back"] = "both"
-    ms: NotNegative = 100.0
-    jitter_ms: NotNegative = 0.0
+    ms: NonNegative = 100.0
+    jitter_ms: NonNegative = 0.0
     bytes: Count = 4096
     part: Annotated[float, Field(gt=0, le=1)] = 1.0
 
 
-class Server(Fault):
-    """Strikes cache servers or the origin inside. errors: fails `part`. crawl: its speed falls to `part`."""
+class ServerFault(Fault):
+    """Fault inside cache servers or the origin.
+
+    errors: fails a fraction `part` of requests. crawl: runs at a fraction `part` of its speed."""
 
     kind: Literal["errors", "crawl"]
     target: Patterns
     part: Annotated[float, Field(gt=0, le=1)] = 0.5
 
 
-class Listing(Fault):
-    """Changes the list (drain, gone; ready again at the end), or overloads the list service (it answers
-    503)."""
+class DiscoveryFault(Fault):
+    """Fault of discovery.
+
+    drain, gone: changes the state of servers in the list, and makes them ready at the end. overload: the
+    stand-in for the list service answers 503."""
 
     kind: Literal["drain", "gone", "overload"]
     target: list[str] = Field(default=[])
 
     @model_validator(mode="after")
-    def _needs_servers(self) -> "Listing":
+    def _check_target(self) -> "DiscoveryFault":
         if (self.kind == "overload") == bool(self.target):
             raise ValueError("expected a target with drain and gone, and none with overload")
         return self
 
 
-class ByHand(Fault):
-    """An operator's call out for cache server `server` at the routers; the call back at the end."""
+class OverrideFault(Fault):
+    """Operator override: takes cache server `server` offline at the routers, and online at the end."""
 
     kind: Literal["offline"]
     target: Patterns = Field(default=["router-*"])
     server: str
 
 
-class Clock(Fault):
-    """The wall clock of routers goes off by `step_s`, and back at the end."""
+class ClockFault(Fault):
+    """Fault that offsets the wall clock of routers by `step_s` until the end."""
 
     kind: Literal["clock"]
     target: Patterns
     step_s: float
 
 
-class Disk(Fault):
-    """Writes of routers fail: full (ENOSPC), readonly (EROFS), torn (half of what is
-    written, then ENOSPC). slow_disk: each sync takes `ms`."""
+class DiskFault(Fault):
+    """Fault of disk writes of routers.
+
+    full: ENOSPC. readonly: EROFS. torn: half of the data is written, then ENOSPC. slow_disk: each sync takes
+    `ms`."""
 
     kind: Literal["full", "readonly", "torn", "slow_disk"]
     target: Patterns
-    ms: NotNegative = 200.0
+    ms: NonNegative = 200.0
 
 
-class SystemCalls(Fault):
-    """System calls of routers fail: `call` with `error`, or it moves `short` bytes at the most; each
-    `every`-th of them, at most `times` times (see system_calls.py).
+class SystemCallsFault(Fault):
+    """Fault of system calls of routers: `call` fails with `error`, or transfers at most `short` bytes.
 
-    side: on connections with clients or with servers alone. Calls on files are those on the router's disk."""
+    Affects each `every`-th call, at most `times` times (see system_calls.py). side: limits it to connections
+    with clients or with servers. File system calls are limited to the disk of the router."""
 
     kind: Literal["system_call"]
     target: Patterns
@@ -228,18 +232,18 @@
     side: Literal["", "clients", "servers"] = ""
 
     @model_validator(mode="after")
-    def _fails(self) -> "SystemCalls":
-        self.struck(None, None)
+    def _check_fault(self) -> "SystemCallsFault":
+        self.for_process(None, None)
         return self
 
     @property
-    def breaks(self) -> bool:
-        """Whether it breaks connections of clients, who are owed nothing on them any more."""
+    def breaks_client_connections(self) -> bool:
+        """Whether it breaks client connections, so that their requests may go unanswered."""
         moves = self.call in ("recv", "send", "sendmsg") and self.side != "servers"
         return moves and self.error not in ("", "EINTR", "EAGAIN")
 
-    def struck(self, peer: str | None, disk: str | None) -> SystemCallFault:
-        """The fault for one process. Raises ValueError where it makes no sense."""
+    def for_process(self, peer: str | None, disk: str | None) -> SystemCallFault:
+        """Returns the fault for one process. Raises ValueError if the combination is invalid."""
         return SystemCallFault(
             self.call, self.error, self.short, every=self.every, times=self.times, peer=peer,
             path=disk if self.call in ON_FILES else None,
@@ -247,40 +251,51 @@
 
 
 AnyFault = Annotated[
-    Process | Link | Server | Listing | ByHand | Clock | Disk | SystemCalls, Field(discriminator="kind")
+    ProcessFault
+    | LinkFault
+    | ServerFault
+    | DiscoveryFault
+    | OverrideFault
+    | ClockFault
+    | DiskFault
+    | SystemCallsFault,
+    Field(discriminator="kind"),
 ]
 
 
 class Plan(Table):
-    """A whole plan."""
+    """A plan: the cluster, the load, the limits, an optional release and the faults."""
 
     name: Annotated[str, Field(min_length=1)]
     about: str = ""
     fleet: Fleet = Fleet()
     load: Load = Load()
-    rules: Rules = Rules()
-    release: Released | None = None
+    rules: CheckLimits = CheckLimits()
+    release: Release | None = None
     faults: list[AnyFault] = Field(default=[])
 
     @model_validator(mode="after")
-    def _makes_sense(self) -> "Plan":
+    def _check_consistency(self) -> "Plan":
         if self.load.puts + self.load.once > 1:
             raise ValueError("expected puts and once to be at most 1 together")
         for number, fault in enumerate(self.faults):
             if fault.kind == "upgrade" and not self.fleet.inherited:
                 raise ValueError(f"faults.{number}: expected fleet.inherited with an upgrade")
-        if self.release is not None and BAD.get(self.release.bad, self.release.what) != self.release.what:
-            raise ValueError(f"release.bad: {self.release.bad!r} is none of {self.release.what}")
+        if (
+            self.release is not None
+            and BAD_VERSION_COMPONENTS.get(self.release.bad, self.release.what) != self.release.what
+        ):
+            raise ValueError(f"release.bad: {self.release.bad!r} is not a bad version of {self.release.what}")
         if self.release is not None and self.release.what == "routers" and not self.fleet.inherited:
             raise ValueError("release: expected fleet.inherited with a release of routers")
         return self
 
 
 def make_plan(name: str, raw: dict[str, Any]) -> Plan:
-    """Checks what a file holds. Raises SpecError, a line for each fault."""
+    """Validates the contents of a plan file. Raises SpecError with one line per problem."""
     return validate(name, Plan, raw, SpecError)
 
 
 def load_plan(path: Path) -> Plan:
-    """Reads a plan's file. Raises SpecError."""
+    """Reads and validates a plan file. Raises SpecError."""
     return make_plan(str(path), read_toml(path, SpecError))
--- a/applehub/lab/fleet/draw.py
+++ b/applehub/lab/fleet/plan_generator.py
@@ -1,4 +1,4 @@
-"""Plans drawn from a seed, and plans cut small: the fewest faults that still break a rule."""
+"""Generates random plans from a seed, and reduces a plan to the faults that still break an invariant."""
 
 from collections.abc import Awaitable, Callable
 
@@ -7,20 +7,20 @@
 from applehub.lab.streams import Draws
 from applehub.settings import Json
 
-LACKS = ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM")  # of the machine
-BREAKS = ("ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET")  # of a connection
-STEPS = (-3600.0, -3.0, 3.0, 3600.0)  # s by which a wall clock steps
-# System calls that fail: which, with what, and for how many seconds at the most. Of those that break
-# connections some are struck: where all are, nothing is left to observe.
-FAILING: tuple[tuple[Json, tuple[str, ...], float], ...] = (
-    ({"call": "accept"}, (*LACKS, "ECONNABORTED", "EPROTO"), 0.3),
-    ({"call": "socket"}, LACKS, 1.0),
+RESOURCE_ERRORS = ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM")  # resource exhaustion of the machine
+CONNECTION_ERRORS = ("ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET")  # failures of a connection
+CLOCK_STEPS_S = (-3600.0, -3.0, 3.0, 3600.0)  # offsets of the wall clock, s
+# System call faults: the call, its possible errors, and the maximum duration in seconds. Faults that break
+# connections affect only every n-th call, because otherwise no connection would remain to observe.
+SYSTEM_CALL_CHOICES: tuple[tuple[Json, tuple[str, ...], float], ...] = (
+    ({"call": "accept"}, (*RESOURCE_ERRORS, "ECONNABORTED", "EPROTO"), 0.3),
+    ({"call": "socket"}, RESOURCE_ERRORS, 1.0),
     ({"call": "connect"}, ("EADDRNOTAVAIL", "ENETUNREACH", "ENOBUFS", "EAGAIN"), 1.0),
     ({"call": "getsockopt", "every": 3}, ("ETIMEDOUT", "EHOSTUNREACH", "ECONNREFUSED"), 2.0),
-    ({"call": "recv", "side": "clients", "every": 40}, BREAKS, 2.0),
-    ({"call": "recv", "side": "servers", "every": 40}, BREAKS, 2.0),
-    ({"call": "send", "side": "clients", "every": 40}, BREAKS, 2.0),
-    ({"call": "send", "side": "servers", "every": 40}, BREAKS, 2.0),
+    ({"call": "recv", "side": "clients", "every": 40}, CONNECTION_ERRORS, 2.0),
+    ({"call": "recv", "side": "servers", "every": 40}, CONNECTION_ERRORS, 2.0),
+    ({"call": "send", "side": "clients", "every": 40}, CONNECTION_ERRORS, 2.0),
+    ({"call": "send", "side": "servers", "every": 40}, CONNECTION_ERRORS, 2.0),
     ({"call": "send", "short": 5}, ("",), 2.0),
     ({"call": "recv", "short": 7}, ("",), 2.0),
     ({"call": "epoll", "every": 2}, ("EINTR",), 2.0),
@@ -35,23 +35,26 @@
 )
 
 
-# Of those, the ones that a new connection makes, and the edges whose reset has new ones made.
-DIALS = {"accept": "clients>{}", **dict.fromkeys(("socket", "connect", "getsockopt"), "{}>cache-*")}
-MEANWHILE = 0.03  # s after such a fault's begin
+# System calls that open connections, and the edges to reset so that new connections are opened.
+CONNECTING_CALLS = {
+    "accept": "clients>{}",
+    **dict.fromkeys(("socket", "connect", "getsockopt"), "{}>cache-*"),
+}
+RESET_DELAY_S = 0.03  # from the begin of such a fault to the reset
 
 
-def _failing(draws: Draws, routers: int) -> Json:
-    """A system call of a router that fails for a while."""
-    call, errors, most = FAILING[draws.below(len(FAILING))]
+def _system_call_fault(draws: Draws, routers: int) -> Json:
+    """Returns a random system call fault of one router."""
+    call, errors, max_duration = SYSTEM_CALL_CHOICES[draws.below(len(SYSTEM_CALL_CHOICES))]
     error = errors[draws.below(len(errors))]
     return {
         "kind": "system_call", **call, "error": error, "target": [f"router-{draws.below(routers)}"],
-        "for_s": draws.between(0.05, most),
+        "for_s": draws.between(0.05, max_duration),
     }  # fmt: skip
 
 
-# By weight: what a drawn plan strikes with. Each gives the fault's own keys.
-KINDS: tuple[tuple[float, Callable[[Draws, int, int], Json]], ...] = (
+# Weight and generator of each kind of fault; a generator returns the keys of the fault.
+FAULT_GENERATORS: tuple[tuple[float, Callable[[Draws, int, int], Json]], ...] = (
     (3, lambda d, r, c: {"kind": "kill", "target": [f"router-{d.below(r)}"], "for_s": d.between(0.2, 2)}),
     (2, lambda d, r, c: {"kind": "kill", "target": [f"cache-{d.below(c)}"], "for_s": d.between(0.5, 3)}),
     (1, lambda d, r, c: {"kind": "kill", "target": ["list"], "for_s": d.between(0.5, 4)}),
@@ -121,13 +124,13 @@
     (2, lambda d, r, c: {"kind": "drain", "target": [f"cache-{d.below(c)}"], "for_s": d.between(1, 4)}),
     (1, lambda d, r, c: {"kind": "gone", "target": [f"cache-{d.below(c)}"], "for_s": d.between(1, 4)}),
     (1, lambda d, r, c: {"kind": "overload", "for_s": d.between(1, 4)}),
-    (8, lambda d, r, c: _failing(d, r)),
+    (8, lambda d, r, c: _system_call_fault(d, r)),
     (
         2,
         lambda d, r, c: {
             "kind": "clock",
             "target": [f"router-{d.below(r)}"],
-            "step_s": STEPS[d.below(len(STEPS))],
+            "step_s": CLOCK_STEPS_S[d.below(len(CLOCK_STEPS_S))],
             "for_s": d.between(1, 4),
         },
     ),
@@ -135,8 +138,8 @@
 )
 
 
-# Beside those, where routers speak with each other.
-BETWEEN: tuple[Callable[[Draws, int], Json], ...] = (
+# Generators of faults between routers, for plans with peers.
+PEER_FAULT_GENERATORS: tuple[Callable[[Draws, int], Json], ...] = (
     lambda d, r: {"kind": "lose", "part": d.between(0.05, 0.5)},
     lambda d, r: {"kind": "double", "part": d.between(0.05, 1)},
     lambda d, r: {"kind": "short", "part": d.between(0.05, 0.5)},
@@ -148,10 +151,9 @@
 )
 
 
-def _on_replicas(fault: Json, draws: Draws) -> Json:
-    """What strikes the stand-in for the list service strikes a replica of the service, or what it is told
-    by."""
-    if fault["kind"] == "overload":  # the stand-in's own; a replica that stands still looks much alike
+def _redirect_to_replicas(fault: Json, draws: Draws) -> Json:
+    """Redirects a fault of the stand-in for the list service to a replica of the list service."""
+    if fault["kind"] == "overload":  # supported by the stand-in only; a stopped replica is similar
         return {**fault, "kind": "stop", "target": ["PRIMARY"]}
     name = ("PRIMARY", f"list-{draws.below(3)}")[draws.below(2)]
     if fault.get("target") == ["list"]:
@@ -161,7 +163,7 @@
     return fault
 
 
-def draw(
+def generate_plan(
     seed: int,
     routers: int,
     caches: int,
@@ -172,31 +174,31 @@
     peers: bool = False,
     leaves: float = 0.0,
 ) -> Plan:
-    """A plan with so many faults, at moments spread over the time. The same arguments give the same plan."""
-    draws, whole = Draws(seed, "plan"), sum(weight for weight, _ in KINDS)
-    drawn: list[Json] = []
+    """Returns a plan with `faults` random faults at random times; equal arguments give equal plans."""
+    draws, total_weight = Draws(seed, "plan"), sum(weight for weight, _ in FAULT_GENERATORS)
+    generated: list[Json] = []
     for number in range(faults):
-        before = drawn[-1] if drawn else {}
-        if before.get("call") in DIALS:
-            edge = DIALS[before["call"]].format(before["target"][0])
-            drawn.append({"kind": "reset", "edges": [edge], "at": before["at"] + MEANWHILE})
+        before = generated[-1] if generated else {}
+        if before.get("call") in CONNECTING_CALLS:
+            edge = CONNECTING_CALLS[before["call"]].format(before["target"][0])
+            generated.append({"kind": "reset", "edges": [edge], "at": before["at"] + RESET_DELAY_S})
             continue
         if peers and number % 2:
-            between = BETWEEN[draws.below(len(BETWEEN))](draws, routers)
+            peer_fault = PEER_FAULT_GENERATORS[draws.below(len(PEER_FAULT_GENERATORS))](draws, routers)
             at, length = draws.between(1.0, max(1.1, seconds - 4)), draws.between(0.5, 5)
-            drawn.append({"edges": ["router-*>router-*"], "at": at, "for_s": length, **between})
+            generated.append({"edges": ["router-*>router-*"], "at": at, "for_s": length, **peer_fault})
             continue
-        left = draws.uniform() * whole
-        for weight, make in KINDS:
-            left -= weight
-            if left < 0:
-                drawn.append(
+        remaining = draws.uniform() * total_weight
+        for weight, make in FAULT_GENERATORS:
+            remaining -= weight
+            if remaining < 0:
+                generated.append(
                     {**make(draws, routers, caches), "at": draws.between(1.0, max(1.1, seconds - 4))}
                 )
                 break
     if lists:
-        drawn = [_on_replicas(one, draws) for one in drawn]
-    drawn.sort(key=lambda one: one["at"])
+        generated = [_redirect_to_replicas(one, draws) for one in generated]
+    generated.sort(key=lambda one: one["at"])
     return make_plan(
         f"seed {seed}",
         {
@@ -208,9 +210,9 @@
                 "lists": lists,
                 "changes": 5.0 if lists else 0.0,
                 "peers": peers,
-                "keeps": any(one.get("call") in ON_FILES for one in drawn),
+                "keeps": any(one.get("call") in ON_FILES for one in generated),
             },
-            # Long enough for the routers to be held to knowing just those that are there.
+            # Leaves time for the check that each router knows exactly the live routers.
             "load": {
                 "rate": rate,
                 "seconds": seconds,
@@ -218,46 +220,48 @@
                 "after_s": 12.0 if peers else 2.0,
                 "leaves": leaves,
             },
-            "faults": [_apart(one, drawn[:number]) for number, one in enumerate(drawn)],
+            "faults": [_separated(one, generated[:number]) for number, one in enumerate(generated)],
         },
     )
 
 
-def _lists(fault: Json) -> bool:
-    """Whether it strikes the list service's replicas: two at once leave no majority."""
+def _affects_registry(fault: Json) -> bool:
+    """Whether a fault affects replicas of the list service, of which two faulty ones break the quorum."""
     named = [*fault.get("target", []), *fault.get("edges", [])]
     return any("PRIMARY" in one or "list-" in one for one in named)
 
 
-def _apart(fault: Json, before: list[Json]) -> Json:
-    """Two ends of one process would overlap: the later waits until the earlier is over."""
+def _separated(fault: Json, before: list[Json]) -> Json:
+    """Delays a fault until earlier faults of the same process or of the list service are over."""
     at = fault["at"]
     for one in before:
         same = set(one.get("target", [])) & set(fault.get("target", []))
-        same |= {"list"} if _lists(one) and _lists(fault) else set()
+        same |= {"list"} if _affects_registry(one) and _affects_registry(fault) else set()
         if same or {one["kind"], fault["kind"]} == {"overload", "kill"}:
             at = max(at, one["at"] + one.get("for_s", 0.0) + 4.5)
     fault["at"] = at
     return fault
 
 
-async def shrink(plan: Plan, breaks: Callable[[Plan], Awaitable[bool]], told: Callable[[str], None]) -> Plan:
-    """Takes faults away while a rule still breaks (Zeller's delta debugging): halves first, then one by one.
+async def shrink(
+    plan: Plan, breaks: Callable[[Plan], Awaitable[bool]], report: Callable[[str], None]
+) -> Plan:
+    """Removes faults while `breaks` holds (Zeller's delta debugging): halves first, then one by one.
 
-    The result breaks a rule; without any one of its faults it did not when it was last tried."""
-    kept: list[AnyFault] = list(plan.faults)
+    The result still breaks an invariant, and removing any single fault was tried without success."""
+    remaining: list[AnyFault] = list(plan.faults)
     parts = 2
-    while kept:
-        size = max(1, -(-len(kept) // parts))
-        for at in range(0, len(kept), size):
-            fewer = kept[:at] + kept[at + size :]
-            found = await breaks(plan.model_copy(update={"faults": fewer}))
-            told(f"{len(fewer)} of {len(plan.faults)} faults: {'still breaks' if found else 'holds'}")
-            if found:
-                kept, parts = fewer, max(2, parts - 1)
+    while remaining:
+        size = max(1, -(-len(remaining) // parts))
+        for at in range(0, len(remaining), size):
+            candidate = remaining[:at] + remaining[at + size :]
+            fails = await breaks(plan.model_copy(update={"faults": candidate}))
+            report(f"{len(candidate)} of {len(plan.faults)} faults: {'still breaks' if fails else 'holds'}")
+            if fails:
+                remaining, parts = candidate, max(2, parts - 1)
                 break
         else:
             if size == 1:
                 break
-            parts = min(len(kept), parts * 2)
-    return plan.model_copy(update={"faults": kept})
+            parts = min(len(remaining), parts * 2)
+    return plan.model_copy(update={"faults": remaining})
--- a/applehub/lab/fleet/processes.py
+++ b/applehub/lab/fleet/processes.py
@@ -1,8 +1,7 @@
-"""Processes that the ground starts, and how they end with it.
+"""Child processes of the test harness.
 
-The system sends each SIGKILL when the ground's own process is gone (PR_SET_PDEATHSIG), stopped ones too; the
-ground's own also end with their standard input. Files are removed by the keeper, a process that waits for
-that same end."""
+None outlives the harness: the kernel sends each SIGKILL when the harness exits (PR_SET_PDEATHSIG), and
+a stand-in also exits at the end of its standard input. A separate process, keeper.py, removes the files."""
 
 import asyncio
 import ctypes
@@ -19,44 +18,44 @@
 import psutil
 
 from applehub.events import EventKind, EventWriter, read_events
-from applehub.lab.fleet.control import MOST_LINE, Json
+from applehub.lab.fleet.control import MAX_LINE_BYTES, Json
 from applehub.lab.live.bench import LiveError
 
 PR_SET_PDEATHSIG = 1
-START_WITHIN = 60.0  # s, on the busiest machine
-KILLED_AFTER = 3.7  # s after SIGTERM, as on the platform
-END_WITHIN = 10.0  # s that one of the ground's own has to end by itself
-ROOT = str(Path(__file__).parents[3])
+START_TIMEOUT_S = 60.0
+KILL_DELAY_S = 3.7  # from SIGTERM to SIGKILL, as on the platform
+EXIT_TIMEOUT_S = 10.0  # for a stand-in to exit by itself
+PROJECT_ROOT = str(Path(__file__).parents[3])
 _libc = ctypes.CDLL(None, use_errno=True)
 MB = 1 << 20
 
 
-def _end_with(parent: int) -> Callable[[], None]:
+def _exit_with_parent(parent: int) -> Callable[[], None]:
     def prepare() -> None:
         _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
-        if os.getppid() != parent:  # it went before the system was told
+        if os.getppid() != parent:  # the parent exited before prctl was called
             os._exit(1)
 
     return prepare
 
 
 def environment(**more: str) -> dict[str, str]:
-    """This process's, less what a router would read_events, with the project's folder to import from."""
-    path = os.pathsep.join(filter(None, [ROOT, os.environ.get("PYTHONPATH")]))
-    kept = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")}
-    return {**kept, "PYTHONPATH": path, **more}
+    """Returns the current environment without BALANCER_ variables, with PYTHONPATH set, and with `more`."""
+    path = os.pathsep.join(filter(None, [PROJECT_ROOT, os.environ.get("PYTHONPATH")]))
+    inherited = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")}
+    return {**inherited, "PYTHONPATH": path, **more}
 
 
 def start_keeper(folder: Path) -> "subprocess.Popen[bytes]":
-    """Removes a folder once this process has ended, however it ended."""
-    words = [sys.executable, "-m", "applehub.lab.fleet.keeper", str(folder)]
-    return subprocess.Popen(words, stdin=subprocess.PIPE, env=environment(), start_new_session=True)
+    """Starts the process that removes a folder after this process has ended, in whatever way."""
+    arguments = [sys.executable, "-m", "applehub.lab.fleet.keeper", str(folder)]
+    return subprocess.Popen(arguments, stdin=subprocess.PIPE, env=environment(), start_new_session=True)
 
 
 class Process:
-    """One process and its incarnations: its name and folder stay, its ports need not."""
+    """A process with all its incarnations, which share name and folder; ports may differ."""
 
-    ends_itself: frozenset[int] = frozenset()  # codes with which it ends when it has done its work
+    expected_exit_codes: frozenset[int] = frozenset()  # exit codes after its work is complete
 
     def __init__(self, name: str, folder: Path, events: EventWriter) -> None:
         self.name, self.events = name, events
@@ -64,41 +63,44 @@
         self.folder.mkdir()
         self.incarnation = 0
         self.process: asyncio.subprocess.Process | None = None
-        self.planned = False  # whether its end is the ground's doing
+        self.planned = False  # whether the harness ends it
         self.ended = asyncio.Event()
-        self.crashed = asyncio.Event()  # it has ended without the ground's doing
-        self._waits: set[asyncio.Task[None]] = set()
-        self._watched: psutil.Process | None = None
+        self.crashed = asyncio.Event()  # set if it exits unplanned
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._psutil_process: psutil.Process | None = None
 
     async def spawn(
         self,
-        words: list[str],
+        arguments: list[str],
         env: Mapping[str, str],
         pass_fds: tuple[int, ...] = (),
         control: bool = False,
         out: BinaryIO | None = None,
     ) -> asyncio.subprocess.Process:
-        """Starts its next incarnation. control: told over its standard input, and answers on its standard
-        output. out: where its standard output goes; else that goes to its log, and standard error is read."""
+        """Starts the next incarnation.
+
+        control: Commands go to its standard input and replies come from its standard output.
+        out: File for its standard output. Without control and out, standard output goes to the log, and
+        standard error is a pipe."""
         self.incarnation += 1
         pipe = asyncio.subprocess.PIPE
         with open(self.folder / "stderr.log", "ab") as log:
             self.process = process = await asyncio.create_subprocess_exec(
-                sys.executable, *words, env=env, pass_fds=pass_fds, limit=MOST_LINE,
+                sys.executable, *arguments, env=env, pass_fds=pass_fds, limit=MAX_LINE_BYTES,
                 stdin=pipe if control else asyncio.subprocess.DEVNULL, stdout=pipe if control else out or log,
-                stderr=log if control or out else pipe, preexec_fn=_end_with(os.getpid()),
+                stderr=log if control or out else pipe, preexec_fn=_exit_with_parent(os.getpid()),
             )  # fmt: skip
         self.planned, self.ended = False, asyncio.Event()
-        self._watched = psutil.Process(process.pid)
+        self._psutil_process = psutil.Process(process.pid)
         self.events.write(EventKind.STARTED, of=self.name, number=self.incarnation, pid=process.pid)
         task = asyncio.get_running_loop().create_task(self._wait(process, self.incarnation, self.ended))
-        self._waits.add(task)
-        task.add_done_callback(self._waits.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
         return process
 
     async def _wait(self, process: asyncio.subprocess.Process, number: int, ended: asyncio.Event) -> None:
         code = await process.wait()
-        planned = self.planned or process is not self.process or code in self.ends_itself
+        planned = self.planned or process is not self.process or code in self.expected_exit_codes
         self.events.write(EventKind.EXITED, of=self.name, number=number, code=code, planned=planned)
         ended.set()
         if not planned:
@@ -119,95 +121,95 @@
         await self.ended.wait()
 
     async def close(self) -> None:
-        """Ends it at the end of the play."""
+        """Ends the process when the run ends."""
         await self.kill()
 
     def sample(self) -> None:
-        """Writes down what it uses."""
-        if self._watched is None or not self.running:
+        """Records its CPU time, memory and number of file descriptors."""
+        if self._psutil_process is None or not self.running:
             return
         with suppress(psutil.Error):
-            times = self._watched.cpu_times()
+            times = self._psutil_process.cpu_times()
             self.events.write(
                 EventKind.RESOURCE_SAMPLE,
                 of=self.name,
                 number=self.incarnation,
                 cpu_s=round(times.user + times.system, 3),
-                memory_mb=round(self._watched.memory_info().rss / MB, 1),
-                descriptors=self._watched.num_fds(),
+                memory_mb=round(self._psutil_process.memory_info().rss / MB, 1),
+                descriptors=self._psutil_process.num_fds(),
             )
 
 
 class Standin(Process):
-    """One of the ground's own, told what to do over its standard input."""
+    """A stand-in process of the harness, controlled through its standard input and output."""
 
     def __init__(self, role: str, name: str, folder: Path, events: EventWriter) -> None:
         super().__init__(name, folder, events)
         self.role = role
-        self.turn = asyncio.Lock()
+        self.lock = asyncio.Lock()
 
     @property
     def events_file(self) -> Path:
         return self.folder / f"events-{self.incarnation}.jsonl"
 
-    async def start(self, told: Json) -> Json:
-        """Starts it; gives what it says when it is ready."""
-        words = ["-m", "applehub.lab.fleet.standin", self.role]
-        await self.spawn(words, environment(), control=True)
-        whole = {
-            **told, "role": self.role, "name": self.name, "incarnation": self.incarnation,
+    async def start(self, config: Json) -> Json:
+        """Starts the process and returns its first reply, sent when it is ready. Raises LiveError."""
+        arguments = ["-m", "applehub.lab.fleet.standin", self.role]
+        await self.spawn(arguments, environment(), control=True)
+        message = {
+            **config, "role": self.role, "name": self.name, "incarnation": self.incarnation,
             "events": str(self.events_file),
         }  # fmt: skip
-        answer = await self.ask(whole)
+        answer = await self.ask(message)
         self.events.write(
             EventKind.READY, of=self.name, number=self.incarnation, address=answer.get("address")
         )
         return answer
 
     async def close(self) -> None:
-        """The end of its standard input ends it; SIGKILL where it does not heed that."""
+        """Closes its standard input, at which it exits; sends SIGKILL if it does not."""
         self.planned = True
         self.signal(signal.SIGCONT)
         if self.process is not None and self.process.stdin is not None:
             self.process.stdin.close()
         with suppress(TimeoutError):
-            await asyncio.wait_for(self.ended.wait(), END_WITHIN)
+            await asyncio.wait_for(self.ended.wait(), EXIT_TIMEOUT_S)
         if self.running:
             await self.kill()
 
-    async def ask(self, told: Json) -> Json:
-        """Has a command carried out. Raises LiveError where the process has ended or does not answer."""
+    async def ask(self, message: Json) -> Json:
+        """Sends a command and returns the reply. Raises LiveError if the process has ended."""
         process = self.process
         assert process is not None and process.stdin is not None and process.stdout is not None
-        async with self.turn:
+        async with self.lock:
             line = b""
             with suppress(OSError):
-                process.stdin.write(orjson.dumps(told) + b"\n")
+                process.stdin.write(orjson.dumps(message) + b"\n")
                 await process.stdin.drain()
-                line = await asyncio.wait_for(process.stdout.readline(), START_WITHIN)
+                line = await asyncio.wait_for(process.stdout.readline(), START_TIMEOUT_S)
         if not line:
-            said = (self.folder / "stderr.log").read_text()[-800:]
-            raise LiveError(f"{self.name} has ended: {said}")
+            log_tail = (self.folder / "stderr.log").read_text()[-800:]
+            raise LiveError(f"{self.name} exited before its reply: {log_tail}")
         answer: Json = orjson.loads(line)
         return answer
 
 
 class RegistryProcess(Process):
-    """A replica of the project's list service; its events go to the history as it writes them."""
+    """A replica of the list service; its standard output is its events file."""
 
     def __init__(self, name: str, folder: Path, events: EventWriter) -> None:
         super().__init__(name, folder, events)
         self.listen = self.staff = ""
 
     async def start(self, lines: list[str]) -> None:
-        """Starts it with a file of these lines; returns once it tells where it listens. Raises LiveError."""
+        """Starts it with these lines as configuration; waits for its addresses. Raises LiveError."""
         path = self.folder / "config.toml"
         path.write_text("\n".join([f'state_dir = "{self.folder / "state"}"', *lines]))
         events = self.folder / f"events-{self.incarnation + 1}.jsonl"
         with open(events, "ab") as out:
             await self.spawn(["-m", "applehub.registry", str(path)], environment(), out=out)
         loop = asyncio.get_running_loop()
-        end = loop.time() + START_WITHIN
+        end = loop.time() + START_TIMEOUT_S
         while loop.time() < end and self.running:
             for one in read_events(events):
                 if one.event is EventKind.READY:
@@ -217,23 +219,23 @@
                     )
                     return
             await asyncio.sleep(0.02)
-        said = (self.folder / "stderr.log").read_text()[-800:]
-        raise LiveError(f"{self.name} is not ready: {said}")
+        log_tail = (self.folder / "stderr.log").read_text()[-800:]
+        raise LiveError(f"{self.name} is not ready: {log_tail}")
 
 
 class ControllerProcess(Process):
-    """The controller of a release, which ends once that has ended."""
+    """The controller of a release; it exits when the release is over."""
 
-    ends_itself = frozenset((0, 3))
+    expected_exit_codes = frozenset((0, 3))
 
     async def start(self, plan: Path) -> None:
-        """Starts it, with its own folder as it left it."""
+        """Starts it on its existing state folder."""
         state = self.folder / "state"
         await self.spawn(["-m", "applehub.release", "start", str(plan), "--state", str(state)], environment())
         assert self.process is not None and self.process.stderr is not None
-        reads = asyncio.get_running_loop().create_task(self._read(self.process.stderr))
-        self._waits.add(reads)
-        reads.add_done_callback(self._waits.discard)
+        reader_task = asyncio.get_running_loop().create_task(self._read(self.process.stderr))
+        self._tasks.add(reader_task)
+        reader_task.add_done_callback(self._tasks.discard)
 
     async def _read(self, stderr: asyncio.StreamReader) -> None:
         with open(self.folder / "stderr.log", "ab") as log:
@@ -241,18 +243,18 @@
                 log.write(line)
 
     async def finished(self) -> None:
-        """Returns once it has ended by itself, over whatever ended it before."""
+        """Waits until it has exited by itself, across restarts by faults."""
         while True:
             ended = self.ended
             await ended.wait()
-            if self.process is not None and self.process.returncode in self.ends_itself:
+            if self.process is not None and self.process.returncode in self.expected_exit_codes:
                 return
-            while self.ended is ended:  # a fault that ended it starts it again
+            while self.ended is ended:  # the fault that killed it restarts it
                 await asyncio.sleep(0.02)
 
 
 class RouterProcess(Process):
-    """A router under `run`'s own command line, or with the shim where a plan wants a spoilt one."""
+    """A router, started directly or through the fault injection shim."""
 
     def __init__(self, name: str, folder: Path, events: EventWriter) -> None:
         super().__init__(name, folder, events)
@@ -262,16 +264,15 @@
         for one in (self.disk, self.durable, self.control):
             one.mkdir()
         self.listen = self.console = ""
-        self._reads: set[asyncio.Task[None]] = set()
+        self._reader_tasks: set[asyncio.Task[None]] = set()
 
-    def write(self, told: Json) -> None:
-        """Writes its configuration."""
-        (self.folder / "config.json").write_bytes(orjson.dumps(told))
+    def write(self, config: Json) -> None:
+        """Writes its configuration file."""
+        (self.folder / "config.json").write_bytes(orjson.dumps(config))
 
-    async def start(self, told: Json, shim: Json | None, inherited: int | None) -> None:
-        """Starts its next incarnation; returns once it tells where it listens. Raises LiveError where it ends
-        first."""
-        self.write(told)
+    async def start(self, config: Json, shim: Json | None, inherited: int | None) -> None:
+        """Starts the next incarnation; waits until it listens. Raises LiveError on exit or timeout."""
+        self.write(config)
         more = {
             "BALANCER_CONFIG": str(self.folder / "config.json"),
             "TMPDIR": str(self.disk),
@@ -279,23 +280,23 @@
         }
         if inherited is not None:
             more["BALANCER_INHERITED_FD"] = str(inherited)
-        words = ["-m", "applehub"]
+        arguments = ["-m", "applehub"]
         if shim is not None:
             folders = {"disk": str(self.disk), "durable": str(self.durable), "control": str(self.control)}
-            words = ["-m", "applehub.lab.fleet.shim", orjson.dumps({**shim, **folders}).decode()]
+            arguments = ["-m", "applehub.lab.fleet.shim", orjson.dumps({**shim, **folders}).decode()]
         fds = () if inherited is None else (inherited,)
-        process = await self.spawn(words, environment(**more), fds)
+        process = await self.spawn(arguments, environment(**more), fds)
         listening = asyncio.get_running_loop().create_future()
-        reads = asyncio.get_running_loop().create_task(self._read(process, listening))
-        self._reads.add(reads)
-        reads.add_done_callback(self._reads.discard)
+        reader_task = asyncio.get_running_loop().create_task(self._read(process, listening))
+        self._reader_tasks.add(reader_task)
+        reader_task.add_done_callback(self._reader_tasks.discard)
         try:
-            await asyncio.wait_for(listening, START_WITHIN)
+            await asyncio.wait_for(listening, START_TIMEOUT_S)
         except TimeoutError:
-            raise LiveError(f"{self.name} does not listen after {START_WITHIN:.0f} s") from None
+            raise LiveError(f"{self.name} did not listen within {START_TIMEOUT_S:.0f} s") from None
 
     async def _read(self, process: asyncio.subprocess.Process, listening: "asyncio.Future[None]") -> None:
-        """Keeps its log; learns the addresses that the system gave it."""
+        """Copies standard error to the log and reads the listen addresses from it."""
         assert process.stderr is not None
         with open(self.folder / "router.log", "ab") as log:
             while line := await process.stderr.readline():
@@ -308,50 +309,50 @@
                     if not listening.done():
                         listening.set_result(None)
         if not listening.done():
-            said = (self.folder / "router.log").read_text()[-800:]
-            listening.set_exception(LiveError(f"{self.name} has ended: {said}"))
+            log_tail = (self.folder / "router.log").read_text()[-800:]
+            listening.set_exception(LiveError(f"{self.name} exited before it listened: {log_tail}"))
 
     def counts(self, lines: list[str]) -> dict[str, float]:
-        """What DUMP tells, as a release's gates have it: sums over all classes."""
-        told = dict(line.partition("=")[::2] for line in lines if "=" in line)
+        """Returns the counters in lines of DUMP that the gates of a release use, summed over all classes."""
+        values = dict(line.partition("=")[::2] for line in lines if "=" in line)
         sums = dict.fromkeys(("ok", "shed", "errors"), 0)
-        for name, value in told.items():
+        for name, value in values.items():
             if ".responses." in name:
                 sums[name.rpartition(".")[2]] += int(value)
         return {
             "requests": sum(sums.values()), "refused": sums["shed"], "failed": sums["errors"],
             **{
-                name: int(told.get(f"edge_balancer.{name}", 0))
+                name: int(values.get(f"edge_balancer.{name}", 0))
                 for name in ("config_applied", "config_rejected")
             },
         }  # fmt: skip
 
     def costs(self) -> dict[str, float]:
-        """Processor time, s since its start, and memory, MB. Raises psutil.Error."""
-        assert self._watched is not None
-        times = self._watched.cpu_times()
-        return {"cpu_s": times.user + times.system, "memory_mb": self._watched.memory_info().rss / MB}
+        """Returns CPU time in seconds since its start and memory in MB. Raises psutil.Error."""
+        assert self._psutil_process is not None
+        times = self._psutil_process.cpu_times()
+        return {"cpu_s": times.user + times.system, "memory_mb": self._psutil_process.memory_info().rss / MB}
 
-    async def call(self, words: str) -> str:
-        """An operator's call; gives the answer's first line, nothing where there is none."""
-        return next(iter(await self.lines(words)), "")
+    async def call(self, arguments: str) -> str:
+        """Sends an operator command; returns the first line of the reply, or an empty string."""
+        return next(iter(await self.lines(arguments)), "")
 
-    async def lines(self, words: str) -> list[str]:
-        """The same; gives all lines."""
+    async def lines(self, arguments: str) -> list[str]:
+        """Sends an operator command; returns all lines of the reply."""
         host, _, port = self.console.rpartition(":")
         answer = b""
         with suppress(OSError, TimeoutError):
             async with asyncio.timeout(5):
                 reader, writer = await asyncio.open_connection(host, int(port))
-                writer.write(words.encode() + b"\n")
+                writer.write(arguments.encode() + b"\n")
                 answer = await reader.read()
                 writer.close()
         return answer.decode().split("\n")
 
-    async def ready(self, within: float = START_WITHIN) -> bool:
-        """Waits for a yes to HEALTH."""
+    async def ready(self, timeout_s: float = START_TIMEOUT_S) -> bool:
+        """Waits until HEALTH reports OK; returns False if the process exits or `within` seconds pass."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + within
+        end = loop.time() + timeout_s
         while loop.time() < end and self.running:
             if await self.call("HEALTH") == "+OK":
                 self.events.write(EventKind.READY, of=self.name, number=self.incarnation, address=self.listen)
--- a/applehub/lab/fleet/relay.py
+++ b/applehub/lab/fleet/relay.py
@@ -1,9 +1,8 @@
-"""The relay in front of every TCP edge: it carries bytes, and spoils what a rule tells it to spoil.
+"""The relay of all edges: forwards bytes and datagrams, and applies the rules of active faults.
 
-Each edge listens at an address that its source alone uses, and dials its target from an address of that
-source, so a server knows which router speaks. As on real machines, a target that is down refuses connections,
-and a silent edge lets none come up: its listener's queue is kept full, so that the system drops what asks to
-connect."""
+Each edge listens at an address used only by its source, and connects to its target from an address of that
+source, by which a server identifies the router. An edge to a target that is down refuses connections. On a
+silent edge connections time out: its accept queue is kept full, so that the kernel drops SYN packets."""
 
 import asyncio
 import random
@@ -19,83 +18,83 @@
 from applehub.lab.fleet.rule import Rule
 from applehub.node.discovery import read_endpoint
 
-QUEUE = 512
-AT_ONCE = struct.pack("ii", 1, 0)  # SO_LINGER: the close is a reset
+BACKLOG = 512
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER value: close sends a reset
 
 
-class Half(asyncio.Protocol):
-    """One of the two connections that the relay holds for one of an edge."""
+class RelayedConnection(asyncio.Protocol):
+    """One of the two connections of a relayed connection: to the source or to the target."""
 
     def __init__(self, edge: "Edge", back: bool) -> None:
-        self.edge, self.back = edge, back  # back: what comes in here goes back to the source
+        self.edge, self.back = edge, back  # back: whether this one receives response data
         self.transport: asyncio.Transport | None = None
-        self.other: Half | None = None
-        self.early = bytearray()  # came before the other half was up
-        self.queue: deque[tuple[float, bytes]] = deque()  # when it is due, and what; empty: the end
+        self.other: RelayedConnection | None = None
+        self.pending = bytearray()  # data received before the other half is connected
+        self.queue: deque[tuple[float, bytes]] = deque()  # due time and data; empty: end of stream
         self.timer: asyncio.TimerHandle | None = None
-        self.carried = 0
-        self.ended = False  # the end of what comes in here was passed on
-        self.hung = False  # nothing is carried any more
+        self.forwarded_bytes = 0
+        self.ended = False  # the end of stream was forwarded
+        self.hung = False  # no data is forwarded any more
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.edge.halves[self] = None
-        self.hush()
+        self.edge.connections[self] = None
+        self.update_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self.edge.halves.pop(self, None)
+        self.edge.connections.pop(self, None)
         if self.other is not None and self.other.transport is not None:
             if exc is not None:
-                self.other.break_off()
+                self.other.abort_with_reset()
             else:
-                self._carry(b"")
+                self._forward(b"")
 
     def data_received(self, data: bytes) -> None:
         if self.other is None:
-            self.early += data
+            self.pending += data
         else:
-            self._carry(data)
+            self._forward(data)
 
     def eof_received(self) -> bool:
-        self._carry(b"")
-        return True  # the other direction stays open
+        self._forward(b"")
+        return True  # keeps the other direction open
 
-    def join(self, other: "Half") -> None:
+    def join(self, other: "RelayedConnection") -> None:
         self.other = other
-        if self.early:
-            self._carry(bytes(self.early))
-            self.early.clear()
+        if self.pending:
+            self._forward(bytes(self.pending))
+            self.pending.clear()
 
-    def hush(self) -> None:
-        """Reads or leaves unread, as the edge's rules have it."""
+    def update_reading(self) -> None:
+        """Pauses or resumes reading according to the rules of the edge."""
         if self.transport is None or self.transport.is_closing():
             return
         silent = self.hung or any(
-            rule.kind == "silent" and rule.strikes(self.back) for rule in self.edge.rules.values()
+            rule.kind == "silent" and rule.applies_to(self.back) for rule in self.edge.rules.values()
         )
         if silent and self.transport.is_reading():
             self.transport.pause_reading()
         elif not silent and not self.transport.is_reading():
             self.transport.resume_reading()
 
-    def break_off(self) -> None:
+    def abort_with_reset(self) -> None:
         """Resets the connection."""
         if self.transport is not None:
-            kept = self.transport.get_extra_info("socket")
-            kept.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, AT_ONCE)
+            sock = self.transport.get_extra_info("socket")
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             self.transport.abort()
 
-    def _carry(self, data: bytes) -> None:
+    def _forward(self, data: bytes) -> None:
         now, due = self.edge.loop.time(), 0.0
         size = 0
         for rule in self.edge.rules.values():
-            if rule.kind == "delay" and rule.strikes(self.back):
+            if rule.kind == "delay" and rule.applies_to(self.back):
                 due = max(due, now + (rule.ms + rule.jitter_ms * self.edge.random.random()) / 1000)
             elif rule.kind == "cut" and self.back and data:
-                self.carried += len(data)
-                if self.carried > rule.bytes:
-                    data = data[: max(0, len(data) - (self.carried - rule.bytes))]
+                self.forwarded_bytes += len(data)
+                if self.forwarded_bytes > rule.bytes:
+                    data = data[: max(0, len(data) - (self.forwarded_bytes - rule.bytes))]
                     self._write(data)
                     self.edge.reset([self])
                     return
@@ -141,17 +140,17 @@
 
 @dataclass(eq=False)
 class Edge:
-    """One way that a source reaches a target."""
+    """The TCP connections from one source to one target."""
 
     name: str
     target: str
-    listen: str  # the address that it listens at
-    source: str  # the address that it dials from
-    upstream: tuple[str, int] | None = None  # none: the target is down
+    listen: str  # listen address
+    source: str  # local address of connections to the target
+    upstream: tuple[str, int] | None = None  # None if the target is down
     seed: int = 0
     port: int = 0
     rules: dict[int, Rule] = field(default_factory=dict)
-    halves: dict[Half, None] = field(default_factory=dict)
+    connections: dict[RelayedConnection, None] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -164,123 +163,129 @@
         self.port = self.socket.getsockname()[1]
 
     def settle(self) -> None:
-        """Brings listener and connections in line with the target and the rules."""
+        """Updates listener and connections after a change of the target or the rules."""
         silent = any(rule.kind == "silent" for rule in self.rules.values())
         if self.upstream is None and not silent:
-            self._shut()
+            self._close()
         else:
             if self.socket is None:
                 self._open()
-            self._fill() if silent else self._drain()
-        for half in list(self.halves):
-            half.hush()
+            self._block_connects() if silent else self._unblock_connects()
+        for connection in list(self.connections):
+            connection.update_reading()
 
-    def reset(self, halves: list[Half] | None = None) -> None:
-        for half in list(self.halves) if halves is None else halves:
-            for one in (half, half.other):
+    def reset(self, connections: list[RelayedConnection] | None = None) -> None:
+        for connection in list(self.connections) if connections is None else connections:
+            for one in (connection, connection.other):
                 if one is not None:
-                    one.break_off()
+                    one.abort_with_reset()
 
     def hang(self) -> None:
-        for half in self.halves:
-            half.hung = True
-            half.hush()
+        for connection in self.connections:
+            connection.hung = True
+            connection.update_reading()
 
     def _open(self) -> None:
         self.socket = socket.socket()
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.bind((self.listen, self.port))
-        self.socket.listen(QUEUE)
+        self.socket.listen(BACKLOG)
         self.socket.setblocking(False)
         self.loop.add_reader(self.socket, self._accept)
 
-    def _shut(self) -> None:
+    def _close(self) -> None:
         if self.socket is not None:
             self.loop.remove_reader(self.socket)
             self.socket.close()
             self.socket = None
 
-    def _fill(self) -> None:
+    def _block_connects(self) -> None:
         assert self.socket is not None
         if self.fillers:
             return
         self.loop.remove_reader(self.socket)
         self.socket.listen(0)
-        for _ in range(2):  # one takes the queue's only place, one waits before it
+        for _ in range(2):  # one fills the accept queue of length 1, one waits in SYN state
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex((self.listen, self.port))
             self.fillers.append(filler)
 
-    def _drain(self) -> None:
+    def _unblock_connects(self) -> None:
         assert self.socket is not None
         if self.fillers:
-            self.socket.listen(QUEUE)
+            self.socket.listen(BACKLOG)
             self.loop.add_reader(self.socket, self._accept)
 
     def _accept(self) -> None:
         assert self.socket is not None
         try:
-            taken, peer = self.socket.accept()
+            accepted, peer = self.socket.accept()
         except (BlockingIOError, ConnectionAbortedError):
             return
         if any(peer == filler.getsockname() for filler in self.fillers):
-            taken.close()
+            accepted.close()
             for filler in self.fillers:
                 filler.close()
             self.fillers.clear()
             return
-        taken.setblocking(False)
-        taken.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        task = self.loop.create_task(self._join(taken))
+        accepted.setblocking(False)
+        accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        task = self.loop.create_task(self._join(accepted))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _join(self, taken: socket.socket) -> None:
-        _, near = await self.loop.connect_accepted_socket(lambda: Half(self, back=False), taken)
+    async def _join(self, accepted: socket.socket) -> None:
+        _, source_side = await self.loop.connect_accepted_socket(
+            lambda: RelayedConnection(self, back=False), accepted
+        )
         try:
             if self.upstream is None:
                 raise ConnectionRefusedError
-            _, far = await self.loop.create_connection(
-                lambda: Half(self, back=True), *self.upstream, local_addr=(self.source, 0)
+            _, target_side = await self.loop.create_connection(
+                lambda: RelayedConnection(self, back=True), *self.upstream, local_addr=(self.source, 0)
             )
         except OSError:
-            near.break_off()
+            source_side.abort_with_reset()
             return
-        far.join(near)
-        near.join(far)
-        if near.transport is None:
-            far.break_off()
+        target_side.join(source_side)
+        source_side.join(target_side)
+        if source_side.transport is None:
+            target_side.abort_with_reset()
 
 
 class Relay:
-    """All edges of a play."""
+    """All edges of a run."""
 
     def __init__(self, edges: list[Edge | DatagramEdge]) -> None:
         self.edges = edges
-        for edge in self.edges:  # only now: none is given the port of one that is shut until its target is up
+        for edge in self.edges:  # after all are bound, because settle may close a listener and free its port
             edge.settle()
 
-    async def command(self, told: Json) -> Json:
-        """up, down: a target came up at an address or went down. rule, heal: by a fault's number. reset,
-        hang: now."""
-        match told["do"]:
+    async def command(self, message: Json) -> Json:
+        """Executes a command of the harness.
+
+        up, down: a target listens at an address, or is down. rule, heal: adds or removes the rule of a fault.
+        reset, hang: resets or hangs open connections."""
+        match message["do"]:
             case "up" | "down":
-                self._reach(told["target"], read_endpoint(told["address"]) if told["do"] == "up" else None)
+                self._set_target(
+                    message["target"], read_endpoint(message["address"]) if message["do"] == "up" else None
+                )
             case "rule":
-                for edge in self._named(told["edges"]):
-                    edge.rules[told["id"]] = Rule(**told["rule"])
+                for edge in self._matching_edges(message["edges"]):
+                    edge.rules[message["id"]] = Rule(**message["rule"])
                     edge.settle()
             case "heal":
                 for edge in self.edges:
-                    if edge.rules.pop(told["id"], None) is not None:
+                    if edge.rules.pop(message["id"], None) is not None:
                         edge.settle()
             case "reset" | "hang":
-                for edge in self._named(told["edges"]):
-                    (edge.reset if told["do"] == "reset" else edge.hang)()
+                for edge in self._matching_edges(message["edges"]):
+                    (edge.reset if message["do"] == "reset" else edge.hang)()
         return {}
 
-    def _reach(self, target: str, address: tuple[str, int] | None) -> None:
+    def _set_target(self, target: str, address: tuple[str, int] | None) -> None:
         for edge in self.edges:
             if edge.target == target:
                 edge.upstream = address
@@ -288,13 +293,13 @@
                     edge.reset()
                 edge.settle()
 
-    def _named(self, patterns: list[str]) -> list[Edge | DatagramEdge]:
+    def _matching_edges(self, patterns: list[str]) -> list[Edge | DatagramEdge]:
         return [edge for edge in self.edges if any(fnmatchcase(edge.name, one) for one in patterns)]
 
 
-async def begin(told: Json) -> tuple[Json, Handler]:
-    edges: list[Edge | DatagramEdge] = [Edge(**one, seed=told["seed"]) for one in told["edges"]]
-    for one in told.get("datagrams", []):
-        edges.append(await DatagramEdge.opened(**one, seed=told["seed"]))
+async def begin(message: Json) -> tuple[Json, Handler]:
+    edges: list[Edge | DatagramEdge] = [Edge(**one, seed=message["seed"]) for one in message["edges"]]
+    for one in message.get("datagrams", []):
+        edges.append(await DatagramEdge.opened(**one, seed=message["seed"]))
     relay = Relay(edges)
     return {"ports": {edge.name: f"{edge.listen}:{edge.port}" for edge in relay.edges}}, relay.command
--- a/applehub/lab/fleet/report.py
+++ b/applehub/lab/fleet/report.py
@@ -1,4 +1,4 @@
-"""Figures of a play: how requests ended, and what each fault cost."""
+"""Statistics of a run: outcomes of requests and the cost of each fault."""
 
 from dataclasses import dataclass
 
@@ -6,27 +6,27 @@
 from applehub.lab.fleet.history import History, Span
 
 SECOND = 1_000_000_000
-STEP = SECOND // 4  # of the look at the served share
-BACK_AT = 0.95  # of the share before
-BEFORE, AFTER = 5 * SECOND, 20 * SECOND  # round a fault
-ENDS = ("served", "late", "refused", "failed", "closed", "gave_up", "unreached")
+STEP = SECOND // 4  # window of the served fraction
+RECOVERY_FRACTION = 0.95  # of the served fraction before the fault
+BEFORE, AFTER = 5 * SECOND, 20 * SECOND  # windows before and after the begin of a fault
+OUTCOMES = ("served", "late", "refused", "failed", "closed", "gave_up", "unreached")
 
 
 @dataclass(slots=True)
 class Cost:
-    """What a fault cost: requests by how they ended while it struck and until service was back."""
+    """Requests by outcome, from the begin of a fault until its end and recovery."""
 
     span: Span
     requests: int
     ended: dict[str, int]
-    before: float  # served share in the time before
-    back_s: float | None  # from its begin until the share is back for good; none: not in the time looked at
+    before: float  # served fraction before the fault
+    back_s: float | None  # from its begin until lasting recovery; None if not within AFTER
 
 
-def ends_of(history: History, aim_ms: float) -> list[tuple[int, str]]:
-    """Each request: when it was asked (or not reached), and how it ended; late: served past the aim."""
-    asked: dict[str, EventRecord] = {}
-    ends: list[tuple[int, str]] = []
+def outcomes_of(history: History, objective_ms: float) -> list[tuple[int, str]]:
+    """Returns send time and outcome of each request; late means served after the latency objective."""
+    sent: dict[str, EventRecord] = {}
+    outcomes: list[tuple[int, str]] = []
     for one in history.of(
         EventKind.REQUEST_SENT,
         EventKind.REQUEST_ANSWERED,
@@ -35,39 +35,46 @@
         EventKind.CONNECT_FAILED,
     ):
         if one.event is EventKind.REQUEST_SENT:
-            asked[one.request] = one
+            sent[one.request] = one
             continue
-        how = one.fields["how"] if one.event is EventKind.REQUEST_ANSWERED else str(one.event)
-        if how == "served" and one.fields["ms"] > aim_ms:
-            how = "late"
-        first = asked.get(one.request, one)
-        ends.append((first.mono, how))
-    return sorted(ends)
+        outcome = one.fields["how"] if one.event is EventKind.REQUEST_ANSWERED else str(one.event)
+        if outcome == "served" and one.fields["ms"] > objective_ms:
+            outcome = "late"
+        first = sent.get(one.request, one)
+        outcomes.append((first.mono, outcome))
+    return sorted(outcomes)
 
 
-def share(ends: list[tuple[int, str]], begin: int, end: int) -> float | None:
-    """Of the requests asked in a time, the part that was served within the aim."""
-    within = [how for at, how in ends if begin <= at < end]
-    return sum(how == "served" for how in within) / len(within) if within else None
+def served_fraction(outcomes: list[tuple[int, str]], begin: int, end: int) -> float | None:
+    """Returns the fraction of requests sent in [begin, end) served in time; None if there are none."""
+    within = [outcome for at, outcome in outcomes if begin <= at < end]
+    return sum(outcome == "served" for outcome in within) / len(within) if within else None
 
 
-def cost(history: History, span: Span, ends: list[tuple[int, str]]) -> Cost:
-    before = share(ends, span.begin - BEFORE, span.begin)
+def cost(history: History, span: Span, outcomes: list[tuple[int, str]]) -> Cost:
+    before = served_fraction(outcomes, span.begin - BEFORE, span.begin)
     before = 1.0 if before is None else before
-    last = min(ends[-1][0] if ends else span.begin, span.begin + AFTER)
-    bad = [
+    last = min(outcomes[-1][0] if outcomes else span.begin, span.begin + AFTER)
+    degraded = [
         at for at in range(span.begin, last, STEP)
-        if (found := share(ends, at, at + STEP)) is not None and found < BACK_AT * before
+        if (fraction := served_fraction(outcomes, at, at + STEP)) is not None
+        and fraction < RECOVERY_FRACTION * before
     ]  # fmt: skip
-    back = (
-        None if bad and bad[-1] + 2 * STEP >= last else (bad[-1] + STEP - span.begin) / SECOND if bad else 0.0
+    recovery_s = (
+        None
+        if degraded and degraded[-1] + 2 * STEP >= last
+        else (degraded[-1] + STEP - span.begin) / SECOND
+        if degraded
+        else 0.0
     )
-    until = span.begin + (int((back or 0.0) * SECOND) if back is not None else last - span.begin)
+    until = span.begin + (int((recovery_s or 0.0) * SECOND) if recovery_s is not None else last - span.begin)
     until = max(until, min(span.end, last))
-    within = [how for at, how in ends if span.begin <= at < until]
-    return Cost(span, len(within), {how: within.count(how) for how in ENDS}, before, back)
+    within = [outcome for at, outcome in outcomes if span.begin <= at < until]
+    return Cost(
+        span, len(within), {outcome: within.count(outcome) for outcome in OUTCOMES}, before, recovery_s
+    )
 
 
-def totals(history: History, aim_ms: float) -> dict[str, int]:
-    found = [how for _, how in ends_of(history, aim_ms)]
-    return {how: found.count(how) for how in ENDS}
+def outcome_totals(history: History, objective_ms: float) -> dict[str, int]:
+    recorded = [outcome for _, outcome in outcomes_of(history, objective_ms)]
+    return {outcome: recorded.count(outcome) for outcome in OUTCOMES}
--- a/applehub/lab/fleet/rule.py
+++ b/applehub/lab/fleet/rule.py
@@ -1,11 +1,11 @@
-"""What one fault does to an edge of the relay."""
+"""The effect of one fault on an edge of the relay."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class Rule:
-    """A kind of plan.Link with its figures."""
+    """The kind and parameters of a `plan.Link` fault."""
 
     kind: str
     way: str = "both"
@@ -14,5 +14,5 @@
     bytes: int = 0
     part: float = 1.0
 
-    def strikes(self, back: bool) -> bool:
+    def applies_to(self, back: bool) -> bool:
         return self.way == "both" or (self.way == "back") is back
--- a/applehub/lab/fleet/servers.py
+++ b/applehub/lab/fleet/servers.py
@@ -1,5 +1,7 @@
-"""Stand-ins for cache servers and the origin, each a process of its own. They serve one request after another
-at a stated rate, refuse what their queue cannot hold, and write down what came in and how it ended."""
+"""Stand-ins for cache servers and the origin, each in its own process.
+
+They serve requests in order at a given rate, reject requests beyond the queue limit, and
+record every attempt."""
 
 import asyncio
 import os
@@ -19,114 +21,125 @@
 
 
 def class_of(info: bytes) -> str:
-    """The class that a request's list of names and values tells."""
+    """Returns the request class from the `c` field of the call info; empty if missing."""
     pairs = (one.partition(b"=") for one in info.split(b","))
     return next((value.decode() for name, _, value in pairs if name == b"c"), "")
 
 
-class Station:
-    """One server's work, in order of arrival."""
+class QueueServer:
+    """A first-in, first-out server with a fixed service rate and a queue limit."""
 
-    def __init__(self, told: Json) -> None:
+    def __init__(self, message: Json) -> None:
         self.loop = asyncio.get_running_loop()
-        self.rate, self.queue = told["rate"], told["queue"]
-        self.part, self.errors = 1.0, 0.0  # of its speed; of the requests that fail
-        self.free_at = 0.0  # when all that waits is done
-        self.failing = 0.0
-        self.worked, self.before = 0.0, (0.0, self.loop.time())  # s of work taken; and at the last look, when
+        self.rate, self.queue = message["rate"], message["queue"]
+        self.speed_fraction, self.error_fraction = (
+            1.0,
+            0.0,
+        )  # fraction of full speed; fraction of requests that fail
+        self.idle_at = 0.0  # time at which the queue is empty
+        self.failure_credit = 0.0
+        self.admitted_work, self.previous_report = (
+            0.0,
+            (0.0, self.loop.time()),
+        )  # s; work and time at last report
         self.counts = dict.fromkeys(("requests", "failed", "refused", "missed"), 0)
 
     def speed(self) -> float:
-        """Requests a second, now."""
-        return float(self.rate * self.part)
+        """Returns the current service rate in requests per second."""
+        return float(self.rate * self.speed_fraction)
 
     def waiting(self) -> float:
-        """Requests that wait or are in work."""
-        return max(0.0, self.free_at - self.loop.time()) * self.speed()
+        """Returns the number of requests in the queue or in service."""
+        return max(0.0, self.idle_at - self.loop.time()) * self.speed()
 
     def admit(self) -> float | None:
-        """When a request that comes now is done, s of the loop's clock; none: it is turned away."""
+        """Admits a request; returns its completion time on the loop's clock, or None if the queue is full."""
         self.counts["requests"] += 1
         if self.waiting() >= self.queue:
             self.counts["refused"] += 1
             return None
-        self.free_at = max(self.free_at, self.loop.time()) + 1 / self.speed()
-        self.worked += 1 / self.speed()
-        return self.free_at
-
-    def fails(self) -> bool:
-        """Whether this request fails: every so many, evenly."""
-        self.failing += self.errors
-        if self.failing >= 1:
-            self.failing -= 1
+        self.idle_at = max(self.idle_at, self.loop.time()) + 1 / self.speed()
+        self.admitted_work += 1 / self.speed()
+        return self.idle_at
+
+    def should_fail(self) -> bool:
+        """Whether this request fails; failures are spread evenly."""
+        self.failure_credit += self.error_fraction
+        if self.failure_credit >= 1:
+            self.failure_credit -= 1
             self.counts["failed"] += 1
             return True
         return False
 
-    async def command(self, told: Json) -> Json:
-        match told["do"]:
+    async def command(self, message: Json) -> Json:
+        match message["do"]:
             case "errors":
-                self.errors = told["part"]
+                self.error_fraction = message["part"]
             case "crawl":
-                self.part = told["part"]
+                self.speed_fraction = message["part"]
             case "figures":
-                return self.figures()
+                return self.statistics()
         return {}
 
-    def figures(self) -> Json:
-        """Counts since the start; what waits; the part of its time that work took since the last look."""
-        worked, looked = self.before
-        self.before = self.worked, self.loop.time()
-        busy = min(1.0, (self.worked - worked) / max(0.001, self.before[1] - looked))
-        return {**self.counts, "waiting": self.waiting(), "work_s": self.worked, "busy": busy}
-
-
-class Cache(Station):
-    """A cache server that was started cold: its speed rises evenly from a part to the whole."""
-
-    def __init__(self, told: Json, events: EventWriter) -> None:
-        super().__init__(told)
-        self.told, self.events, self.name = told, events, told["name"]
-        self.sources: dict[str, str] = told["sources"]
-        self.bad, part = told.get("bad", ""), told.get("part", 0.0)  # how its version is worse
-        self.errors = part if self.bad == "errors" else 0.0
-        self.part = part if self.bad == "crawls" else 1.0
-        self.value = b"v" * told["value"]
-        self.kept: dict[bytes, None] = {}
-        self.missed: dict[bytes, bytes] = {}  # by request, the key that was lacking
-        self.began = self.loop.time() - (0 if told["cold"] else told["ramp_s"])
-        self.sent: deque[float] = deque()  # while cold: when requests came, within a window
-        self.fallen = False
+    def statistics(self) -> Json:
+        """Returns counts since the start, the queue length, and the utilisation since the previous call."""
+        admitted_work, reported_at = self.previous_report
+        self.previous_report = self.admitted_work, self.loop.time()
+        busy = min(
+            1.0, (self.admitted_work - admitted_work) / max(0.001, self.previous_report[1] - reported_at)
+        )
+        return {**self.counts, "waiting": self.waiting(), "work_s": self.admitted_work, "busy": busy}
+
+
+class Cache(QueueServer):
+    """A cache server; after a cold start its speed rises linearly from `cold_from` to full speed."""
+
+    def __init__(self, message: Json, events: EventWriter) -> None:
+        super().__init__(message)
+        self.options, self.events, self.name = message, events, message["name"]
+        self.sources: dict[str, str] = message["sources"]
+        self.bad_version, part = (
+            message.get("bad", ""),
+            message.get("part", 0.0),
+        )  # kind of bad version, see plan.BAD
+        self.error_fraction = part if self.bad_version == "errors" else 0.0
+        self.speed_fraction = part if self.bad_version == "crawls" else 1.0
+        self.value = b"v" * message["value"]
+        self.cached: dict[bytes, None] = {}
+        self.missed: dict[bytes, bytes] = {}  # missed key, by request
+        self.started_at = self.loop.time() - (0 if message["cold"] else message["ramp_s"])
+        self.arrivals: deque[float] = deque()  # arrival times within the window, while warming up
+        self.overloaded = False
 
     def speed(self) -> float:
-        told = self.told
-        warm = min(1.0, (self.loop.time() - self.began) / told["ramp_s"])
-        return super().speed() * float(told["cold_from"] + (1 - told["cold_from"]) * warm)
+        options = self.options
+        warm = min(1.0, (self.loop.time() - self.started_at) / options["ramp_s"])
+        return super().speed() * float(options["cold_from"] + (1 - options["cold_from"]) * warm)
 
-    def count(self) -> None:
-        """Counts a request while the server is cold, and lets it fall if a window holds too many.
+    def count_arrival(self) -> None:
+        """Counts a request during warm-up, and fails the server if the window holds too many.
 
-        The bound is `tip_multiple` times what the server can do at its present speed within `fall_s`.
+        The limit is `tip_multiple` times what the server can serve at its current speed within `fall_s`.
         """
-        now, told = self.loop.time(), self.told
-        if now - self.began >= told["ramp_s"] or self.fallen:
+        now, options = self.loop.time(), self.options
+        if now - self.started_at >= options["ramp_s"] or self.overloaded:
             return
-        self.sent.append(now)
-        while self.sent[0] < now - told["fall_s"]:
-            self.sent.popleft()
-        bears = told["tip_multiple"] * self.speed() / self.part * told["fall_s"]
-        if len(self.sent) > 1.1 * bears + 3:  # a little slack for chance
-            self.fallen = True
+        self.arrivals.append(now)
+        while self.arrivals[0] < now - options["fall_s"]:
+            self.arrivals.popleft()
+        limit = options["tip_multiple"] * self.speed() / self.speed_fraction * options["fall_s"]
+        if len(self.arrivals) > 1.1 * limit + 3:  # tolerance for random variation
+            self.overloaded = True
             self.events.write(
-                EventKind.SERVER_OVERLOADED, server=self.name, sent=len(self.sent), bears=round(bears, 1)
+                EventKind.SERVER_OVERLOADED, server=self.name, sent=len(self.arrivals), bears=round(limit, 1)
             )
 
     def report(self) -> bytes:
-        return b"backlog=%d,errors_per_s=%.3f,x0=0.9" % (self.waiting(), self.errors * 10)
+        return b"backlog=%d,errors_per_s=%.3f,x0=0.9" % (self.waiting(), self.error_fraction * 10)
 
 
-class CachePeer(asyncio.Protocol):
-    """A connection to a cache server; answers come in the order of the commands."""
+class CacheConnection(asyncio.Protocol):
+    """A connection to a cache server."""
 
     def __init__(self, cache: Cache) -> None:
         self.cache, self.reader = cache, hiredis.Reader()
@@ -137,7 +150,7 @@
         self.transport = cast(asyncio.Transport, transport)
         address = transport.get_extra_info("peername")[0]
         self.router = self.cache.sources.get(address, "")
-        if self.cache.fallen:
+        if self.cache.overloaded:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -145,116 +158,118 @@
 
     def data_received(self, data: bytes) -> None:
         self.reader.feed(data)
-        while (words := self.reader.gets()) is not False:
-            self._take(words)
+        while (arguments := self.reader.gets()) is not False:
+            self._handle(arguments)
 
-    def _take(self, words: object) -> None:
+    def _handle(self, arguments: object) -> None:
         cache = self.cache
-        if not isinstance(words, list) or len(words) < 3:
-            self._answer(b"-SYNTAX\r\n")
-        elif words[0] == b"X.STORE":  # from the origin: it has answered this request
-            key = cache.missed.pop(words[2], None)
-            if key is not None and key == words[1]:
-                cache.kept[key] = None
-        elif words[0] == b"X.DROP":
-            cache.kept.pop(words[1], None)
-        elif words[0] in (b"C.GET", b"C.SET") and len(words) > 3 and self.transport is not None:
-            self._request(words)
+        if not isinstance(arguments, list) or len(arguments) < 3:
+            self._reply(b"-SYNTAX\r\n")
+        elif arguments[0] == b"X.STORE":  # sent by the origin after it served this request
+            key = cache.missed.pop(arguments[2], None)
+            if key is not None and key == arguments[1]:
+                cache.cached[key] = None
+        elif arguments[0] == b"X.DROP":
+            cache.cached.pop(arguments[1], None)
+        elif arguments[0] in (b"C.GET", b"C.SET") and len(arguments) > 3 and self.transport is not None:
+            self._request(arguments)
         else:
-            self._answer(b"-SYNTAX\r\n")
+            self._reply(b"-SYNTAX\r\n")
 
-    def _request(self, words: list[bytes]) -> None:
-        cache, name = self.cache, words[2].decode()
-        if cache.bad == "mute":
+    def _request(self, arguments: list[bytes]) -> None:
+        cache, name = self.cache, arguments[2].decode()
+        if cache.bad_version == "mute":
             os.kill(os.getpid(), signal.SIGSTOP)
-        who = {"request": name, "router": self.router, "server": cache.name}
-        cache.events.write(EventKind.ATTEMPT_BEGUN, **who, cls=class_of(words[3]))
-        cache.count()
-        done = cache.admit() if not cache.fallen else None
+        event_fields = {"request": name, "router": self.router, "server": cache.name}
+        cache.events.write(EventKind.ATTEMPT_BEGUN, **event_fields, cls=class_of(arguments[3]))
+        cache.count_arrival()
+        done = cache.admit() if not cache.overloaded else None
         if done is None:
-            cache.events.write(EventKind.ATTEMPT_ENDED, **who, how="full")
-            self._answer(b"-BUSY " + cache.report() + b"\r\n")
+            cache.events.write(EventKind.ATTEMPT_ENDED, **event_fields, how="full")
+            self._reply(b"-BUSY " + cache.report() + b"\r\n")
         else:
-            cache.loop.call_at(done, self._done, words, who)
+            cache.loop.call_at(done, self._complete, arguments, event_fields)
 
-    def _done(self, words: list[bytes], who: dict[str, str]) -> None:
-        cache, key = self.cache, words[1]
+    def _complete(self, arguments: list[bytes], event_fields: dict[str, str]) -> None:
+        cache, key = self.cache, arguments[1]
         if self.transport is None:
-            cache.events.write(EventKind.ATTEMPT_ENDED, **who, how="left")
-        elif cache.fails():
-            cache.events.write(EventKind.ATTEMPT_ENDED, **who, how="failed")
-            self._answer(b"-ERR failed " + cache.report() + b"\r\n")
-        elif words[0] == b"C.GET" and key in cache.kept and cache.bad != "forgets":
-            cache.events.write(EventKind.ATTEMPT_ENDED, **who, how="hit")
-            self._answer(b"*3\r\n" + bulk(cache.value) + bulk(b"hit") + bulk(cache.report()))
+            cache.events.write(EventKind.ATTEMPT_ENDED, **event_fields, how="left")
+        elif cache.should_fail():
+            cache.events.write(EventKind.ATTEMPT_ENDED, **event_fields, how="failed")
+            self._reply(b"-ERR failed " + cache.report() + b"\r\n")
+        elif arguments[0] == b"C.GET" and key in cache.cached and cache.bad_version != "forgets":
+            cache.events.write(EventKind.ATTEMPT_ENDED, **event_fields, how="hit")
+            self._reply(b"*3\r\n" + bulk(cache.value) + bulk(b"hit") + bulk(cache.report()))
         else:
-            cache.missed[words[2]] = key
+            cache.missed[arguments[2]] = key
             cache.counts["missed"] += 1
             if len(cache.missed) > 10_000:
                 del cache.missed[next(iter(cache.missed))]
-            cache.events.write(EventKind.ATTEMPT_ENDED, **who, how="miss")
-            self._answer(b"*3\r\n$-1\r\n" + bulk(b"miss") + bulk(cache.report()))
+            cache.events.write(EventKind.ATTEMPT_ENDED, **event_fields, how="miss")
+            self._reply(b"*3\r\n$-1\r\n" + bulk(b"miss") + bulk(cache.report()))
 
-    def _answer(self, answer: bytes) -> None:
+    def _reply(self, answer: bytes) -> None:
         if self.transport is not None:
             self.transport.write(answer)
 
 
-class Origin(Station):
-    """The origin; it tells the cache servers what to keep and what to drop, on connections of its own."""
+class Origin(QueueServer):
+    """The origin; it sends the cache servers values to store and keys to drop over its own connections."""
 
-    def __init__(self, told: Json, events: EventWriter) -> None:
-        super().__init__(told)
-        self.events, self.sources = events, told["sources"]
-        self.wait, self.value = told["ms"] / 1000, b"v" * told["value"]
+    def __init__(self, message: Json, events: EventWriter) -> None:
+        super().__init__(message)
+        self.events, self.sources = events, message["sources"]
+        self.delay, self.value = message["ms"] / 1000, b"v" * message["value"]
         self.caches: dict[str, asyncio.StreamWriter] = {}
 
-    async def command(self, told: Json) -> Json:
-        if told["do"] == "cache":  # one that came up
-            _, writer = await asyncio.open_connection(*read_endpoint(told["address"]))
-            self.caches[told["name"]] = writer
-        return await super().command(told)
+    async def command(self, message: Json) -> Json:
+        if message["do"] == "cache":  # a cache server has started
+            _, writer = await asyncio.open_connection(*read_endpoint(message["address"]))
+            self.caches[message["name"]] = writer
+        return await super().command(message)
 
-    def tell(self, words: bytes) -> None:
+    def broadcast(self, payload: bytes) -> None:
         for writer in self.caches.values():
             if not writer.is_closing():
-                writer.write(words)
+                writer.write(payload)
 
     async def answer(self, address: str, request: h11.Request) -> Reply:
         headers = dict(request.headers)
         name, key = headers[b"x-call-id"], request.target[1:]
-        who = {"request": name.decode(), "router": self.sources.get(address, ""), "server": "origin"}
-        self.events.write(EventKind.ATTEMPT_BEGUN, **who, cls=class_of(headers.get(b"x-call-info", b"")))
+        event_fields = {"request": name.decode(), "router": self.sources.get(address, ""), "server": "origin"}
+        self.events.write(
+            EventKind.ATTEMPT_BEGUN, **event_fields, cls=class_of(headers.get(b"x-call-info", b""))
+        )
         done = self.admit()
         if done is None:
-            self.events.write(EventKind.ATTEMPT_ENDED, **who, how="rejected")
+            self.events.write(EventKind.ATTEMPT_ENDED, **event_fields, how="rejected")
             return Reply(503, b"", (("X-Rejected", "1"),))
-        failed = self.fails()
+        failed = self.should_fail()
         if request.method == b"PUT" and not failed:
-            self.tell(command(b"X.DROP", key, name))
+            self.broadcast(command(b"X.DROP", key, name))
         try:
-            await asyncio.sleep(done - self.loop.time() + self.wait)
+            await asyncio.sleep(done - self.loop.time() + self.delay)
         except asyncio.CancelledError:
-            self.events.write(EventKind.ATTEMPT_ENDED, **who, how="left")
+            self.events.write(EventKind.ATTEMPT_ENDED, **event_fields, how="left")
             raise
-        self.events.write(EventKind.ATTEMPT_ENDED, **who, how="failed" if failed else "ok")
+        self.events.write(EventKind.ATTEMPT_ENDED, **event_fields, how="failed" if failed else "ok")
         if failed:
             return Reply(500, b"")
         if request.method != b"PUT":
-            self.tell(command(b"X.STORE", key, name))
+            self.broadcast(command(b"X.STORE", key, name))
         return Reply(200, b"stored" if request.method == b"PUT" else self.value)
 
 
-async def begin(told: Json) -> tuple[Json, Handler]:
-    """Starts a cache server or the origin, as told."""
-    events = EventWriter(Path(told["events"]), told["name"], told["incarnation"])
+async def begin(message: Json) -> tuple[Json, Handler]:
+    """Starts a cache server or the origin, according to the role in the first message."""
+    events = EventWriter(Path(message["events"]), message["name"], message["incarnation"])
     loop = asyncio.get_running_loop()
-    if told["role"] == "cache":
-        cache = Cache(told, events)
-        server = await loop.create_server(lambda: CachePeer(cache), "127.0.0.1", 0, backlog=512)
+    if message["role"] == "cache":
+        cache = Cache(message, events)
+        server = await loop.create_server(lambda: CacheConnection(cache), "127.0.0.1", 0, backlog=512)
         handler: Handler = cache.command
     else:
-        origin = Origin(told, events)
+        origin = Origin(message, events)
         server = await loop.create_server(lambda: addressed(origin.answer), "127.0.0.1", 0, backlog=512)
         handler = origin.command
     return {"address": f"127.0.0.1:{server.sockets[0].getsockname()[1]}"}, handler
--- a/applehub/lab/fleet/standin.py
+++ b/applehub/lab/fleet/standin.py
@@ -1,4 +1,4 @@
-"""One of the ground's own processes, by its role: `python -m applehub.lab.fleet.standin ROLE`."""
+"""Runs a stand-in process of the test harness: `python -m applehub.lab.fleet.standin ROLE`."""
 
 import asyncio
 import sys
@@ -6,7 +6,9 @@
 
 from applehub.lab.fleet.control import serve
 
-ROLES = {"relay": "relay", "cache": "servers", "origin": "servers", "list": "listing", "clients": "clients"}
+MODULES_BY_ROLE = {
+    "relay": "relay", "cache": "servers", "origin": "servers", "list": "listing", "clients": "clients",
+}  # fmt: skip
 
 if __name__ == "__main__":
-    asyncio.run(serve(import_module(f"applehub.lab.fleet.{ROLES[sys.argv[1]]}").begin))
+    asyncio.run(serve(import_module(f"applehub.lab.fleet.{MODULES_BY_ROLE[sys.argv[1]]}").begin))
--- a/applehub/lab/fleet/triggers.py
+++ b/applehub/lab/fleet/triggers.py
@@ -1,5 +1,4 @@
-"""Waiting on events: reads what all processes write as they write it, and tells when what a plan waits for
-has come."""
+"""Waits for the trigger events of a plan by following the events files of all processes."""
 
 import asyncio
 from dataclasses import dataclass
@@ -10,58 +9,58 @@
 from applehub.lab.fleet.history import files
 from applehub.lab.fleet.plan import Trigger
 
-LOOK = 0.02  # s between looks at the files
+POLL_PERIOD_S = 0.02
 
 
 @dataclass(eq=False)
-class _Armed:
+class _Waiter:
     trigger: Trigger
-    left: int
-    met: asyncio.Event
+    remaining: int
+    fired: asyncio.Event
 
 
-class Tail:
-    """Follows every events file below a folder."""
+class EventFollower:
+    """Follows all events files in a folder tree."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.read: dict[Path, int] = {}
-        self.armed: list[_Armed] = []
+        self.offsets: dict[Path, int] = {}
+        self.waiters: list[_Waiter] = []
         self.task: asyncio.Task[None] | None = None
 
     async def wait(self, trigger: Trigger) -> None:
-        """Returns once as many such events as wanted have come, from now on."""
-        self.look()  # what has come already counts for none
-        armed = _Armed(trigger, trigger.count, asyncio.Event())
-        self.armed.append(armed)
+        """Waits until `trigger.count` matching events have been written after this call."""
+        self.read_new_events()  # skips events that are already written
+        waiter = _Waiter(trigger, trigger.count, asyncio.Event())
+        self.waiters.append(waiter)
         if self.task is None or self.task.done():
             self.task = asyncio.get_running_loop().create_task(self._follow())
         try:
-            await armed.met.wait()
+            await waiter.fired.wait()
         finally:
-            self.armed.remove(armed)
+            self.waiters.remove(waiter)
 
     async def _follow(self) -> None:
-        while self.armed:
-            await asyncio.sleep(LOOK)
-            self.look()
+        while self.waiters:
+            await asyncio.sleep(POLL_PERIOD_S)
+            self.read_new_events()
 
-    def look(self) -> None:
+    def read_new_events(self) -> None:
         for path in files(self.folder):
-            lines = complete_lines(path, self.read.get(path, 0))
-            self.read[path] = self.read.get(path, 0) + sum(map(len, lines))
-            if self.armed:
+            lines = complete_lines(path, self.offsets.get(path, 0))
+            self.offsets[path] = self.offsets.get(path, 0) + sum(map(len, lines))
+            if self.waiters:
                 for line in lines:
-                    self._offer(parse_event(line))
+                    self._match(parse_event(line))
 
-    def _offer(self, record: EventRecord) -> None:
-        for armed in self.armed:
-            wanted = armed.trigger
+    def _match(self, record: EventRecord) -> None:
+        for waiter in self.waiters:
+            wanted = waiter.trigger
             if (
                 record.event is wanted.event
                 and fnmatchcase(record.process, wanted.process)
                 and all(record.fields.get(name) == value for name, value in wanted.match.items())
             ):
-                armed.left -= 1
-                if armed.left <= 0:
-                    armed.met.set()
+                waiter.remaining -= 1
+                if waiter.remaining <= 0:
+                    waiter.fired.set()
