--- a/applehub/lab/fleet/clients.py
+++ b/applehub/lab/fleet/clients.py
@@ -236,9 +236,8 @@
         self.count += 1
         up = [router for router in self.routers if router.up and not router.draining]
         router = (up or self.routers)[self.draws.below(len(up or self.routers))]
-        key = b"key-%d" % int(
-            self.options["keys"] ** self.draws.uniform()
-        )  # Zipf distribution: p(rank) ~ 1 / rank
+        # Keys have a Zipf distribution: p(rank) ~ 1 / rank.
+        key = b"key-%d" % int(self.options["keys"] ** self.draws.uniform())
         kind, name = self.draws.uniform(), b"%016x" % (self.count + (self.options["seed"] << 40))
         info = b"d=%d" % self.wait_ms
         if kind < self.options["puts"]:
--- a/applehub/lab/fleet/commands.py
+++ b/applehub/lab/fleet/commands.py
@@ -52,7 +52,9 @@
 @click.option("--routers", type=click.IntRange(1, 60), default=20, help="Routers of a random plan.")
 @click.option("--caches", type=click.IntRange(1, 60), default=20, help="Caches of a random plan.")
 @click.option("--faults", type=click.IntRange(0, 200), default=30, help="Faults of a random plan.")
-@click.option("--seconds", type=click.FloatRange(1, 3600), default=60.0, help="Load of a random plan, s.")
+@click.option(
+    "--seconds", type=click.FloatRange(1, 3600), default=60.0, help="Seconds of load in a random plan."
+)
 @click.option(
     "--rate", type=click.FloatRange(1, 5000), default=300.0, help="Requests per second of a random plan."
 )
@@ -68,7 +70,7 @@
     default=0.0,
     help="Fraction of clients that leave, in a random plan.",
 )
-@click.option("--peers", is_flag=True, help="Routers gossip; faults between them.")
+@click.option("--peers", is_flag=True, help="Routers gossip with each other; half of the faults affect that.")
 @click.option(
     "--variant", type=click.Choice(sorted(VARIANTS)), help="Runs a known-bad variant of the router."
 )
@@ -216,19 +218,19 @@
     await wait_for_all([one(number, seed) for number, seed in pending])
 
 
-def row(name: str, plays: list[Json]) -> str:
+def row(name: str, results: list[Json]) -> str:
     """Returns a row of the table: means over runs, and the range of recovery times."""
 
     def mean(*keys: str) -> str:
-        return f"{sum(one[key] for one in plays for key in keys) / len(plays):.1f}"
+        return f"{sum(one[key] for one in results for key in keys) / len(results):.1f}"
 
-    recovery_times = sorted(one["back_s"] for one in plays if one["back_s"] is not None)
+    recovery_times = sorted(one["back_s"] for one in results if one["back_s"] is not None)
     back = "-" if not recovery_times else f"{recovery_times[0]:.2f} to {recovery_times[-1]:.2f}"
-    if len(recovery_times) < len(plays):
-        back += f", {len(plays) - len(recovery_times)} not"
-    broken = ", ".join(sorted({check for one in plays for check in one["broken"]})) or "none"
+    if len(recovery_times) < len(results):
+        back += f", {len(results) - len(recovery_times)} not"
+    broken = ", ".join(sorted({check for one in results for check in one["broken"]})) or "none"
     lost = mean("closed", "gave_up", "unreached")
-    cells = [name, str(len(plays)), lost, mean("refused"), mean("failed"), mean("late"), mean("requests")]
+    cells = [name, str(len(results)), lost, mean("refused"), mean("failed"), mean("late"), mean("requests")]
     return f"| {' | '.join(cells)} | {back} | {broken} |"
 
 
--- a/applehub/lab/fleet/plan.py
+++ b/applehub/lab/fleet/plan.py
@@ -91,7 +91,7 @@
 
 
 class Release(Table):
-    """A release by the release controller during the load; `bad` is a key of BAD."""
+    """A release by the release controller during the load; `bad` is a key of BAD_VERSION_COMPONENTS."""
 
     what: Literal["servers", "routers", "configuration"]
     bad: Literal["", *BAD_VERSION_COMPONENTS] = ""  # type: ignore[valid-type]  # keys of the table
--- a/applehub/lab/fleet/processes.py
+++ b/applehub/lab/fleet/processes.py
@@ -178,7 +178,7 @@
             await self.kill()
 
     async def ask(self, message: Json) -> Json:
-        """Sends a command and returns the reply. Raises LiveError if the process has ended."""
+        """Sends a command and returns the reply. Raises LiveError if none comes."""
         process = self.process
         assert process is not None and process.stdin is not None and process.stdout is not None
         async with self.lock:
@@ -189,7 +189,7 @@
                 line = await asyncio.wait_for(process.stdout.readline(), START_TIMEOUT_S)
         if not line:
             log_tail = (self.folder / "stderr.log").read_text()[-800:]
-            raise LiveError(f"{self.name} exited before its reply: {log_tail}")
+            raise LiveError(f"{self.name} did not reply: {log_tail}")
         answer: Json = orjson.loads(line)
         return answer
 
--- a/applehub/lab/fleet/servers.py
+++ b/applehub/lab/fleet/servers.py
@@ -1,7 +1,7 @@
 """Stand-ins for cache servers and the origin, each in its own process.
 
-They serve requests in order at a given rate, reject requests beyond the queue limit, and
-record every attempt."""
+They serve requests in order at a given rate, reject requests beyond the queue limit, and record
+every attempt."""
 
 import asyncio
 import os
@@ -32,16 +32,12 @@
     def __init__(self, message: Json) -> None:
         self.loop = asyncio.get_running_loop()
         self.rate, self.queue = message["rate"], message["queue"]
-        self.speed_fraction, self.error_fraction = (
-            1.0,
-            0.0,
-        )  # fraction of full speed; fraction of requests that fail
+        # Fraction of full speed, and fraction of requests that fail.
+        self.speed_fraction, self.error_fraction = 1.0, 0.0
         self.idle_at = 0.0  # time at which the queue is empty
         self.failure_credit = 0.0
-        self.admitted_work, self.previous_report = (
-            0.0,
-            (0.0, self.loop.time()),
-        )  # s; work and time at last report
+        # Admitted work in seconds of service time; the same and the time at the previous report.
+        self.admitted_work, self.previous_report = 0.0, (0.0, self.loop.time())
         self.counts = dict.fromkeys(("requests", "failed", "refused", "missed"), 0)
 
     def speed(self) -> float:
@@ -98,10 +94,8 @@
         super().__init__(message)
         self.options, self.events, self.name = message, events, message["name"]
         self.sources: dict[str, str] = message["sources"]
-        self.bad_version, part = (
-            message.get("bad", ""),
-            message.get("part", 0.0),
-        )  # kind of bad version, see plan.BAD
+        # The kind of bad version is a key of plan.BAD_VERSION_COMPONENTS.
+        self.bad_version, part = message.get("bad", ""), message.get("part", 0.0)
         self.error_fraction = part if self.bad_version == "errors" else 0.0
         self.speed_fraction = part if self.bad_version == "crawls" else 1.0
         self.value = b"v" * message["value"]
