--- a/applehub/lab/fleet/checks.py
+++ b/applehub/lab/fleet/checks.py
@@ -1,463 +1,559 @@
-"""What must hold over a whole play. Each check reads the history and gives what breaks its rule, each with
-the events that show it and the faults of that time. A fault excuses what the rules let it excuse, and no
-more."""
+"""Checks of the invariants that hold over a whole run.
+
+Each check reads the history and yields its violations, each with the events that show it and the faults of
+that time. A fault excuses only what the rules allow it to excuse."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
 from applehub.events import EventKind, EventRecord
-from applehub.lab.fleet.history import History, Span
+from applehub.lab.fleet.history import FaultInterval, History
 from applehub.lab.fleet.plan import NEW, OLD, Plan
 from applehub.peers.records import RETENTION, type_name
 
-MILLI = 1_000_000
-MOST_SHOWN = 14  # events of one broken rule
-ENDS = (
+NS_PER_MS = 1_000_000
+MAX_EVENTS_SHOWN = 14
+REQUEST_END_EVENTS = (
     EventKind.REQUEST_ANSWERED,
     EventKind.CLOSED_UNANSWERED,
     EventKind.REQUEST_TIMED_OUT,
     EventKind.CONNECT_FAILED,
     EventKind.CLIENT_LEFT,
 )
-# Faults under which the platform takes a request of that router for lost without the router's doing.
-LOSES = frozenset({"kill", "power", "stop", "slow", "bad"})
-ENDS_IT = frozenset({"kill", "power", "bad"})  # of these, those that may end a router's process
-LOSES_ON_EDGE = frozenset({"silent", "hang", "reset", "cut", "delay", "rate"})
-SLOWS = frozenset({"silent", "delay", "rate", "pieces", "stop", "slow"})  # what holds up what is under way
-CATCH_UP = 500 * MILLI  # after a fault's end, until what it held up has been read
-NEVER_RAN = frozenset({"full", "rejected", "miss"})
-LISTS = ("list", "list-0", "list-1", "list-2")  # the stand-in, or replicas of the list service
-HUNG = 6000 * MILLI  # until what a connection that hangs has missed counts as told all the same
-GRACE = 700 * MILLI  # after SIGTERM, in which what comes is still owed an answer
-ATTEMPTS = 4
+# Faults of a router's process that excuse an unanswered request.
+PROCESS_FAULTS_LOSING_REQUESTS = frozenset({"kill", "power", "stop", "slow", "bad"})
+PROCESS_ENDING_FAULTS = frozenset({"kill", "power", "bad"})
+EDGE_FAULTS_LOSING_REQUESTS = frozenset({"silent", "hang", "reset", "cut", "delay", "rate"})
+DELAYING_FAULTS = frozenset({"silent", "delay", "rate", "pieces", "stop", "slow"})
+CATCH_UP_NS = 500 * NS_PER_MS  # after a fault's end, until the data that it delayed has been read
+NOT_EXECUTED_OUTCOMES = frozenset({"full", "rejected", "miss"})
+LIST_SERVICES = ("list", "list-0", "list-1", "list-2")  # the stand-in, or replicas of the list service
+HANG_DETECTION_NS = 6000 * NS_PER_MS  # after which a message lost on a hung connection counts as delivered
+TERM_GRACE_NS = 700 * NS_PER_MS  # after SIGTERM, during which new requests must still be answered
+MAX_ATTEMPTS = 4
 
 
 @dataclass(slots=True)
-class Broken:
-    """A rule that was broken: what happened, and the events that show it."""
+class Violation:
+    """A violation of an invariant, with the events that show it."""
 
     check: str
     what: str
-    shown: list[EventRecord]
+    events: list[EventRecord]
 
     def text(self, history: History) -> str:
-        """For people: the faults in it among the events, in order; times from the load's begin."""
-        first, last = self.shown[0].mono, self.shown[-1].mono
-        spans = [
-            one for one in history.of(EventKind.FAULT_BEGUN, EventKind.FAULT_ENDED)
-            if first - 2000 * MILLI <= one.mono <= last
+        """Formats the violation and the faults around it in time order; times are relative to the first event."""
+        first, last = self.events[0].mono, self.events[-1].mono
+        fault_events = [
+            record for record in history.events_of(EventKind.FAULT_BEGUN, EventKind.FAULT_ENDED)
+            if first - 2000 * NS_PER_MS <= record.mono <= last
         ]  # fmt: skip
-        lines = sorted([*spans[-4:], *self.shown[-MOST_SHOWN:]], key=lambda one: one.mono)
+        lines = sorted([*fault_events[-4:], *self.events[-MAX_EVENTS_SHOWN:]], key=lambda record: record.mono)
         return "\n".join(
-            [f"{self.check}: {self.what}", *("  " + one.to_text(history.begin) for one in lines)]
+            [f"{self.check}: {self.what}", *("  " + record.to_text(history.begin) for record in lines)]
         )
 
 
-Check = Callable[[History, Plan], Iterator[Broken]]
+Check = Callable[[History, Plan], Iterator[Violation]]
 
 
-def answered(history: History, plan: Plan) -> Iterator[Broken]:
-    """Each taken request has exactly one final answer, in its time and the slack."""
-    asked: dict[str, EventRecord] = {}
+def answered(history: History, plan: Plan) -> Iterator[Violation]:
+    """Checks that each request gets exactly one final answer within its deadline and the slack."""
+    sent: dict[str, EventRecord] = {}
     ends: dict[str, EventRecord] = {}
-    for one in history.records:
-        if one.event is EventKind.REQUEST_SENT:
-            asked[one.request] = one
-        elif one.event in ENDS:
-            ends[one.request] = one
-        elif one.event is EventKind.ANSWER_UNEXPECTED:
-            yield Broken("answered", f"{one.fields['router']} gave an answer that nobody asked for", [one])
-    for name, first in asked.items():
-        end = ends.get(name)
+    for record in history.records:
+        if record.event is EventKind.REQUEST_SENT:
+            sent[record.request] = record
+        elif record.event in REQUEST_END_EVENTS:
+            ends[record.request] = record
+        elif record.event is EventKind.ANSWER_UNEXPECTED:
+            yield Violation(
+                "answered", f"{record.fields['router']} sent an answer that matches no request", [record]
+            )
+    for request, first in sent.items():
+        end = ends.get(request)
         if end is not None and end.event in (EventKind.REQUEST_ANSWERED, EventKind.CLIENT_LEFT):
-            continue  # to who has left nothing is owed
+            continue  # a client that has left needs no answer
         if end is None:
-            yield Broken("answered", "a request that never ended", [first])
-        elif not _excused(history, first, end):
-            how = (
-                "not answered in its time"
+            yield Violation("answered", "the request never ended", [first])
+        elif not _is_excused(history, first, end):
+            reason = (
+                "the request was not answered before its deadline"
                 if end.event is EventKind.REQUEST_TIMED_OUT
-                else "its connection was ended"
+                else "the connection of the request was closed"
             )
             between = [
-                one for one in history.records if one.request == name and first.mono < one.mono < end.mono
+                record
+                for record in history.records
+                if record.request == request and first.mono < record.mono < end.mono
             ]
-            yield Broken("answered", how, [first, *between, end])
+            yield Violation("answered", reason, [first, *between, end])
 
 
-def _excused(history: History, asked: EventRecord, end: EventRecord) -> bool:
-    router = asked.fields["router"]
-    for span in history.struck(asked.mono, end.mono, router, f"clients>{router}"):
-        if span.kind in LOSES_ON_EDGE or span.kind in LOSES:
+def _is_excused(history: History, sent: EventRecord, end: EventRecord) -> bool:
+    """Returns whether a fault explains why the request was not answered."""
+    router = sent.fields["router"]
+    for fault in history.faults_affecting(sent.mono, end.mono, router, f"clients>{router}"):
+        if fault.kind in EDGE_FAULTS_LOSING_REQUESTS or fault.kind in PROCESS_FAULTS_LOSING_REQUESTS:
             return True
-        if span.kind == "term" and asked.mono - span.begin > GRACE:
+        if fault.kind == "term" and sent.mono - fault.begin > TERM_GRACE_NS:
             return True
-        if span.kind == "system_call" and span.reaches(f"clients>{router}"):
-            return True  # its connection broke
+        if fault.kind == "system_call" and fault.affects_edge(f"clients>{router}"):
+            return True  # the fault broke the client's connection
     return False
 
 
-def resends(history: History, plan: Plan) -> Iterator[Broken]:
-    """No attempt past what the class allows: none after one that may have run for `once`, within the window
-    for `put`, at most so many for any."""
+def resends(history: History, plan: Plan) -> Iterator[Violation]:
+    """Checks that each class is retried only as allowed.
+
+    A `once` request is not retried after an attempt that may have executed, a `put` request only within its
+    idempotency window, and no request gets more than MAX_ATTEMPTS attempts."""
     attempts: dict[str, list[EventRecord]] = defaultdict(list)
     ends: dict[tuple[str, str], list[EventRecord]] = defaultdict(list)
-    window = int(plan.rules.keyed_window_ms * MILLI)
-    for one in history.of(EventKind.ATTEMPT_BEGUN, EventKind.ATTEMPT_ENDED):
-        if one.event is EventKind.ATTEMPT_BEGUN:
-            attempts[one.request].append(one)
+    window = int(plan.rules.keyed_window_ms * NS_PER_MS)
+    for record in history.events_of(EventKind.ATTEMPT_BEGUN, EventKind.ATTEMPT_ENDED):
+        if record.event is EventKind.ATTEMPT_BEGUN:
+            attempts[record.request].append(record)
         else:
-            ends[one.request, one.fields["server"]].append(one)
-    for name, made in attempts.items():
-        if len(made) < 2:
+            ends[record.request, record.fields["server"]].append(record)
+    for request, begun in attempts.items():
+        if len(begun) < 2:
             continue
-        # One is out at a time, so a server's ends come in the order of its attempts.
-        left = {key: iter(ends[key]) for key in {(name, one.fields["server"]) for one in made}}
-        ended = [next(left[name, one.fields["server"]], None) for one in made]
-        shown = sorted([*made, *(end for end in ended if end is not None)], key=lambda one: one.mono)
-        ran = [
-            one for one, end in zip(made, ended, strict=True)
-            if end is None or end.fields["how"] not in NEVER_RAN
+        # A request has one attempt at a time, so a server's ends come in the order of its attempts.
+        remaining = {key: iter(ends[key]) for key in {(request, record.fields["server"]) for record in begun}}
+        ended = [next(remaining[request, record.fields["server"]], None) for record in begun]
+        events = sorted([*begun, *(end for end in ended if end is not None)], key=lambda record: record.mono)
+        maybe_executed = [
+            record for record, end in zip(begun, ended, strict=True)
+            if end is None or end.fields["how"] not in NOT_EXECUTED_OUTCOMES
         ]  # fmt: skip
-        cls, router = made[0].fields["cls"], made[0].fields["router"]
-        if len(made) > ATTEMPTS:
-            yield Broken("resends", f"{len(made)} attempts", shown)
-        elif any(span.kind in ENDS_IT for span in history.struck(made[0].mono, made[-1].mono, router)):
-            continue  # its client was closed on, and asked again as the protocol has it, of a new process
-        elif cls == "once" and ran and ran[0] is not made[-1]:
-            yield Broken("resends", "sent again after an attempt that may have run", shown)
-        elif cls == "put" and ran and made[-1].mono - ran[0].mono > window + _held_up(history, made[-1]):
-            yield Broken("resends", "sent again past the window in which a repeat is dropped", shown)
+        cls, router = begun[0].fields["cls"], begun[0].fields["router"]
+        if len(begun) > MAX_ATTEMPTS:
+            yield Violation("resends", f"{len(begun)} attempts, at most {MAX_ATTEMPTS} allowed", events)
+        elif any(
+            fault.kind in PROCESS_ENDING_FAULTS
+            for fault in history.faults_affecting(begun[0].mono, begun[-1].mono, router)
+        ):
+            continue  # the connection closed, and the client sent the request again to a new process
+        elif cls == "once" and maybe_executed and maybe_executed[0] is not begun[-1]:
+            yield Violation("resends", "retried after an attempt that may have executed", events)
+        elif (
+            cls == "put"
+            and maybe_executed
+            and begun[-1].mono - maybe_executed[0].mono > window + _max_delay(history, begun[-1])
+        ):
+            yield Violation("resends", "retried after the idempotency window", events)
 
 
 @dataclass(slots=True)
-class _Known:
-    """What a router was told of a server, and since when."""
+class _NotifiedState:
+    """The state of a server that a router was notified of, and the event that notified it."""
 
     state: str
     since: EventRecord
 
 
-def drained(history: History, plan: Plan) -> Iterator[Broken]:
-    """Nothing new to a server past the slack since the router was told that it drains or is gone, nor ever to
-    one that the router's list never named."""
-    known: dict[str, dict[str, _Known]] = defaultdict(dict)
-    slack = int(plan.rules.drain_slack_ms * MILLI)
-    for one in history.of(EventKind.LIST_SENT, EventKind.ATTEMPT_BEGUN):
-        router = one.fields["router"]
-        if one.event is EventKind.LIST_SENT:
-            states = dict(one.fields["states"])
-            if one.fields.get("whole"):
+def drained(history: History, plan: Plan) -> Iterator[Violation]:
+    """Checks that a router sends nothing to a server that is draining, gone or not in its list.
+
+    The check applies once the slack has passed since the router was notified of the state."""
+    known: dict[str, dict[str, _NotifiedState]] = defaultdict(dict)
+    slack = int(plan.rules.drain_slack_ms * NS_PER_MS)
+    for record in history.events_of(EventKind.LIST_SENT, EventKind.ATTEMPT_BEGUN):
+        router = record.fields["router"]
+        if record.event is EventKind.LIST_SENT:
+            states = dict(record.fields["states"])
+            if record.fields.get("whole"):
                 states |= {name: "Gone" for name in known[router] if name not in states}
-            if one.fields.get("start"):  # a new process knows what it is started with, and no more
+            if record.fields.get("start"):  # a new process knows only the list that it starts with
                 known[router] = {}
             for name, state in states.items():
                 before = known[router].get(name)
                 if before is None or before.state != state:
-                    known[router][name] = _Known(state, one)
+                    known[router][name] = _NotifiedState(state, record)
             continue
-        server = one.fields["server"]
-        told = known[router].get(server)
-        if told is None:
-            yield Broken("drained", f"{router} sent to {server}, which its list never named", [one])
-        elif told.state != "Ready" and one.mono - told.since.mono > slack + _held_up(history, one):
-            late = (one.mono - told.since.mono) / MILLI
-            what = f"{router} sent to {server} {late:.0f} ms after it was told: {told.state}"
-            yield Broken("drained", what, [told.since, one])
-
-
-def _held_up(history: History, attempt: EventRecord) -> int:
-    """How long a send may have been on its way, or the router asleep, by the faults of that time."""
-    router, server, reach = attempt.fields["router"], attempt.fields["server"], 30_000 * MILLI
-    edges = (f"{router}>{server}", *(f"{router}>{name}" for name in LISTS))
-    spans = [
-        span for edge in edges for span in history.struck(attempt.mono - reach, attempt.mono, router, edge)
-        if span.kind in LOSES or span.kind in LOSES_ON_EDGE
+        server = record.fields["server"]
+        notified = known[router].get(server)
+        if notified is None:
+            yield Violation(
+                "drained", f"{router} sent a request to {server}, which its list never contained", [record]
+            )
+        elif notified.state != "Ready" and record.mono - notified.since.mono > slack + _max_delay(
+            history, record
+        ):
+            late = (record.mono - notified.since.mono) / NS_PER_MS
+            what = f"{router} sent a request to {server} {late:.0f} ms after notification of state {notified.state}"
+            yield Violation("drained", what, [notified.since, record])
+
+
+def _max_delay(history: History, attempt: EventRecord) -> int:
+    """Returns the longest time, in ns, that faults may have delayed a message or paused the router."""
+    router, server, reach = attempt.fields["router"], attempt.fields["server"], 30_000 * NS_PER_MS
+    edges = (f"{router}>{server}", *(f"{router}>{name}" for name in LIST_SERVICES))
+    faults = [
+        fault for edge in edges
+        for fault in history.faults_affecting(attempt.mono - reach, attempt.mono, router, edge)
+        if fault.kind in PROCESS_FAULTS_LOSING_REQUESTS or fault.kind in EDGE_FAULTS_LOSING_REQUESTS
     ]  # fmt: skip
-    ends = {span.number: span.begin + HUNG if span.kind == "hang" else span.end for span in spans}
-    return max((min(attempt.mono, ends[span.number]) - span.begin + CATCH_UP for span in spans), default=0)
-
-
-def by_hand(history: History, plan: Plan) -> Iterator[Broken]:
-    """A cache server out by hand gets nothing new from the yes and the slack on until the call back, over
-    restarts too, for as long as the router's disk is kept."""
-    out: dict[tuple[str, str], EventRecord] = {}
-    slack = int(plan.rules.by_hand_slack_ms * MILLI)
-    lost = [
-        one for one in history.of(EventKind.FAULT_BEGUN)
-        if one.fields["kind"] == "kill" and not one.fields["keep_disk"]
+    ends = {
+        fault.number: fault.begin + HANG_DETECTION_NS if fault.kind == "hang" else fault.end
+        for fault in faults
+    }
+    return max(
+        (min(attempt.mono, ends[fault.number]) - fault.begin + CATCH_UP_NS for fault in faults), default=0
+    )
+
+
+def by_hand(history: History, plan: Plan) -> Iterator[Violation]:
+    """Checks that a cache server under an operator override to offline gets no new requests.
+
+    The override holds from the operator's acknowledgement and the slack until it is withdrawn, also over
+    restarts while the router's disk is kept."""
+    overridden: dict[tuple[str, str], EventRecord] = {}
+    slack = int(plan.rules.by_hand_slack_ms * NS_PER_MS)
+    disk_losses = [
+        record for record in history.events_of(EventKind.FAULT_BEGUN)
+        if record.fields["kind"] == "kill" and not record.fields["keep_disk"]
     ]  # fmt: skip
-    for one in history.of(EventKind.OPERATOR_CALL, EventKind.ATTEMPT_BEGUN, EventKind.FAULT_BEGUN):
-        if one.event is EventKind.FAULT_BEGUN:
-            if one in lost:
-                for key in [key for key in out if key[0] in one.fields["processes"]]:
-                    del out[key]
-        elif one.event is EventKind.OPERATOR_CALL and one.fields["answer"] == "+OK":
-            call, _, server = one.fields["words"].partition(" ")
-            if call == "OFFLINE":
-                out.setdefault((one.fields["router"], server), one)
-            elif call == "ONLINE":
-                out.pop((one.fields["router"], server), None)
-        elif one.event is EventKind.ATTEMPT_BEGUN:
-            call_out = out.get((one.fields["router"], one.fields["server"]))
-            if call_out is not None and one.mono - call_out.mono > slack + _held_up(history, one):
-                what = f"{one.fields['router']} sent to {one.fields['server']}, which is out by hand"
-                yield Broken("by_hand", what, [call_out, one])
-
-
-def versions(history: History, plan: Plan) -> Iterator[Broken]:
-    """No router's version of the list goes back within one life of its process. While two processes of a
-    router run, nobody can tell which of them asks. A call is held against those that were read before it may
-    have been made: one that a fault held up says nothing of what its router came to hold meanwhile."""
-    held: dict[str, list[EventRecord]] = defaultdict(list)  # calls of each router, their versions rising
-    answered_at: dict[tuple[str, str], int] = {}  # when a replica last answered a router
-    for one in history.of(EventKind.LIST_POLLED, EventKind.LIST_SENT, EventKind.STARTED):
-        if one.event is EventKind.STARTED:
-            held.pop(one.fields["of"], None)
+    for record in history.events_of(EventKind.OPERATOR_CALL, EventKind.ATTEMPT_BEGUN, EventKind.FAULT_BEGUN):
+        if record.event is EventKind.FAULT_BEGUN:
+            if record in disk_losses:
+                for key in [key for key in overridden if key[0] in record.fields["processes"]]:
+                    del overridden[key]
+        elif record.event is EventKind.OPERATOR_CALL and record.fields["answer"] == "+OK":
+            command, _, server = record.fields["words"].partition(" ")
+            if command == "OFFLINE":
+                overridden.setdefault((record.fields["router"], server), record)
+            elif command == "ONLINE":
+                overridden.pop((record.fields["router"], server), None)
+        elif record.event is EventKind.ATTEMPT_BEGUN:
+            override = overridden.get((record.fields["router"], record.fields["server"]))
+            if override is not None and record.mono - override.mono > slack + _max_delay(history, record):
+                what = (
+                    f"{record.fields['router']} sent a request to {record.fields['server']}, "
+                    "which an operator override has taken offline"
+                )
+                yield Violation("by_hand", what, [override, record])
+
+
+def versions(history: History, plan: Plan) -> Iterator[Violation]:
+    """Checks that a router's list version never decreases within one incarnation.
+
+    Polls are ignored while two processes of a router run, because they cannot be told apart. A poll is
+    compared with the polls that were read before it may have been sent, because a fault may delay it past
+    later ones."""
+    polls: dict[str, list[EventRecord]] = defaultdict(list)  # by router, in order of version
+    answered_at: dict[tuple[str, str], int] = {}  # time of a replica's last answer to a router
+    for record in history.events_of(EventKind.LIST_POLLED, EventKind.LIST_SENT, EventKind.STARTED):
+        if record.event is EventKind.STARTED:
+            polls.pop(record.fields["of"], None)
             continue
-        router = one.fields["router"]
-        if one.event is EventKind.LIST_SENT:
-            answered_at[router, one.process] = one.mono
+        router = record.fields["router"]
+        if record.event is EventKind.LIST_SENT:
+            answered_at[router, record.process] = record.mono
             continue
-        since = one.fields["since"]
-        made = max(_made_from(history, one), answered_at.get((router, one.process), 0))
-        if _lives_between(history, router, one.mono, one.mono) > 1:
-            held.pop(router, None)
-        elif since is not None and _lives_between(history, router, made, one.mono) <= 1:
-            before = next((call for call in reversed(held[router]) if call.mono <= made), None)
+        since = record.fields["since"]
+        sent_at = max(_earliest_send(history, record), answered_at.get((router, record.process), 0))
+        if _incarnations_between(history, router, record.mono, record.mono) > 1:
+            polls.pop(router, None)
+        elif since is not None and _incarnations_between(history, router, sent_at, record.mono) <= 1:
+            before = next((poll for poll in reversed(polls[router]) if poll.mono <= sent_at), None)
             if before is not None and before.fields["since"] > since:
-                what = f"{router} held {before.fields['since']}, then {since}"
-                yield Broken("versions", what, [before, one])
-                held[router].clear()
-            if not held[router] or held[router][-1].fields["since"] <= since:
-                held[router].append(one)
+                what = f"{router} had version {before.fields['since']}, then {since}"
+                yield Violation("versions", what, [before, record])
+                polls[router].clear()
+            if not polls[router] or polls[router][-1].fields["since"] <= since:
+                polls[router].append(record)
 
 
-def _made_from(history: History, call: EventRecord) -> int:
-    """From when on a call may have been made that the list service reads now, unless it follows on an answer:
-    a replica that was stopped, or cut off, reads afterwards what was sent to it meanwhile, though its caller
-    has long asked another."""
-    edge = f"{call.fields['router']}>{call.process}"
-    spans = history.struck(call.mono - CATCH_UP, call.mono, call.process, edge)
-    return min((span.begin for span in spans if span.kind in SLOWS), default=call.mono)
+def _earliest_send(history: History, poll: EventRecord) -> int:
+    """Returns the earliest time at which the poll may have been sent.
 
+    A replica that was stopped or cut off later reads polls that were sent to it in the meantime."""
+    edge = f"{poll.fields['router']}>{poll.process}"
+    faults = history.faults_affecting(poll.mono - CATCH_UP_NS, poll.mono, poll.process, edge)
+    return min((fault.begin for fault in faults if fault.kind in DELAYING_FAULTS), default=poll.mono)
 
-def _lives_between(history: History, router: str, begin: int, end: int) -> int:
-    """How many processes of a router ran at some moment of that time."""
-    return sum(life.begin <= end and begin <= life.end for life in history.lives.get(router, []))
+
+def _incarnations_between(history: History, router: str, begin: int, end: int) -> int:
+    """Returns how many processes of a router ran at some moment between begin and end."""
+    return sum(
+        incarnation.begin <= end and begin <= incarnation.end
+        for incarnation in history.incarnations.get(router, [])
+    )
 
 
-def stale(history: History, plan: Plan) -> Iterator[Broken]:
-    """Each router that was up all the while is told of a change within the bound, unless a fault struck the
-    way."""
-    bound = int(plan.rules.stale_ms * MILLI)
-    for change, router, heard in _changes(history):
+def stale(history: History, plan: Plan) -> Iterator[Violation]:
+    """Checks that each running router is notified of a list change within the bound.
+
+    Excused are routers that were not up throughout, or whose path to the list service had a fault."""
+    bound = int(plan.rules.stale_ms * NS_PER_MS)
+    for change, router, notifications in _changes_by_router(history):
         end = change.mono + bound
-        if not _lived(history, router, change.mono, end) or _struck(
+        if not _ran_throughout(history, router, change.mono, end) or _faults_on_path(
             history, change.mono - bound, end, router
         ):
             continue
-        if not any(_tells(one, change, end) for one in heard):
-            what = f"{router} was not told of version {change.fields['version']} within {bound // MILLI} ms"
-            yield Broken("stale", what, [change])
-
-
-def told(history: History, plan: Plan) -> Iterator[Broken]:
-    """A change counts as told some seconds after it was there and the way to the router was free, whatever
-    struck that way before: from then on the router knows of it."""
-    bound = int(plan.rules.told_ms * MILLI)
-    for change, router, heard in _changes(history):
-        free = _free_from(history, change.mono, bound, router)
-        if not _lived(history, router, free, free + bound):
+        if not any(_notifies(record, change, end) for record in notifications):
+            what = f"{router} was not notified of version {change.fields['version']} within {bound // NS_PER_MS} ms"
+            yield Violation("stale", what, [change])
+
+
+def told(history: History, plan: Plan) -> Iterator[Violation]:
+    """Checks that a router learns of a change within the bound once its path to the list service is free of
+    faults."""
+    bound = int(plan.rules.told_ms * NS_PER_MS)
+    for change, router, notifications in _changes_by_router(history):
+        free = _fault_free_from(history, change.mono, bound, router)
+        if not _ran_throughout(history, router, free, free + bound):
             continue
-        # What was written while something struck the way was written to nobody.
+        # A notification that was written while a fault affected the path may be lost, so it does not count.
         if not any(
-            _tells(one, change, free + bound) and not _struck(history, one.mono, one.mono, router)
-            for one in heard
+            _notifies(record, change, free + bound)
+            and not _faults_on_path(history, record.mono, record.mono, router)
+            for record in notifications
         ):
-            what = f"{router} does not know version {change.fields['version']} {bound // MILLI} ms later"
-            yield Broken("told", what, [change])
+            what = (
+                f"{router} does not know version {change.fields['version']} {bound // NS_PER_MS} ms "
+                "after its path to the list service recovered"
+            )
+            yield Violation("told", what, [change])
 
 
-def _changes(history: History) -> Iterator[tuple[EventRecord, str, list[EventRecord]]]:
-    """Each change of the list with each router that ever heard of one, and all that it was told."""
-    heard: dict[str, list[EventRecord]] = defaultdict(list)
-    for one in history.of(EventKind.LIST_SENT):
-        heard[one.fields["router"]].append(one)
-    for change in history.of(EventKind.LIST_CHANGED):
-        for router, records in heard.items():
+def _changes_by_router(history: History) -> Iterator[tuple[EventRecord, str, list[EventRecord]]]:
+    """Yields each list change with each router that was ever notified, and all notifications of that router."""
+    notifications: dict[str, list[EventRecord]] = defaultdict(list)
+    for record in history.events_of(EventKind.LIST_SENT):
+        notifications[record.fields["router"]].append(record)
+    for change in history.events_of(EventKind.LIST_CHANGED):
+        for router, records in notifications.items():
             yield change, router, records
 
 
-def _tells(one: EventRecord, change: EventRecord, by: int) -> bool:
-    """Whether a router is told of a change by it, in time."""
-    return change.mono <= one.mono <= by and one.fields["version"] >= change.fields["version"]
+def _notifies(record: EventRecord, change: EventRecord, by: int) -> bool:
+    """Returns whether the record notifies a router of the change no later than `by`."""
+    return change.mono <= record.mono <= by and record.fields["version"] >= change.fields["version"]
 
 
-def _lived(history: History, router: str, begin: int, end: int) -> bool:
-    """Whether one process of a router was up all the while, and the play went on past it."""
-    lives = history.lives.get(router, [])
-    return end <= history.records[-1].mono and any(one.ready <= begin and one.end > end for one in lives)
+def _ran_throughout(history: History, router: str, begin: int, end: int) -> bool:
+    """Returns whether one process of a router was ready from begin to end, and the run lasted until end."""
+    incarnations = history.incarnations.get(router, [])
+    return end <= history.records[-1].mono and any(
+        incarnation.ready <= begin and incarnation.end > end for incarnation in incarnations
+    )
 
 
-def _free_from(history: History, moment: int, bound: int, router: str) -> int:
-    """From when on nothing strikes the way from the list service to a router for that long."""
+def _fault_free_from(history: History, moment: int, bound: int, router: str) -> int:
+    """Returns the first time from which the path between a router and the list service has no fault for
+    `bound` ns."""
     while True:
-        ends = [span.end for span in _struck(history, moment, moment + bound, router) if span.end > moment]
+        ends = [
+            fault.end
+            for fault in _faults_on_path(history, moment, moment + bound, router)
+            if fault.end > moment
+        ]
         if not ends:
             return moment
         moment = max(ends)
 
 
-def _struck(history: History, begin: int, end: int, router: str) -> list[Span]:
-    """What struck the way from the list service to a router, either end included."""
+def _faults_on_path(history: History, begin: int, end: int, router: str) -> list[FaultInterval]:
+    """Returns the faults that affected a router, the list service or the edge between them."""
     return [
-        span for name in LISTS
-        for span in history.struck(begin, end, router, f"{router}>{name}") + history.struck(begin, end, name)
+        fault for name in LIST_SERVICES
+        for fault in history.faults_affecting(begin, end, router, f"{router}>{name}")
+        + history.faults_affecting(begin, end, name)
     ]  # fmt: skip
 
 
-def _slowed(history: History, left: EventRecord, attempt: EventRecord) -> int:
-    """For how long, since a client left, that could not be seen, or an attempt was on its way: a server that
-    is stopped reads what came before once it goes on."""
+def _delay_after_leaving(history: History, left: EventRecord, attempt: EventRecord) -> int:
+    """Returns for how long, in ns, faults hid a client's departure from the router or delayed the attempt.
+
+    A stopped server logs an attempt that reached it earlier only when it continues."""
     router, server = attempt.fields["router"], attempt.fields["server"]
-    ways = ((router, f"clients>{router}"), (server, f"{router}>{server}"))
-    spans = [
-        span for process, edge in ways for span in history.struck(left.mono, attempt.mono, process, edge)
-        if span.kind in SLOWS
+    paths = ((router, f"clients>{router}"), (server, f"{router}>{server}"))
+    faults = [
+        fault for process, edge in paths
+        for fault in history.faults_affecting(left.mono, attempt.mono, process, edge)
+        if fault.kind in DELAYING_FAULTS
     ]  # fmt: skip
-    return sum(min(attempt.mono, span.end) - max(left.mono, span.begin) for span in spans)
-
-
-def departed(history: History, plan: Plan) -> Iterator[Broken]:
-    """No attempt begins for a client that has left, past the bound; two cases are put down to the network."""
-    bound = int(plan.rules.departed_ms * MILLI)
-    left = {one.request: one for one in history.of(EventKind.CLIENT_LEFT)}
-    after = [(left[one.request], one) for one in history.of(EventKind.ATTEMPT_BEGUN) if one.request in left]
-    late = [[gone, one] for gone, one in after if one.mono - gone.mono > bound + _slowed(history, gone, one)]
+    return sum(min(attempt.mono, fault.end) - max(left.mono, fault.begin) for fault in faults)
+
+
+def departed(history: History, plan: Plan) -> Iterator[Violation]:
+    """Checks that no attempt begins for a client that left more than the bound ago.
+
+    Two cases per run are tolerated as network delay."""
+    bound = int(plan.rules.departed_ms * NS_PER_MS)
+    left = {record.request: record for record in history.events_of(EventKind.CLIENT_LEFT)}
+    after = [
+        (left[record.request], record)
+        for record in history.events_of(EventKind.ATTEMPT_BEGUN)
+        if record.request in left
+    ]
+    late = [
+        [departure, attempt]
+        for departure, attempt in after
+        if attempt.mono - departure.mono > bound + _delay_after_leaving(history, departure, attempt)
+    ]
     for case in late[2:]:
-        ms = (case[1].mono - case[0].mono) / MILLI
-        yield Broken(
+        ms = (case[1].mono - case[0].mono) / NS_PER_MS
+        yield Violation(
             "departed", f"{case[1].fields['router']} began an attempt {ms:.0f} ms after its client left", case
         )
 
 
-def kept(history: History, plan: Plan) -> Iterator[Broken]:
-    """No change of the list that was said yes to is lost, and no version is used twice."""
-    made: dict[int, EventRecord] = {}
-    held = history.of(EventKind.ENTRIES_HELD)
-    for one in history.of(EventKind.CHANGE_ACKNOWLEDGED):
-        entry, server = one.fields["entry"], one.fields["server"]
-        before = made.setdefault(entry, one)
+def kept(history: History, plan: Plan) -> Iterator[Violation]:
+    """Checks that no acknowledged change of the list is lost and that no version is used twice."""
+    acknowledged: dict[int, EventRecord] = {}
+    stored = history.events_of(EventKind.ENTRIES_HELD)
+    for record in history.events_of(EventKind.CHANGE_ACKNOWLEDGED):
+        entry, server = record.fields["entry"], record.fields["server"]
+        before = acknowledged.setdefault(entry, record)
         if before.fields["server"] != server:
-            yield Broken(
-                "kept", f"version {entry} for {before.fields['server']} and for {server}", [before, one]
+            yield Violation(
+                "kept",
+                f"version {entry} is used for {before.fields['server']} and for {server}",
+                [before, record],
             )
-        if held and held[-1].fields["servers"].get(server, 0) < entry:
-            yield Broken("kept", f"{server}: version {entry} was lost", [one, held[-1]])
+        if stored and stored[-1].fields["servers"].get(server, 0) < entry:
+            yield Violation("kept", f"{server}: version {entry} was lost", [record, stored[-1]])
 
 
-def shared(history: History, plan: Plan) -> Iterator[Broken]:
-    """What counts of that which a router hears is within its bound; and once nothing has struck for a while,
-    each router knows of just the routers that are there."""
-    settled = int(plan.rules.peers_ms * MILLI)
-    bounds = {type_name(kind): bound.max_age // MILLI for kind, bound in RETENTION.items()}
+def shared(history: History, plan: Plan) -> Iterator[Violation]:
+    """Checks that routers use no gossip records older than their bound, and know exactly the live routers.
+
+    The second part applies once no fault was active and no router started or ended for the settling time."""
+    settled = int(plan.rules.peers_ms * NS_PER_MS)
+    bounds = {type_name(kind): bound.max_age // NS_PER_MS for kind, bound in RETENTION.items()}
     names = [f"router-{number}" for number in range(plan.fleet.routers)]
-    lives = [life for name in names for life in history.lives.get(name, [])]
-    moments = [moment for life in lives for moment in (life.begin, life.ready, life.end)]
-    edges = [f"{one}>{other}" for one in names for other in names]
-    spans = [
-        span for span in history.spans
-        if span.kind != "hup" and (span.processes & set(names) or any(map(span.reaches, edges)))
+    incarnations = [incarnation for name in names for incarnation in history.incarnations.get(name, [])]
+    moments = [
+        moment
+        for incarnation in incarnations
+        for moment in (incarnation.begin, incarnation.ready, incarnation.end)
+    ]
+    edges = [f"{name}>{other}" for name in names for other in names]
+    faults = [
+        fault for fault in history.fault_intervals
+        if fault.kind != "hup" and (fault.processes & set(names) or any(map(fault.affects_edge, edges)))
     ]  # fmt: skip
-    for one in history.of(EventKind.PEER_FIGURES):
-        router, figures = one.fields["router"], one.fields["figures"]
+    for record in history.events_of(EventKind.PEER_FIGURES):
+        router, figures = record.fields["router"], record.fields["figures"]
         for name, bound in bounds.items():
             age = figures[f"age_ms.{name}"]
             if age > bound:
-                yield Broken("shared", f"{router} counts a {name} of {age} ms, {bound} allowed", [one])
-        since = one.mono - settled
-        struck = any(span.begin <= one.mono and span.end >= since for span in spans)
-        if struck or any(since <= moment <= one.mono for moment in moments):
+                yield Violation(
+                    "shared", f"{router} uses a {name} record {age} ms old, at most {bound} allowed", [record]
+                )
+        since = record.mono - settled
+        disturbed = any(fault.begin <= record.mono and fault.end >= since for fault in faults)
+        if disturbed or any(since <= moment <= record.mono for moment in moments):
             continue
-        there = sum(life.ready < since and life.end > one.mono for life in lives)
-        if figures["routers"] != there:
-            what = f"{router} holds {figures['routers']} routers to be there, and {there} are"
-            yield Broken("shared", what, [one])
-
-
-def standing(history: History, plan: Plan) -> Iterator[Broken]:
-    """No process ends but by a plan, no cold server is pushed over, and each fault is carried out: a router
-    that never came up is excused by what struck it since its start."""
-    for one in history.of(EventKind.FAULT_NOT_BEGUN):
-        of = one.fields.get("of", "")
-        begin = max((life.begin for life in history.lives.get(of, []) if life.begin < one.mono), default=0)
-        struck = history.struck(begin, one.mono, of)
-        if not any(span.begin > begin or span.kind in ("stop", "slow") for span in struck):
-            what = f"fault {one.fields['fault']} could not be carried out: {one.fields['why']}"
-            yield Broken("standing", what, [one])
-    for one in history.of(EventKind.EXITED, EventKind.SERVER_OVERLOADED):
-        if one.event is EventKind.SERVER_OVERLOADED:
-            yield Broken("standing", f"{one.fields['server']} was cold and fell over", [one])
-        elif not one.fields["planned"] and not _bad(history, one.mono, one.fields["of"]):
-            yield Broken("standing", f"{one.fields['of']} ended with code {one.fields['code']}", [one])
-
-
-def limits(history: History, plan: Plan) -> Iterator[Broken]:
-    """Each router keeps to its memory and its descriptors."""
+        live = sum(
+            incarnation.ready < since and incarnation.end > record.mono for incarnation in incarnations
+        )
+        if figures["routers"] != live:
+            what = f"{router} counts {figures['routers']} live routers, expected {live}"
+            yield Violation("shared", what, [record])
+
+
+def standing(history: History, plan: Plan) -> Iterator[Violation]:
+    """Checks that processes exit only by plan, that no warming-up server is overloaded, and that each fault
+    is carried out.
+
+    A router that never became ready is excused by a fault that affected it since its start."""
+    for record in history.events_of(EventKind.FAULT_NOT_BEGUN):
+        of = record.fields.get("of", "")
+        begin = max(
+            (
+                incarnation.begin
+                for incarnation in history.incarnations.get(of, [])
+                if incarnation.begin < record.mono
+            ),
+            default=0,
+        )
+        faults = history.faults_affecting(begin, record.mono, of)
+        if not any(fault.begin > begin or fault.kind in ("stop", "slow") for fault in faults):
+            what = f"fault {record.fields['fault']} could not be carried out: {record.fields['why']}"
+            yield Violation("standing", what, [record])
+    for record in history.events_of(EventKind.EXITED, EventKind.SERVER_OVERLOADED):
+        if record.event is EventKind.SERVER_OVERLOADED:
+            yield Violation(
+                "standing", f"{record.fields['server']} was overloaded while warming up", [record]
+            )
+        elif not record.fields["planned"] and not _runs_bad_version(
+            history, record.mono, record.fields["of"]
+        ):
+            yield Violation(
+                "standing", f"{record.fields['of']} exited with code {record.fields['code']}", [record]
+            )
+
+
+def limits(history: History, plan: Plan) -> Iterator[Violation]:
+    """Checks that each router stays within its limits of memory and descriptors."""
     found: set[tuple[str, str]] = set()
-    most = {"descriptors": plan.fleet.sockets, "memory_mb": plan.fleet.memory_mb}
-    for one in history.of(EventKind.RESOURCE_SAMPLE):
-        router = one.fields["of"]
-        for what, bound in most.items():
-            over = router.startswith("router-") and one.fields[what] > bound
-            if over and (router, what) not in found and not _bad(history, one.mono, router):
+    resource_limits = {"descriptors": plan.fleet.sockets, "memory_mb": plan.fleet.memory_mb}
+    for record in history.events_of(EventKind.RESOURCE_SAMPLE):
+        router = record.fields["of"]
+        for what, bound in resource_limits.items():
+            over = router.startswith("router-") and record.fields[what] > bound
+            if over and (router, what) not in found and not _runs_bad_version(history, record.mono, router):
                 found.add((router, what))
-                yield Broken("limits", f"{router} holds {one.fields[what]} {what}, {bound} allowed", [one])
+                yield Violation(
+                    "limits", f"{router} uses {record.fields[what]} {what}, at most {bound} allowed", [record]
+                )
 
 
-def _bad(history: History, at: int, process: str) -> bool:
-    """Whether a version that is bad on purpose ran there."""
-    return any(span.kind == "bad" for span in history.struck(at, at, process))
+def _runs_bad_version(history: History, at: int, process: str) -> bool:
+    """Returns whether the plan made the process run a defective version at that time."""
+    return any(fault.kind == "bad" for fault in history.faults_affecting(at, at, process))
 
 
-def released(history: History, plan: Plan) -> Iterator[Broken]:
-    """A release comes to the end that the plan wants, with every unit at the version that it says; no step is
-    done twice, and never are units of two zones, or too many, out."""
+def released(history: History, plan: Plan) -> Iterator[Violation]:
+    """Checks that a release ends as planned, with every unit at the expected version.
+
+    No step runs twice, and units are never out of service in two zones at once or in too great a number."""
     if plan.release is None:
         return
-    done: dict[int, EventRecord] = {}
+    executed: dict[int, EventRecord] = {}
     versions: dict[str, EventRecord] = {}
     out: dict[str, EventRecord] = {}
-    moved = [one for one in history.of(EventKind.STEP_EXECUTED) if not one.fields["why"]]
-    for one in moved:
-        unit, step, number = one.fields["unit"], one.fields["step"], one.fields["number"]
-        if number in done:
-            yield Broken("released", f"step {number} was done twice", [done[number], one])
-        done[number] = one
+    steps = [record for record in history.events_of(EventKind.STEP_EXECUTED) if not record.fields["why"]]
+    for record in steps:
+        unit, step, number = record.fields["unit"], record.fields["step"], record.fields["number"]
+        if number in executed:
+            yield Violation("released", f"step {number} was executed twice", [executed[number], record])
+        executed[number] = record
         if step == "drain":
-            out[unit] = one
+            out[unit] = record
         elif step == "admit":
             out.pop(unit, None)
         else:
-            versions[unit] = one
+            versions[unit] = record
         zones = {int(name.rpartition("-")[2]) % plan.fleet.zones for name in out}
         if len(zones) > 1 or len(out) > plan.release.limits.out_at_once:
-            yield Broken("released", f"out at once: {', '.join(sorted(out))}", list(out.values()))
-    modes = history.of(EventKind.RELEASE_MODE)
+            yield Violation(
+                "released", f"out of service at once: {', '.join(sorted(out))}", list(out.values())
+            )
+    modes = history.events_of(EventKind.RELEASE_MODE)
     if not modes or modes[-1].fields["mode"] != plan.release.ends:
-        how = modes[-1].fields["mode"] if modes else "not begun"
-        yield Broken(
-            "released", f"the release is {how}, not {plan.release.ends}", modes[-1:] or history.records[-1:]
+        mode = modes[-1].fields["mode"] if modes else "not begun"
+        yield Violation(
+            "released",
+            f"the release is {mode}, expected {plan.release.ends}",
+            modes[-1:] or history.records[-1:],
         )
         return
-    wanted = NEW if plan.release.ends == "done" else OLD
-    for unit, one in versions.items():
-        if one.fields["version"] != wanted:
-            yield Broken("released", f"{unit} is left at {one.fields['version']}", [one])
+    expected = NEW if plan.release.ends == "done" else OLD
+    for unit, record in versions.items():
+        if record.fields["version"] != expected:
+            yield Violation(
+                "released", f"{unit} has version {record.fields['version']}, expected {expected}", [record]
+            )
     if out:
-        yield Broken("released", f"left out: {', '.join(sorted(out))}", list(out.values()))
+        yield Violation("released", f"still out of service: {', '.join(sorted(out))}", list(out.values()))
 
 
 CHECKS: dict[str, Check] = {
@@ -480,6 +576,6 @@
 }
 
 
-def judge(history: History, plan: Plan) -> list[Broken]:
-    """All that is broken."""
-    return [broken for check in CHECKS.values() for broken in check(history, plan)]
+def run_checks(history: History, plan: Plan) -> list[Violation]:
+    """Returns the violations of all checks."""
+    return [violation for check in CHECKS.values() for violation in check(history, plan)]
--- a/applehub/lab/fleet/history.py
+++ b/applehub/lab/fleet/history.py
@@ -1,4 +1,4 @@
-"""What happened: the events of all processes in one order, and the spans in which each fault struck."""
+"""The history of a run: the events of all processes in one order, and the interval of each fault."""
 
 from dataclasses import dataclass, field
 from fnmatch import fnmatchcase
@@ -10,8 +10,8 @@
 
 
 @dataclass(slots=True)
-class Span:
-    """A fault while it struck, ns of the monotonic clock."""
+class FaultInterval:
+    """The time during which a fault was active, in ns of the monotonic clock."""
 
     number: int
     kind: str
@@ -20,20 +20,19 @@
     begin: int
     end: int = NEVER
 
-    def strikes(self, begin: int, end: int, process: str = "", edge: str = "") -> bool:
-        """Whether it struck a process or an edge at some moment of that time."""
+    def affects(self, begin: int, end: int, process: str = "", edge: str = "") -> bool:
+        """Returns whether the fault affected a process or an edge at some moment between begin and end."""
         if self.begin > end or self.end < begin:
             return False
-        return process in self.processes or (edge != "" and self.reaches(edge))
+        return process in self.processes or (edge != "" and self.affects_edge(edge))
 
-    def reaches(self, edge: str) -> bool:
-        """Whether it strikes an edge."""
-        return any(fnmatchcase(edge, one) for one in self.edges)
+    def affects_edge(self, edge: str) -> bool:
+        return any(fnmatchcase(edge, pattern) for pattern in self.edges)
 
 
 @dataclass(slots=True)
-class Life:
-    """One incarnation of a process, ns of the monotonic clock."""
+class Incarnation:
+    """One incarnation of a process, with times in ns of the monotonic clock."""
 
     name: str
     number: int
@@ -44,23 +43,26 @@
 
 @dataclass(slots=True)
 class History:
-    """All of a play."""
+    """All events of a run, with the fault intervals and process incarnations derived from them."""
 
     records: list[EventRecord]
-    spans: list[Span] = field(default_factory=list)
-    lives: dict[str, list[Life]] = field(default_factory=dict)
+    fault_intervals: list[FaultInterval] = field(default_factory=list)
+    incarnations: dict[str, list[Incarnation]] = field(default_factory=dict)
     begin: int = 0
 
-    def struck(self, begin: int, end: int, process: str = "", edge: str = "") -> list[Span]:
-        return [one for one in self.spans if one.strikes(begin, end, process, edge)]
+    def faults_affecting(
+        self, begin: int, end: int, process: str = "", edge: str = ""
+    ) -> list[FaultInterval]:
+        return [interval for interval in self.fault_intervals if interval.affects(begin, end, process, edge)]
 
-    def of(self, *events: EventKind) -> list[EventRecord]:
-        return [one for one in self.records if one.event in events]
+    def events_of(self, *events: EventKind) -> list[EventRecord]:
+        return [record for record in self.records if record.event in events]
 
 
-def files(folder: Path) -> list[Path]:
-    """The events files of a play: the ground's own, those in each process's folder, and a controller's. Other
-    folders are disks, which routers change under whoever walks through them."""
+def event_files(folder: Path) -> list[Path]:
+    """Returns the event files of a run: those of the harness, of each process and of a release controller.
+
+    Other folders are disks of routers, whose files may change during a directory walk."""
     found = [
         path for where in ("", "*/", "controller/state/") for path in folder.glob(f"{where}events*.jsonl")
     ]
@@ -68,33 +70,38 @@
 
 
 def gather(folder: Path) -> History:
-    """Merges the events of all processes below a folder, in the order of the clock that they share."""
-    records = [one for path in files(folder) for one in read_events(path)]
-    return ordered(records)
+    """Merges the events of all processes below a folder by their shared monotonic clock."""
+    records = [record for path in event_files(folder) for record in read_events(path)]
+    return build_history(records)
 
 
-def ordered(records: list[EventRecord]) -> History:
-    records = sorted(records, key=lambda one: one.mono)
+def build_history(records: list[EventRecord]) -> History:
+    """Sorts the records by time and derives fault intervals and process incarnations."""
+    records = sorted(records, key=lambda record: record.mono)
     history = History(records, begin=records[0].mono if records else 0)
-    spans: dict[int, Span] = {}
-    for one in records:
-        more = one.fields
-        match one.event:
+    fault_intervals: dict[int, FaultInterval] = {}
+    for record in records:
+        fields = record.fields
+        match record.event:
             case EventKind.FAULT_BEGUN:
-                spans[more["fault"]] = Span(
-                    more["fault"], more["kind"], frozenset(more["processes"]), tuple(more["edges"]), one.mono
+                fault_intervals[fields["fault"]] = FaultInterval(
+                    fields["fault"],
+                    fields["kind"],
+                    frozenset(fields["processes"]),
+                    tuple(fields["edges"]),
+                    record.mono,
                 )
             case EventKind.FAULT_ENDED:
-                spans[more["fault"]].end = one.mono
+                fault_intervals[fields["fault"]].end = record.mono
             case EventKind.STARTED:
-                lives = history.lives.setdefault(more["of"], [])
-                lives.append(Life(more["of"], more["number"], one.mono))
-            case EventKind.READY | EventKind.EXITED if "of" in more:
-                for life in history.lives.get(more["of"], []):
-                    if life.number == more["number"]:
-                        if one.event is EventKind.READY:
-                            life.ready = one.mono
+                incarnations = history.incarnations.setdefault(fields["of"], [])
+                incarnations.append(Incarnation(fields["of"], fields["number"], record.mono))
+            case EventKind.READY | EventKind.EXITED if "of" in fields:
+                for incarnation in history.incarnations.get(fields["of"], []):
+                    if incarnation.number == fields["number"]:
+                        if record.event is EventKind.READY:
+                            incarnation.ready = record.mono
                         else:
-                            life.end = one.mono
-    history.spans = list(spans.values())
+                            incarnation.end = record.mono
+    history.fault_intervals = list(fault_intervals.values())
     return history
