--- a/applehub/lab/fleet/checks.py
+++ b/applehub/lab/fleet/checks.py
@@ -43,7 +43,7 @@
     events: list[EventRecord]
 
     def text(self, history: History) -> str:
-        """Formats the violation and the faults around it in time order; times are relative to the first event."""
+        """Formats the violation with the faults around it; times are relative to the first event of the run."""
         first, last = self.events[0].mono, self.events[-1].mono
         fault_events = [
             record for record in history.events_of(EventKind.FAULT_BEGUN, EventKind.FAULT_ENDED)
@@ -130,7 +130,7 @@
         ]  # fmt: skip
         cls, router = begun[0].fields["cls"], begun[0].fields["router"]
         if len(begun) > MAX_ATTEMPTS:
-            yield Violation("resends", f"{len(begun)} attempts, at most {MAX_ATTEMPTS} allowed", events)
+            yield Violation("resends", f"{len(begun)} attempts, more than the maximum", events)
         elif any(
             fault.kind in PROCESS_ENDING_FAULTS
             for fault in history.faults_affecting(begun[0].mono, begun[-1].mono, router)
@@ -183,7 +183,7 @@
             history, record
         ):
             late = (record.mono - notified.since.mono) / NS_PER_MS
-            what = f"{router} sent a request to {server} {late:.0f} ms after notification of state {notified.state}"
+            what = f"{router} sent to {server} {late:.0f} ms after it was notified: {notified.state}"
             yield Violation("drained", what, [notified.since, record])
 
 
@@ -296,7 +296,7 @@
         ):
             continue
         if not any(_notifies(record, change, end) for record in notifications):
-            what = f"{router} was not notified of version {change.fields['version']} within {bound // NS_PER_MS} ms"
+            what = f"{router} did not get version {change.fields['version']} within {bound // NS_PER_MS} ms"
             yield Violation("stale", what, [change])
 
 
@@ -322,7 +322,7 @@
 
 
 def _changes_by_router(history: History) -> Iterator[tuple[EventRecord, str, list[EventRecord]]]:
-    """Yields each list change with each router that was ever notified, and all notifications of that router."""
+    """Yields each list change with each router that was ever notified, and all its notifications."""
     notifications: dict[str, list[EventRecord]] = defaultdict(list)
     for record in history.events_of(EventKind.LIST_SENT):
         notifications[record.fields["router"]].append(record)
@@ -434,7 +434,7 @@
         for incarnation in incarnations
         for moment in (incarnation.begin, incarnation.ready, incarnation.end)
     ]
-    edges = [f"{name}>{other}" for name in names for other in names]
+    edges = [f"{source}>{target}" for source in names for target in names]
     faults = [
         fault for fault in history.fault_intervals
         if fault.kind != "hup" and (fault.processes & set(names) or any(map(fault.affects_edge, edges)))
@@ -549,9 +549,7 @@
     expected = NEW if plan.release.ends == "done" else OLD
     for unit, record in versions.items():
         if record.fields["version"] != expected:
-            yield Violation(
-                "released", f"{unit} has version {record.fields['version']}, expected {expected}", [record]
-            )
+            yield Violation("released", f"{unit} still has version {record.fields['version']}", [record])
     if out:
         yield Violation("released", f"still out of service: {', '.join(sorted(out))}", list(out.values()))
 
