--- a/applehub/lab/fleet/checks.py
+++ b/applehub/lab/fleet/checks.py
@@ -43,7 +43,7 @@
     events: list[EventRecord]
 
     def text(self, history: History) -> str:
-        """Formats the violation with the faults around it; times are relative to the first event of the run."""
+        """Formats the violation with the faults around it; times are relative to the start of the run."""
         first, last = self.events[0].mono, self.events[-1].mono
         fault_events = [
             record for record in history.events_of(EventKind.FAULT_BEGUN, EventKind.FAULT_ENDED)
--- a/applehub/lab/fleet/datagrams.py
+++ b/applehub/lab/fleet/datagrams.py
@@ -1,7 +1,7 @@
-"""The relay's datagram edges: what a rule tells is lost, doubled, late, out of order or cut short.
+"""Datagram edges of the relay, which drop, duplicate, delay, reorder or truncate datagrams by rule.
 
-An edge listens where its source sends to and passes on from an address of that source, so that the target
-knows who speaks. The way back is an edge of its own."""
+An edge listens on the address that its source sends to and forwards from an address of that source, so that
+the target can identify the sender. The opposite direction is a separate edge."""
 
 import asyncio
 import random
@@ -11,24 +11,26 @@
 
 
 class DatagramEdge(asyncio.DatagramProtocol):
-    """One way from a source to a target."""
+    """One direction of datagrams from a source to a target."""
 
     def __init__(self, name: str, target: str, listen: str, seed: int) -> None:
         self.name, self.target, self.listen, self.port = name, target, listen, 0
         self.random = random.Random(f"{seed} {name}")
         self.rules: dict[int, Rule] = {}
-        self.upstream: tuple[str, int] | None = None  # none: the target is down, and datagrams go nowhere
-        self.held: bytes | None = None  # goes out after the one that comes next
-        self.near: asyncio.DatagramTransport | None = None
-        self.far: asyncio.DatagramTransport | None = None
+        self.upstream: tuple[str, int] | None = None  # None: the target is down, datagrams are dropped
+        self.held_back: bytes | None = None  # a datagram to be forwarded after the next one
+        self.receiving: asyncio.DatagramTransport | None = None
+        self.sending: asyncio.DatagramTransport | None = None
 
     @classmethod
-    async def opened(cls, name: str, target: str, listen: str, source: str, seed: int) -> "DatagramEdge":
-        """An edge that listens at one address and passes on from another, on ports that the system chose."""
+    async def open(cls, name: str, target: str, listen: str, source: str, seed: int) -> "DatagramEdge":
+        """Opens an edge that listens on one address and forwards from another, both on ephemeral ports."""
         loop, edge = asyncio.get_running_loop(), cls(name, target, listen, seed)
-        edge.near, _ = await loop.create_datagram_endpoint(lambda: edge, local_addr=(listen, 0))
-        edge.far, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, local_addr=(source, 0))
-        edge.port = edge.near.get_extra_info("sockname")[1]
+        edge.receiving, _ = await loop.create_datagram_endpoint(lambda: edge, local_addr=(listen, 0))
+        edge.sending, _ = await loop.create_datagram_endpoint(
+            asyncio.DatagramProtocol, local_addr=(source, 0)
+        )
+        edge.port = edge.receiving.get_extra_info("sockname")[1]
         return edge
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
@@ -45,29 +47,29 @@
                     delay = (rule.ms + rule.jitter_ms * self.random.random()) / 1000
                 case "short":
                     data = data[: self.random.randrange(max(1, len(data)))]
-                case "swap" if self.held is None:
-                    self.held = data
+                case "swap" if self.held_back is None:
+                    self.held_back = data
                     return
-        held, self.held = self.held, None
-        for one in [data] * copies + ([held] if held is not None else []):
+        held, self.held_back = self.held_back, None
+        for datagram in [data] * copies + ([held] if held is not None else []):
             if delay:
-                asyncio.get_running_loop().call_later(delay, self._pass_on, one)
+                asyncio.get_running_loop().call_later(delay, self._forward, datagram)
             else:
-                self._pass_on(one)
+                self._forward(datagram)
 
     def settle(self) -> None:
-        """What is held for another to go first goes nowhere once no rule holds it."""
+        """Forwards a datagram that is held back for reordering once no rule asks for reordering."""
         if not any(rule.kind == "swap" for rule in self.rules.values()):
-            held, self.held = self.held, None
+            held, self.held_back = self.held_back, None
             if held is not None:
-                self._pass_on(held)
+                self._forward(held)
 
     def hang(self) -> None:
-        """Datagrams know no connection that may hang."""
+        """Does nothing: datagrams have no connection that could hang."""
 
     def reset(self) -> None:
-        """Datagrams know no connection to reset."""
+        """Does nothing: datagrams have no connection to reset."""
 
-    def _pass_on(self, data: bytes) -> None:
-        if self.far is not None and self.upstream is not None and not self.far.is_closing():
-            self.far.sendto(data, self.upstream)
+    def _forward(self, data: bytes) -> None:
+        if self.sending is not None and self.upstream is not None and not self.sending.is_closing():
+            self.sending.sendto(data, self.upstream)
--- a/applehub/lab/fleet/watch_commands.py
+++ b/applehub/lab/fleet/watch_commands.py
@@ -1,4 +1,4 @@
-"""The lab's command `watches`: many routers' watches before a list service that answers in turn and late."""
+"""The lab command `watches`: many routers watch a list service of limited capacity and high latency."""
 
 import itertools
 import sys
@@ -10,119 +10,125 @@
 import click
 import orjson
 
-from applehub.lab.fleet.turns import Service
-from applehub.lab.fleet.watch_play import WatchPlan, play_alone, summary
+from applehub.lab.fleet.service_queue import ServiceBehavior
+from applehub.lab.fleet.watch_scenario import WatchPlan, run_isolated, summary
 from applehub.lab.problems import guarded
 from applehub.lab.spec import SpecError
 from applehub.settings import Json
 
-MOST_ROUTERS, MOST_LATE = 1000, 30.0
-QUICK_SIZES, QUICK_LATENESS = "5", "0,2"
+MAX_ROUTERS, MAX_LATENCY_S = 1000, 30.0
+QUICK_SIZES, QUICK_LATENCIES = "5", "0,2"
 
 
 @click.command("watches")
 @click.option("--routers", "sizes", default="5,30,230", show_default=True, help="Numbers of routers.")
-@click.option("--late", default="0,0.5,1,2,3,4", show_default=True, help="s; LEAST:MOST is drawn evenly.")
-@click.option("--plays", type=click.IntRange(1, 50), default=1, show_default=True, help="Of each pair.")
-@click.option("--more", multiple=True, help="One more play of a pair, as in 230x2; may be repeated.")
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="The first.")
+@click.option(
+    "--late", default="0,0.5,1,2,3,4", show_default=True, help="Latency, s; MIN:MAX is drawn uniformly."
+)
+@click.option("--plays", type=click.IntRange(1, 50), default=1, show_default=True, help="Runs of each pair.")
+@click.option("--more", multiple=True, help="One more run of a pair, as in 230x2; may be repeated.")
+@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Seed of the first run.")
 @click.option("--capacity", type=click.FloatRange(1, 1e6), default=100.0, show_default=True, help="Calls/s.")
 @click.option(
     "--most-wait",
     type=click.FloatRange(0, 60),
     default=2.0,
     show_default=True,
-    help="For a turn, s; then 503.",
+    help="Maximum queueing time, s; then 503.",
+)
+@click.option("--most-waiting", type=click.IntRange(1), help="Maximum number of queued calls; then 503.")
+@click.option(
+    "--drop-abandoned", is_flag=True, help="A queued call whose connection is closed takes no capacity."
+)
+@click.option("--every-call-turns", is_flag=True, help="A continued watch takes capacity too.")
+@click.option("--late-watches", is_flag=True, help="A continued watch is delayed too.")
+@click.option("--must-ask", is_flag=True, help="Routers poll lists; their policy says when to poll again.")
+@click.option("--jobs", type=click.IntRange(1, 8), default=3, show_default=True, help="Concurrent runs.")
+@click.option("--quick", is_flag=True, help="5 routers, latencies of 0 and 2 s; takes half a minute.")
+@click.option(
+    "--out", type=click.Path(dir_okay=False, path_type=Path), help="Also writes the JSON to this file."
 )
-@click.option("--most-waiting", type=click.IntRange(1), help="Calls that wait for a turn; then 503.")
-@click.option("--drop-abandoned", is_flag=True, help="A call whose connection is closed takes no turn.")
-@click.option("--every-call-turns", is_flag=True, help="A watch that goes on takes a turn too.")
-@click.option("--late-watches", is_flag=True, help="A watch that goes on is answered late too.")
-@click.option("--must-ask", is_flag=True, help="Lists are asked for: the decisions say when to ask again.")
-@click.option("--jobs", type=click.IntRange(1, 8), default=3, show_default=True, help="Plays at once.")
-@click.option("--quick", is_flag=True, help="5 routers, 0 and 2 s: half a minute.")
-@click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="Writes the JSON there too.")
-@click.option("--json", "as_json", is_flag=True, help="As JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Prints JSON.")
 @guarded
 def watches(
     sizes: str, late: str, plays: int, more: tuple[str, ...], seed: int, capacity: float, most_wait: float,
     most_waiting: int | None, drop_abandoned: bool, every_call_turns: bool, late_watches: bool,
     must_ask: bool, jobs: int, quick: bool, out: Path | None, as_json: bool,
 ) -> None:  # fmt: skip
-    """Measures how soon routers take up changes of the list from a service that answers in turn, and late.
+    """Measures how soon routers apply list changes from a service of limited capacity and high latency.
 
-    All routers start at once; then come changes, a moment at which all watches fall silent, and an outage.
-    Code 0 where each router took up each change in time or none could have, 1 where one was late."""
+    All routers start at once; changes, a moment at which all watches become unresponsive, and an outage
+    follow. Exits with 0 if each router applied each change within the limit, and with 1 otherwise."""
     pairs = list(itertools.product(
-        _numbers("--routers", QUICK_SIZES if quick else sizes),
-        [_lateness("--late", one) for one in (QUICK_LATENESS if quick else late).split(",")],
-    )) * plays + [_pair(one) for one in more]  # fmt: skip
-
-    def plan(routers: int, lateness: tuple[float, float], number: int) -> WatchPlan:
-        service = Service(
-            capacity, *lateness, most_wait, most_waiting, not drop_abandoned,
-            0.0 if every_call_turns else Service().goes_on_within, late_watches,
+        _parse_numbers("--routers", QUICK_SIZES if quick else sizes),
+        [_parse_latency("--late", text) for text in (QUICK_LATENCIES if quick else late).split(",")],
+    )) * plays + [_parse_pair(text) for text in more]  # fmt: skip
+
+    def plan(routers: int, latency: tuple[float, float], number: int) -> WatchPlan:
+        service = ServiceBehavior(
+            capacity, *latency, most_wait, most_waiting, not drop_abandoned,
+            0.0 if every_call_turns else ServiceBehavior().goes_on_within, late_watches,
         )  # fmt: skip
         return WatchPlan(routers, service, seed + number, must_ask=must_ask)
 
-    rows = play_all([plan(*pair, pairs[:number].count(pair)) for number, pair in enumerate(pairs)], jobs)
-    told = orjson.dumps(rows, option=orjson.OPT_INDENT_2)
+    rows = run_all([plan(*pair, pairs[:number].count(pair)) for number, pair in enumerate(pairs)], jobs)
+    output = orjson.dumps(rows, option=orjson.OPT_INDENT_2)
     if out is not None:
-        out.write_bytes(told + b"\n")
-    click.echo(told.decode() if as_json else shown(rows))
+        out.write_bytes(output + b"\n")
+    click.echo(output.decode() if as_json else format_table(rows))
     sys.exit(1 if any(row["breaches"] for row in rows) else 0)
 
 
-def _numbers(option: str, text: str) -> list[int]:
+def _parse_numbers(option: str, text: str) -> list[int]:
     try:
-        numbers = [int(one) for one in text.split(",")]
+        numbers = [int(part) for part in text.split(",")]
     except ValueError:
         numbers = []
-    if not numbers or min(numbers) < 1 or max(numbers) > MOST_ROUTERS:
-        raise SpecError(f"{option}: expected numbers from 1 to {MOST_ROUTERS}, as in 5,30, got {text!r}")
+    if not numbers or min(numbers) < 1 or max(numbers) > MAX_ROUTERS:
+        raise SpecError(f"{option}: expected numbers from 1 to {MAX_ROUTERS}, as in 5,30, got {text!r}")
     return numbers
 
 
-def _lateness(option: str, text: str) -> tuple[float, float]:
+def _parse_latency(option: str, text: str) -> tuple[float, float]:
     try:
-        bounds = [float(one) for one in text.split(":")]
+        bounds = [float(part) for part in text.split(":")]
     except ValueError:
         bounds = []
-    if len(bounds) not in (1, 2) or not 0 <= bounds[0] <= bounds[-1] <= MOST_LATE:
-        raise SpecError(f"{option}: expected seconds up to {MOST_LATE:.0f}, as in 2 or 0:4, got {text!r}")
+    if len(bounds) not in (1, 2) or not 0 <= bounds[0] <= bounds[-1] <= MAX_LATENCY_S:
+        raise SpecError(f"{option}: expected seconds up to {MAX_LATENCY_S:.0f}, as in 2 or 0:4, got {text!r}")
     return bounds[0], bounds[-1]
 
 
-def _pair(text: str) -> tuple[int, tuple[float, float]]:
+def _parse_pair(text: str) -> tuple[int, tuple[float, float]]:
     routers, _, late = text.partition("x")
-    return _numbers("--more", routers)[0], _lateness("--more", late)
+    return _parse_numbers("--more", routers)[0], _parse_latency("--more", late)
 
 
-def play_all(plans: list[WatchPlan], jobs: int) -> list[Json]:
-    """Plays all, so many at once, the large ones first; their figures in the order of the plans.
+def run_all(plans: list[WatchPlan], jobs: int) -> list[Json]:
+    """Runs all plans in up to `jobs` processes, the largest first.
 
-    Raises LiveError."""
+    Returns the summaries in the order of the plans. Raises LiveError."""
     rows: dict[int, Json] = {}
     with ProcessPoolExecutor(jobs) as pool:
         largest_first = sorted(range(len(plans)), key=lambda number: -plans[number].routers)
-        under_way = {pool.submit(_figures, plans[number]): number for number in largest_first}
-        for done in as_completed(under_way):
-            rows[under_way[done]] = row = done.result()
-            click.echo(f"{len(rows)}/{len(plans)} {_name(row)}: {row['breaches']} late", err=True)
+        pending = {pool.submit(_run_summary, plans[number]): number for number in largest_first}
+        for future in as_completed(pending):
+            rows[pending[future]] = row = future.result()
+            click.echo(f"{len(rows)}/{len(plans)} {_describe(row)}: {row['breaches']} late", err=True)
     return [rows[number] for number in range(len(plans))]
 
 
-def _figures(plan: WatchPlan) -> Json:
-    return summary(play_alone(plan))
+def _run_summary(plan: WatchPlan) -> Json:
+    return summary(run_isolated(plan))
 
 
-def _name(row: Json) -> str:
-    return f"{row['routers']} routers, {_late(row)} s late, seed {row['seed']}"
+def _describe(row: Json) -> str:
+    return f"{row['routers']} routers, {_format_latency(row)} s late, seed {row['seed']}"
 
 
-def _late(row: Json) -> str:
-    least, most = row["late_s"]
-    return f"{least:g}" if least == most else f"{least:g} to {most:g}"
+def _format_latency(row: Json) -> str:
+    low, high = row["late_s"]
+    return f"{low:g}" if low == high else f"{low:g} to {high:g}"
 
 
 HEADINGS = [
@@ -131,18 +137,18 @@
 ]  # fmt: skip
 
 
-def shown(rows: list[Json]) -> str:
-    """As a table in Markdown."""
-    lines = [f"| {' | '.join(HEADINGS)} |", "|" + "---|" * len(HEADINGS)]
-    return "\n".join(lines + [f"| {' | '.join(_cells(row))} |" for row in rows])
+def format_table(rows: list[Json]) -> str:
+    """Formats the summaries as a Markdown table."""
+    lines = [f"| {' | '.enqueue(HEADINGS)} |", "|" + "---|" * len(HEADINGS)]
+    return "\n".enqueue(lines + [f"| {' | '.enqueue(_cells(row))} |" for row in rows])
 
 
 def _cells(row: Json) -> Iterator[str]:
-    def time(value: Any) -> str:
+    def format_seconds(value: Any) -> str:
         return "never" if value is None else f"{value:.2f}"
 
-    yield from (str(row["routers"]), _late(row), str(row["seed"]))
-    yield from (time(row["p50_s"]), time(row["p99_s"]), time(row["worst_s"]))
+    yield from (str(row["routers"]), _format_latency(row), str(row["seed"]))
+    yield from (format_seconds(row["p50_s"]), format_seconds(row["p99_s"]), format_seconds(row["worst_s"]))
     yield f"router {row['worst']['router']}, {row['worst']['change']}"
     yield from (f"{100 * row['in_time']:.1f}%", str(row["no_list"]), f"{row['patience_s']:.2f}")
     yield f"{row['breaches']} of {row['routers'] * row['changes']}"
--- /dev/null
+++ b/applehub/lab/fleet/watch_only_router.py
@@ -0,0 +1,78 @@
+"""Routers without a data path, which watch the list as real ones do."""
+
+from collections.abc import Callable
+from typing import Protocol
+
+from applehub.lab.live.bench import settings
+from applehub.node.discovery import Directory
+from applehub.node.driver import Driver
+from applehub.node.figures import Figures
+from applehub.node.pool import Endpoint, Pools
+from applehub.node.watch import Watch
+from applehub.policy import Balancer
+from applehub.settings import Json, read_names, read_settings
+
+CLIENT_WAIT_MS = 1000
+MAX_SOCKETS, DIAL_TIMEOUT_S, KEEPALIVE_S = 64, 0.25, 60.0  # of pools that send nothing
+ORIGIN_KIND = 1
+OnApplied = Callable[[int], None]  # called with the version of each list that is applied
+
+
+class Caller(Protocol):
+    """A client of the list service."""
+
+    def start(self) -> None:
+        """Starts to send calls."""
+
+    def stop(self) -> None:
+        """Stops the client and closes its connections."""
+
+
+CallerFactory = Callable[
+    [Endpoint, int, OnApplied], Caller
+]  # arguments: endpoint of the service, seed, callback
+
+
+class WatchOnlyRouter:
+    """Runs the watch and the directory of a real router.
+
+    With `must_ask` it also runs the router's policy, which says when to poll again after a failure. Without
+    it the policy is left out, so that one process can run more routers."""
+
+    def __init__(self, endpoint: Endpoint, seed: int, on_applied: OnApplied, must_ask: bool = False) -> None:
+        router_settings = {**settings(CLIENT_WAIT_MS), "registryMode": "on_request" if must_ask else "pushed"}
+        pools = Pools(MAX_SOCKETS, DIAL_TIMEOUT_S, KEEPALIVE_S)
+        self.driver: Driver | None = None
+        if must_ask:
+            self.driver = Driver(Balancer(read_settings(router_settings), seed), pools, 1, Figures())
+        notify = self.driver.tell if self.driver else lambda members: None
+        self.directory = Directory(read_names(router_settings), ORIGIN_KIND, pools, notify)
+        self.directory.took = lambda answer, complete: on_applied(self.directory.rev)
+        self.watch = Watch([endpoint], self.directory, seed, must_ask)
+        if self.driver:
+            self.driver.watch = self.watch.start
+
+    def start(self) -> None:
+        self.watch.start()
+
+    def stop(self) -> None:
+        if self.driver:
+            self.driver.watch = lambda: None
+        self.watch.stop()
+
+
+def list_entries(servers: int) -> list[Json]:
+    """Returns list entries of an origin and `servers` cache servers; nothing connects to their endpoints."""
+    return [
+        {
+            "uid": f"cache-{number}" if number else "origin",
+            "endpoint": f"127.0.0.1:{number + 1}",
+            "az": "here",
+            "model": "cache" if number else "origin",
+            "pod_group": 0,
+            "state": "Ready",
+            "capacity_hint": 1.0,
+            "boot_ms": 0,
+        }
+        for number in range(servers + 1)
+    ]
