--- a/applehub/lab/fleet/slow_registry.py
+++ b/applehub/lab/fleet/slow_registry.py
@@ -10,7 +10,7 @@
 import h11
 import orjson
 
-from applehub.lab.fleet.service_queue import CallQueue, QueuedCall, ServiceBehavior
+from applehub.lab.fleet.turns import CallQueue, QueuedCall, ServiceBehavior
 from applehub.lab.live.standins import HttpPeer, Reply
 from applehub.node.pool import Endpoint
 from applehub.settings import Json
@@ -29,7 +29,7 @@
     answered: int = 0
     refused: int = 0
     wasted: int = 0  # took capacity, but the caller closed the connection before the answer
-    left: int = 0  # closed by the caller while the call took no capacity, or was unresponsive
+    left: int = 0  # closed by the caller before the call took capacity, or while it was unresponsive
     cut: int = 0  # reset by an outage
 
 
@@ -93,9 +93,8 @@
         self.connections: set[_Connection] = set()
         self.server: asyncio.Server | None = None
         self.start_futures: dict[QueuedCall, asyncio.Future[None]] = {}
-        self.watches: dict[
-            asyncio.Future[bool], None
-        ] = {}  # open watches; the result says whether the watch becomes unresponsive
+        # Open watches; the result of each says whether the watch becomes unresponsive.
+        self.watches: dict[asyncio.Future[bool], None] = {}
         self.notify_tasks: set[asyncio.Task[None]] = set()
         self.timer: asyncio.TimerHandle | None = None
         # Bound but never listening: reserves the port, which refuses connections during an outage.
--- a/applehub/lab/fleet/service_queue.py
+++ b/applehub/lab/fleet/turns.py
@@ -16,14 +16,11 @@
     capacity: float = 100.0  # calls a second
     min_latency_s: float = 0.0  # s from the start of a call until it is handled; drawn uniformly
     max_latency_s: float = 0.0
-    max_wait_s: float = 2.0  # s; a call that would queue for longer is rejected
-    max_queued: int | None = None  # a call that finds as many in the queue is rejected as well
-    abandoned_calls_take_capacity: bool = (
-        True  # a queued call whose connection was closed still takes capacity
-    )
-    goes_on_within: float = (
-        0.2  # s from an answer, within which the next watch on the connection takes no capacity
-    )
+    max_wait_s: float = 2.0  # a call that would queue for longer is rejected
+    max_queued: int | None = None  # a call that finds this many in the queue is rejected as well
+    abandoned_calls_take_capacity: bool = True  # a queued call takes capacity though its caller left
+    # Seconds from an answer, within which the next watch on that connection takes no capacity ("continues").
+    goes_on_within: float = 0.2
     late_watches: bool = False  # such a continued watch is handled with latency as well
 
     def draw_latency(self, random: Random) -> float:
@@ -58,7 +55,7 @@
         return queued_call
 
     def abandon(self, queued_call: QueuedCall) -> bool:
-        """Records that the caller of a queued call left; returns whether the call was removed from the queue."""
+        """Handles that the caller of a queued call left; returns whether the call was removed."""
         removed = not self.service.abandoned_calls_take_capacity and queued_call in self.waiting
         if removed:
             self.waiting.remove(queued_call)
--- a/applehub/lab/fleet/list_propagation.py
+++ b/applehub/lab/fleet/uptake.py
@@ -2,7 +2,7 @@
 
 Each router must apply each change within `limit_s` seconds from when the list service has the change and can
 be reached. `limit_s` is 6 s or, if longer, the time that ideal callers need
-(`service_queue.ideal_completion_time`). That time depends on the service alone, so calls that routers waste
+(`turns.ideal_completion_time`). That time depends on the service alone, so calls that routers waste
 do not extend the limit.
 
 - An outage that begins within the limit, before the router has applied the change, restarts the time at the
@@ -15,7 +15,7 @@
 from bisect import bisect_left
 from dataclasses import dataclass
 
-from applehub.lab.fleet.service_queue import ServiceBehavior, ideal_completion_time
+from applehub.lab.fleet.turns import ServiceBehavior, ideal_completion_time
 
 PROPAGATION_LIMIT_S = 6.0  # from when the list service has a change and can be reached
 NEVER = math.inf
@@ -27,7 +27,7 @@
 
     version: int
     at: float
-    phase: str  # phase of the run: start, calm, silent, outage
+    phase: str  # start, calm, silent, outage
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
 def propagation_seconds(
     change: Change, applied: list[AppliedVersion], outages: list[Outage], limit_s: float
 ) -> float:
-    """Returns the seconds from when the service had the change and could be reached until the router applied it."""
+    """Returns the seconds from when the service had and could serve a change until a router applied it."""
     index = bisect_left(applied, change.version, key=lambda update: update.version)
     at = applied[index].at if index < len(applied) else NEVER
     since = change.at
--- a/applehub/lab/fleet/watch_commands.py
+++ b/applehub/lab/fleet/watch_commands.py
@@ -10,8 +10,8 @@
 import click
 import orjson
 
-from applehub.lab.fleet.service_queue import ServiceBehavior
-from applehub.lab.fleet.watch_scenario import WatchPlan, run_isolated, summary
+from applehub.lab.fleet.turns import ServiceBehavior
+from applehub.lab.fleet.watch_play import WatchPlan, run_isolated, summary
 from applehub.lab.problems import guarded
 from applehub.lab.spec import SpecError
 from applehub.settings import Json
@@ -139,8 +139,8 @@
 
 def format_table(rows: list[Json]) -> str:
     """Formats the summaries as a Markdown table."""
-    lines = [f"| {' | '.enqueue(HEADINGS)} |", "|" + "---|" * len(HEADINGS)]
-    return "\n".enqueue(lines + [f"| {' | '.enqueue(_cells(row))} |" for row in rows])
+    lines = [f"| {' | '.join(HEADINGS)} |", "|" + "---|" * len(HEADINGS)]
+    return "\n".join(lines + [f"| {' | '.enqueue(_cells(row))} |" for row in rows])
 
 
 def _cells(row: Json) -> Iterator[str]:
--- a/applehub/lab/fleet/watch_scenario.py
+++ b/applehub/lab/fleet/watch_play.py
@@ -11,7 +11,10 @@
 
 import psutil
 
-from applehub.lab.fleet.list_propagation import (
+from applehub.lab.fleet.hollow import Caller, CallerFactory, WatchOnlyRouter, list_entries
+from applehub.lab.fleet.slow_registry import CallCounts, SlowRegistry
+from applehub.lab.fleet.turns import ServiceBehavior
+from applehub.lab.fleet.uptake import (
     PROPAGATION_LIMIT_S,
     AppliedVersion,
     Change,
@@ -22,9 +25,6 @@
     percentile,
     propagation_limit,
 )
-from applehub.lab.fleet.service_queue import ServiceBehavior
-from applehub.lab.fleet.slow_registry import CallCounts, SlowRegistry
-from applehub.lab.fleet.watch_only_router import Caller, CallerFactory, WatchOnlyRouter, list_entries
 from applehub.lab.live.bench import LiveError
 from applehub.settings import Json
 
@@ -91,7 +91,7 @@
     outages: list[Outage] = field(default_factory=list)
     applied: list[list[AppliedVersion]] = field(default_factory=list)  # by router, in order
     counts: CallCounts = field(default_factory=CallCounts)
-    max_lag_s: float = 0.0  # s, the most that the event loop ran late; part of all delays
+    max_lag_s: float = 0.0  # the most that the event loop ran late, which adds to all delays
     memory_mb: float = 0.0
 
     def propagation_delays(self) -> list[PropagationDelay]:
@@ -118,18 +118,17 @@
             self.make_caller(endpoint, seed, partial(self._on_applied, router))
             for router, seed in enumerate(self.seeds)
         ]
-        lag = self.loop.create_task(self._measure_lag())
+        lag_task = self.loop.create_task(self._measure_lag())
         try:
             await self._execute_schedule(callers)
         finally:
-            lag.cancel()
+            lag_task.cancel()
             for caller in callers:
                 caller.stop()
             await self.registry.close()
         return self.result
 
     async def _execute_schedule(self, callers: list[Caller]) -> None:
-        """Executes the schedule."""
         schedule, result = self.schedule, self.result
         self.started_at = self.loop.time()
         result.changes.append(Change(self.registry.version, self.started_at, "start"))
--- a/tests/test_slow_registry.py
+++ b/tests/test_slow_registry.py
@@ -17,12 +17,12 @@
 from click.testing import CliRunner
 
 from applehub.lab.__main__ import main
-from applehub.lab.fleet import list_propagation, watch_commands
-from applehub.lab.fleet.list_propagation import NEVER, AppliedVersion, Change, Outage, propagation_seconds
-from applehub.lab.fleet.service_queue import CallQueue, ServiceBehavior, ideal_completion_time
+from applehub.lab.fleet import uptake, watch_commands
+from applehub.lab.fleet.hollow import OnApplied, WatchOnlyRouter, list_entries
 from applehub.lab.fleet.slow_registry import SlowRegistry
-from applehub.lab.fleet.watch_only_router import OnApplied, WatchOnlyRouter, list_entries
-from applehub.lab.fleet.watch_scenario import (
+from applehub.lab.fleet.turns import CallQueue, ServiceBehavior, ideal_completion_time
+from applehub.lab.fleet.uptake import NEVER, AppliedVersion, Change, Outage, propagation_seconds
+from applehub.lab.fleet.watch_play import (
     RunResult,
     WatchPlan,
     draw_schedule,
@@ -301,7 +301,7 @@
 
 
 class SimpleWatch:
-    """A watch that waits up to `timeout_s` for an immediate answer, then closes the connection and retries."""
+    """A watch that waits up to `timeout_s` for an immediate answer, then reconnects and retries."""
 
     def __init__(self, timeout_s: float, endpoint: Endpoint, seed: int, on_applied: OnApplied) -> None:
         self.timeout_s, self.endpoint, self.on_applied = timeout_s, endpoint, on_applied
@@ -373,7 +373,7 @@
     figures = summary(run_on_virtual_clock(monkeypatch, WatchPlan(10, TWO_SECONDS_LATENCY), timeout_s=5.0))
     assert (figures["breaches"], figures["no_list"], figures["in_time"]) == (0, 0, 1.0)
     assert figures["calls"]["wasted"] == 0
-    assert 2.0 < figures["worst_s"] <= figures["patience_s"] == list_propagation.PROPAGATION_LIMIT_S
+    assert 2.0 < figures["worst_s"] <= figures["patience_s"] == uptake.PROPAGATION_LIMIT_S
 
 
 def test_router_that_misses_a_single_change_is_named(monkeypatch: pytest.MonkeyPatch) -> None:
