--- a/applehub/lab/fleet/failing_calls.py
+++ b/applehub/lab/fleet/failing_calls.py
@@ -1,7 +1,7 @@
-"""A router's system calls that fail while a plan says so: the router's own side, started by the shim.
+"""Injects the system call faults of a plan within a router's process; started by the shim.
 
-The ground puts a file for each fault into the router's folder `control`, and takes it away as the fault ends.
-The router's process looks for them, and tells in the file `seen` which ones hold."""
+The test harness writes a file for each active fault into the router's folder `control` and removes it when
+the fault ends. The router's process polls the folder and lists the active faults in the file `seen`."""
 
 import os
 import threading
@@ -14,47 +14,48 @@
 
 from applehub.lab.fleet.system_call_faults import SystemCallFault, SystemCallFaults
 
-PREFIX = "system_call-"  # of the files' names
-SEEN, INJECTED = "seen", "injected"  # which hold, and a line for each call that has failed
-LOOK = 0.01  # s between two looks
+FAULT_FILE_PREFIX = "system_call-"
+# The first lists the active faults, the second has a line for each injection.
+ACTIVE_FAULTS_FILE, INJECTIONS_FILE = "seen", "injected"
+POLL_INTERVAL_S = 0.01
 
 
-class FailingCalls:
-    """The faults of this process, as the files in a folder tell them."""
+class SystemCallFaultControl:
+    """Keeps the faults of this process in step with the files in a folder."""
 
     def __init__(self, control: str, open: Callable[..., Any]) -> None:
-        """open: the real one, whatever else is patched."""
+        """open: the original `open` function, unaffected by patches."""
         self.control, self.open = Path(control), open
-        self.faults = SystemCallFaults(record=str(self.control / INJECTED))
+        self.faults = SystemCallFaults(record=str(self.control / INJECTIONS_FILE))
         self.files: dict[str, bytes] | None = None
 
     def start(self) -> None:
-        """Installs them, and goes on looking in a thread."""
-        self._look()
+        """Installs the faults and starts a thread that polls the folder."""
+        self._poll()
         self.faults.install()
-        threading.Thread(target=self._go_on, daemon=True).start()
+        threading.Thread(target=self._poll_forever, daemon=True).start()
 
-    def _go_on(self) -> None:
+    def _poll_forever(self) -> None:
         while True:
-            time.sleep(LOOK)
-            self._look()
+            time.sleep(POLL_INTERVAL_S)
+            self._poll()
 
     def _read(self, name: str) -> bytes:
         with self.open(self.control / name, "rb", buffering=0) as file:
             return bytes(file.readall())
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         try:
-            names = sorted(name for name in os.listdir(self.control) if name.startswith(PREFIX))
+            names = sorted(name for name in os.listdir(self.control) if name.startswith(FAULT_FILE_PREFIX))
             files = {name: self._read(name) for name in names}
-        except OSError:  # one has just been taken away: the next look tells
+        except OSError:  # a file was removed meanwhile; the next poll sees a consistent set
             return
         if files != self.files:
             self.files = files
             self.faults.replace(*(SystemCallFault(**orjson.loads(text)) for text in files.values()))
-            self._tell()
+            self._report_active()
 
-    def _tell(self) -> None:
-        """In one write: who reads it finds all or nothing of it."""
-        with self.open(self.control / SEEN, "wb", buffering=0) as file:
+    def _report_active(self) -> None:
+        """Writes the names of the active faults in one write, so that a reader never sees a part of them."""
+        with self.open(self.control / ACTIVE_FAULTS_FILE, "wb", buffering=0) as file:
             file.write(orjson.dumps(list(self.files or ())))
--- a/applehub/lab/fleet/hollow.py
+++ b/applehub/lab/fleet/hollow.py
@@ -28,9 +28,8 @@
         """Stops the client and closes its connections."""
 
 
-CallerFactory = Callable[
-    [Endpoint, int, OnApplied], Caller
-]  # arguments: endpoint of the service, seed, callback
+# Takes the endpoint of the list service, a seed and the callback.
+CallerFactory = Callable[[Endpoint, int, OnApplied], Caller]
 
 
 class WatchOnlyRouter:
--- a/applehub/lab/fleet/scale.py
+++ b/applehub/lab/fleet/scale.py
@@ -1,4 +1,4 @@
-"""Measures the list service with many servers and watchers, beside its stand-in on the same work."""
+"""Measures the list service with many servers and watchers, and its stand-in under the same workload."""
 
 import asyncio
 import re
@@ -19,120 +19,120 @@
 from applehub.lab.live.bench import LiveError
 from applehub.node.discovery import read_endpoint
 
-LENGTH = re.compile(rb"content-length: *(\d+)", re.I)
+CONTENT_LENGTH = re.compile(rb"content-length: *(\d+)", re.I)
 REV = re.compile(rb'"rev":(\d+)')
-HOLD = 30_000  # ms
-ALL_WITHIN = 60.0  # s for every watcher to hear of a change
-AT_ONCE = 50  # changes asked for together
+HOLD_MS = 30_000
+PROPAGATION_TIMEOUT_S = 60.0  # for a change to reach every watcher
+CONCURRENT_CHANGES = 50
 KB = 1 << 10
 
 
 @dataclass(slots=True)
-class Measured:
-    """Times in ms, from the answer to the writer until the last watcher has the change."""
+class Measurement:
+    """One measurement; `told` times are in ms, from the acknowledgement of a change until all watchers have it."""
 
     what: str
     servers: int
     watchers: int
-    first_lists_s: float  # from the first call until all watchers have the whole list
-    one_by_one: float  # changes a second, each after the one before was acknowledged
-    together: float  # changes a second, so many asked for at once
+    first_lists_s: float  # from the first call until all watchers have the complete list
+    one_by_one: float  # sequential changes per second
+    together: float  # changes per second with CONCURRENT_CHANGES at once
     told_p50: float
     told_p99: float
     changes: int
-    kb_a_watcher: float  # of resident memory, over all replicas
+    kb_a_watcher: float  # resident memory of all replicas, per watcher
 
 
 class Watcher(asyncio.Protocol):
-    """One caller that watches for ever: the same calls as a router's."""
+    """A client that watches the list continuously, with the same calls as a router."""
 
-    def __init__(self, crowd: "Crowd") -> None:
-        self.crowd = crowd
+    def __init__(self, group: "WatcherGroup") -> None:
+        self.group = group
         self.transport: asyncio.Transport | None = None
-        self.read = bytearray()
+        self.buffer = bytearray()
         self.rev = -1
-        self.again: asyncio.TimerHandle | None = None
+        self.retry_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self._ask()
+        self._send_poll()
 
-    def _ask(self) -> None:
-        target = "/api/targets" if self.rev < 0 else f"/api/targets?from={self.rev}&hold_ms={HOLD}"
+    def _send_poll(self) -> None:
+        target = "/api/targets" if self.rev < 0 else f"/api/targets?from={self.rev}&hold_ms={HOLD_MS}"
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(f"GET {target} HTTP/1.1\r\nHost: list\r\n\r\n".encode())
 
     def data_received(self, data: bytes) -> None:
-        self.read += data
-        head, found, body = bytes(self.read).partition(b"\r\n\r\n")
-        length = LENGTH.search(head)
+        self.buffer += data
+        head, found, body = bytes(self.buffer).partition(b"\r\n\r\n")
+        length = CONTENT_LENGTH.search(head)
         if not found or length is None or len(body) < int(length[1]):
             return
-        self.read.clear()
+        self.buffer.clear()
         rev = REV.search(body[:64])
         if b" 200 " not in head[:16] or rev is None:
-            self.crowd.refused += 1
-            self.again = asyncio.get_running_loop().call_later(1.0, self._ask)
+            self.group.refused += 1
+            self.retry_timer = asyncio.get_running_loop().call_later(1.0, self._send_poll)
             return
         self.rev = int(rev[1])
-        self.crowd.heard(self)
-        self._ask()
+        self.group.on_update(self)
+        self._send_poll()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if not self.crowd.over:
-            self.crowd.lost += 1
+        if not self.group.closing:
+            self.group.lost += 1
 
 
-class Crowd:
+class WatcherGroup:
     """All watchers of a measurement."""
 
     def __init__(self, count: int) -> None:
         self.count, self.watchers = count, [Watcher(self) for _ in range(count)]
         self.refused = self.lost = 0
-        self.over = False
+        self.closing = False
         self.wanted = 0
         self.behind: set[Watcher] = set(self.watchers)
-        self.all = asyncio.Event()
+        self.all_updated = asyncio.Event()
 
-    async def begin(self, addresses: list[str]) -> float:
-        """Connects all at once; gives the seconds until each has the whole list."""
-        loop, began = asyncio.get_running_loop(), time.monotonic()
-        where = [read_endpoint(one) for one in addresses]
-        self.all.clear()
+    async def connect(self, addresses: list[str]) -> float:
+        """Connects all watchers at once; returns the seconds until each has the complete list."""
+        loop, started_at = asyncio.get_running_loop(), time.monotonic()
+        endpoints = [read_endpoint(address) for address in addresses]
+        self.all_updated.clear()
         await asyncio.gather(
             *(
-                loop.create_connection(lambda w=one: w, *where[number % len(where)])  # type: ignore[misc]
-                for number, one in enumerate(self.watchers)
+                loop.create_connection(lambda w=watcher: w, *endpoints[number % len(endpoints)])  # type: ignore[misc]
+                for number, watcher in enumerate(self.watchers)
             )
         )
-        await asyncio.wait_for(self.all.wait(), ALL_WITHIN)
-        return time.monotonic() - began
+        await asyncio.wait_for(self.all_updated.wait(), PROPAGATION_TIMEOUT_S)
+        return time.monotonic() - started_at
 
-    def heard(self, watcher: Watcher) -> None:
+    def on_update(self, watcher: Watcher) -> None:
         if watcher.rev >= self.wanted:
             self.behind.discard(watcher)
             if not self.behind:
-                self.all.set()
+                self.all_updated.set()
 
-    async def until(self, version: int) -> None:
+    async def wait_for_version(self, version: int) -> None:
         """Returns once every watcher has a version."""
         self.wanted = version
-        self.behind = {one for one in self.watchers if one.rev < version}
-        self.all.clear()
+        self.behind = {watcher for watcher in self.watchers if watcher.rev < version}
+        self.all_updated.clear()
         if self.behind:
-            await asyncio.wait_for(self.all.wait(), ALL_WITHIN)
+            await asyncio.wait_for(self.all_updated.wait(), PROPAGATION_TIMEOUT_S)
 
-    def end(self) -> None:
-        self.over = True
-        for one in self.watchers:
-            if one.again is not None:
-                one.again.cancel()
-            if one.transport is not None:
-                one.transport.abort()
+    def close(self) -> None:
+        self.closing = True
+        for watcher in self.watchers:
+            if watcher.retry_timer is not None:
+                watcher.retry_timer.cancel()
+            if watcher.transport is not None:
+                watcher.transport.abort()
 
 
-class Subject:
-    """What is measured: where it is asked, and how it is changed (gives the version)."""
+class ServiceUnderTest:
+    """A list service to be measured; `change` changes a server's entry and returns the new version."""
 
     def __init__(
         self,
@@ -144,109 +144,120 @@
         self.processes, self.addresses, self.change, self.end = processes, addresses, change, end
 
     def memory(self) -> float:
-        """KB, resident, of all its processes."""
-        pids = [one.process.pid for one in self.processes if one.process is not None]
+        """Returns the resident memory of all its processes, in KB."""
+        pids = [process.process.pid for process in self.processes if process.process is not None]
         return float(sum(psutil.Process(pid).memory_info().rss for pid in pids)) / KB
 
 
-def _entry(number: int, turn: int) -> dict[str, Any]:
+def _entry(number: int, pod_group: int) -> dict[str, Any]:
     return {
         "endpoint": f"10.1.{number // 250}.{number % 250}:6379",
         "az": "a",
         "model": "cache",
-        "pod_group": turn,
+        "pod_group": pod_group,
         "capacity_hint": 1.0,
         "boot_ms": 0,
         "state": "Ready",
     }
 
 
-async def stand_in(folder: Path, events: EventWriter, servers: int) -> Subject:
-    """The ground's stand-in, in memory."""
+async def stand_in(folder: Path, events: EventWriter, servers: int) -> ServiceUnderTest:
+    """Starts the test harness's stand-in, which keeps the list in memory."""
     process = Standin("list", "list", folder, events)
     entries = [{"uid": f"server-{n}", **_entry(n, 0)} for n in range(servers)]
     answer = await process.start(
         {
             "version": 1, "changed": {}, "entries": entries, "sources": {}, "rate": 1e6,
-            "endpoints": {"": {one["uid"]: one["endpoint"] for one in entries}},
+            "endpoints": {"": {entry["uid"]: entry["endpoint"] for entry in entries}},
         }
     )  # fmt: skip
 
-    async def change(number: int, turn: int) -> int:
-        told = {"do": "touch", "server": f"server-{number}", "entry": {"pod_group": turn}}
-        return int((await process.ask(told))["version"])
+    async def change(number: int, pod_group: int) -> int:
+        command = {"do": "touch", "server": f"server-{number}", "entry": {"pod_group": pod_group}}
+        return int((await process.ask(command))["version"])
 
-    return Subject([process], [answer["address"]], change, process.kill)
+    return ServiceUnderTest([process], [answer["address"]], change, process.kill)
 
 
-async def service(folder: Path, events: EventWriter, servers: int, replicas: int, block: str) -> Subject:
-    """The project's list service."""
-    ours = [RegistryProcess(f"list-{n}", folder, events) for n in range(replicas)]
-    peers = {one.name: f"{block}.222.{n + 1}:7000" for n, one in enumerate(ours)}
-    group = [f'{name} = "{address}"' for name, address in peers.items()] if replicas > 1 else []
-    await asyncio.gather(*(one.start([f'name = "{one.name}"', "[peers]", *group]) for one in ours))
-    lists = Lists(ours, events)
+async def service(
+    folder: Path, events: EventWriter, servers: int, replicas: int, block: str
+) -> ServiceUnderTest:
+    """Starts the list service with the given number of replicas and fills its list."""
+    replica_processes = [RegistryProcess(f"list-{n}", folder, events) for n in range(replicas)]
+    peers = {replica.name: f"{block}.222.{n + 1}:7000" for n, replica in enumerate(replica_processes)}
+    peer_lines = [f'{name} = "{address}"' for name, address in peers.items()] if replicas > 1 else []
+    await asyncio.gather(
+        *(
+            replica.start([f'name = "{replica.name}"', "[peers]", *peer_lines])
+            for replica in replica_processes
+        )
+    )
+    lists = Lists(replica_processes, events)
     try:
         await lists.primary()
     except LiveError:
         await lists.close()
-        await asyncio.gather(*(one.kill() for one in ours))
+        await asyncio.gather(*(replica.kill() for replica in replica_processes))
         raise
 
-    async def change(number: int, turn: int) -> int:
-        told = await lists.agreed("PUT", f"/v1/servers/server-{number}", _entry(number, turn))
-        return int(told["entry"])
+    async def change(number: int, pod_group: int) -> int:
+        answer = await lists.agreed("PUT", f"/v1/servers/server-{number}", _entry(number, pod_group))
+        return int(answer["entry"])
 
     async def end() -> None:
         await lists.close()
-        await asyncio.gather(*(one.kill() for one in ours))
+        await asyncio.gather(*(replica.kill() for replica in replica_processes))
 
-    for first in range(0, servers, AT_ONCE):
-        await asyncio.gather(*(change(n, 0) for n in range(first, min(servers, first + AT_ONCE))))
-    return Subject([*ours], [one.listen for one in ours], change, end)
+    for first in range(0, servers, CONCURRENT_CHANGES):
+        await asyncio.gather(*(change(n, 0) for n in range(first, min(servers, first + CONCURRENT_CHANGES))))
+    return ServiceUnderTest(
+        [*replica_processes], [replica.listen for replica in replica_processes], change, end
+    )
 
 
-async def measure(what: str, subject: Subject, servers: int, watchers: int, changes: int) -> Measured:
-    """Plays the same work on any subject."""
-    before, crowd = subject.memory(), Crowd(watchers)
+async def measure(
+    what: str, subject: ServiceUnderTest, servers: int, watchers: int, changes: int
+) -> Measurement:
+    """Runs the workload on a service and returns the measurement."""
+    before, group = subject.memory(), WatcherGroup(watchers)
     try:
-        first = await crowd.begin(subject.addresses)
-        held = subject.memory()
+        first = await group.connect(subject.addresses)
+        after = subject.memory()
         times = []
         for number in range(changes):
             version = await subject.change(number % servers, 1)
             acknowledged = time.monotonic()
-            await crowd.until(version)
+            await group.wait_for_version(version)
             times.append((time.monotonic() - acknowledged) * 1000)
-        began = time.monotonic()
+        started_at = time.monotonic()
         for number in range(changes):
             version = await subject.change(number % servers, 2)
-        one_by_one = changes / (time.monotonic() - began)
-        await crowd.until(version)
-        began = time.monotonic()
-        made = await asyncio.gather(*(subject.change(n % servers, 3) for n in range(AT_ONCE)))
-        together = AT_ONCE / (time.monotonic() - began)
-        await crowd.until(max(made))
-        if crowd.lost:
-            raise LiveError(f"{crowd.lost} watchers lost their connection")
+        one_by_one = changes / (time.monotonic() - started_at)
+        await group.wait_for_version(version)
+        started_at = time.monotonic()
+        created = await asyncio.gather(*(subject.change(n % servers, 3) for n in range(CONCURRENT_CHANGES)))
+        together = CONCURRENT_CHANGES / (time.monotonic() - started_at)
+        await group.wait_for_version(max(created))
+        if group.lost:
+            raise LiveError(f"{group.lost} watchers lost their connection")
     finally:
-        crowd.end()
+        group.close()
     times.sort()
-    return Measured(
+    return Measurement(
         what, servers, watchers, round(first, 2), round(one_by_one, 1), round(together, 1),
         round(times[len(times) // 2], 1), round(times[int(0.99 * (len(times) - 1))], 1), changes,
-        round((held - before) / max(1, watchers), 1),
+        round((after - before) / max(1, watchers), 1),
     )  # fmt: skip
 
 
 async def run(servers: int, watchers: int, changes: int) -> list[dict[str, Any]]:
-    """Measures the stand-in, one replica and three; the rows of a table. Raises LiveError."""
+    """Measures the stand-in, one replica and three replicas; returns table rows. Raises LiveError."""
     rows = []
     block, claim = claim_block()
     try:
         for replicas, what in ((0, "the stand-in"), (1, "one replica"), (3, "three replicas")):
-            with tempfile.TemporaryDirectory(prefix="lists-") as made:
-                folder = Path(made)
+            with tempfile.TemporaryDirectory(prefix="lists-") as directory:
+                folder = Path(directory)
                 events = EventWriter(folder / "events.jsonl", "scale", 0)
                 if replicas:
                     subject = await service(folder, events, servers, replicas, block)
@@ -258,17 +269,19 @@
                     await subject.end()
                     events.close()
     except TimeoutError:
-        raise LiveError(f"a watcher did not hear of a change in {ALL_WITHIN:.0f} s") from None
+        raise LiveError(
+            f"a change did not reach every watcher within {PROPAGATION_TIMEOUT_S:.0f} s"
+        ) from None
     finally:
         claim.close()
     return rows
 
 
-def shown(rows: list[dict[str, Any]]) -> str:
-    """As a table in Markdown."""
+def format_table(rows: list[dict[str, Any]]) -> str:
+    """Formats the measurements as a Markdown table."""
     names = {
         "what": "", "servers": "servers", "watchers": "watchers", "first_lists_s": "all have the list, s",
-        "one_by_one": "changes/s, one by one", "together": f"changes/s, {AT_ONCE} at once",
+        "one_by_one": "changes/s, one by one", "together": f"changes/s, {CONCURRENT_CHANGES} at once",
         "told_p50": "ack to last watcher p50, ms", "told_p99": "p99, ms", "changes": "of changes",
         "kb_a_watcher": "KB a watcher",
     }  # fmt: skip
--- a/applehub/lab/fleet/shim.py
+++ b/applehub/lab/fleet/shim.py
@@ -1,8 +1,8 @@
-"""Starts a router with what a plan spoils in its surroundings: `python -m applehub.lab.fleet.shim JSON`.
+"""Starts a router with fault injection into its environment: `python -m applehub.lab.fleet.shim JSON`.
 
-Patches this process alone, before the router's own main: the wall clock, writes to its disk, a record of what
-was synced (so that the ground can play a power loss), system calls that fail, and a known-bad variant. `run`
-itself never sees any of it."""
+Before the router's main runs, this patches the wall clock and writes to the router's disk, keeps a copy of
+what was synced (so that the test harness can simulate a power loss), and installs system call faults and a
+known-bad variant. The router's own code is not changed otherwise."""
 
 import builtins
 import errno
@@ -19,18 +19,18 @@
 import orjson
 
 
-class Surroundings:
-    """What the ground says of this process, in small files that it rewrites."""
+class FaultyEnvironment:
+    """Patches that apply the faults which the test harness writes into small control files."""
 
-    def __init__(self, told: dict[str, Any]) -> None:
+    def __init__(self, options: dict[str, Any]) -> None:
         self.disk, self.durable, self.control = (
-            os.path.realpath(told[name]) for name in ("disk", "durable", "control")
+            os.path.realpath(options[name]) for name in ("disk", "durable", "control")
         )
-        self.synced: dict[int, bytes] = {}  # by inode
-        self.alone = threading.Lock()
+        self.synced: dict[int, bytes] = {}  # content at the last sync, by inode
+        self.lock = threading.Lock()
         self.open, self.fsync, self.time_ns = builtins.open, os.fsync, time.time_ns
 
-    def said(self, name: str) -> list[str]:
+    def read_control(self, name: str) -> list[str]:
         try:
             with self.open(os.path.join(self.control, name)) as file:
                 return str(file.read()).split()
@@ -44,57 +44,55 @@
         time.time = lambda: self._time_ns() / 1e9
 
     def _time_ns(self) -> int:
-        step = self.said("clock")
+        step = self.read_control("clock")
         return self.time_ns() + (int(step[0]) if step else 0)
 
     def _open(self, file: Any, mode: str = "r", *more: Any, **named: Any) -> Any:
-        if isinstance(file, str | Path) and set(mode) & set("wax+") and self._ours(str(file)):
-            said = self.said("disk")
-            failure = {"full": errno.ENOSPC, "readonly": errno.EROFS}.get(said[0] if said else "")
+        if isinstance(file, str | Path) and set(mode) & set("wax+") and self._is_on_disk(str(file)):
+            state = self.read_control("disk")
+            failure = {"full": errno.ENOSPC, "readonly": errno.EROFS}.get(state[0] if state else "")
             if failure is not None:
                 raise OSError(failure, os.strerror(failure), str(file))
-            if said and said[0] == "torn" and "b" in mode:
-                return Torn(str(file), mode)
+            if state and state[0] == "torn" and "b" in mode:
+                return TornFile(str(file), mode)
         return self.open(file, mode, *more, **named)
 
-    def _ours(self, path: str) -> bool:
+    def _is_on_disk(self, path: str) -> bool:
         return os.path.realpath(path).startswith(self.disk + os.sep)
 
     def _fsync(self, file: Any) -> None:
-        """A file's sync keeps its content; its folder's sync keeps the names in it, with what is kept of
-        each."""
+        """Syncs and records what is durable: a file's sync its content, the folder's sync the names in it."""
         self.fsync(file)
         number = file if isinstance(file, int) else file.fileno()
         path = os.readlink(f"/proc/self/fd/{number}")
-        said = self.said("disk")
-        if said and said[0] == "slow_disk":
-            time.sleep(float(said[1]) / 1000)
+        state = self.read_control("disk")
+        if state and state[0] == "slow_disk":
+            time.sleep(float(state[1]) / 1000)
         if path == self.disk:
-            with self.alone:  # two of the router's threads may sync at once
-                self._keep_names()
-        elif self._ours(path):
-            with self.open(path, "rb") as kept:
-                self.synced[os.fstat(number).st_ino] = kept.read()
-
-    def _keep_names(self) -> None:
-        """The durable folder is replaced as a whole, so that a SIGKILL in the midst leaves the one before."""
-        beside = self.durable + ".new"
-        shutil.rmtree(beside, ignore_errors=True)
-        os.mkdir(beside)
+            with self.lock:  # two threads of the router may sync at once
+                self._save_durable_folder()
+        elif self._is_on_disk(path):
+            with self.open(path, "rb") as synced_file:
+                self.synced[os.fstat(number).st_ino] = synced_file.read()
+
+    def _save_durable_folder(self) -> None:
+        """Replaces the durable folder by renames, so that a SIGKILL meanwhile leaves the previous one."""
+        new_folder = self.durable + ".new"
+        shutil.rmtree(new_folder, ignore_errors=True)
+        os.mkdir(new_folder)
         for entry in os.scandir(self.disk):
             if entry.is_file():
-                with self.open(os.path.join(beside, entry.name), "wb") as kept:
-                    kept.write(
-                        self.synced.get(entry.inode(), b"")
-                    )  # never synced: its name, and nothing in it
-        before = self.durable + ".before"
-        shutil.rmtree(before, ignore_errors=True)
-        os.rename(self.durable, before)
-        os.rename(beside, self.durable)
+                with self.open(os.path.join(new_folder, entry.name), "wb") as file:
+                    # A file that was never synced keeps its name but no content.
+                    file.write(self.synced.get(entry.inode(), b""))
+        previous = self.durable + ".before"
+        shutil.rmtree(previous, ignore_errors=True)
+        os.rename(self.durable, previous)
+        os.rename(new_folder, self.durable)
 
 
-class Torn(io.FileIO):
-    """A file of which the disk takes half of a write, and then is full."""
+class TornFile(io.FileIO):
+    """A file that writes half of the data and then fails with ENOSPC."""
 
     def __init__(self, path: str, mode: str) -> None:
         super().__init__(path, mode.replace("b", ""))
@@ -104,26 +102,26 @@
         raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
 
-def restore(disk: Path, durable: Path) -> None:
-    """A power loss: the disk holds what was synced, and nothing else."""
-    if not durable.exists():  # ended between the two renames
+def restore_durable(disk: Path, durable: Path) -> None:
+    """Simulates a power loss: resets the disk to what was synced."""
+    if not durable.exists():  # the process was killed between the two renames
         durable = durable.with_name(durable.name + ".before")
     shutil.rmtree(disk)
     shutil.copytree(durable, disk)
 
 
 def main() -> None:
-    told = orjson.loads(sys.argv[1])
-    surroundings = Surroundings(told)
-    surroundings.install()
-    if told.get("system_calls"):
-        from applehub.lab.fleet.failing_calls import FailingCalls
-
-        FailingCalls(surroundings.control, surroundings.open).start()
-    if told.get("variant"):
+    options = orjson.loads(sys.argv[1])
+    environment = FaultyEnvironment(options)
+    environment.install()
+    if options.get("system_calls"):
+        from applehub.lab.fleet.failing_calls import SystemCallFaultControl
+
+        SystemCallFaultControl(environment.control, environment.open).start()
+    if options.get("variant"):
         from applehub.lab.fleet.variants import install
 
-        install(told["variant"])
+        install(options["variant"])
     sys.argv = ["applehub"]
     runpy.run_module("applehub", run_name="__main__", alter_sys=True)
 
--- a/applehub/lab/fleet/system_call_faults.py
+++ b/applehub/lab/fleet/system_call_faults.py
@@ -1,23 +1,22 @@
-"""System calls that fail: faults injected into one process, below asyncio and the program, on real sockets
-and files.
+"""Fault injection into the system calls of one process, below asyncio, on real sockets and files.
 
-Inside a test's process:
+In the process of a test:
 
     with SystemCallFaults(SystemCallFault("accept", "ENFILE", for_s=0.1, local=f"*:{port}")) as faults:
         ...
     assert faults.count("accept") > 0
 
-For a child process, the same faults as JSON in the environment, and a file that records what was injected:
+For a child process, the faults are passed as JSON in the environment, with a file that records injections:
 
     environment = {**os.environ, **in_environment([SystemCallFault("fsync", "EIO")], record=path)}
     words = [sys.executable, "-m", "applehub.lab.fleet.system_call_faults", "applehub"]
 
-which runs `python -m applehub` (or another module, with its arguments) with these faults installed;
-`recorded(path)` counts what the file holds.
+This runs `python -m applehub` (or another module, with its arguments) with these faults installed;
+`recorded(path)` counts the injections in the file.
 
-The calls are patched where Python makes them: on `socket.socket`, on selectors and in `builtins` and `os`.
-Only sockets of the internet are struck, never the pair by which an event loop wakes itself. A call that is
-struck fails before it reaches the system; a short one reaches it with fewer bytes.
+The calls are patched on `socket.socket` and selectors and in `builtins` and `os`. Only IPv4 and IPv6 sockets
+are affected, so an event loop's own wake-up socket pair is not. A failing call never reaches the kernel; a
+short one reaches it with fewer bytes.
 """
 
 import builtins
@@ -44,9 +43,9 @@
     "SystemCall", "SystemCallFault", "SystemCallFaults", "from_environment", "in_environment", "recorded",
 ]  # fmt: skip
 
-ENVIRONMENT = "SYSTEM_CALL_FAULTS"
-INTERNET = (socket.AF_INET, socket.AF_INET6)
-# Sockets' methods, and the system call that each stands for.
+ENVIRONMENT_VARIABLE = "SYSTEM_CALL_FAULTS"
+INTERNET_FAMILIES = (socket.AF_INET, socket.AF_INET6)
+# The system call that each socket method stands for.
 SOCKET_METHODS: dict[str, SystemCall] = {
     "accept": "accept",
     "connect": "connect",
@@ -62,248 +61,249 @@
 
 
 class SystemCallFaults(Injections):
-    """Faults of this process, installed until `remove` or the end of the context.
+    """Faults of this process, installed until `remove` is called or the context ends.
 
-    Of several that fit a call the first strikes. A call that is made by another (`create_connection` opens a
-    socket) is struck as if it were made alone."""
+    The first matching fault applies to a call. Calls made within library functions, such as the socket that
+    `create_connection` opens, are affected as well."""
 
     def __init__(self, *faults: SystemCallFault, record: str | None = None) -> None:
-        """record: a file to which a line is added for each injection, with its call and error."""
+        """record: path of a file to which a line with call and error is appended for each injection."""
         super().__init__(*faults, record=record)
-        self._undo: list[tuple[Any, str, Any, bool]] = []
+        self._patches: list[tuple[Any, str, Any, bool]] = []
 
     def __enter__(self) -> Self:
         self.install()
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, problem: BaseException | None, trace: TracebackType | None
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         self.remove()
 
     def install(self) -> None:
-        """Patches the calls of this process."""
+        """Patches the system calls of this process."""
         for method, call in SOCKET_METHODS.items():
-            self._patch(socket.socket, method, self._on_socket(call, getattr(socket.socket, method)))
-        self._patch(socket.socket, "sendall", self._on_send_all(socket.socket.sendall))
-        self._patch(socket.socket, "__init__", self._on_creation(socket.socket.__init__))
-        self._patch(socket.socket, "getsockopt", self._on_option(socket.socket.getsockopt))
-        self._patch(selectors.EpollSelector, "select", self._on_wait(selectors.EpollSelector.select))
-        self._patch(builtins, "open", self._on_file(builtins.open))
-        self._patch(os, "open", self._on_path("open", os.open))
-        self._patch(os, "read", self._on_descriptor("read", os.read))
-        self._patch(os, "write", self._on_descriptor("write", os.write))
+            self._patch(socket.socket, method, self._wrap_socket_method(call, getattr(socket.socket, method)))
+        self._patch(socket.socket, "sendall", self._wrap_sendall(socket.socket.sendall))
+        self._patch(socket.socket, "__init__", self._wrap_socket_init(socket.socket.__init__))
+        self._patch(socket.socket, "getsockopt", self._wrap_getsockopt(socket.socket.getsockopt))
+        self._patch(selectors.EpollSelector, "select", self._wrap_select(selectors.EpollSelector.select))
+        self._patch(builtins, "open", self._wrap_open(builtins.open))
+        self._patch(os, "open", self._wrap_path_call("open", os.open))
+        self._patch(os, "read", self._wrap_descriptor_call("read", os.read))
+        self._patch(os, "write", self._wrap_descriptor_call("write", os.write))
         for name in ("fsync", "fdatasync"):
-            self._patch(os, name, self._on_sync(getattr(os, name)))
+            self._patch(os, name, self._wrap_sync(getattr(os, name)))
         for name in ("rename", "replace"):
-            self._patch(os, name, self._on_path("rename", getattr(os, name)))
+            self._patch(os, name, self._wrap_path_call("rename", getattr(os, name)))
 
     def remove(self) -> None:
-        """Undoes `install`; what was injected can still be counted."""
-        while self._undo:
-            owner, name, before, own = self._undo.pop()
-            if own:
-                setattr(owner, name, before)
+        """Removes the patches; the counts of injections remain."""
+        while self._patches:
+            owner, name, original, is_own = self._patches.pop()
+            if is_own:
+                setattr(owner, name, original)
             else:
                 delattr(owner, name)
         if self.record is not None:
             os.close(self.record)
             self.record = None
 
-    def _patch(self, owner: Any, name: str, by: Any) -> None:
-        self._undo.append((owner, name, getattr(owner, name), name in vars(owner)))
-        setattr(owner, name, by)
+    def _patch(self, owner: Any, name: str, replacement: Any) -> None:
+        self._patches.append((owner, name, getattr(owner, name), name in vars(owner)))
+        setattr(owner, name, replacement)
 
-    def _on_socket(self, call: SystemCall, real: Any) -> Any:
-        def method(line: socket.socket, *arguments: Any, **named: Any) -> Any:
+    def _wrap_socket_method(self, call: SystemCall, original: Any) -> Any:
+        def method(sock: socket.socket, *arguments: Any, **named: Any) -> Any:
             to = arguments[0] if call == "connect" else arguments[-1] if call == "sendto" else None
-            struck = None
-            if call in self.calls and line.family in INTERNET:
-                struck = self.strikes(call, lambda fault: _fits_socket(fault, line, to))
-            if struck is None:
-                return real(line, *arguments, **named)
-            if struck.error:
-                raise struck.failure()
-            return real(line, *_shortened(arguments, struck.short or 1), **named)
+            injected = None
+            if call in self.calls and sock.family in INTERNET_FAMILIES:
+                injected = self.fault_for(call, lambda fault: _matches_socket(fault, sock, to))
+            if injected is None:
+                return original(sock, *arguments, **named)
+            if injected.error:
+                raise injected.to_os_error()
+            return original(sock, *_with_fewer_bytes(arguments, injected.short or 1), **named)
 
         return method
 
-    def _on_send_all(self, real: Any) -> Any:
-        def sendall(line: socket.socket, data: Any, flags: int = 0) -> None:
+    def _wrap_sendall(self, original: Any) -> Any:
+        def sendall(sock: socket.socket, data: Any, flags: int = 0) -> None:
             if "send" not in self.calls:
-                real(line, data, flags)
+                original(sock, data, flags)
                 return
             unsent = memoryview(data).cast("B")
             while unsent:
-                unsent = unsent[line.send(unsent, flags) :]
+                unsent = unsent[sock.send(unsent, flags) :]
 
         return sendall
 
-    def _on_creation(self, real: Any) -> Any:
+    def _wrap_socket_init(self, original: Any) -> Any:
         def create(
-            line: socket.socket, family: int = -1, type: int = -1, proto: int = -1, fileno: Any = None
+            sock: socket.socket, family: int = -1, type: int = -1, proto: int = -1, fileno: Any = None
         ) -> None:
-            if fileno is None and family in (-1, *INTERNET):
-                struck = self.strikes("socket", lambda fault: True)
-                if struck is not None:
-                    raise struck.failure()
-            real(line, family, type, proto, fileno)
+            if fileno is None and family in (-1, *INTERNET_FAMILIES):
+                injected = self.fault_for("socket", lambda fault: True)
+                if injected is not None:
+                    raise injected.to_os_error()
+            original(sock, family, type, proto, fileno)
 
         return create
 
-    def _on_option(self, real: Any) -> Any:
-        def getsockopt(line: socket.socket, level: int, option: int, *size: int) -> Any:
-            if (level, option) == (socket.SOL_SOCKET, socket.SO_ERROR) and line.family in INTERNET:
-                struck = self.strikes("getsockopt", lambda fault: _fits_socket(fault, line, None))
-                if struck is not None:
-                    return struck.number
-            return real(line, level, option, *size)
+    def _wrap_getsockopt(self, original: Any) -> Any:
+        def getsockopt(sock: socket.socket, level: int, option: int, *size: int) -> Any:
+            if (level, option) == (socket.SOL_SOCKET, socket.SO_ERROR) and sock.family in INTERNET_FAMILIES:
+                injected = self.fault_for("getsockopt", lambda fault: _matches_socket(fault, sock, None))
+                if injected is not None:
+                    return injected.error_number
+            return original(sock, level, option, *size)
 
         return getsockopt
 
-    def _on_wait(self, real: Any) -> Any:
+    def _wrap_select(self, original: Any) -> Any:
         def select(selector: Any, timeout: float | None = None) -> Any:
-            struck = self.strikes("epoll", lambda fault: True)
-            if struck is None:
-                return real(selector, timeout)
-            waits, selector._selector = selector._selector, _Interrupted(struck)
+            injected = self.fault_for("epoll", lambda fault: True)
+            if injected is None:
+                return original(selector, timeout)
+            epoll, selector._selector = selector._selector, _InterruptedEpoll(injected)
             try:
-                return real(selector, timeout)
+                return original(selector, timeout)
             finally:
-                selector._selector = waits
+                selector._selector = epoll
 
         return select
 
-    def _on_file(self, real: Any) -> Any:
+    def _wrap_open(self, original: Any) -> Any:
         def open(file: Any, mode: str = "r", buffering: int = -1, *more: Any, **named: Any) -> Any:
             if isinstance(file, int):
-                return real(file, mode, buffering, *more, **named)
+                return original(file, mode, buffering, *more, **named)
             path = os.fspath(file)
-            self._raise("open", path)
+            self._raise_if_injected("open", path)
             if not self.calls & {"read", "write"} or named.get("opener"):
-                return real(file, mode, buffering, *more, **named)
-            raw = _File(path, mode.replace("b", "").replace("t", ""), self)
+                return original(file, mode, buffering, *more, **named)
+            raw = _FaultyFile(path, mode.replace("b", "").replace("t", ""), self)
             if "b" in mode and buffering == 0:
                 return raw
             if "+" in mode:
-                whole: Any = io.BufferedRandom(raw)
+                stream: Any = io.BufferedRandom(raw)
             else:
-                whole = io.BufferedReader(raw) if "r" in mode else io.BufferedWriter(raw)
-            return whole if "b" in mode else io.TextIOWrapper(whole, *more, **named)
+                stream = io.BufferedReader(raw) if "r" in mode else io.BufferedWriter(raw)
+            return stream if "b" in mode else io.TextIOWrapper(stream, *more, **named)
 
         return open
 
-    def _raise(self, call: SystemCall, *paths: Any) -> None:
-        """Fails a call on files by name, where a fault strikes it."""
-        struck = self.strikes(call, lambda fault: any(_fits_path(fault, path) for path in paths))
-        if struck is not None:
-            raise struck.failure(os.fsdecode(paths[0]))
+    def _raise_if_injected(self, call: SystemCall, *paths: Any) -> None:
+        """Raises OSError if a fault matches a call on one of the paths."""
+        injected = self.fault_for(call, lambda fault: any(_matches_path(fault, path) for path in paths))
+        if injected is not None:
+            raise injected.to_os_error(os.fsdecode(paths[0]))
 
-    def _on_path(self, call: SystemCall, real: Any) -> Any:
-        def by_name(path: Any, *more: Any, **named: Any) -> Any:
-            self._raise(call, path, *(more[:1] if call == "rename" else ()))
-            return real(path, *more, **named)
+    def _wrap_path_call(self, call: SystemCall, original: Any) -> Any:
+        def path_call(path: Any, *more: Any, **named: Any) -> Any:
+            self._raise_if_injected(call, path, *(more[:1] if call == "rename" else ()))
+            return original(path, *more, **named)
 
-        return by_name
+        return path_call
 
-    def _on_sync(self, real: Any) -> Any:
+    def _wrap_sync(self, original: Any) -> Any:
         def sync(file: Any) -> None:
             number = file if isinstance(file, int) else file.fileno()
             if self.calls & {"fsync", "fsync_folder"}:
                 folder = stat.S_ISDIR(os.fstat(number).st_mode)
-                self._raise("fsync_folder" if folder else "fsync", _path_of(number))
-            real(file)
+                self._raise_if_injected("fsync_folder" if folder else "fsync", _path_of(number))
+            original(file)
 
         return sync
 
-    def _on_descriptor(self, call: SystemCall, real: Any) -> Any:
-        def move(number: int, what: Any) -> Any:
+    def _wrap_descriptor_call(self, call: SystemCall, original: Any) -> Any:
+        def transfer(number: int, data_or_size: Any) -> Any:
             if call not in self.calls or number == self.record or not _is_file(number):
-                return real(number, what)
+                return original(number, data_or_size)
             path = _path_of(number)
-            struck = self.strikes(call, lambda fault: _fits_path(fault, path))
-            if struck is not None and struck.error:
-                raise struck.failure()
-            if struck is None:
-                return real(number, what)
-            return real(number, *_shortened((what,), struck.short or 1))
+            injected = self.fault_for(call, lambda fault: _matches_path(fault, path))
+            if injected is not None and injected.error:
+                raise injected.to_os_error()
+            if injected is None:
+                return original(number, data_or_size)
+            return original(number, *_with_fewer_bytes((data_or_size,), injected.short or 1))
 
-        return move
+        return transfer
 
 
-class _Interrupted:
-    """Takes the place of a selector's epoll for one wait, which a signal ends."""
+class _InterruptedEpoll:
+    """Replaces the epoll object of a selector for one wait, which fails with the fault's error."""
 
     def __init__(self, fault: SystemCallFault) -> None:
         self.fault = fault
 
     def poll(self, *arguments: Any) -> Any:
-        raise self.fault.failure()
+        raise self.fault.to_os_error()
 
 
-class _File(io.FileIO):
-    """A file whose reads and writes can be struck; what buffers it sees what it would see of the system."""
+class _FaultyFile(io.FileIO):
+    """A raw file whose reads and writes can get faults, for use below Python's buffering."""
 
     def __init__(self, path: Any, mode: str, faults: SystemCallFaults) -> None:
         super().__init__(path, mode)
         self.faults, self.path = faults, path
 
-    def _struck(self, call: SystemCall) -> int | None:
-        """The most bytes that this call moves; None: all. Raises OSError."""
-        struck = self.faults.strikes(call, lambda fault: _fits_path(fault, self.path))
-        if struck is not None and struck.error:
-            raise struck.failure()
-        return struck.short if struck is not None else None
+    def _byte_limit(self, call: SystemCall) -> int | None:
+        """Returns the maximum number of bytes that this call transfers, None for no limit. Raises OSError."""
+        injected = self.faults.fault_for(call, lambda fault: _matches_path(fault, self.path))
+        if injected is not None and injected.error:
+            raise injected.to_os_error()
+        return injected.short if injected is not None else None
 
     def write(self, data: Any, /) -> int:
-        most = self._struck("write")
-        return super().write(data if most is None else memoryview(data).cast("B")[:most])
+        limit = self._byte_limit("write")
+        return super().write(data if limit is None else memoryview(data).cast("B")[:limit])
 
     def readinto(self, buffer: Any, /) -> int:
-        most = self._struck("read")
-        return super().readinto(buffer if most is None else memoryview(buffer).cast("B")[:most])
+        limit = self._byte_limit("read")
+        return super().readinto(buffer if limit is None else memoryview(buffer).cast("B")[:limit])
 
     def read(self, size: int | None = -1, /) -> bytes:
         if size is None or size < 0:
             return self.readall()
-        most = self._struck("read")
-        return super().read(size if most is None else min(size, most))
+        limit = self._byte_limit("read")
+        return super().read(size if limit is None else min(size, limit))
 
     def readall(self) -> bytes:
-        pieces = []
-        while piece := self.read(io.DEFAULT_BUFFER_SIZE):
-            pieces.append(piece)
-        return b"".join(pieces)
+        chunks = []
+        while chunk := self.read(io.DEFAULT_BUFFER_SIZE):
+            chunks.append(chunk)
+        return b"".join(chunks)
 
 
-def _shortened(arguments: Sequence[Any], most: int) -> tuple[Any, ...]:
-    """The arguments of a call that moves bytes, with fewer bytes: its first is data, a list of data, a buffer
-    or a size."""
+def _with_fewer_bytes(arguments: Sequence[Any], limit: int) -> tuple[Any, ...]:
+    """Returns the arguments of a call with its byte count limited.
+
+    The first argument is the data, a list of data, a buffer or a size."""
     first, *more = arguments
     if isinstance(first, int):
-        return (min(first, most), *more)
+        return (min(first, limit), *more)
     if isinstance(first, list | tuple):
-        return ([b"".join(first)[:most]], *more)
-    return (memoryview(first).cast("B")[:most], *more)
+        return ([b"".join(first)[:limit]], *more)
+    return (memoryview(first).cast("B")[:limit], *more)
 
 
-def _written(address: Any) -> str:
+def _format_address(address: Any) -> str:
     return f"{address[0]}:{address[1]}"
 
 
-def _fits_socket(fault: SystemCallFault, line: socket.socket, to: Any) -> bool:
-    """Whether a fault strikes a socket with these addresses. to: the peer, where the call itself names it."""
+def _matches_socket(fault: SystemCallFault, sock: socket.socket, to: Any) -> bool:
+    """Returns whether a fault matches the addresses of a socket; `to` is the peer if the call names it."""
     try:
-        if fault.local is not None and not fnmatchcase(_written(line.getsockname()), fault.local):
+        if fault.local is not None and not fnmatchcase(_format_address(sock.getsockname()), fault.local):
             return False
         if fault.peer is not None:
-            return fnmatchcase(_written(to if to is not None else line.getpeername()), fault.peer)
+            return fnmatchcase(_format_address(to if to is not None else sock.getpeername()), fault.peer)
     except OSError:
         return False
     return True
 
 
-def _fits_path(fault: SystemCallFault, path: Any) -> bool:
+def _matches_path(fault: SystemCallFault, path: Any) -> bool:
     return fault.path is None or os.path.realpath(os.fsdecode(path)).startswith(os.path.realpath(fault.path))
 
 
@@ -319,20 +319,20 @@
 
 
 def in_environment(faults: Iterable[SystemCallFault], record: str | Path = "") -> dict[str, str]:
-    """The variables that have a child process, started by this module's main, install these faults."""
-    whole = {"faults": [asdict(one) for one in faults], "record": str(record)}
-    return {ENVIRONMENT: orjson.dumps(whole).decode()}
+    """Returns the environment variables with which a child process that runs `main` installs these faults."""
+    settings = {"faults": [asdict(fault) for fault in faults], "record": str(record)}
+    return {ENVIRONMENT_VARIABLE: orjson.dumps(settings).decode()}
 
 
 def from_environment(environment: Mapping[str, str]) -> SystemCallFaults:
-    """The faults of `in_environment`, to be installed; none where there is no such variable."""
-    whole = orjson.loads(environment.get(ENVIRONMENT, "{}"))
-    faults = [SystemCallFault(**one) for one in whole.get("faults", [])]
-    return SystemCallFaults(*faults, record=whole.get("record") or None)
+    """Reads the faults of `in_environment`, not yet installed; none if the variable is not set."""
+    settings = orjson.loads(environment.get(ENVIRONMENT_VARIABLE, "{}"))
+    faults = [SystemCallFault(**fields) for fields in settings.get("faults", [])]
+    return SystemCallFaults(*faults, record=settings.get("record") or None)
 
 
 def recorded(path: str | Path) -> Counter[tuple[str, str]]:
-    """What a process has injected: how often, by call and error."""
+    """Returns the numbers of injections that a process recorded, by call and error."""
     try:
         lines = Path(path).read_text().splitlines()
     except FileNotFoundError:
@@ -341,7 +341,7 @@
 
 
 def main() -> None:
-    """Runs a module, with its arguments, with the faults of the environment."""
+    """Runs a module, with its arguments, with the faults from the environment installed."""
     module, sys.argv = sys.argv[1], sys.argv[1:]
     from_environment(os.environ).install()
     runpy.run_module(module, run_name="__main__", alter_sys=True)
--- a/applehub/lab/fleet/system_calls.py
+++ b/applehub/lab/fleet/system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that are to fail: which, when and how often; and the count of those that did."""
+"""Faults of system calls: which calls fail, when and how often, and the count of injected faults."""
 
 import errno
 import os
@@ -13,24 +13,28 @@
     "accept", "socket", "connect", "getsockopt", "send", "sendmsg", "sendto", "recv", "shutdown", "epoll",
     "open", "read", "write", "fsync", "fsync_folder", "rename",
 ]  # fmt: skip
-ON_FILES = frozenset(("open", "read", "write", "fsync", "fsync_folder", "rename"))
-SHORTENED = frozenset(("send", "sendmsg", "recv", "read", "write"))
+FILE_CALLS = frozenset(("open", "read", "write", "fsync", "fsync_folder", "rename"))
+SHORTENABLE_CALLS = frozenset(("send", "sendmsg", "recv", "read", "write"))
 
 
 @dataclass(frozen=True, slots=True)
 class SystemCallFault:
-    """A call that fails, when, and how often.
-
-    call: `getsockopt` is that of SO_ERROR, by which a connect that was under way ends, and gives the error;
-    `recv` and `send` are all their forms on stream sockets but `sendmsg`; `epoll` is the event loop's wait;
-    `fsync_folder` is the sync of a folder, `fsync` that of a file; `rename` is `os.rename` and `os.replace`.
-    error: the error's name, as in `errno`. short: instead of an error, the most bytes that the call moves.
-
-    Calls are counted from the fault's installation, those alone that fit `local`, `peer` and `path`. The
-    fault strikes from the `from_call`-th on, each `every`-th, and not before `from_s` have passed, and then
-    at most `times` times and, from the first time on, for at most `for_s` seconds; without either it goes on.
-    local, peer: patterns (`*:8080`) of the socket's own address and of its peer's; a socket that has none
-    fits none. path: prefix of the file's real path.
+    """A fault that is injected into a system call.
+
+    call: `getsockopt` stands for reading SO_ERROR when a non-blocking connect completes; the fault is returned
+    as its value. `recv` and `send` cover all their forms on stream sockets except `sendmsg`; `epoll` is the
+    event loop's wait; `fsync_folder` syncs a directory, `fsync` a file; `rename` covers `os.rename` and
+    `os.replace`.
+    error: the name of the error, as in `errno`. short: the maximum number of bytes that the call transfers,
+    instead of an error.
+
+    Calls that match `local`, `peer` and `path` are counted from the installation of the fault. Every
+    `every`-th call from the `from_call`-th on gets the fault, not before `from_s` seconds have passed, at most
+    `times` times, and for at most `for_s` seconds from the first injection.
+    local, peer: patterns (`*:8080`) of the socket's own and its peer's address; a socket without an address
+    matches no pattern. path: prefix of the real path of the file.
+
+    Raises ValueError if the fields are invalid or contradict each other.
     """
 
     call: SystemCall
@@ -47,90 +51,97 @@
 
     def __post_init__(self) -> None:
         if self.call not in get_args(SystemCall):
-            raise ValueError(f"unknown system call {self.call!r}")
+            raise ValueError(f"expected a system call that faults support, got {self.call!r}")
         if (self.short is None) == (not self.error):
-            raise ValueError("expected either an error or short")
+            raise ValueError("expected exactly one of error and short")
         if self.error and not isinstance(getattr(errno, self.error, None), int):
-            raise ValueError(f"unknown error {self.error!r}")
-        if self.short is not None and (self.short < 1 or self.call not in SHORTENED):
-            raise ValueError("expected short of 1 or more, with a call that moves bytes")
+            raise ValueError(f"expected an error name of errno, got {self.error!r}")
+        if self.short is not None and (self.short < 1 or self.call not in SHORTENABLE_CALLS):
+            raise ValueError("expected short to be 1 or more, and call to be one that transfers bytes")
         if self.every < 1 or self.from_call < 1:
-            raise ValueError("expected every and from_call of 1 or more")
+            raise ValueError("expected every and from_call to be 1 or more")
 
     @property
-    def number(self) -> int:
-        """The error's number."""
+    def error_number(self) -> int:
         return int(getattr(errno, self.error))
 
-    def failure(self, *file: str) -> OSError:
-        """The error as Python raises it."""
-        return OSError(self.number, os.strerror(self.number), *file)
+    def to_os_error(self, *file: str) -> OSError:
+        """Returns the error as Python raises it; `file` is the file name that it carries, if any."""
+        return OSError(self.error_number, os.strerror(self.error_number), *file)
 
 
 @dataclass(slots=True)
-class _Progress:
-    """How often a fault's calls were made, and how often and since when it has struck."""
+class _FaultState:
+    """The counts of a fault's matching calls and injections, and the time of its first injection."""
 
     calls: int = 0
     injected: int = 0
-    since: float | None = None
+    first_injected_at: float | None = None
 
 
 class Injections:
-    """Faults, of which each call of a process asks whether one strikes it."""
+    """The active faults of a process, and the count of their injections."""
 
     def __init__(self, *faults: SystemCallFault, record: str | None = None) -> None:
-        """record: a file to which a line is added for each injection, with its call and error."""
-        self._alone = threading.RLock()
+        """record: path of a file to which a line with call and error is appended for each injection."""
+        self._lock = threading.RLock()
         self.record = os.open(record, os.O_WRONLY | os.O_APPEND | os.O_CREAT) if record else None
         self.injected: Counter[tuple[str, str]] = Counter()  # by call, and by error or "short"
         self.replace(*faults)
 
     def replace(self, *faults: SystemCallFault) -> None:
-        """Puts these faults in place of those before; their counts of calls begin anew."""
-        with self._alone:
-            self._began = time.monotonic()
-            self._faults = [(fault, _Progress()) for fault in faults]
+        """Replaces the active faults; their counts of calls start from zero."""
+        with self._lock:
+            self._installed_at = time.monotonic()
+            self._faults = [(fault, _FaultState()) for fault in faults]
             self.calls = frozenset(fault.call for fault in faults)
 
     def count(self, call: SystemCall | None = None, error: str | None = None) -> int:
-        """How many calls were struck: all, or those of a system call and an error (`short`: short calls)."""
-        with self._alone:
+        """Returns the number of injections, of one system call and one error (or `short`) if given."""
+        with self._lock:
             return sum(
-                many
-                for key, many in self.injected.items()
+                number
+                for key, number in self.injected.items()
                 if call in (None, key[0]) and error in (None, key[1])
             )
 
-    def strikes(self, call: SystemCall, fits: Callable[[SystemCallFault], bool]) -> SystemCallFault | None:
-        """Counts a call; gives the fault that strikes it."""
+    def fault_for(
+        self, call: SystemCall, matches: Callable[[SystemCallFault], bool]
+    ) -> SystemCallFault | None:
+        """Counts a call and returns the fault to inject into it, if any."""
         if call not in self.calls:
             return None
-        with self._alone:
+        with self._lock:
             now = time.monotonic()
-            struck = None
-            for fault, progress in self._faults:
-                if fault.call != call or not fits(fault):
+            injected_fault = None
+            for fault, state in self._faults:
+                if fault.call != call or not matches(fault):
                     continue
-                progress.calls += 1
-                if struck is None and self._due(fault, progress, now):
-                    progress.injected += 1
-                    progress.since = now if progress.since is None else progress.since
-                    struck = fault
-            if struck is not None:
-                self._note(struck)
-            return struck
-
-    def _due(self, fault: SystemCallFault, progress: _Progress, now: float) -> bool:
-        if progress.calls < fault.from_call or now - self._began < fault.from_s:
+                state.calls += 1
+                if injected_fault is None and self._is_due(fault, state, now):
+                    state.injected += 1
+                    state.first_injected_at = (
+                        now if state.first_injected_at is None else state.first_injected_at
+                    )
+                    injected_fault = fault
+            if injected_fault is not None:
+                self._record_injection(injected_fault)
+            return injected_fault
+
+    def _is_due(self, fault: SystemCallFault, state: _FaultState, now: float) -> bool:
+        if state.calls < fault.from_call or now - self._installed_at < fault.from_s:
             return False
-        if (progress.calls - fault.from_call) % fault.every:
+        if (state.calls - fault.from_call) % fault.every:
             return False
-        if fault.times is not None and progress.injected >= fault.times:
+        if fault.times is not None and state.injected >= fault.times:
             return False
-        return fault.for_s is None or progress.since is None or now - progress.since < fault.for_s
+        return (
+            fault.for_s is None
+            or state.first_injected_at is None
+            or now - state.first_injected_at < fault.for_s
+        )
 
-    def _note(self, fault: SystemCallFault) -> None:
+    def _record_injection(self, fault: SystemCallFault) -> None:
         error = fault.error or "short"
         self.injected[fault.call, error] += 1
         if self.record is not None:
--- a/applehub/lab/fleet/variants.py
+++ b/applehub/lab/fleet/variants.py
@@ -1,5 +1,6 @@
-"""Known-bad variants of the router, patched into its process at its start: each breaks one rule, and a check
-that does not find it counts for nothing. Part of none but the ground."""
+"""Known-bad variants of the router, patched into its process at its start for tests of the checks.
+
+Each variant breaks one rule that a check must detect."""
 
 import asyncio
 import os
@@ -22,113 +23,113 @@
 from applehub.peers.records import Body, Record, RecordKey
 from applehub.settings import Json
 
-EVERY = 20  # requests, of which one is spoilt
+SPOILED_EVERY = 20  # one of this many answers is spoiled
 
 
 def _spoil_answers(spoil: Callable[[Driver, Held, bytes, Answered, Any], None]) -> None:
-    """Every so many answers go through `spoil`, which gets the right way to answer too."""
-    right, count = Driver._answer, 0
+    """Passes every SPOILED_EVERY-th answer to `spoil`, together with the original method."""
+    original, count = Driver._answer, 0
 
     def answer(self: Driver, held: Held, answer: bytes, how: Answered) -> None:
         nonlocal count
         count += 1
-        if count % EVERY:
-            right(self, held, answer, how)
+        if count % SPOILED_EVERY:
+            original(self, held, answer, how)
         else:
-            spoil(self, held, answer, how, right)
+            spoil(self, held, answer, how, original)
 
     Driver._answer = answer  # type: ignore[method-assign]
 
 
 def loses() -> None:
-    """Forgets some answers."""
-    _spoil_answers(lambda self, held, answer, how, right: self._close(held))
+    """Closes some connections instead of answering."""
+    _spoil_answers(lambda self, held, answer, how, original: self._close(held))
 
 
 def answers_twice() -> None:
-    """Gives some answers and then another one."""
-    _spoil_answers(lambda self, held, answer, how, right: right(self, held, answer + resp.FAILED, how))
+    """Sends a second answer after some answers."""
+    _spoil_answers(lambda self, held, answer, how, original: original(self, held, answer + resp.FAILED, how))
 
 
 def answers_late() -> None:
-    """Holds some answers back until their time is over."""
+    """Delays some answers until their deadline has passed."""
 
-    def late(self: Driver, held: Held, answer: bytes, how: Answered, right: Any) -> None:
+    def answer_late(self: Driver, held: Held, answer: bytes, how: Answered, original: Any) -> None:
         self._close(held)
         wait = (held.call.wait or 0) / 1000 + 3600
-        asyncio.get_running_loop().call_later(wait, right, self, held, answer, how)
+        asyncio.get_running_loop().call_later(wait, original, self, held, answer, how)
 
-    _spoil_answers(late)
+    _spoil_answers(answer_late)
 
 
 def resends() -> None:
-    """Takes every class for one that is safe to repeat."""
-    right = settings.read_settings
+    """Treats every class as idempotent."""
+    original = settings.read_settings
 
     def read(info: Json) -> api.Settings:
-        told = right(info)
-        for one in told.classes:
-            one.effect = api.Effect.SAFE
-        return told
+        loaded = original(info)
+        for cls in loaded.classes:
+            cls.effect = api.Effect.SAFE
+        return loaded
 
     settings.read_settings = read
 
 
 def warms_at_once() -> None:
-    """Takes a cold server for a warm one."""
-    right = settings.read_settings
+    """Skips slow start: treats a server that is warming up as warm."""
+    original = settings.read_settings
 
     def read(info: Json) -> api.Settings:
-        told = right(info)
-        told.cold_from, told.ramp_time = 1.0, 0
-        return told
+        loaded = original(info)
+        loaded.cold_from, loaded.ramp_time = 1.0, 0
+        return loaded
 
     settings.read_settings = read
 
 
 def ignores_drains() -> None:
-    """Goes on with a server that is draining."""
-    right = Directory._target
+    """Keeps sending requests to a server that is draining."""
+    original = Directory._target
 
     def target(self: Directory, entry: Json, now: ClockReading) -> Any:
         ready = {**entry, "state": "Ready"} if entry.get("state") == "Terminating" else entry
-        return right(self, ready, now)
+        return original(self, ready, now)
 
     Directory._target = target  # type: ignore[method-assign]
 
 
 def goes_back() -> None:
-    """Forgets which version of the list it holds, each second time that it hears of one."""
-    right, heard = Directory.take, 0
+    """Resets the version of the list to 1 on every second list that it receives."""
+    original, received = Directory.take, 0
 
     def take(self: Directory, answer: Any, cached: bool = False) -> bool:
-        nonlocal heard
-        known = right(self, answer, cached)
-        heard += self.rev > 1
-        if self.rev > 1 and heard % 2 == 0:
+        nonlocal received
+        result = original(self, answer, cached)
+        received += self.rev > 1
+        if self.rev > 1 and received % 2 == 0:
             self.rev = 1
-        return known
+        return result
 
     Directory.take = take  # type: ignore[method-assign]
 
 
 def goes_deaf() -> None:
-    """Asks for the list once, and never again."""
-    right, asked = ListConnection.get, False
+    """Polls the list once and never again."""
+    original, polled = ListConnection.get, False
 
     async def get(self: ListConnection, target: str) -> Answer:
-        nonlocal asked
-        if asked:
+        nonlocal polled
+        if polled:
             await asyncio.Event().wait()
-        answer = await right(self, target)
-        asked = True
+        answer = await original(self, target)
+        polled = True
         return answer
 
     ListConnection.get = get  # type: ignore[method-assign]
 
 
 def forgets_calls() -> None:
-    """Says yes to an operator's call and keeps it in memory alone."""
+    """Acknowledges an operator override but keeps it in memory only."""
 
     def write(self: OverrideFile, server: str, out: bool) -> dict[str, Override]:
         return {server: Override(out, 1, 1)}
@@ -138,42 +139,42 @@
 
 def leaks() -> None:
     """Leaves a descriptor open for each request."""
-    right = Driver.take
+    original = Driver.take
 
     def take(self: Driver, *more: Any) -> Any:
         os.open(os.devnull, os.O_RDONLY)
-        return right(self, *more)
+        return original(self, *more)
 
     Driver.take = take  # type: ignore[method-assign,assignment]
 
 
 def fails() -> None:
-    """Answers some requests with a failure, whatever came of them."""
+    """Answers some requests with a failure, whatever their result."""
 
-    def fail(self: Driver, held: Held, answer: bytes, how: Answered, right: Any) -> None:
-        right(self, held, resp.FAILED, Answered.ERRORS)
+    def fail(self: Driver, held: Held, answer: bytes, how: Answered, original: Any) -> None:
+        original(self, held, resp.FAILED, Answered.ERRORS)
 
     _spoil_answers(fail)
 
 
 def burns() -> None:
-    """Needs much more processor time for each request."""
-    right = Driver.take
+    """Uses much more CPU time for each request."""
+    original = Driver.take
 
     def take(self: Driver, *more: Any) -> Any:
         sum(range(200_000))
-        return right(self, *more)
+        return original(self, *more)
 
     Driver.take = take  # type: ignore[method-assign,assignment]
 
 
 def works_for_nobody() -> None:
-    """Goes on for a client that has left, and asks once more when an answer would have been due."""
+    """Keeps processing and retrying requests of a client that has left."""
     Driver.withdraw = lambda self, held: None  # type: ignore[method-assign]
 
 
 def hears_late() -> None:
-    """Leaves a silent watch alone for half a minute."""
+    """Waits half a minute before it gives up an unresponsive watch."""
 
     def due(self: CallSchedule, begun: float, hold: float, in_turn: bool, spread: float) -> float:
         return begun + 30.0
@@ -182,17 +183,17 @@
 
 
 def crashes() -> None:
-    """Ends in the midst of its service."""
-    _spoil_answers(lambda self, held, answer, how, right: os._exit(3))
+    """Exits while it serves requests."""
+    _spoil_answers(lambda self, held, answer, how, original: os._exit(3))
 
 
 def never_buries() -> None:
-    """Holds a router that has ended to be there for ever."""
+    """Never expires a router that has ended from the member table."""
     MemberTable.expire = lambda self, now: None  # type: ignore[method-assign]
 
 
 def never_forgets() -> None:
-    """Counts what it heard of others however old it is."""
+    """Uses gossip records of any age."""
 
     def fresh_records(self: RecordStore, body_type: type[Body], subject: int, now: int) -> Iterator[Record]:
         writers = self.writers.get((body_type, subject), ())
