--- a/applehub/lab/fleet/scale.py
+++ b/applehub/lab/fleet/scale.py
@@ -29,7 +29,9 @@
 
 @dataclass(slots=True)
 class Measurement:
-    """One measurement; `told` times are in ms, from the acknowledgement of a change until all watchers have it."""
+    """Results of one measurement.
+
+    `told_*` are in ms, from the acknowledgement of a change until all watchers have it."""
 
     what: str
     servers: int
--- a/applehub/lab/fleet/system_calls.py
+++ b/applehub/lab/fleet/system_calls.py
@@ -21,16 +21,16 @@
 class SystemCallFault:
     """A fault that is injected into a system call.
 
-    call: `getsockopt` stands for reading SO_ERROR when a non-blocking connect completes; the fault is returned
-    as its value. `recv` and `send` cover all their forms on stream sockets except `sendmsg`; `epoll` is the
-    event loop's wait; `fsync_folder` syncs a directory, `fsync` a file; `rename` covers `os.rename` and
+    call: `getsockopt` stands for reading SO_ERROR when a non-blocking connect completes, and returns the
+    error. `recv` and `send` cover all their forms on stream sockets except `sendmsg`; `epoll` is the event
+    loop's wait; `fsync_folder` syncs a directory, `fsync` a file; `rename` covers `os.rename` and
     `os.replace`.
     error: the name of the error, as in `errno`. short: the maximum number of bytes that the call transfers,
     instead of an error.
 
-    Calls that match `local`, `peer` and `path` are counted from the installation of the fault. Every
-    `every`-th call from the `from_call`-th on gets the fault, not before `from_s` seconds have passed, at most
-    `times` times, and for at most `for_s` seconds from the first injection.
+    Calls that match `local`, `peer` and `path` are counted from the installation of the fault. The fault is
+    injected into every `every`-th call from the `from_call`-th on, not before `from_s` seconds have passed,
+    at most `times` times, and for at most `for_s` seconds from the first injection.
     local, peer: patterns (`*:8080`) of the socket's own and its peer's address; a socket without an address
     matches no pattern. path: prefix of the real path of the file.
 
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,6 +1,6 @@
-"""System calls that fail, as faults of plans of the proving ground.
+"""Tests of system call faults in plans of the cluster test harness.
 
-Every wait of the play is on an event; its bounds in time are far past what the busiest machine needs."""
+Waits of the run are for events, and their timeouts are long enough for a busy machine."""
 
 import subprocess
 import sys
@@ -11,14 +11,14 @@
 from test_fleet import ASKED, event
 
 from applehub.events import EventKind
-from applehub.lab.fleet.checks import judge
+from applehub.lab.fleet.checks import run_checks
 from applehub.lab.fleet.commands import find
 from applehub.lab.fleet.draw import DIALS, FAILING, STEPS, draw
-from applehub.lab.fleet.history import ordered
+from applehub.lab.fleet.history import build_history
 from applehub.lab.fleet.plan import Clock, Link, Plan, SystemCalls, make_plan
 from applehub.lab.fleet.processes import environment
 from applehub.lab.fleet.system_call_faults import recorded
-from applehub.lab.fleet.system_calls import ON_FILES
+from applehub.lab.fleet.system_calls import FILE_CALLS
 from applehub.lab.spec import SpecError
 
 PLAN = """
@@ -83,11 +83,11 @@
 """
 
 
-def test_a_play_under_failing_calls_holds_and_each_took_place(tmp_path: Path) -> None:
+def test_run_with_system_call_faults_passes_and_each_fault_is_injected(tmp_path: Path) -> None:
     (tmp_path / "plan.toml").write_text(PLAN)
-    words = ["fleet", str(tmp_path / "plan.toml"), "--json", "--keep", str(tmp_path / "kept")]
+    arguments = ["fleet", str(tmp_path / "plan.toml"), "--json", "--keep", str(tmp_path / "kept")]
     done = subprocess.run(
-        [sys.executable, "-m", "applehub.lab", *words],
+        [sys.executable, "-m", "applehub.lab", *arguments],
         env=environment(),
         capture_output=True,
         text=True,
@@ -96,54 +96,54 @@
     assert done.returncode == 0, done.stdout + done.stderr
     assert not any(orjson.loads(done.stdout)["checks"].values())
     injected = recorded(tmp_path / "kept" / "router-0" / "control" / "injected")
-    assert all(injected[one] for one in (("accept", "ENFILE"), ("send", "short"), ("fsync", "EIO"))), injected
+    assert all(injected[key] for key in (("accept", "ENFILE"), ("send", "short"), ("fsync", "EIO"))), injected
 
 
-def test_every_call_that_drawn_plans_have_fail_makes_sense_and_is_in_the_shipped_plan() -> None:
+def test_each_system_call_fault_of_random_plans_is_valid_and_in_the_shipped_plan() -> None:
     shipped = {
-        (one.call, one.error or one.short, one.side)
-        for one in find("system_calls").faults
-        if isinstance(one, SystemCalls)
+        (fault.call, fault.error or fault.short, fault.side)
+        for fault in find("system_calls").faults
+        if isinstance(fault, SystemCalls)
     }
     for call, errors, most in FAILING:
         for error in errors:
-            told = {"kind": "system_call", "target": ["router-0"], "at": 1, "for_s": most, **call}
-            (fault,) = make_plan("p", {"name": "p", "faults": [{**told, "error": error}]}).faults
+            fields = {"kind": "system_call", "target": ["router-0"], "at": 1, "for_s": most, **call}
+            (fault,) = make_plan("p", {"name": "p", "faults": [{**fields, "error": error}]}).faults
             assert isinstance(fault, SystemCalls)
             assert (fault.call, error or fault.short, fault.side) in shipped
-            struck = fault.struck("127.0.0.1:*", "/disk")
-            assert struck.path == ("/disk" if fault.call in ON_FILES else None)
+            process_fault = fault.struck("127.0.0.1:*", "/disk")
+            assert process_fault.path == ("/disk" if fault.call in FILE_CALLS else None)
 
 
-def test_drawn_plans_have_failing_calls_and_clocks_that_step() -> None:
+def test_random_plans_have_system_call_faults_and_clock_steps() -> None:
     plans = [draw(seed, 4, 4, 30, 60.0, 100.0) for seed in range(40)]
-    faults = [one for plan in plans for one in plan.faults]
-    calls = [one for one in faults if isinstance(one, SystemCalls)]
-    assert {one.call for one in calls} == {call["call"] for call, _, _ in FAILING}
-    assert {one.step_s for one in faults if isinstance(one, Clock)} == set(STEPS)
+    faults = [fault for plan in plans for fault in plan.faults]
+    calls = [fault for fault in faults if isinstance(fault, SystemCalls)]
+    assert {fault.call for fault in calls} == {call["call"] for call, _, _ in FAILING}
+    assert {fault.step_s for fault in faults if isinstance(fault, Clock)} == set(STEPS)
     for plan in plans:
-        struck = [one for one in plan.faults if isinstance(one, SystemCalls)]
-        assert plan.fleet.keeps == any(one.call in ON_FILES for one in struck)
-        resets = sum(isinstance(one, Link) and one.kind == "reset" for one in plan.faults)
-        # The last that is drawn may have no room for its reset behind it.
-        assert resets >= sum(one.call in DIALS for one in struck) - 1
+        system_calls = [fault for fault in plan.faults if isinstance(fault, SystemCalls)]
+        assert plan.fleet.keeps == any(fault.call in FILE_CALLS for fault in system_calls)
+        resets = sum(isinstance(fault, Link) and fault.kind == "reset" for fault in plan.faults)
+        # The last fault may be too close to the end of the plan for a reset after it.
+        assert resets >= sum(fault.call in DIALS for fault in system_calls) - 1
 
 
 @pytest.mark.parametrize(
     ("edges", "excused"), [(["clients>router-0"], True), (["clients>router-1"], False), ([], False)]
 )
-def test_a_request_is_lost_to_failing_calls_only_where_they_break_its_connection(
+def test_system_call_fault_excuses_a_lost_request_only_if_it_affects_its_connection(
     edges: list[str], excused: bool
 ) -> None:
-    struck = {"kind": "system_call", "processes": ["router-0"], "edges": edges, "keep_disk": True}
+    fault = {"kind": "system_call", "processes": ["router-0"], "edges": edges, "keep_disk": True}
     records = [
-        event(1.0, EventKind.FAULT_BEGUN, fault=0, **struck),
+        event(1.0, EventKind.FAULT_BEGUN, fault=0, **fault),
         event(1.1, EventKind.REQUEST_SENT, "r", **ASKED),
         event(1.2, EventKind.CLOSED_UNANSWERED, "r", router="router-0"),
         event(1.3, EventKind.FAULT_ENDED, fault=0),
     ]
-    broken = judge(ordered(records), Plan(name="p"))
-    assert [one.check for one in broken] == ([] if excused else ["answered"])
+    violations = run_checks(build_history(records), Plan(name="p"))
+    assert [violation.check for violation in violations] == ([] if excused else ["answered"])
 
 
 @pytest.mark.parametrize(
@@ -157,12 +157,12 @@
         ({"call": "accept", "error": "ENFILE"}, False),
     ],
 )
-def test_what_breaks_connections_of_clients(changes: dict[str, object], breaks: bool) -> None:
+def test_faults_that_break_client_connections(changes: dict[str, object], breaks: bool) -> None:
     fault = SystemCalls.model_validate({"kind": "system_call", "target": ["router-0"], "at": 1, **changes})
     assert fault.breaks is breaks
 
 
-def test_a_fault_that_makes_no_sense_is_refused() -> None:
+def test_invalid_fault_is_rejected() -> None:
     for changes in ({"call": "accept"}, {"call": "accept", "error": "ENOTHING"}, {"call": "bind"}):
         raw = {"kind": "system_call", "target": ["router-0"], "at": 1, **changes}
         with pytest.raises(SpecError):
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -1,4 +1,4 @@
-"""The injector of failing system calls does what it tells, to real sockets and files, and undoes it."""
+"""Tests of system call faults on real sockets and files, and of their removal."""
 
 import asyncio
 import errno
@@ -17,27 +17,27 @@
     recorded,
 )
 
-PATIENCE = 10.0  # s
+TIMEOUT_S = 10.0
 
 
-def pair() -> tuple[socket.socket, socket.socket]:
-    """A connection over loopback."""
+def connected_sockets() -> tuple[socket.socket, socket.socket]:
+    """Returns both ends of a connection over loopback."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        one = socket.create_connection(listener.getsockname(), timeout=PATIENCE)
+        one = socket.create_connection(listener.getsockname(), timeout=TIMEOUT_S)
         other, _ = listener.accept()
         return one, other
 
 
-def port(line: socket.socket) -> str:
-    return f"*:{line.getsockname()[1]}"
+def port_pattern(sock: socket.socket) -> str:
+    return f"*:{sock.getsockname()[1]}"
 
 
-def test_accept_fails_the_times_it_is_told_and_takes_nobody() -> None:
+def test_accept_fails_the_given_number_of_times_and_accepts_no_connection() -> None:
     with (
         socket.create_server(("127.0.0.1", 0)) as listener,
         SystemCallFaults(SystemCallFault("accept", "ENFILE", from_call=2, times=2)) as faults,
-        socket.create_connection(listener.getsockname(), timeout=PATIENCE),
-        socket.create_connection(listener.getsockname(), timeout=PATIENCE),
+        socket.create_connection(listener.getsockname(), timeout=TIMEOUT_S),
+        socket.create_connection(listener.getsockname(), timeout=TIMEOUT_S),
     ):
         listener.accept()[0].close()
         for _ in range(2):
@@ -48,39 +48,43 @@
         assert faults.count("accept", "ENFILE") == faults.count() == 2
 
 
-def test_a_fault_strikes_each_so_manieth_call() -> None:
+def test_fault_is_injected_into_every_nth_call() -> None:
     with SystemCallFaults(SystemCallFault("socket", "EMFILE", from_call=2, every=3)) as faults:
-        struck = []
+        failed = []
         for call in range(1, 9):
             try:
                 socket.socket().close()
             except OSError:
-                struck.append(call)
-        assert struck == [2, 5, 8] and faults.count() == 3
+                failed.append(call)
+        assert failed == [2, 5, 8] and faults.count() == 3
 
 
-def test_a_fault_ends_its_time_after_it_first_struck() -> None:
+def test_fault_ends_for_s_after_its_first_injection() -> None:
     with SystemCallFaults(SystemCallFault("socket", "ENOBUFS", for_s=0.05)) as faults:
-        tries = 0
+        attempts = 0
         while True:
-            tries += 1
+            attempts += 1
             try:
                 socket.socket().close()
                 break
-            except OSError as problem:
-                assert problem.errno == errno.ENOBUFS
-        assert faults.count("socket", "ENOBUFS") == tries - 1 >= 1
+            except OSError as error:
+                assert error.errno == errno.ENOBUFS
+        assert faults.count("socket", "ENOBUFS") == attempts - 1 >= 1
 
 
-def test_a_fault_strikes_the_addresses_that_it_names_alone() -> None:
-    one, other = pair()
-    with one, other, SystemCallFaults(SystemCallFault("recv", "ETIMEDOUT", local=port(one))) as faults:
+def test_fault_affects_only_matching_addresses() -> None:
+    one, other = connected_sockets()
+    with (
+        one,
+        other,
+        SystemCallFaults(SystemCallFault("recv", "ETIMEDOUT", local=port_pattern(one))) as faults,
+    ):
         one.sendall(b"a")
         assert other.recv(1) == b"a"
         other.sendall(b"b")
         with pytest.raises(TimeoutError):
             one.recv_into(bytearray(1))
-        faults.replace(SystemCallFault("recv", "EHOSTUNREACH", peer=port(one)))
+        faults.replace(SystemCallFault("recv", "EHOSTUNREACH", peer=port_pattern(one)))
         assert one.recv(1) == b"b"
         with pytest.raises(OSError, match="No route to host"):
             other.recv(1)
@@ -88,7 +92,7 @@
 
 
 def test_sends_are_short_or_fail() -> None:
-    one, other = pair()
+    one, other = connected_sockets()
     faults = SystemCallFaults(
         SystemCallFault("send", short=3, times=1),
         SystemCallFault("send", "ECONNRESET", times=1),
@@ -111,13 +115,13 @@
 def test_datagrams_fail() -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one:
         one.bind(("127.0.0.1", 0))
-        with SystemCallFaults(SystemCallFault("sendto", "ENETUNREACH", peer=port(one))) as faults:
+        with SystemCallFaults(SystemCallFault("sendto", "ENETUNREACH", peer=port_pattern(one))) as faults:
             with pytest.raises(OSError, match="Network is unreachable"):
                 one.sendto(b"a", one.getsockname())
             assert faults.count("sendto") == 1
 
 
-async def test_a_connect_fails_at_once_or_as_it_ends() -> None:
+async def test_connect_fails_at_once_or_on_completion() -> None:
     server = await asyncio.start_server(lambda reader, writer: writer.close(), "127.0.0.1", 0)
     address = server.sockets[0].getsockname()[:2]
     with SystemCallFaults(SystemCallFault("connect", "EADDRNOTAVAIL", times=1)) as faults:
@@ -134,47 +138,47 @@
     server.close()
 
 
-async def test_a_wait_that_is_interrupted_finds_nothing() -> None:
+async def test_interrupted_wait_returns_no_events() -> None:
     with SystemCallFaults(SystemCallFault("epoll", "EINTR", times=3)) as faults:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             while faults.count("epoll", "EINTR") < 3:
                 await asyncio.sleep(0)
             await asyncio.sleep(0.001)
 
 
 @pytest.mark.parametrize("call", ["open", "read", "write", "fsync", "fsync_folder", "rename"])
-def test_each_call_on_files_fails_in_its_folder_alone(tmp_path: Path, call: str) -> None:
-    def use(folder: Path) -> None:
+def test_file_call_fails_only_below_the_path_of_the_fault(tmp_path: Path, call: str) -> None:
+    def use_files(folder: Path) -> None:
         with open(folder / "new", "wb") as file:
             file.write(b"content")
             file.flush()
             os.fsync(file.fileno())
         os.replace(folder / "new", folder / "old")
-        held = os.open(folder, os.O_RDONLY)
+        descriptor = os.open(folder, os.O_RDONLY)
         try:
-            os.fsync(held)
+            os.fsync(descriptor)
         finally:
-            os.close(held)
+            os.close(descriptor)
         with open(folder / "old") as text:
             assert text.read() == "content"
 
-    struck, other = tmp_path / "struck", tmp_path / "other"
-    struck.mkdir()
+    affected, other = tmp_path / "struck", tmp_path / "other"
+    affected.mkdir()
     other.mkdir()
-    with SystemCallFaults(SystemCallFault(call, "EIO", path=str(struck))) as faults:  # type: ignore[arg-type]
-        use(other)
+    with SystemCallFaults(SystemCallFault(call, "EIO", path=str(affected))) as faults:  # type: ignore[arg-type]
+        use_files(other)
         assert faults.count() == 0
         with pytest.raises(OSError, match="Input/output error"):
-            use(struck)
+            use_files(affected)
         assert faults.count(call) >= 1  # type: ignore[arg-type]
-    use(struck)
+    use_files(affected)
 
 
-def test_a_write_is_short_and_then_the_disk_is_full(tmp_path: Path) -> None:
+def test_write_is_short_and_then_fails_with_disk_full(tmp_path: Path) -> None:
     path = tmp_path / "file"
-    half, full = SystemCallFault("write", short=3, times=1), SystemCallFault("write", "ENOSPC")
+    short_write, disk_full = SystemCallFault("write", short=3, times=1), SystemCallFault("write", "ENOSPC")
     with (
-        SystemCallFaults(half, full) as faults,
+        SystemCallFaults(short_write, disk_full) as faults,
         pytest.raises(OSError, match="No space left"),
         open(path, "wb", buffering=0) as file,
     ):
@@ -184,20 +188,20 @@
     assert faults.count("write", "short") == faults.count("write", "ENOSPC") == 1
 
 
-def test_short_reads_and_descriptors(tmp_path: Path) -> None:
+def test_reads_are_short_and_descriptor_calls_get_faults(tmp_path: Path) -> None:
     path = tmp_path / "file"
     path.write_bytes(b"content")
     with SystemCallFaults(SystemCallFault("read", short=2, path=str(path))) as faults:
         assert path.open("rb").read() == b"content"
-        held = os.open(path, os.O_RDWR)
-        assert os.read(held, 100) == b"co"
+        descriptor = os.open(path, os.O_RDWR)
+        assert os.read(descriptor, 100) == b"co"
         faults.replace(SystemCallFault("write", "EIO"))
         with pytest.raises(OSError, match="Input/output"):
-            os.write(held, b"x")
-        os.close(held)
+            os.write(descriptor, b"x")
+        os.close(descriptor)
 
 
-def test_all_is_undone() -> None:
+def test_all_patches_are_removed() -> None:
     names = ("accept", "connect", "send", "recv_into", "getsockopt", "__init__")
     before = [getattr(socket.socket, name) for name in names], open, os.open, os.fsync, os.replace
     with SystemCallFaults():
@@ -206,7 +210,7 @@
     assert "send" not in vars(socket.socket)
 
 
-def test_a_child_process_records_what_it_injects(tmp_path: Path) -> None:
+def test_child_process_records_its_injections(tmp_path: Path) -> None:
     record = tmp_path / "record"
     faults = [SystemCallFault("socket", "EMFILE", times=2)]
     (tmp_path / "child.py").write_text(
@@ -231,7 +235,7 @@
 
 
 @pytest.mark.parametrize(
-    "told",
+    "fields",
     [
         {"call": "accept"},
         {"call": "accept", "error": "ENOTHING"},
@@ -241,6 +245,6 @@
         {"call": "send", "short": 1, "error": "EIO"},
     ],
 )
-def test_a_fault_that_makes_no_sense_is_refused(told: dict[str, object]) -> None:
+def test_invalid_fault_is_rejected(fields: dict[str, object]) -> None:
     with pytest.raises(ValueError):
-        SystemCallFault(**told)  # type: ignore[arg-type]
+        SystemCallFault(**fields)  # type: ignore[arg-type]
