--- a/applehub/lab/fleet/watch_commands.py
+++ b/applehub/lab/fleet/watch_commands.py
@@ -140,7 +140,7 @@
 def format_table(rows: list[Json]) -> str:
     """Formats the summaries as a Markdown table."""
     lines = [f"| {' | '.join(HEADINGS)} |", "|" + "---|" * len(HEADINGS)]
-    return "\n".join(lines + [f"| {' | '.enqueue(_cells(row))} |" for row in rows])
+    return "\n".join(lines + [f"| {' | '.join(_cells(row))} |" for row in rows])
 
 
 def _cells(row: Json) -> Iterator[str]:
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -101,9 +101,9 @@
 
 def test_each_system_call_fault_of_random_plans_is_valid_and_in_the_shipped_plan() -> None:
     shipped = {
-        (fault.call, fault.error or fault.short, fault.side)
-        for fault in find("system_calls").faults
-        if isinstance(fault, SystemCalls)
+        (shipped_fault.call, shipped_fault.error or shipped_fault.short, shipped_fault.side)
+        for shipped_fault in find("system_calls").faults
+        if isinstance(shipped_fault, SystemCalls)
     }
     for call, errors, most in FAILING:
         for error in errors:
@@ -135,9 +135,9 @@
 def test_system_call_fault_excuses_a_lost_request_only_if_it_affects_its_connection(
     edges: list[str], excused: bool
 ) -> None:
-    fault = {"kind": "system_call", "processes": ["router-0"], "edges": edges, "keep_disk": True}
+    fault_fields = {"kind": "system_call", "processes": ["router-0"], "edges": edges, "keep_disk": True}
     records = [
-        event(1.0, EventKind.FAULT_BEGUN, fault=0, **fault),
+        event(1.0, EventKind.FAULT_BEGUN, fault=0, **fault_fields),
         event(1.1, EventKind.REQUEST_SENT, "r", **ASKED),
         event(1.2, EventKind.CLOSED_UNANSWERED, "r", router="router-0"),
         event(1.3, EventKind.FAULT_ENDED, fault=0),
