--- a/applehub/lab/fleet/variants.py
+++ b/applehub/lab/fleet/variants.py
@@ -52,7 +52,7 @@
 
 
 def answers_late() -> None:
-    """Delays some answers until their deadline has passed."""
+    """Delays some answers until long after their deadline."""
 
     def answer_late(self: Driver, held: Held, answer: bytes, how: Answered, original: Any) -> None:
         self._close(held)
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -105,9 +105,9 @@
         for shipped_fault in find("system_calls").faults
         if isinstance(shipped_fault, SystemCalls)
     }
-    for call, errors, most in FAILING:
+    for call, errors, max_seconds in FAILING:
         for error in errors:
-            fields = {"kind": "system_call", "target": ["router-0"], "at": 1, "for_s": most, **call}
+            fields = {"kind": "system_call", "target": ["router-0"], "at": 1, "for_s": max_seconds, **call}
             (fault,) = make_plan("p", {"name": "p", "faults": [{**fields, "error": error}]}).faults
             assert isinstance(fault, SystemCalls)
             assert (fault.call, error or fault.short, fault.side) in shipped
--- a/tests/test_slow_registry.py
+++ b/tests/test_slow_registry.py
@@ -118,9 +118,8 @@
 def test_delay_counts_from_when_the_service_has_the_change_and_can_be_reached(
     at: float, outage: tuple[float, float] | None, seconds: float
 ) -> None:
-    applied = [AppliedVersion(1.0, 1)] + (
-        [] if at == NEVER else [AppliedVersion(at, 3)]
-    )  # one answer contains two changes
+    # A single answer contains the changes to versions 2 and 3.
+    applied = [AppliedVersion(1.0, 1)] + ([] if at == NEVER else [AppliedVersion(at, 3)])
     outages = [Outage(*outage)] if outage else []
     assert propagation_seconds(Change(2, 10.0, "calm"), applied, outages, 6.0) == seconds
 
@@ -145,7 +144,7 @@
     async def connect(cls, endpoint: Endpoint) -> "Peer":
         return cls(*await asyncio.open_connection(*endpoint))
 
-    def ask(self, query: str = "") -> None:
+    def send_request(self, query: str = "") -> None:
         self.writer.write(f"GET /api/targets{query} HTTP/1.1\r\nHost: list\r\n\r\n".encode())
 
     async def answer(self) -> tuple[int, Any]:
@@ -155,7 +154,7 @@
         return int(head.split()[1]), orjson.loads(body) if body else None
 
     async def get(self, query: str = "") -> tuple[int, Any]:
-        self.ask(query)
+        self.send_request(query)
         return await self.answer()
 
     def close(self) -> None:
@@ -186,13 +185,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test(registry: SlowRegistry) -> None:
-        begun = now()
+        started_at = now()
         peers = [await Peer.connect(registry.endpoint) for _ in range(4)]
         times: dict[float, int] = {}
 
         async def call(peer: Peer) -> None:
             status, _ = await peer.get()
-            times[round(now() - begun, 2)] = status
+            times[round(now() - started_at, 2)] = status
 
         await asyncio.gather(*map(call, peers))
         assert times == {0.0: 503, 3.0: 200, 3.5: 200, 4.0: 200}
@@ -209,13 +208,13 @@
 ) -> None:
     async def test(registry: SlowRegistry) -> None:
         first, second, third = [await Peer.connect(registry.endpoint) for _ in range(3)]
-        begun = now()
+        started_at = now()
         for peer in (first, second, third):
-            peer.ask()
+            peer.send_request()
             await asyncio.sleep(0.01)
         second.close()
         status, _ = await third.answer()
-        assert status == 200 and now() - begun == pytest.approx(seconds, abs=0.01)
+        assert status == 200 and now() - started_at == pytest.approx(seconds, abs=0.01)
         assert (registry.counts.wasted, registry.counts.left) == (wasted, 1 - wasted)
 
     run_with_service(monkeypatch, ServiceBehavior(capacity=2.0, abandoned_calls_take_capacity=kept), test)
@@ -226,20 +225,20 @@
         peer = await Peer.connect(registry.endpoint)
         assert (await peer.get())[1]["all"] is True
         await asyncio.sleep(0.19)
-        begun = now()
-        peer.ask("?from=1&hold_ms=2500")
+        started_at = now()
+        peer.send_request("?from=1&hold_ms=2500")
         await asyncio.sleep(1)
         registry.change()
         _, body = await peer.answer()
         assert (body["rev"], body["all"], len(body["targets"])) == (2, False, 1)
-        assert now() - begun == pytest.approx(1.0, abs=0.01) and registry.counts.went_on == 1
-        begun = now()
+        assert now() - started_at == pytest.approx(1.0, abs=0.01) and registry.counts.went_on == 1
+        started_at = now()
         _, body = await peer.get("?from=2&hold_ms=2500")
-        assert body["targets"] == [] and now() - begun == pytest.approx(2.5, abs=0.01)
+        assert body["targets"] == [] and now() - started_at == pytest.approx(2.5, abs=0.01)
         await asyncio.sleep(0.21)
-        begun = now()
+        started_at = now()
         await peer.get("?from=2&hold_ms=100")
-        assert now() - begun == pytest.approx(2.1, abs=0.01)
+        assert now() - started_at == pytest.approx(2.1, abs=0.01)
         assert (registry.counts.went_on, registry.counts.lapsed) == (2, 1)
 
     run_with_service(monkeypatch, ServiceBehavior(min_latency_s=2.0, max_latency_s=2.0), test)
@@ -255,9 +254,9 @@
         peer = await Peer.connect(registry.endpoint)
         await peer.get()
         await asyncio.sleep(0.01)
-        begun = now()
+        started_at = now()
         await peer.get("?from=1&hold_ms=1000")
-        assert now() - begun == pytest.approx(seconds, abs=0.01)
+        assert now() - started_at == pytest.approx(seconds, abs=0.01)
 
     run_with_service(monkeypatch, ServiceBehavior(min_latency_s=2.0, max_latency_s=2.0, **options), test)
 
@@ -266,7 +265,7 @@
     async def test(registry: SlowRegistry) -> None:
         silent, other = await Peer.connect(registry.endpoint), await Peer.connect(registry.endpoint)
         await silent.get()
-        silent.ask("?from=1&hold_ms=1000")
+        silent.send_request("?from=1&hold_ms=1000")
         await asyncio.sleep(0.5)
         registry.silence_watches()
         registry.change()
@@ -285,7 +284,7 @@
 ) -> None:
     async def test(registry: SlowRegistry) -> None:
         waiting = await Peer.connect(registry.endpoint)
-        waiting.ask("?from=1&hold_ms=60000")
+        waiting.send_request("?from=1&hold_ms=60000")
         await asyncio.sleep(0.5)
         registry.stop_serving()
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -23,9 +23,9 @@
 def connected_sockets() -> tuple[socket.socket, socket.socket]:
     """Returns both ends of a connection over loopback."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        one = socket.create_connection(listener.getsockname(), timeout=TIMEOUT_S)
-        other, _ = listener.accept()
-        return one, other
+        first = socket.create_connection(listener.getsockname(), timeout=TIMEOUT_S)
+        second, _ = listener.accept()
+        return first, second
 
 
 def port_pattern(sock: socket.socket) -> str:
@@ -73,51 +73,51 @@
 
 
 def test_fault_affects_only_matching_addresses() -> None:
-    one, other = connected_sockets()
+    first, second = connected_sockets()
     with (
-        one,
-        other,
-        SystemCallFaults(SystemCallFault("recv", "ETIMEDOUT", local=port_pattern(one))) as faults,
+        first,
+        second,
+        SystemCallFaults(SystemCallFault("recv", "ETIMEDOUT", local=port_pattern(first))) as faults,
     ):
-        one.sendall(b"a")
-        assert other.recv(1) == b"a"
-        other.sendall(b"b")
+        first.sendall(b"a")
+        assert second.recv(1) == b"a"
+        second.sendall(b"b")
         with pytest.raises(TimeoutError):
-            one.recv_into(bytearray(1))
-        faults.replace(SystemCallFault("recv", "EHOSTUNREACH", peer=port_pattern(one)))
-        assert one.recv(1) == b"b"
+            first.recv_into(bytearray(1))
+        faults.replace(SystemCallFault("recv", "EHOSTUNREACH", peer=port_pattern(first)))
+        assert first.recv(1) == b"b"
         with pytest.raises(OSError, match="No route to host"):
-            other.recv(1)
+            second.recv(1)
         assert faults.count("recv") == 2
 
 
 def test_sends_are_short_or_fail() -> None:
-    one, other = connected_sockets()
+    first, second = connected_sockets()
     faults = SystemCallFaults(
         SystemCallFault("send", short=3, times=1),
         SystemCallFault("send", "ECONNRESET", times=1),
         SystemCallFault("sendmsg", short=2),
     )
-    with one, other, faults:
-        assert one.send(b"abcdef") == 3
+    with first, second, faults:
+        assert first.send(b"abcdef") == 3
         with pytest.raises(ConnectionResetError):
-            one.send(b"def")
-        assert one.sendmsg([b"d", b"ef"]) == 2
-        assert one.send(b"f") == 1
-        assert other.recv(100) == b"abcdef"
+            first.send(b"def")
+        assert first.sendmsg([b"d", b"ef"]) == 2
+        assert first.send(b"f") == 1
+        assert second.recv(100) == b"abcdef"
         assert faults.count("send", "short") == 1
         faults.replace(SystemCallFault("send", short=1))
-        one.sendall(b"abc")
-        assert [other.recv(1) for _ in range(3)] == [b"a", b"b", b"c"]
+        first.sendall(b"abc")
+        assert [second.recv(1) for _ in range(3)] == [b"a", b"b", b"c"]
         assert faults.count("send", "short") == 4
 
 
 def test_datagrams_fail() -> None:
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one:
-        one.bind(("127.0.0.1", 0))
-        with SystemCallFaults(SystemCallFault("sendto", "ENETUNREACH", peer=port_pattern(one))) as faults:
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as first:
+        first.bind(("127.0.0.1", 0))
+        with SystemCallFaults(SystemCallFault("sendto", "ENETUNREACH", peer=port_pattern(first))) as faults:
             with pytest.raises(OSError, match="Network is unreachable"):
-                one.sendto(b"a", one.getsockname())
+                first.sendto(b"a", first.getsockname())
             assert faults.count("sendto") == 1
 
 
@@ -162,11 +162,11 @@
         with open(folder / "old") as text:
             assert text.read() == "content"
 
-    affected, other = tmp_path / "struck", tmp_path / "other"
+    affected, second = tmp_path / "struck", tmp_path / "other"
     affected.mkdir()
-    other.mkdir()
+    second.mkdir()
     with SystemCallFaults(SystemCallFault(call, "EIO", path=str(affected))) as faults:  # type: ignore[arg-type]
-        use_files(other)
+        use_files(second)
         assert faults.count() == 0
         with pytest.raises(OSError, match="Input/output error"):
             use_files(affected)
