--- a/applehub/lab/fleet/hollow.py
+++ b/applehub/lab/fleet/hollow.py
@@ -1,4 +1,4 @@
-"""Routers without a data path: each watches the list as a real one does, and does nothing else."""
+"""Routers without a data path, which watch the list as real ones do."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -12,40 +12,41 @@
 from applehub.policy import Balancer
 from applehub.settings import Json, read_names, read_settings
 
-CLIENT_WAIT = 1000  # ms; no client comes
-MOST_SOCKETS, DIAL_TIMEOUT, KEEPALIVE = 64, 0.25, 60.0  # of pools that nothing is sent through
+CLIENT_WAIT_MS = 1000
+MAX_SOCKETS, DIAL_TIMEOUT_S, KEEPALIVE_S = 64, 0.25, 60.0  # of pools that send nothing
 ORIGIN_KIND = 1
-Took = Callable[[int], None]  # told the version of the list each time that it is taken up
+OnApplied = Callable[[int], None]  # called with the version of each list that is applied
 
 
 class Caller(Protocol):
-    """What asks the service for the list."""
+    """A client of the list service."""
 
     def start(self) -> None:
-        """Begins to ask."""
+        """Starts to send calls."""
 
     def stop(self) -> None:
-        """Ends all that it has open."""
+        """Stops the client and closes its connections."""
 
 
-MakeCaller = Callable[[Endpoint, int, Took], Caller]  # from the service's endpoint and a seed
+# Takes the endpoint of the list service, a seed and the callback.
+CallerFactory = Callable[[Endpoint, int, OnApplied], Caller]
 
 
-class HollowRouter:
-    """The program's own watch and directory.
+class WatchOnlyRouter:
+    """Runs the watch and the directory of a real router.
 
-    Where lists are asked for (`must_ask`), its decisions are there too: they say when to ask again after a
-    failure. Elsewhere nothing reads what the directory tells, and one process bears more routers."""
+    With `must_ask` it also runs the router's policy, which says when to poll again after a failure. Without
+    it the policy is left out, so that one process can run more routers."""
 
-    def __init__(self, endpoint: Endpoint, seed: int, took: Took, must_ask: bool = False) -> None:
-        told = {**settings(CLIENT_WAIT), "registryMode": "on_request" if must_ask else "pushed"}
-        pools = Pools(MOST_SOCKETS, DIAL_TIMEOUT, KEEPALIVE)
+    def __init__(self, endpoint: Endpoint, seed: int, on_applied: OnApplied, must_ask: bool = False) -> None:
+        router_settings = {**settings(CLIENT_WAIT_MS), "registryMode": "on_request" if must_ask else "pushed"}
+        pools = Pools(MAX_SOCKETS, DIAL_TIMEOUT_S, KEEPALIVE_S)
         self.driver: Driver | None = None
         if must_ask:
-            self.driver = Driver(Balancer(read_settings(told), seed), pools, 1, Figures())
-        tell = self.driver.tell if self.driver else lambda members: None
-        self.directory = Directory(read_names(told), ORIGIN_KIND, pools, tell)
-        self.directory.took = lambda answer, whole: took(self.directory.rev)
+            self.driver = Driver(Balancer(read_settings(router_settings), seed), pools, 1, Figures())
+        notify = self.driver.tell if self.driver else lambda members: None
+        self.directory = Directory(read_names(router_settings), ORIGIN_KIND, pools, notify)
+        self.directory.took = lambda answer, complete: on_applied(self.directory.rev)
         self.watch = Watch([endpoint], self.directory, seed, must_ask)
         if self.driver:
             self.driver.watch = self.watch.start
@@ -59,8 +60,8 @@
         self.watch.stop()
 
 
-def entries(servers: int) -> list[Json]:
-    """A list of cache servers and the origin, none of which is ever dialled."""
+def list_entries(servers: int) -> list[Json]:
+    """Returns list entries of an origin and `servers` cache servers; nothing connects to their endpoints."""
     return [
         {
             "uid": f"cache-{number}" if number else "origin",
--- a/applehub/lab/fleet/turns.py
+++ b/applehub/lab/fleet/turns.py
@@ -1,7 +1,7 @@
-"""The queue of a list service that handles calls in turn: no I/O, and the clock is the caller's.
+"""The call queue of a list service of limited capacity. It does no I/O; the caller supplies the clock.
 
-A call waits for its turn, takes `1 / capacity` seconds of the service, and is answered late. A call that
-would have to wait too long is refused on arrival and costs the service nothing."""
+A call waits until the service starts it, occupies the service for `1 / capacity` seconds, and is answered
+with extra latency. A call that would wait too long is rejected on arrival and takes no capacity."""
 
 from collections import deque
 from collections.abc import Callable
@@ -10,88 +10,88 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Service:
-    """How a list service behaves."""
+class ServiceBehavior:
+    """The capacity, latency and queue limits of a list service."""
 
     capacity: float = 100.0  # calls a second
-    least_late: float = 0.0  # s from a call's turn until it is looked at, drawn evenly
-    most_late: float = 0.0
-    most_wait: float = 2.0  # s; a call that would wait longer for its turn is refused
-    most_waiting: int | None = None  # a call that finds so many waiting is refused as well
-    abandoned_take_turns: bool = True  # a call whose connection was closed still takes its turn
-    goes_on_within: float = 0.2  # s from an answer; a watch that comes by then takes no turn
-    late_watches: bool = False  # a watch that goes on is looked at late as well
+    min_latency_s: float = 0.0  # s from the start of a call until it is handled; drawn uniformly
+    max_latency_s: float = 0.0
+    max_wait_s: float = 2.0  # a call that would queue for longer is rejected
+    max_queued: int | None = None  # a call that finds this many in the queue is rejected as well
+    abandoned_calls_take_capacity: bool = True  # a queued call takes capacity though its caller left
+    # Seconds from an answer, within which the next watch on that connection takes no capacity ("continues").
+    goes_on_within: float = 0.2
+    late_watches: bool = False  # such a continued watch is handled with latency as well
 
-    def lateness(self, random: Random) -> float:
-        """Draws how late one call is looked at, in seconds."""
-        return random.uniform(self.least_late, self.most_late)
+    def draw_latency(self, random: Random) -> float:
+        """Draws the latency of one call, in seconds."""
+        return random.uniform(self.min_latency_s, self.max_latency_s)
 
 
 @dataclass(slots=True, eq=False)
-class Turn:
-    """The place of one call in the queue."""
+class QueuedCall:
+    """A call in the queue."""
 
     arrived: float
 
 
-class TurnQueue:
-    """The calls that wait for their turn."""
+class CallQueue:
+    """The calls that wait until the service starts them, first come, first served."""
 
-    def __init__(self, service: Service, clock: Callable[[], float]) -> None:
+    def __init__(self, service: ServiceBehavior, clock: Callable[[], float]) -> None:
         self.service, self.clock = service, clock
-        self.waiting: deque[Turn] = deque()
-        self.free_at = 0.0  # when the service is done with the call whose turn came last
+        self.waiting: deque[QueuedCall] = deque()
+        self.free_at = 0.0  # when the service finishes the call that it started last
 
-    def join(self) -> Turn | None:
-        """Takes a call in; None where it is refused."""
+    def enqueue(self) -> QueuedCall | None:
+        """Adds a call to the queue and returns it; returns None if the call is rejected."""
         now = self.clock()
-        wait = self._next_at(now) + len(self.waiting) / self.service.capacity - now
-        most = self.service.most_waiting
-        if wait > self.service.most_wait or (most is not None and len(self.waiting) >= most):
+        wait = self._start_at(now) + len(self.waiting) / self.service.capacity - now
+        limit = self.service.max_queued
+        if wait > self.service.max_wait_s or (limit is not None and len(self.waiting) >= limit):
             return None
-        turn = Turn(now)
-        self.waiting.append(turn)
-        return turn
-
-    def abandon(self, turn: Turn) -> bool:
-        """The caller has closed its connection while it waited; whether its turn goes to the next call."""
-        given_up = not self.service.abandoned_take_turns and turn in self.waiting
-        if given_up:
-            self.waiting.remove(turn)
-        return given_up
-
-    def next_at(self) -> float | None:
-        """When the next turn comes; None where no call waits."""
-        return self._next_at(self.waiting[0].arrived) if self.waiting else None
-
-    def begin(self) -> list[Turn]:
-        """Takes out the calls whose turn has come, in order."""
-        begun = []
-        while (at := self.next_at()) is not None and at <= self.clock():
-            begun.append(self.waiting.popleft())
+        queued_call = QueuedCall(now)
+        self.waiting.append(queued_call)
+        return queued_call
+
+    def abandon(self, queued_call: QueuedCall) -> bool:
+        """Handles that the caller of a queued call left; returns whether the call was removed."""
+        removed = not self.service.abandoned_calls_take_capacity and queued_call in self.waiting
+        if removed:
+            self.waiting.remove(queued_call)
+        return removed
+
+    def next_start_at(self) -> float | None:
+        """Returns when the next call is due to start; None if the queue is empty."""
+        return self._start_at(self.waiting[0].arrived) if self.waiting else None
+
+    def start_due_calls(self) -> list[QueuedCall]:
+        """Removes the calls that are due from the queue and returns them in order."""
+        started = []
+        while (at := self.next_start_at()) is not None and at <= self.clock():
+            started.append(self.waiting.popleft())
             self.free_at = at + 1 / self.service.capacity
-        return begun
+        return started
 
     def clear(self) -> None:
-        """Forgets all calls, as a service that goes down does."""
+        """Drops all calls, as in an outage of the service."""
         self.waiting.clear()
         self.free_at = 0.0
 
-    def _next_at(self, arrived: float) -> float:
+    def _start_at(self, arrived: float) -> float:
         return max(self.free_at, self.waiting[0].arrived if self.waiting else arrived)
 
 
-def ideal_time(service: Service, routers: int) -> float:
-    """The seconds in which the service can answer one call of each router, played through the queue.
+def ideal_completion_time(service: ServiceBehavior, routers: int) -> float:
+    """Returns the seconds in which the service can answer one call of each router, simulated with the queue.
 
-    The callers are ideal: each asks in the very moment in which the service becomes free, so no call waits,
-    none is refused and none is given up. The last is answered at the latest that lateness allows. Where a
-    watch that goes on is late too, a caller cannot tell a silent watch from a late one before that time
-    has passed once more."""
+    Ideal callers send each call just as the service becomes free, so no call waits, is rejected or is
+    abandoned. The last call has the maximum latency. If continued watches have latency too, that time counts
+    twice, because a caller cannot tell an unresponsive watch from a slow one any sooner."""
     now = 0.0
-    queue = TurnQueue(service, lambda: now)
+    queue = CallQueue(service, lambda: now)
     for _ in range(routers):
-        queue.join()
-        queue.begin()
+        queue.enqueue()
+        queue.start_due_calls()
         now = queue.free_at
-    return now + service.most_late * (2 if service.late_watches else 1)
+    return now + service.max_latency_s * (2 if service.late_watches else 1)
--- a/applehub/lab/fleet/uptake.py
+++ b/applehub/lab/fleet/uptake.py
@@ -1,92 +1,94 @@
-"""How soon routers took up the changes of a list, and the check that each did in time. No I/O.
+"""The delays with which routers apply list changes, and the check of these delays. It does no I/O.
 
-The check `in time`: each router has taken up each change within `patience` seconds from when the list service
-had the change and could be reached. `patience` is 6 s, or where that is longer the time that ideal callers
-need (`turns.ideal_time`). The latter comes from the queue of the service alone, never from what the routers
-did: calls that routers waste do not lengthen it, and no router is blamed for what no way of asking gives.
+Each router must apply each change within `limit_s` seconds from when the list service has the change and can
+be reached. `limit_s` is 6 s or, if longer, the time that ideal callers need
+(`turns.ideal_completion_time`). That time depends on the service alone, so calls that routers waste
+do not extend the limit.
 
-- An outage that begins before these seconds are over, at a router that has not taken the change up by then,
-  starts them anew at its end.
-- Watches that fall silent start nothing anew: the service can still be asked.
+- An outage that begins within the limit, before the router has applied the change, restarts the time at the
+  end of the outage.
+- Unresponsive watches do not restart the time, because the service still answers new calls.
 - The first list counts as a change that is made as the routers start.
-- A change that a router never takes up is a breach; a play has to go on for `patience` after each change."""
+- A change that a router never applies breaks the limit; a run must last for `limit_s` after each change."""
 
 import math
 from bisect import bisect_left
 from dataclasses import dataclass
 
-from applehub.lab.fleet.turns import Service, ideal_time
+from applehub.lab.fleet.turns import ServiceBehavior, ideal_completion_time
 
-TOLD_WITHIN = 6.0  # s from when discovery has a change and can be reached
+PROPAGATION_LIMIT_S = 6.0  # from when the list service has a change and can be reached
 NEVER = math.inf
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A version of the list and when it was made."""
+    """A change of the list: its version and the time at which it was made."""
 
     version: int
     at: float
-    when: str  # what was going on: start, calm, silent, outage
+    phase: str  # start, calm, silent, outage
 
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """The service could not be reached."""
+    """An interval in which the list service could not be reached."""
 
     begin: float
     end: float
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
-    """A router took up a version."""
+class AppliedVersion:
+    """The time at which a router applied a version."""
 
     at: float
     version: int
 
 
 @dataclass(frozen=True, slots=True)
-class Late:
-    """One router and one change: how long it took, counted as the check counts."""
+class PropagationDelay:
+    """The delay with which one router applied one change, counted as the check counts it."""
 
     router: int
     change: Change
-    seconds: float  # NEVER where the play ended first
+    seconds: float  # NEVER if the run ended first
 
 
-def patience_for(service: Service, routers: int) -> float:
-    """The seconds that the check allows."""
-    return max(TOLD_WITHIN, ideal_time(service, routers))
+def propagation_limit(service: ServiceBehavior, routers: int) -> float:
+    """Returns the seconds that the check allows."""
+    return max(PROPAGATION_LIMIT_S, ideal_completion_time(service, routers))
 
 
-def seconds_to_take(change: Change, taken: list[Taken], outages: list[Outage], patience: float) -> float:
-    """From when the service had a change and could be reached until a router took it up."""
-    place = bisect_left(taken, change.version, key=lambda one: one.version)
-    at = taken[place].at if place < len(taken) else NEVER
+def propagation_seconds(
+    change: Change, applied: list[AppliedVersion], outages: list[Outage], limit_s: float
+) -> float:
+    """Returns the seconds from when the service had and could serve a change until a router applied it."""
+    index = bisect_left(applied, change.version, key=lambda update: update.version)
+    at = applied[index].at if index < len(applied) else NEVER
     since = change.at
     for outage in outages:
-        if since <= outage.end and outage.begin < min(at, since + patience):
+        if since <= outage.end and outage.begin < min(at, since + limit_s):
             since = outage.end
     return max(0.0, at - since)
 
 
-def seconds_of_all(
-    changes: list[Change], taken: list[list[Taken]], outages: list[Outage], patience: float
-) -> list[Late]:
-    """One entry for each router and change."""
+def all_propagation_delays(
+    changes: list[Change], applied: list[list[AppliedVersion]], outages: list[Outage], limit_s: float
+) -> list[PropagationDelay]:
+    """Returns the delay of each change at each router."""
     return [
-        Late(router, change, seconds_to_take(change, versions, outages, patience))
-        for router, versions in enumerate(taken)
+        PropagationDelay(router, change, propagation_seconds(change, versions, outages, limit_s))
+        for router, versions in enumerate(applied)
         for change in changes
     ]
 
 
-def breaches(seconds: list[Late], patience: float) -> list[Late]:
-    """Those that break the check, the longest first."""
-    return sorted((one for one in seconds if one.seconds > patience), key=lambda one: -one.seconds)
+def breaches(delays: list[PropagationDelay], limit_s: float) -> list[PropagationDelay]:
+    """Returns the delays above the limit, longest first."""
+    return sorted((delay for delay in delays if delay.seconds > limit_s), key=lambda delay: -delay.seconds)
 
 
-def percentile(values: list[float], part: float) -> float:
-    """The smallest value that so great a part does not exceed."""
-    return sorted(values)[max(0, math.ceil(part * len(values)) - 1)]
+def percentile(values: list[float], fraction: float) -> float:
+    """Returns the smallest value that at least the given fraction of the values does not exceed."""
+    return sorted(values)[max(0, math.ceil(fraction * len(values)) - 1)]
