--- a/applehub/__main__.py
+++ b/applehub/__main__.py
@@ -7,7 +7,7 @@
 import signal
 import sys
 
-from applehub.node.arrivals import Loop
+from applehub.node.arrivals import TimedEventLoop
 from applehub.node.configuration import Configuration, ConfigurationError, read_configuration
 from applehub.node.router import Router
 
@@ -38,7 +38,7 @@
     try:
         configuration = read_configuration(path)
         gc.freeze()
-        with asyncio.Runner(loop_factory=Loop) as runner:
+        with asyncio.Runner(loop_factory=TimedEventLoop) as runner:
             runner.run(serve(configuration, path))
     except ConfigurationError as error:
         print(f"applehub: {error}", file=sys.stderr)
--- a/applehub/lab/__main__.py
+++ b/applehub/lab/__main__.py
@@ -17,6 +17,7 @@
 from applehub.checked import read_toml
 from applehub.lab import cost, throttle_analysis
 from applehub.lab.clock import MILLI
+from applehub.lab.command_errors import report_errors
 from applehub.lab.compare import (
     group_records,
     mean_losses,
@@ -26,16 +27,15 @@
     relative_position,
     rule_violations,
 )
-from applehub.lab.demand import demand_of
+from applehub.lab.demand import demand_number
 from applehub.lab.fleet.commands import each_fault, fleet, judge_again, list_scale
 from applehub.lab.fleet.watch_commands import watches
 from applehub.lab.gossip_command import peers
 from applehub.lab.live.commands import demo, load
 from applehub.lab.live.wide import wide
-from applehub.lab.play import stage
-from applehub.lab.policies import BLIND
-from applehub.lab.problems import guarded
+from applehub.lab.policies import BASELINES
 from applehub.lab.runner import Plan, ResultsError, make_plan, read_results, run_plan
+from applehub.lab.simulation_run import build_simulation
 from applehub.lab.sizes import FleetSize, counts, fleet_sizes
 from applehub.lab.spec import SpecError
 from applehub.lab.warmup_load import cold
@@ -67,7 +67,7 @@
 
 
 @main.command("list")
-@guarded
+@report_errors
 def list_shipped() -> None:
     """Lists the shipped experiments."""
     for file in sorted(SHIPPED_EXPERIMENTS.iterdir(), key=lambda one: one.name):
@@ -81,7 +81,7 @@
 @click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="Results file [NAME.jsonl].")
 @click.option("--jobs", type=click.IntRange(1), default=None, help="Parallel processes [all cores].")
 @click.option("--seeds", type=click.IntRange(1), default=None, help="Number of seeds, instead of the file's.")
-@guarded
+@report_errors
 def run(file: str, out: Path | None, jobs: int | None, seeds: int | None) -> None:
     """Runs an experiment FILE (or a shipped one by name); resumes an interrupted run."""
     plan = load_plan(file, seeds)
@@ -112,7 +112,7 @@
 @click.argument("results", type=click.Path(path_type=Path))
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 @click.option("--losses", is_flag=True, help="Weight lost, by cause.")
-@guarded
+@report_errors
 def show(results: Path, as_json: bool, losses: bool) -> None:
     """Prints RESULTS as a table of means over seeds with 95% confidence intervals."""
     _, records = read_results(results)
@@ -196,7 +196,7 @@
 @main.command()
 @click.argument("results", type=click.Path(path_type=Path))
 @click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="PNG, SVG or PDF [RESULTS.png].")
-@guarded
+@report_errors
 def plot(results: Path, out: Path | None) -> None:
     """Plots RESULTS: request weight served by second, and weight lost by cause."""
     header, records = read_results(results)
@@ -218,7 +218,7 @@
     "--measure", "measures", multiple=True, help="Value by its dotted path [G, whole, worst_window]."
 )
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
-@guarded
+@report_errors
 def compare(before: Path, after: Path, measures: tuple[str, ...], as_json: bool) -> None:
     """Pairs the runs of two results files by seed; prints differences with 95% confidence intervals."""
     first, second = (group_records(read_results(path)[1]) for path in (before, after))
@@ -259,32 +259,32 @@
 @click.option("--policy", default=None, help="Policy [the first].")
 @click.option("--seed", type=int, default=None, help="Seed [the first].")
 @click.option("--point", type=click.IntRange(0), default=0, help="Point of the sweep, by number.")
-@guarded
+@report_errors
 def trace(results: Path, request: str, policy: str | None, seed: int | None, point: int) -> None:
     """Repeats one run of RESULTS; prints all events of the REQUEST with this id, and of its retries."""
     header, _ = read_results(results)
     plan = make_plan(str(results), header["raw"])
     try:
-        number = demand_of(request)
+        number = demand_number(request)
     except ValueError:
         raise ResultsError(f"{request}: expected the id of a request, 16 hex digits") from None
     if point >= len(plan.points):
         raise ResultsError(f"--point {point}: expected a number under {len(plan.points)}")
-    world = stage(
+    world = build_simulation(
         plan.points[point][1],
         policy or plan.experiment.policies[0],
         plan.experiment.seeds.first if seed is None else seed,
     )
-    world.followed = number
-    world.play()
-    if not world.tries:
+    world.traced_demand = number
+    world.run()
+    if not world.client_attempts:
         raise ResultsError(f"{request}: no such request in this run, which has {world.account.requests}")
-    demand = world.tries[0].demand
-    class_name = world.day.workload.classes[demand.cls].name
+    demand = world.client_attempts[0].demand
+    class_name = world.scenario.workload.classes[demand.cls].name
     click.echo(
         f"{class_name} for {demand.key}, {demand.work / MILLI:.1f} ms of work, from zone {demand.zone}"
     )
-    for client_attempt in world.tries:
+    for client_attempt in world.client_attempts:
         click.echo(f"try {client_attempt.id}, due {client_attempt.deadline / MILLI:.3f} ms")
         for at, text in client_attempt.events:
             click.echo(f"  {at / MILLI:12.3f} ms  {text}")
@@ -295,7 +295,7 @@
     "--jobs", "count", type=click.IntRange(1000), default=200_000, help="Jobs offered for each row."
 )
 @click.option("--seed", type=int, default=1)
-@guarded
+@report_errors
 def throttle(count: int, seed: int) -> None:
     """Simulates the throttle under Poisson arrivals and compares it with the Markov chain of the paper."""
     table = Table(
@@ -318,16 +318,16 @@
     default="5x15,20x60,50x100,200x200",
     help="Routers x servers.",
 )
-@guarded
+@report_errors
 def speed(seconds: float, sizes: tuple[FleetSize, ...]) -> None:
     """Measures the simulated requests per second of CPU time on this machine, by fleet size."""
     table = Table("routers x servers", "requests", "CPU s", "requests/s", "µs an event", "simulated/real")
     for size in sizes:
         topology = {"routers": size.routers, "servers": size.servers}
         raw = {"name": "speed", "seconds": seconds, "topology": topology}
-        world = stage(make_plan("--sizes", raw).points[0][1], "router", 1)
+        world = build_simulation(make_plan("--sizes", raw).points[0][1], "router", 1)
         started_at = time.process_time()
-        result = world.play()
+        result = world.run()
         cpu_s = time.process_time() - started_at
         table.add_row(
             str(size), str(result["requests"]), f"{cpu_s:.2f}", f"{result['requests'] / cpu_s:,.0f}",
@@ -343,7 +343,7 @@
 @click.option(
     "--sizes", type=counts(1, 100_000, "15,60"), default="15,60,200,1000", help="Numbers of servers."
 )
-@guarded
+@report_errors
 def module_cost(requests: int, sizes: tuple[int, ...]) -> None:
     """Measures the decision module's CPU time for a request and its outcome, by fleet size."""
     result = Table("servers", "requests", "µs a request")
@@ -353,10 +353,10 @@
 
 
 @main.command()
-@click.argument("policy", type=click.Choice(sorted(BLIND)))
+@click.argument("policy", type=click.Choice(sorted(BASELINES)))
 def wire(policy: str) -> None:
     """Serves a baseline POLICY over the simulator's protocol, as `sim` serves the product's module."""
-    sys.exit(wirehost.main(wirehost.Host(BLIND[policy])))
+    sys.exit(wirehost.main(wirehost.Host(BASELINES[policy])))
 
 
 main.add_command(load)
--- a/applehub/lab/account.py
+++ b/applehub/lab/account.py
@@ -5,11 +5,11 @@
 from applehub import interface as api
 from applehub.lab.attempts import Backend, ClientAttempt
 from applehub.lab.clock import MILLI, SECOND, Clock
-from applehub.lab.demand import Demand, try_id
+from applehub.lab.demand import Demand, client_attempt_id
 from applehub.lab.discovery import Registry
 from applehub.lab.origin import OriginServer
 from applehub.lab.servers import CacheServer
-from applehub.lab.spec import Day
+from applehub.lab.spec import Scenario
 from applehub.settings import Json
 
 RESULT_DIGITS = 5
@@ -25,7 +25,7 @@
     A request's weight is the weight of its class, scaled by its work relative to the mean of the class.
     """
 
-    def __init__(self, scenario: Day, objectives: list[int], clock: Clock) -> None:
+    def __init__(self, scenario: Scenario, objectives: list[int], clock: Clock) -> None:
         """objectives: latency objective of each class, ns."""
         self.scenario, self.objectives, self.clock = scenario, objectives, clock
         classes = scenario.workload.classes
@@ -43,36 +43,36 @@
     def record_request(self, demand: Demand) -> None:
         self.requests += 1
         self.work += demand.work
-        self.by_class[demand.cls][0] += demand.worth
-        second = demand.born // SECOND
+        self.by_class[demand.cls][0] += demand.weight
+        second = demand.created_at // SECOND
         while len(self.by_second) <= second:
             self.by_second.append([0.0, 0.0])
-        self.by_second[second][0] += demand.worth
+        self.by_second[second][0] += demand.weight
 
     def record_served(self, demand: Demand) -> None:
-        demand.over = True
-        latency = self.clock.now - demand.born
+        demand.finished = True
+        latency = self.clock.now - demand.created_at
         self.response_times.append(latency)
         if latency > self.objectives[demand.cls]:
             self._record_loss(demand, "late")
             return
-        self.by_class[demand.cls][1] += demand.worth
-        self.by_second[demand.born // SECOND][1] += demand.worth
+        self.by_class[demand.cls][1] += demand.weight
+        self.by_second[demand.created_at // SECOND][1] += demand.weight
 
     def record_lost(self, demand: Demand, cause: str) -> None:
-        demand.over = True
+        demand.finished = True
         self._record_loss(demand, cause)
-        if self.clock.now - demand.born > self.objectives[demand.cls]:
-            self.late_lost_weight += demand.worth
+        if self.clock.now - demand.created_at > self.objectives[demand.cls]:
+            self.late_lost_weight += demand.weight
 
     def _record_loss(self, demand: Demand, cause: str) -> None:
-        self.causes[cause] = self.causes.get(cause, 0.0) + demand.worth
-        self.examples.setdefault(cause, try_id(demand))
+        self.causes[cause] = self.causes.get(cause, 0.0) + demand.weight
+        self.examples.setdefault(cause, client_attempt_id(demand))
 
     def server_type(self, server: Backend) -> str:
         if isinstance(server, OriginServer):
             return "at origin"
-        return "at cold server" if server.warmth() < 1 else "at server"
+        return "at cold server" if server.warmup_fraction() < 1 else "at server"
 
     def record_attempt(self, status: api.Status, server: Backend) -> str:
         """Counts a finished attempt and returns the name that it is counted under."""
--- a/applehub/lab/clients.py
+++ b/applehub/lab/clients.py
@@ -5,6 +5,7 @@
 
 from applehub import interface as api
 from applehub.lab.account import Account
+from applehub.lab.attempts import ClientAttempt
 from applehub.lab.clock import MILLI, SECOND, Clock
 from applehub.lab.demand import Demand, client_attempt_id
 from applehub.lab.network import EmulatedNetwork
@@ -12,7 +13,6 @@
 from applehub.lab.rules import Rules
 from applehub.lab.spec import Scenario
 from applehub.lab.streams import RandomStream
-from applehub.lab.tries import Asked
 from applehub.lab.workload import Workload
 
 
@@ -30,7 +30,7 @@
         rules: Rules,
         routers_by_zone: list[list[RouterHost]],
         random_stream: Callable[[str], RandomStream],
-        record_attempt: Callable[[Asked], None],
+        record_attempt: Callable[[ClientAttempt], None],
     ) -> None:
         """Args:
         random_stream: Returns an independent stream of random numbers for a name.
@@ -70,7 +70,7 @@
             self.clock.now,
             weight,
         )
-        self.account.asked_for(demand)
+        self.account.record_request(demand)
         self._start_attempt(demand)
 
     def _choose_router(self, zone: int) -> RouterHost | None:
@@ -93,11 +93,11 @@
         )
         router = self._choose_router(demand.zone)
         demand.client_attempts += 1
-        self.account.tries += 1
+        self.account.client_attempts += 1
         if router is None:
             self._retry(demand, "unreachable", 0)
             return
-        client_attempt = Asked(
+        client_attempt = ClientAttempt(
             client_attempt_id(demand), demand, router, deadline, demand.client_attempts > 1
         )
         self.record_attempt(client_attempt)
@@ -108,39 +108,47 @@
                 int((deadline - now) * self.random_stream.uniform()), self._abandon, client_attempt
             )
 
-    def answered(self, client_attempt: Asked, outcome: str, retry_after: int, delay: int) -> None:
+    def answered(self, client_attempt: ClientAttempt, outcome: str, retry_after: int, delay: int) -> None:
         """Schedules the arrival of a router's answer at the client, `delay` ns from now."""
         self.clock.after(delay, self._deliver_answer, (client_attempt, outcome, retry_after))
 
-    def _deliver_answer(self, argument: tuple[Asked, str, int]) -> None:
+    def _deliver_answer(self, argument: tuple[ClientAttempt, str, int]) -> None:
         client_attempt, outcome, retry_after = argument
-        if client_attempt.heard:
+        if client_attempt.client_done:
             return
-        client_attempt.heard = True
+        client_attempt.client_done = True
         demand = client_attempt.demand
         if outcome == "ok":
-            self.account.served(demand)
+            self.account.record_served(demand)
             return
         if outcome == "refused":
-            outcome = f"refused after {client_attempt.last}" if client_attempt.last else "refused unsent"
+            outcome = (
+                f"refused after {client_attempt.last_outcome}"
+                if client_attempt.last_outcome
+                else "refused unsent"
+            )
         elif outcome == "failed":
-            outcome = f"failed after {client_attempt.last}" if client_attempt.last else "failed unsent"
+            outcome = (
+                f"failed after {client_attempt.last_outcome}"
+                if client_attempt.last_outcome
+                else "failed unsent"
+            )
         self._retry(demand, outcome, retry_after)
 
-    def _abandon(self, client_attempt: Asked) -> None:
-        if not client_attempt.heard:
-            client_attempt.heard = True
+    def _abandon(self, client_attempt: ClientAttempt) -> None:
+        if not client_attempt.client_done:
+            client_attempt.client_done = True
             client_attempt.router.withdraw(client_attempt)
-            self.account.lost(client_attempt.demand, "left early")
+            self.account.record_lost(client_attempt.demand, "left early")
 
-    def _time_out(self, client_attempt: Asked) -> None:
+    def _time_out(self, client_attempt: ClientAttempt) -> None:
         """Ends the client's wait, and schedules the check that the router answers within the rule's slack."""
-        if client_attempt.final < 0:
-            self.clock.after(self.rules.slack, self.rules.overdue, client_attempt)
-        if client_attempt.heard:
+        if client_attempt.answered_at < 0:
+            self.clock.after(self.rules.answer_slack, self.rules.check_answered, client_attempt)
+        if client_attempt.client_done:
             return
-        client_attempt.heard = True
-        self._retry(client_attempt.demand, f"timed out {self.account.where(client_attempt)}", 0)
+        client_attempt.client_done = True
+        self._retry(client_attempt.demand, f"timed out {self.account.location_of(client_attempt)}", 0)
 
     def _retry(self, demand: Demand, cause: str, retry_after: int) -> None:
         """Schedules a retry after a backoff, or counts the request as lost.
@@ -150,7 +158,7 @@
         """
         spec, now = self.classes[demand.cls], self.clock.now
         not_executed = cause.startswith("refused") or cause == "unreachable"
-        within_window = spec.effect is api.Effect.KEYED and now < demand.created_at + spec.window
+        within_window = spec.effect is api.Effect.KEYED and now < demand.created_at + spec.idempotency_window
         backoff = int(
             self.spec.backoff_ms
             * MILLI
@@ -165,7 +173,7 @@
             or demand.client_attempts > self.spec.retries
             or now + backoff >= demand.created_at + spec.deadline
         ):
-            self.account.lost(demand, cause)
+            self.account.record_lost(demand, cause)
             return
         self.clock.after(backoff, self._start_retry, demand)
 
--- a/applehub/lab/cost.py
+++ b/applehub/lab/cost.py
@@ -6,8 +6,8 @@
 
 from applehub import interface as api
 from applehub.lab.clock import MILLI, SECOND
-from applehub.lab.spec import Day, settings_of
-from applehub.lab.streams import Draws
+from applehub.lab.spec import Scenario, router_settings
+from applehub.lab.streams import RandomStream
 from applehub.policy import Balancer
 from applehub.settings import read_settings
 
@@ -27,7 +27,7 @@
 
 def measure(servers: int, count: int) -> Cost:
     """Measures `count` reads that hit the cache, on a warm fleet of equal servers; times the module alone."""
-    settings, random = read_settings(settings_of(Day())), Draws(1, "cost")
+    settings, random = read_settings(router_settings(Scenario())), RandomStream(1, "cost")
     balancer, now = Balancer(settings, 1), 0
     members = [api.Member(f"s-{number:08x}", kind=number % 2) for number in range(servers)]
     balancer.handle(now, api.Members(api.ListKind.FULL, members))
--- a/applehub/lab/faults.py
+++ b/applehub/lab/faults.py
@@ -214,6 +214,6 @@
         for router in self.simulation.routers:
             if router.up:
                 router.max_attempts = max_attempts
-                router.deliver(api.Retuned(replace(self.simulation.settings)), router.timer_cost)
+                router.deliver(api.SettingsChanged(replace(self.simulation.settings)), router.timer_cost)
                 if fault.moves:
                     router.restart_subscription()
--- a/applehub/lab/fleet/checks.py
+++ b/applehub/lab/fleet/checks.py
@@ -9,7 +9,7 @@
 
 from applehub.events import EventKind, EventRecord
 from applehub.lab.fleet.history import FaultInterval, History
-from applehub.lab.fleet.plan import NEW, OLD, Plan
+from applehub.lab.fleet.plan import NEW_VERSION, OLD_VERSION, Plan
 from applehub.peers.records import RETENTION, type_name
 
 NS_PER_MS = 1_000_000
@@ -551,7 +551,7 @@
             modes[-1:] or history.records[-1:],
         )
         return
-    expected = NEW if plan.release.ends == "done" else OLD
+    expected = NEW_VERSION if plan.release.ends == "done" else OLD_VERSION
     for unit, record in versions.items():
         if record.fields["version"] != expected:
             yield Violation("released", f"{unit} still has version {record.fields['version']}", [record])
--- a/applehub/lab/fleet/clients.py
+++ b/applehub/lab/fleet/clients.py
@@ -13,7 +13,7 @@
 
 from applehub.events import EventKind, EventWriter
 from applehub.lab.fleet.control import Handler, Json
-from applehub.lab.streams import Draws
+from applehub.lab.streams import RandomStream
 from applehub.node.discovery import read_endpoint
 from applehub.node.resp import command
 
@@ -197,7 +197,7 @@
             message["slack_ms"] / 1000,
         )
         self.routers = [Router(self, name, address) for name, address in message["routers"].items()]
-        self.draws = Draws(message["seed"], "clients")
+        self.draws = RandomStream(message["seed"], "clients")
         self.value = b"w" * message["value"]
         self.in_flight: dict[str, Request] = {}
         self.count = 0
--- a/applehub/lab/fleet/commands.py
+++ b/applehub/lab/fleet/commands.py
@@ -12,8 +12,9 @@
 from rich.console import Console
 from rich.table import Table
 
+from applehub.lab.command_errors import report_errors
 from applehub.lab.fleet import scale
-from applehub.lab.fleet.checks import CHECKS, Broken, judge
+from applehub.lab.fleet.checks import CHECKS, Violation, run_checks
 from applehub.lab.fleet.harness import wait_for_all
 from applehub.lab.fleet.history import History, gather
 from applehub.lab.fleet.plan import BAD_VERSION_COMPONENTS, Plan, load_plan
@@ -21,7 +22,6 @@
 from applehub.lab.fleet.report import OUTCOMES, cost, outcome_totals, outcomes_of
 from applehub.lab.fleet.runner import run
 from applehub.lab.fleet.variants import VARIANTS
-from applehub.lab.problems import guarded
 from applehub.lab.spec import SpecError
 from applehub.settings import Json
 
@@ -82,7 +82,7 @@
 @click.option("--shrink", "shrinking", is_flag=True, help="Reduces a plan that breaks a check to few faults.")
 @click.option("--keep", type=click.Path(file_okay=False, path_type=Path), help="Keeps all files of the run.")
 @click.option("--json", "as_json", is_flag=True, help="Prints JSON.")
-@guarded
+@report_errors
 def fleet(
     file: str | None, quick: bool, seed: int | None, routers: int, caches: int, faults: int, seconds: float,
     rate: float, lists: str, leaves: float, peers: bool, variant: str | None, bad: str | None,
@@ -103,7 +103,7 @@
     if bad:
         plan = with_bad_version(plan, bad)
     history = asyncio.run(run(plan, keep))
-    broken = judge(history, plan)
+    broken = run_checks(history, plan)
     if as_json:
         click.echo(orjson.dumps(summary(history, plan, broken), option=orjson.OPT_INDENT_2).decode())
     else:
@@ -124,11 +124,11 @@
     return plan.model_copy(update={"release": plan.release.model_copy(update=changes)})
 
 
-async def _shrink(plan: Plan, broken: list[Broken]) -> Plan:
+async def _shrink(plan: Plan, broken: list[Violation]) -> Plan:
     checks = {one.check for one in broken}
 
     async def breaks(one: Plan) -> bool:
-        return bool(checks & {found.check for found in judge(await run(one), one)})
+        return bool(checks & {found.check for found in run_checks(await run(one), one)})
 
     return await shrink(plan, breaks, lambda text: click.echo(text, err=True))
 
@@ -136,12 +136,12 @@
 @click.command("judge")
 @click.argument("file")
 @click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
-@guarded
+@report_errors
 def judge_again(file: str, folder: Path) -> None:
     """Checks a run that was kept in FOLDER again, with the limits of plan FILE."""
     plan = find_plan(file)
     history = gather(folder)
-    broken = judge(history, plan)
+    broken = run_checks(history, plan)
     show(history, plan, broken)
     sys.exit(1 if broken else 0)
 
@@ -155,7 +155,7 @@
 @click.option(
     "--out", type=click.Path(dir_okay=False, path_type=Path), help="File for results as JSON lines."
 )
-@guarded
+@report_errors
 def each_fault(file: str, plays: int, jobs: int, out: Path | None) -> None:
     """Runs every fault of a plan alone and prints a table of costs; resumes an --out file."""
     plan = find_plan(file)
@@ -186,12 +186,12 @@
 @click.option("--watchers", type=click.IntRange(1, 4000), default=2000)
 @click.option("--changes", type=click.IntRange(2, 2000), default=50)
 @click.option("--json", "as_json", is_flag=True, help="Prints JSON.")
-@guarded
+@report_errors
 def list_scale(servers: int, watchers: int, changes: int, as_json: bool) -> None:
     """Measures the list service and its stand-in with many watchers."""
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
     rows = asyncio.run(scale.run(servers, watchers, changes))
-    click.echo(scale.as_json(rows) if as_json else scale.shown(rows))
+    click.echo(scale.as_json(rows) if as_json else scale.format_table(rows))
 
 
 def fault_name(plan: Plan, number: int) -> str:
@@ -209,7 +209,7 @@
         alone = plan.model_copy(update={"faults": [plan.faults[number]], "load": load})
         async with slots:
             history = await run(alone)
-        results = summary(history, alone, broken := judge(history, alone))
+        results = summary(history, alone, broken := run_checks(history, alone))
         checks = {check: count for check, count in results["checks"].items() if count}
         for found in broken[:2]:
             click.echo(found.text(history), err=True)
@@ -234,11 +234,11 @@
     return f"| {' | '.join(cells)} | {back} | {broken} |"
 
 
-def summary(history: History, plan: Plan, broken: list[Broken]) -> Json:
+def summary(history: History, plan: Plan, broken: list[Violation]) -> Json:
     """Returns the results of a run as JSON values."""
     objective_ms = plan.load.wait_ms / 2
     outcomes = outcomes_of(history, objective_ms)
-    costs = [cost(history, span, outcomes) for span in history.spans]
+    costs = [cost(history, span, outcomes) for span in history.fault_intervals]
     return {
         "plan": plan.name,
         "requests": len(outcomes),
@@ -256,7 +256,7 @@
     }  # fmt: skip
 
 
-def show(history: History, plan: Plan, broken: list[Broken]) -> None:
+def show(history: History, plan: Plan, broken: list[Violation]) -> None:
     """Prints the results of a run."""
     results, console = summary(history, plan, broken), Console(width=140)
     table = Table("fault", "at s", "requests", *OUTCOMES, "before", "back s")
--- a/applehub/lab/fleet/faults.py
+++ b/applehub/lab/fleet/faults.py
@@ -12,10 +12,10 @@
 
 from applehub.events import EventKind
 from applehub.lab.fleet import plan as spec
-from applehub.lab.fleet.failing_calls import PREFIX, SEEN
+from applehub.lab.fleet.failing_calls import ACTIVE_FAULTS_FILE, FAULT_FILE_PREFIX
 from applehub.lab.fleet.processes import KILL_DELAY_S, Process, RouterProcess, Standin
 from applehub.lab.fleet.rule import Rule
-from applehub.lab.fleet.shim import restore
+from applehub.lab.fleet.shim import restore_durable
 
 if TYPE_CHECKING:
     from applehub.lab.fleet.harness import Harness
@@ -90,7 +90,7 @@
         await self.harness.mark_down(process)
         if isinstance(process, RouterProcess):
             if self.fault.kind == "power":
-                restore(process.disk, process.durable)
+                restore_durable(process.disk, process.durable)
             elif not self.fault.keep_disk:
                 shutil.rmtree(process.disk)
                 process.disk.mkdir()
@@ -271,7 +271,7 @@
 
     @property
     def _control_file(self) -> str:
-        return f"{PREFIX}{self.number}"
+        return f"{FAULT_FILE_PREFIX}{self.number}"
 
     async def _wait_until_applied(self, active: bool) -> None:
         """Waits until each running router has applied or removed the fault, up to a timeout."""
@@ -279,7 +279,9 @@
         for router in self.targets:
             while router.running and asyncio.get_running_loop().time() < end:
                 with suppress(OSError, ValueError):
-                    if (self._control_file in orjson.loads((router.control / SEEN).read_bytes())) is active:
+                    if (
+                        self._control_file in orjson.loads((router.control / ACTIVE_FAULTS_FILE).read_bytes())
+                    ) is active:
                         break
                 await asyncio.sleep(0.005)
 
--- a/applehub/lab/fleet/hollow.py
+++ b/applehub/lab/fleet/hollow.py
@@ -6,7 +6,7 @@
 from applehub.lab.live.bench import settings
 from applehub.node.discovery import Directory
 from applehub.node.driver import Driver
-from applehub.node.figures import Figures
+from applehub.node.metrics import Metrics
 from applehub.node.pool import Endpoint, Pools
 from applehub.node.watch import Watch
 from applehub.policy import Balancer
@@ -43,20 +43,20 @@
         pools = Pools(MAX_SOCKETS, DIAL_TIMEOUT_S, KEEPALIVE_S)
         self.driver: Driver | None = None
         if must_ask:
-            self.driver = Driver(Balancer(read_settings(router_settings), seed), pools, 1, Figures())
-        notify = self.driver.tell if self.driver else lambda members: None
+            self.driver = Driver(Balancer(read_settings(router_settings), seed), pools, 1, Metrics())
+        notify = self.driver.notify if self.driver else lambda members: None
         self.directory = Directory(read_names(router_settings), ORIGIN_KIND, pools, notify)
-        self.directory.took = lambda answer, complete: on_applied(self.directory.rev)
+        self.directory.on_update = lambda answer, complete: on_applied(self.directory.rev)
         self.watch = Watch([endpoint], self.directory, seed, must_ask)
         if self.driver:
-            self.driver.watch = self.watch.start
+            self.driver.start_watch = self.watch.start
 
     def start(self) -> None:
         self.watch.start()
 
     def stop(self) -> None:
         if self.driver:
-            self.driver.watch = lambda: None
+            self.driver.start_watch = lambda: None
         self.watch.stop()
 
 
--- a/applehub/lab/fleet/listing.py
+++ b/applehub/lab/fleet/listing.py
@@ -11,7 +11,7 @@
 
 from applehub.events import EventKind, EventWriter
 from applehub.lab.fleet.control import Handler, Json
-from applehub.lab.live.standins import Reply, addressed
+from applehub.lab.live.fake_servers import Reply, connection_with_peer_address
 
 MAX_QUEUE_S = 1.0  # a call that would wait longer is rejected
 
@@ -86,6 +86,6 @@
         message, EventWriter(Path(message["events"]), message["name"], message["incarnation"])
     )
     server = await asyncio.get_running_loop().create_server(
-        lambda: addressed(listing.answer), "127.0.0.1", 0, backlog=512
+        lambda: connection_with_peer_address(listing.answer), "127.0.0.1", 0, backlog=512
     )
     return {"address": f"127.0.0.1:{server.sockets[0].getsockname()[1]}"}, listing.command
--- a/applehub/lab/fleet/plan.py
+++ b/applehub/lab/fleet/plan.py
@@ -7,7 +7,7 @@
 
 from applehub.checked import Table, read_toml, validate
 from applehub.events import EventKind
-from applehub.lab.fleet.system_calls import ON_FILES, SystemCall, SystemCallFault
+from applehub.lab.fleet.system_calls import FILE_CALLS, SystemCall, SystemCallFault
 from applehub.lab.spec import SpecError
 from applehub.release.plan import GateSettings, Limits, Stage
 
@@ -246,7 +246,7 @@
         """Returns the fault for one process. Raises ValueError if the combination is invalid."""
         return SystemCallFault(
             self.call, self.error, self.short, every=self.every, times=self.times, peer=peer,
-            path=disk if self.call in ON_FILES else None,
+            path=disk if self.call in FILE_CALLS else None,
         )  # fmt: skip
 
 
--- a/applehub/lab/fleet/plan_generator.py
+++ b/applehub/lab/fleet/plan_generator.py
@@ -3,8 +3,8 @@
 from collections.abc import Awaitable, Callable
 
 from applehub.lab.fleet.plan import AnyFault, Plan, make_plan
-from applehub.lab.fleet.system_calls import ON_FILES
-from applehub.lab.streams import Draws
+from applehub.lab.fleet.system_calls import FILE_CALLS
+from applehub.lab.streams import RandomStream
 from applehub.settings import Json
 
 RESOURCE_ERRORS = ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM")  # resource exhaustion of the machine
@@ -43,7 +43,7 @@
 RESET_DELAY_S = 0.03  # from the begin of such a fault to the reset
 
 
-def _system_call_fault(draws: Draws, routers: int) -> Json:
+def _system_call_fault(draws: RandomStream, routers: int) -> Json:
     """Returns a random system call fault of one router."""
     call, errors, max_duration = SYSTEM_CALL_CHOICES[draws.below(len(SYSTEM_CALL_CHOICES))]
     error = errors[draws.below(len(errors))]
@@ -54,7 +54,7 @@
 
 
 # Weight and generator of each kind of fault; a generator returns the keys of the fault.
-FAULT_GENERATORS: tuple[tuple[float, Callable[[Draws, int, int], Json]], ...] = (
+FAULT_GENERATORS: tuple[tuple[float, Callable[[RandomStream, int, int], Json]], ...] = (
     (3, lambda d, r, c: {"kind": "kill", "target": [f"router-{d.below(r)}"], "for_s": d.between(0.2, 2)}),
     (2, lambda d, r, c: {"kind": "kill", "target": [f"cache-{d.below(c)}"], "for_s": d.between(0.5, 3)}),
     (1, lambda d, r, c: {"kind": "kill", "target": ["list"], "for_s": d.between(0.5, 4)}),
@@ -139,7 +139,7 @@
 
 
 # Generators of faults between routers, for plans with peers.
-PEER_FAULT_GENERATORS: tuple[Callable[[Draws, int], Json], ...] = (
+PEER_FAULT_GENERATORS: tuple[Callable[[RandomStream, int], Json], ...] = (
     lambda d, r: {"kind": "lose", "part": d.between(0.05, 0.5)},
     lambda d, r: {"kind": "double", "part": d.between(0.05, 1)},
     lambda d, r: {"kind": "short", "part": d.between(0.05, 0.5)},
@@ -151,7 +151,7 @@
 )
 
 
-def _redirect_to_replicas(fault: Json, draws: Draws) -> Json:
+def _redirect_to_replicas(fault: Json, draws: RandomStream) -> Json:
     """Redirects a fault of the stand-in for the list service to a replica of the list service."""
     if fault["kind"] == "overload":  # supported by the stand-in only; a stopped replica is similar
         return {**fault, "kind": "stop", "target": ["PRIMARY"]}
@@ -175,7 +175,7 @@
     leaves: float = 0.0,
 ) -> Plan:
     """Returns a plan with `faults` random faults at random times; equal arguments give equal plans."""
-    draws, total_weight = Draws(seed, "plan"), sum(weight for weight, _ in FAULT_GENERATORS)
+    draws, total_weight = RandomStream(seed, "plan"), sum(weight for weight, _ in FAULT_GENERATORS)
     generated: list[Json] = []
     for number in range(faults):
         before = generated[-1] if generated else {}
@@ -210,7 +210,7 @@
                 "lists": lists,
                 "changes": 5.0 if lists else 0.0,
                 "peers": peers,
-                "keeps": any(one.get("call") in ON_FILES for one in generated),
+                "keeps": any(one.get("call") in FILE_CALLS for one in generated),
             },
             # Leaves time for the check that each router knows exactly the live routers.
             "load": {
--- a/applehub/lab/fleet/relay.py
+++ b/applehub/lab/fleet/relay.py
@@ -300,6 +300,6 @@
 async def begin(message: Json) -> tuple[Json, Handler]:
     edges: list[Edge | DatagramEdge] = [Edge(**one, seed=message["seed"]) for one in message["edges"]]
     for one in message.get("datagrams", []):
-        edges.append(await DatagramEdge.opened(**one, seed=message["seed"]))
+        edges.append(await DatagramEdge.open(**one, seed=message["seed"]))
     relay = Relay(edges)
     return {"ports": {edge.name: f"{edge.listen}:{edge.port}" for edge in relay.edges}}, relay.command
--- a/applehub/lab/fleet/report.py
+++ b/applehub/lab/fleet/report.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from applehub.events import EventKind, EventRecord
-from applehub.lab.fleet.history import History, Span
+from applehub.lab.fleet.history import FaultInterval, History
 
 SECOND = 1_000_000_000
 STEP = SECOND // 4  # window of the served fraction
@@ -16,7 +16,7 @@
 class Cost:
     """Requests by outcome, from the begin of a fault until its end and recovery."""
 
-    span: Span
+    span: FaultInterval
     requests: int
     ended: dict[str, int]
     before: float  # served fraction before the fault
@@ -27,7 +27,7 @@
     """Returns send time and outcome of each request; late means served after the latency objective."""
     sent: dict[str, EventRecord] = {}
     outcomes: list[tuple[int, str]] = []
-    for one in history.of(
+    for one in history.events_of(
         EventKind.REQUEST_SENT,
         EventKind.REQUEST_ANSWERED,
         EventKind.CLOSED_UNANSWERED,
@@ -51,7 +51,7 @@
     return sum(outcome == "served" for outcome in within) / len(within) if within else None
 
 
-def cost(history: History, span: Span, outcomes: list[tuple[int, str]]) -> Cost:
+def cost(history: History, span: FaultInterval, outcomes: list[tuple[int, str]]) -> Cost:
     before = served_fraction(outcomes, span.begin - BEFORE, span.begin)
     before = 1.0 if before is None else before
     last = min(outcomes[-1][0] if outcomes else span.begin, span.begin + AFTER)
--- a/applehub/lab/fleet/scale.py
+++ b/applehub/lab/fleet/scale.py
@@ -13,9 +13,9 @@
 import psutil
 
 from applehub.events import EventWriter
-from applehub.lab.fleet.ground import claim_block
-from applehub.lab.fleet.lists import Lists
+from applehub.lab.fleet.harness import claim_block
 from applehub.lab.fleet.processes import Process, RegistryProcess, Standin
+from applehub.lab.fleet.registry_replicas import RegistryReplicas
 from applehub.lab.live.bench import LiveError
 from applehub.node.discovery import read_endpoint
 
@@ -194,7 +194,7 @@
             for replica in replica_processes
         )
     )
-    lists = Lists(replica_processes, events)
+    lists = RegistryReplicas(replica_processes, events)
     try:
         await lists.primary()
     except LiveError:
@@ -203,7 +203,7 @@
         raise
 
     async def change(number: int, pod_group: int) -> int:
-        answer = await lists.agreed("PUT", f"/v1/servers/server-{number}", _entry(number, pod_group))
+        answer = await lists.commit("PUT", f"/v1/servers/server-{number}", _entry(number, pod_group))
         return int(answer["entry"])
 
     async def end() -> None:
--- a/applehub/lab/fleet/servers.py
+++ b/applehub/lab/fleet/servers.py
@@ -15,7 +15,7 @@
 
 from applehub.events import EventKind, EventWriter
 from applehub.lab.fleet.control import Handler, Json
-from applehub.lab.live.standins import Reply, addressed
+from applehub.lab.live.fake_servers import Reply, connection_with_peer_address
 from applehub.node.discovery import read_endpoint
 from applehub.node.resp import bulk, command
 
@@ -264,6 +264,8 @@
         handler: Handler = cache.command
     else:
         origin = Origin(message, events)
-        server = await loop.create_server(lambda: addressed(origin.answer), "127.0.0.1", 0, backlog=512)
+        server = await loop.create_server(
+            lambda: connection_with_peer_address(origin.answer), "127.0.0.1", 0, backlog=512
+        )
         handler = origin.command
     return {"address": f"127.0.0.1:{server.sockets[0].getsockname()[1]}"}, handler
--- a/applehub/lab/fleet/slow_registry.py
+++ b/applehub/lab/fleet/slow_registry.py
@@ -11,7 +11,7 @@
 import orjson
 
 from applehub.lab.fleet.turns import CallQueue, QueuedCall, ServiceBehavior
-from applehub.lab.live.standins import HttpPeer, Reply
+from applehub.lab.live.fake_servers import HttpConnection, Reply
 from applehub.node.pool import Endpoint
 from applehub.settings import Json
 
@@ -52,7 +52,7 @@
     return Query(since, hold_s)
 
 
-class _Connection(HttpPeer):
+class _Connection(HttpConnection):
     """A caller's connection."""
 
     def __init__(self, registry: "SlowRegistry") -> None:
--- a/applehub/lab/fleet/triggers.py
+++ b/applehub/lab/fleet/triggers.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from applehub.events import EventRecord, complete_lines, parse_event
-from applehub.lab.fleet.history import files
+from applehub.lab.fleet.history import event_files
 from applehub.lab.fleet.plan import Trigger
 
 POLL_PERIOD_S = 0.02
@@ -46,7 +46,7 @@
             self.read_new_events()
 
     def read_new_events(self) -> None:
-        for path in files(self.folder):
+        for path in event_files(self.folder):
             lines = complete_lines(path, self.offsets.get(path, 0))
             self.offsets[path] = self.offsets.get(path, 0) + sum(map(len, lines))
             if self.waiters:
--- a/applehub/lab/fleet/variants.py
+++ b/applehub/lab/fleet/variants.py
@@ -12,10 +12,10 @@
 from applehub.node import resp
 from applehub.node.call_schedule import CallSchedule
 from applehub.node.discovery import Directory
-from applehub.node.driver import Driver, Held
-from applehub.node.figures import Answered
-from applehub.node.http1 import Answer
+from applehub.node.driver import Driver, PendingRequest
+from applehub.node.http1 import HttpResponse
 from applehub.node.list_connection import ListConnection
+from applehub.node.metrics import ResponseResult
 from applehub.node.override_file import Override, OverrideFile
 from applehub.node.start_times import ClockReading
 from applehub.peers.member_table import MemberTable
@@ -26,38 +26,44 @@
 SPOILED_EVERY = 20  # one of this many answers is spoiled
 
 
-def _spoil_answers(spoil: Callable[[Driver, Held, bytes, Answered, Any], None]) -> None:
+def _spoil_answers(spoil: Callable[[Driver, PendingRequest, bytes, ResponseResult, Any], None]) -> None:
     """Passes every SPOILED_EVERY-th answer to `spoil`, together with the original method."""
     original, count = Driver._answer, 0
 
-    def answer(self: Driver, held: Held, answer: bytes, how: Answered) -> None:
+    def answer(self: Driver, request: PendingRequest, answer: bytes, outcome: ResponseResult) -> None:
         nonlocal count
         count += 1
         if count % SPOILED_EVERY:
-            original(self, held, answer, how)
+            original(self, request, answer, outcome)
         else:
-            spoil(self, held, answer, how, original)
+            spoil(self, request, answer, outcome, original)
 
     Driver._answer = answer  # type: ignore[method-assign]
 
 
 def loses() -> None:
     """Closes some connections instead of answering."""
-    _spoil_answers(lambda self, held, answer, how, original: self._close(held))
+    _spoil_answers(lambda self, request, answer, outcome, original: self._close(request))
 
 
 def answers_twice() -> None:
     """Sends a second answer after some answers."""
-    _spoil_answers(lambda self, held, answer, how, original: original(self, held, answer + resp.FAILED, how))
+    _spoil_answers(
+        lambda self, request, answer, outcome, original: original(
+            self, request, answer + resp.FAILED, outcome
+        )
+    )
 
 
 def answers_late() -> None:
     """Delays some answers until long after their deadline."""
 
-    def answer_late(self: Driver, held: Held, answer: bytes, how: Answered, original: Any) -> None:
-        self._close(held)
-        wait = (held.call.wait or 0) / 1000 + 3600
-        asyncio.get_running_loop().call_later(wait, original, self, held, answer, how)
+    def answer_late(
+        self: Driver, request: PendingRequest, answer: bytes, outcome: ResponseResult, original: Any
+    ) -> None:
+        self._close(request)
+        wait = (request.call.wait_ms or 0) / 1000 + 3600
+        asyncio.get_running_loop().call_later(wait, original, self, request, answer, outcome)
 
     _spoil_answers(answer_late)
 
@@ -81,7 +87,7 @@
 
     def read(info: Json) -> api.Settings:
         loaded = original(info)
-        loaded.cold_from, loaded.ramp_time = 1.0, 0
+        loaded.slow_start_capacity, loaded.slow_start_time = 1.0, 0
         return loaded
 
     settings.read_settings = read
@@ -89,18 +95,18 @@
 
 def ignores_drains() -> None:
     """Keeps sending requests to a server that is draining."""
-    original = Directory._target
+    original = Directory._parse_entry
 
     def target(self: Directory, entry: Json, now: ClockReading) -> Any:
         ready = {**entry, "state": "Ready"} if entry.get("state") == "Terminating" else entry
         return original(self, ready, now)
 
-    Directory._target = target  # type: ignore[method-assign]
+    Directory._parse_entry = target  # type: ignore[method-assign]
 
 
 def goes_back() -> None:
     """Resets the version of the list to 1 on every second list that it receives."""
-    original, received = Directory.take, 0
+    original, received = Directory.apply, 0
 
     def take(self: Directory, answer: Any, cached: bool = False) -> bool:
         nonlocal received
@@ -110,14 +116,14 @@
             self.rev = 1
         return result
 
-    Directory.take = take  # type: ignore[method-assign]
+    Directory.apply = take  # type: ignore[method-assign]
 
 
 def goes_deaf() -> None:
     """Polls the list once and never again."""
     original, polled = ListConnection.get, False
 
-    async def get(self: ListConnection, target: str) -> Answer:
+    async def get(self: ListConnection, target: str) -> HttpResponse:
         nonlocal polled
         if polled:
             await asyncio.Event().wait()
@@ -131,60 +137,62 @@
 def forgets_calls() -> None:
     """Acknowledges an operator override but keeps it in memory only."""
 
-    def write(self: OverrideFile, server: str, out: bool) -> dict[str, Override]:
-        return {server: Override(out, 1, 1)}
+    def write(self: OverrideFile, server: str, offline: bool) -> dict[str, Override]:
+        return {server: Override(offline, 1, 1)}
 
     OverrideFile.write = write  # type: ignore[method-assign]
 
 
 def leaks() -> None:
     """Leaves a descriptor open for each request."""
-    original = Driver.take
+    original = Driver.accept
 
     def take(self: Driver, *more: Any) -> Any:
         os.open(os.devnull, os.O_RDONLY)
         return original(self, *more)
 
-    Driver.take = take  # type: ignore[method-assign,assignment]
+    Driver.accept = take  # type: ignore[method-assign,assignment]
 
 
 def fails() -> None:
     """Answers some requests with a failure, whatever their result."""
 
-    def fail(self: Driver, held: Held, answer: bytes, how: Answered, original: Any) -> None:
-        original(self, held, resp.FAILED, Answered.ERRORS)
+    def fail(
+        self: Driver, request: PendingRequest, answer: bytes, outcome: ResponseResult, original: Any
+    ) -> None:
+        original(self, request, resp.FAILED, ResponseResult.ERRORS)
 
     _spoil_answers(fail)
 
 
 def burns() -> None:
     """Uses much more CPU time for each request."""
-    original = Driver.take
+    original = Driver.accept
 
     def take(self: Driver, *more: Any) -> Any:
         sum(range(200_000))
         return original(self, *more)
 
-    Driver.take = take  # type: ignore[method-assign,assignment]
+    Driver.accept = take  # type: ignore[method-assign,assignment]
 
 
 def works_for_nobody() -> None:
     """Keeps processing and retrying requests of a client that has left."""
-    Driver.withdraw = lambda self, held: None  # type: ignore[method-assign]
+    Driver.withdraw = lambda self, request: None  # type: ignore[method-assign]
 
 
 def hears_late() -> None:
     """Waits half a minute before it gives up an unresponsive watch."""
 
-    def due(self: CallSchedule, begun: float, hold: float, in_turn: bool, spread: float) -> float:
-        return begun + 30.0
+    def due(self: CallSchedule, started_at: float, hold: float, queued: bool, jitter: float) -> float:
+        return started_at + 30.0
 
     CallSchedule.watch_due = due  # type: ignore[method-assign]
 
 
 def crashes() -> None:
     """Exits while it serves requests."""
-    _spoil_answers(lambda self, held, answer, how, original: os._exit(3))
+    _spoil_answers(lambda self, request, answer, outcome, original: os._exit(3))
 
 
 def never_buries() -> None:
--- a/applehub/lab/fleet/watch_commands.py
+++ b/applehub/lab/fleet/watch_commands.py
@@ -10,9 +10,9 @@
 import click
 import orjson
 
+from applehub.lab.command_errors import report_errors
 from applehub.lab.fleet.turns import ServiceBehavior
 from applehub.lab.fleet.watch_play import WatchPlan, run_isolated, summary
-from applehub.lab.problems import guarded
 from applehub.lab.spec import SpecError
 from applehub.settings import Json
 
@@ -49,7 +49,7 @@
     "--out", type=click.Path(dir_okay=False, path_type=Path), help="Also writes the JSON to this file."
 )
 @click.option("--json", "as_json", is_flag=True, help="Prints JSON.")
-@guarded
+@report_errors
 def watches(
     sizes: str, late: str, plays: int, more: tuple[str, ...], seed: int, capacity: float, most_wait: float,
     most_waiting: int | None, drop_abandoned: bool, every_call_turns: bool, late_watches: bool,
--- a/applehub/lab/gossip.py
+++ b/applehub/lab/gossip.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 
 from applehub.lab.clock import MILLI, SECOND, Clock
-from applehub.lab.streams import Draws, generator
-from applehub.peers.agent import GossipAgent, Outgoing
+from applehub.lab.streams import RandomStream, generator
+from applehub.peers.agent import GossipAgent, OutgoingDatagram
 from applehub.peers.codec import Peer, PeerState
 from applehub.peers.records import RETENTION, Limit, Record, RecordKey, Shares, Verdict, digest
 from applehub.settings import Json
@@ -50,7 +50,7 @@
     """A simulation of gossip agents, a clock and a network."""
 
     def __init__(self, plan: GossipPlan, seed: int) -> None:
-        self.plan, self.clock, self.random = plan, Clock(), Draws(seed, "gossip")
+        self.plan, self.clock, self.random = plan, Clock(), RandomStream(seed, "gossip")
         self.period = int(plan.period_ms * MILLI)
         names = [f"n{number}" for number in range(plan.routers)]
         incarnations = generator(seed, "lives").integers(1, 1 << 63, plan.routers).tolist()
@@ -88,7 +88,7 @@
             self._send(number, out)
             self.clock.after(self.period, self._tick, number)
 
-    def _send(self, number: int, out: list[Outgoing]) -> None:
+    def _send(self, number: int, out: list[OutgoingDatagram]) -> None:
         plan = self.plan
         for to, data in out:
             other = self.index_by_name[to.name if isinstance(to, Peer) else to]
@@ -117,7 +117,7 @@
     def _converged(self) -> bool:
         live_count = sum(self.alive)
         return all(
-            one.membership.alive == live_count
+            one.membership.member_count == live_count
             for one, up in zip(self.agents, self.alive, strict=True) if up
         )  # fmt: skip
 
@@ -188,13 +188,13 @@
         self.sampling_end = self.clock.now + int(plan.seconds * SECOND)
         self.clock.after(0, self._sample_ages, None)
         self.clock.after(0, self._publish_verdict, 0)
-        self.cpu_s, sent = 0.0, [(one.bytes_sent, one.sent) for one in self.agents]
+        self.cpu_s, sent = 0.0, [(one.bytes_sent, one.datagrams_sent) for one in self.agents]
         self.clock.run(self.clock.now + int(plan.seconds * SECOND))
         router_seconds = plan.routers * plan.seconds
         measured.cpu_ms = self.cpu_s * 1000 / router_seconds
         pairs = list(zip(self.agents, sent, strict=True))
         measured.bytes_out = sum(one.bytes_sent - before[0] for one, before in pairs) / router_seconds
-        measured.datagrams = sum(one.sent - before[1] for one, before in pairs) / router_seconds
+        measured.datagrams = sum(one.datagrams_sent - before[1] for one, before in pairs) / router_seconds
         settled_before = self.clock.now - RETENTION[Verdict].max_age
         measured.missing = sum(
             self.verdict_times[key] < settled_before for missing in self.missing_verdicts for key in missing
--- a/applehub/lab/gossip_command.py
+++ b/applehub/lab/gossip_command.py
@@ -8,8 +8,8 @@
 from rich.console import Console
 from rich.table import Table
 
+from applehub.lab.command_errors import report_errors
 from applehub.lab.gossip import GossipPlan, GossipSimulation, figures
-from applehub.lab.problems import guarded
 from applehub.lab.sizes import counts
 from applehub.settings import Json
 
@@ -43,7 +43,7 @@
 )
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="As JSON lines.")
-@guarded
+@report_errors
 def peers(
     sizes: tuple[int, ...],
     loss: float,
--- a/applehub/lab/live/commands.py
+++ b/applehub/lab/live/commands.py
@@ -7,6 +7,7 @@
 from rich.console import Console
 from rich.table import Table
 
+from applehub.lab.command_errors import report_errors
 from applehub.lab.live.bench import (
     Deployment,
     LoadTestReport,
@@ -18,7 +19,6 @@
 )
 from applehub.lab.live.client import LoadSpec
 from applehub.lab.live.fake_servers import Plan
-from applehub.lab.problems import guarded
 from applehub.node.resp import command
 
 MAX_REQUESTS = 2_000_000  # requests of one load test
@@ -46,7 +46,7 @@
 @click.option("--connections", type=click.IntRange(1, 300), default=200, help="Maximum of the client.")
 @click.option("--seed", type=click.IntRange(0), default=1)
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
-@guarded
+@report_errors
 def load(
     rate: float, seconds: float, caches: int, keys: int, writes: float, value: int, wait_ms: int,
     connections: int, seed: int, as_json: bool,
@@ -100,7 +100,7 @@
     default=3.0,
     help="Duration of the load of 200 requests per second.",
 )
-@guarded
+@report_errors
 def demo(seconds: float) -> None:
     """Starts fake servers and one router, sends it sample commands, then runs a short load through it."""
     with deploy(Plan(3, 64), 1000) as deployment:
--- a/applehub/lab/live/wide.py
+++ b/applehub/lab/live/wide.py
@@ -13,10 +13,10 @@
 from rich.console import Console
 from rich.table import Table
 
+from applehub.lab.command_errors import report_errors
 from applehub.lab.live.bench import Deployment, deploy, through, wait_until_ready
 from applehub.lab.live.client import LoadResult, LoadSpec
 from applehub.lab.live.fake_servers import Counts, Plan
-from applehub.lab.problems import guarded
 from applehub.settings import Json
 
 SIZE_RATIO = 16  # ratio of the numbers of cache servers
@@ -144,7 +144,7 @@
 @click.option("--case", "cases", type=click.Choice(CASES), multiple=True, help="Load test to run [both].")
 @click.option("--seed", type=click.IntRange(0), default=1)
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
-@guarded
+@report_errors
 def wide(
     caches: int, rate: float, seconds: float, keys: int, routers: int, work_ms: float, wait_ms: int,
     cases: tuple[str, ...], seed: int, as_json: bool,
--- a/applehub/lab/peering.py
+++ b/applehub/lab/peering.py
@@ -6,9 +6,9 @@
 from applehub import interface as api
 from applehub.lab import spec
 from applehub.lab.clock import MILLI, Clock
-from applehub.lab.network import Net
-from applehub.lab.streams import Draws
-from applehub.peers.agent import GossipAgent, Outgoing
+from applehub.lab.network import EmulatedNetwork
+from applehub.lab.streams import RandomStream
+from applehub.peers.agent import GossipAgent, OutgoingDatagram
 from applehub.peers.codec import Peer, PeerState
 from applehub.peers.policy_adapter import PolicyAdapter
 
@@ -36,7 +36,9 @@
 class Peering:
     """All gossip agents of one simulation run."""
 
-    def __init__(self, clock: Clock, config: spec.Peers, kinds: list[str], net: Net, random: Draws) -> None:
+    def __init__(
+        self, clock: Clock, config: spec.Peers, kinds: list[str], net: EmulatedNetwork, random: RandomStream
+    ) -> None:
         """kinds: names of all machine types of servers, in the order of their indexes."""
         self.clock, self.config, self.net, self.random = clock, config, net, random
         self.kinds = {name: number for number, name in enumerate(kinds)}
@@ -72,29 +74,32 @@
         adapter, now = self.adapters[router.index], self.clock.now
         self._send(router, adapter.agent.tick(now))
         if count % SUMMARY_PERIODS == 0:
-            fleet = adapter.fleet_event(now, router.known, self.kinds)
+            fleet = adapter.gossip_summary(now, router.known, self.kinds)
             if not self.config.shares:
-                fleet.shares.clear()
+                fleet.range_fractions.clear()
             if not self.config.verdicts:
-                fleet.accused.clear()
+                fleet.failure_reports.clear()
             router.deliver(fleet, self.cost)
         self.clock.after(self.period, self._tick, (router, life, count + 1))
 
-    def publish(self, router: GossipRouter, tell: api.Tell) -> None:
+    def publish(self, router: GossipRouter, tell: api.PublishGossip) -> None:
         """Publishes the gossip of a router's decision module, replaced by false data for a faulty router."""
         if router.index in self.faulty:
-            shares, failing = dict.fromkeys(tell.shares, MIN_RANGE_FRACTION), dict.fromkeys(router.known, 9)
-            tell = api.Tell(1e6, 1e6, shares, failing, [])
+            shares, failing = (
+                dict.fromkeys(tell.range_fractions, MIN_RANGE_FRACTION),
+                dict.fromkeys(router.known, 9),
+            )
+            tell = api.PublishGossip(1e6, 1e6, shares, failing, [])
         self.adapters[router.index].publish(self.clock.now, tell, self.kinds)
 
-    def _send(self, router: GossipRouter, out: list[Outgoing]) -> None:
+    def _send(self, router: GossipRouter, out: list[OutgoingDatagram]) -> None:
         for to, data in out:
             other = self.routers[to.name if isinstance(to, Peer) else to]
             self.datagrams += 1
             self.bytes += len(data)
             router.work(self.cost)
             lost = self.config.loss > 0 and self.random.uniform() < self.config.loss
-            if lost or self.net.apart(router.zone, other.zone):
+            if lost or self.net.is_partitioned(router.zone, other.zone):
                 continue
             delay_ns = self.net.delay(router.zone, other.zone)
             self.clock.after(delay_ns, self._receive, (other, data))
--- a/applehub/lab/policies.py
+++ b/applehub/lab/policies.py
@@ -12,7 +12,7 @@
 from applehub.lab.origin import OriginServer
 from applehub.lab.servers import CacheServer
 from applehub.policy import Balancer
-from applehub.wirehost import Decider
+from applehub.wirehost import DecisionModule
 
 POINTS_PER_SERVER = 64  # on the hash ring
 LOAD_BOUND = 1.25  # limit of a server's attempts in flight, relative to the mean
@@ -61,19 +61,19 @@
                 return self._send(pending)
             case api.Outcome():
                 return self._attempt_ended(event)
-            case api.Withdrawn():
+            case api.RequestCancelled():
                 self.pending_requests.pop(event.id, None)
             case api.Members():
                 return self._update_list(event)
-            case api.Alarm() if event.token == "ask":
+            case api.TimerFired() if event.token == "ask":
                 return [api.Watch()]
-            case api.Retuned():
+            case api.SettingsChanged():
                 self.settings = event.settings
         return []
 
     def _update_list(self, event: api.Members) -> list[api.Action]:
         if event.kind is api.ListKind.FAILED:
-            return [api.Wake(DISCOVERY_RETRY_DELAY, "ask")]
+            return [api.SetTimer(DISCOVERY_RETRY_DELAY, "ask")]
         if event.kind is not api.ListKind.DELTA:
             self.members.clear()
         for entry in event.entries:
@@ -87,7 +87,7 @@
         )
         self.origin = next((one.server for one in ready_servers if one.kind == self.settings.origin_kind), "")
         self.list_changed()
-        return [api.Watch()] if event.kind is api.ListKind.CACHED and self.settings.must_ask else []
+        return [api.Watch()] if event.kind is api.ListKind.CACHED and self.settings.list_on_request else []
 
     def _send(self, pending: PendingRequest) -> list[api.Action]:
         server = self.origin if pending.at_origin else self.choose(pending)
@@ -96,7 +96,7 @@
         )
         if not server or exhausted or pending.retry_unsafe:
             del self.pending_requests[pending.request.id]
-            return [api.Fail(pending.request.id) if pending.retry_unsafe else api.Refuse(pending.request.id)]
+            return [api.Fail(pending.request.id) if pending.retry_unsafe else api.Reject(pending.request.id)]
         pending.attempts_made += 1
         pending.tried_servers.add(server)
         self.in_flight[server] = self.in_flight.get(server, 0) + 1
@@ -191,7 +191,7 @@
 
     def choose(self, pending: PendingRequest) -> str | None:
         key, work = pending.request.key or "", self.system_state.mean_work
-        time_limit = self.settings.classes[pending.request.cls].aim * 0.9
+        time_limit = self.settings.classes[pending.request.cls].latency_objective * 0.9
         expected_time, name = self._fastest(
             [one for one in self.ready_servers if key in self.system_state.server(one).stored_keys],
             pending,
@@ -222,7 +222,7 @@
 }  # baselines that use only what a router can observe
 
 
-def policy_factory(name: str, system_state: SystemState) -> Callable[[api.Settings, int], Decider]:
+def policy_factory(name: str, system_state: SystemState) -> Callable[[api.Settings, int], DecisionModule]:
     """Returns the constructor of the decision module for a policy's name."""
     if name == "router":
         return Balancer
--- a/applehub/lab/powerloss.py
+++ b/applehub/lab/powerloss.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from applehub.durable.store import Loaded, Store, StoreError
+from applehub.durable.store import LoadResult, Store, StoreError
 
 SECTOR = 512
 Names = dict[str, int]  # directory entries: inode number by file name
@@ -185,7 +185,7 @@
         for state in disk.bit_flips(flip_step):
             loaded = _open_and_save(make(state), result)
             correct = loaded.value in acknowledged[-2:] and (
-                loaded.value == value or loaded.passed_over != []
+                loaded.value == value or loaded.skipped_files != []
             )
             result.expect(correct, f"a flipped bit gave {_describe(loaded)}")
     second_store = make(disk)
@@ -197,7 +197,7 @@
     return result
 
 
-def _open_and_save(store: Store, result: SearchResult) -> Loaded:
+def _open_and_save(store: Store, result: SearchResult) -> LoadResult:
     """Opens the store and saves a value, which has to work from any state."""
     try:
         loaded = store.open()
@@ -206,9 +206,9 @@
         result.expect(after == b"next", f"a value saved after opening reads back as {after!r:.40}")
     except Exception as problem:  # any exception is a failed start
         result.expect(False, f"opening the store failed: {problem!r}")
-        return Loaded()
+        return LoadResult()
     return loaded
 
 
-def _describe(loaded: Loaded) -> str:
-    return f"{loaded.value!r:.30} ({loaded.generation}; {loaded.passed_over})"
+def _describe(loaded: LoadResult) -> str:
+    return f"{loaded.value!r:.30} ({loaded.generation}; {loaded.skipped_files})"
--- a/applehub/lab/routers.py
+++ b/applehub/lab/routers.py
@@ -7,6 +7,7 @@
 from applehub import interface as api
 from applehub.lab import spec
 from applehub.lab.account import Account
+from applehub.lab.attempts import Attempt, Backend, ClientAttempt
 from applehub.lab.clock import MILLI, SECOND, Clock
 from applehub.lab.discovery import Registry
 from applehub.lab.network import EmulatedNetwork
@@ -14,9 +15,8 @@
 from applehub.lab.peering import Peering
 from applehub.lab.rules import Rules
 from applehub.lab.servers import CacheServer
-from applehub.lab.tries import Asked, Attempt, Place
 from applehub.policy import Balancer
-from applehub.wirehost import Decider
+from applehub.wirehost import DecisionModule
 
 MAX_STORES_PER_MISS = 2  # cache servers that store the origin's answer to one request
 TERMINATION_GRACE = 700 * MILLI  # ns past the longest deadline
@@ -30,12 +30,14 @@
     spec: spec.Routers
     net: EmulatedNetwork
     registry: Registry
-    servers_by_id: dict[str, Place]
+    servers_by_id: dict[str, Backend]
     servers: list[CacheServer]
     rules: Rules
     account: Account
     longest_deadline: int
-    answered: Callable[[Asked, str, int, int], None]  # client attempt, outcome, retry-after, delay in ns
+    answered: Callable[
+        [ClientAttempt, str, int, int], None
+    ]  # client attempt, outcome, retry-after, delay in ns
     log: Callable[["RouterHost", str], None]
     on_overload: Callable[[CacheServer], None]
     peering: Peering | None  # None: no gossip
@@ -50,7 +52,7 @@
         self.up = self.accepting = False
         self.busy_until = 0  # when its processor has finished the work accepted so far
         self.cpu_time = 0
-        self.asked: dict[str, Asked] = {}
+        self.asked: dict[str, ClientAttempt] = {}
         # By server: start of the idle time, incarnation of the server.
         self.idle_connections: dict[str, deque[tuple[int, int]]] = {}
         self.known: dict[str, api.Member] = {}
@@ -64,12 +66,12 @@
         self.timer_cost, self.list_entry_cost = int(costs.alarm_us * 1000), int(costs.member_us * 1000)
         self.idle_timeout = int(costs.idle_s * SECOND)
         self.save_interval = int(costs.keeps_s * SECOND)
-        self.saved_statistics: tuple[int, api.Learnt] | None = None  # with the time of saving
-        self.decider: Decider
+        self.saved_statistics: tuple[int, api.SavedStatistics] | None = None  # with the time of saving
+        self.decider: DecisionModule
 
     # Process lifetime
 
-    def start(self, make_policy: Callable[[int], Decider]) -> None:
+    def start(self, make_policy: Callable[[int], DecisionModule]) -> None:
         """Starts a process with the cached list and the saved statistics, if any."""
         self.life += 1
         self.up = self.accepting = True
@@ -90,7 +92,7 @@
 
     def _save_statistics(self, life: int) -> None:
         if self.life == life and isinstance(self.decider, Balancer):
-            self.saved_statistics = self.clock.now, self.decider.learnt()
+            self.saved_statistics = self.clock.now, self.decider.statistics()
             self.clock.after(self.save_interval, self._save_statistics, life)
 
     def stop(self) -> None:
@@ -99,11 +101,11 @@
         self.life += 1
         self.context.registry.unsubscribe(self.index)
         for client_attempt in list(self.asked.values()):
-            for attempt in client_attempt.out.values():
+            for attempt in client_attempt.in_flight.values():
                 attempt.ended = True
                 self._release_connection(attempt)
-            if client_attempt.final < 0:
-                client_attempt.final = self.clock.now
+            if client_attempt.answered_at < 0:
+                client_attempt.answered_at = self.clock.now
                 self._record_event(client_attempt, "router stopped")
                 self.context.answered(client_attempt, "unreachable", 0, self.context.net.client_delay)
         self.asked.clear()
@@ -152,29 +154,29 @@
         life, event = argument
         if life != self.life or not self.up:
             return
-        if type(event) is api.Withdrawn and not self._cancel(event.id):
+        if type(event) is api.RequestCancelled and not self._cancel(event.id):
             return
         for action in self.decider.handle(self.clock.now, event):
             match action:
                 case api.Send():
                     self._send(action)
-                case api.Refuse():
+                case api.Reject():
                     self._finish(action.id, "refused", action.retry_after)
                 case api.Fail():
                     self._finish(action.id, "failed", 0)
-                case api.Wake():
+                case api.SetTimer():
                     self.clock.after(action.delay, self._fire_timer, (self.life, action.token))
                 case api.Watch():
                     self._subscribe()
                 case api.Log():
                     self.context.log(self, action.text)
-                case api.Tell():
+                case api.PublishGossip():
                     assert self.context.peering is not None  # gossip is published only where it is enabled
-                    self.context.peering.say(self, action)
+                    self.context.peering.publish(self, action)
 
     def _fire_timer(self, argument: tuple[int, str]) -> None:
         if argument[0] == self.life:
-            self.deliver(api.Alarm(argument[1]), self.timer_cost)
+            self.deliver(api.TimerFired(argument[1]), self.timer_cost)
 
     def _subscribe(self) -> None:
         self.asked_at = self.clock.now
@@ -213,7 +215,7 @@
 
     # Requests
 
-    def receive(self, client_attempt: Asked) -> None:
+    def receive(self, client_attempt: ClientAttempt) -> None:
         """Accepts a client's request whose last byte has arrived."""
         if not self.up:
             self.context.answered(client_attempt, "unreachable", 0, self.context.net.client_delay)
@@ -232,28 +234,28 @@
         self._record_event(client_attempt, f"received by router {self.index}")
         self.deliver(request, self.request_cost)
 
-    def withdraw(self, client_attempt: Asked) -> None:
+    def withdraw(self, client_attempt: ClientAttempt) -> None:
         """Reports to the decision module that the client has closed the request early."""
-        if self.up and client_attempt.final < 0 and client_attempt.id in self.asked:
-            self.deliver(api.Withdrawn(client_attempt.id), self.timer_cost)
+        if self.up and client_attempt.answered_at < 0 and client_attempt.id in self.asked:
+            self.deliver(api.RequestCancelled(client_attempt.id), self.timer_cost)
 
     def _cancel(self, name: str) -> bool:
         """Ends a cancelled request once its router handles the event; returns whether it was still open."""
         client_attempt = self.asked.get(name)
-        if client_attempt is None or client_attempt.final >= 0:
+        if client_attempt is None or client_attempt.answered_at >= 0:
             return False
-        client_attempt.final = self.clock.now
+        client_attempt.answered_at = self.clock.now
         self._record_event(client_attempt, "cancelled by the client")
         self._release_if_finished(client_attempt)
         return True
 
     def _finish(self, name: str, outcome: str, retry_after: int) -> None:
         client_attempt = self.asked.get(name)
-        if client_attempt is None or client_attempt.final >= 0:
+        if client_attempt is None or client_attempt.answered_at >= 0:
             return
         if outcome == "refused":
-            self.context.rules.refusing(client_attempt)
-        client_attempt.final = self.clock.now
+            self.context.rules.check_rejection(client_attempt)
+        client_attempt.answered_at = self.clock.now
         self._record_event(client_attempt, outcome)
         self.context.answered(
             client_attempt, outcome, retry_after, self.context.net.client_delay + self._backlog()
@@ -264,8 +266,8 @@
         """Returns how long its processor is busy with earlier work, in ns."""
         return max(0, self.busy_until - self.clock.now)
 
-    def _release_if_finished(self, client_attempt: Asked) -> None:
-        if client_attempt.final >= 0 and not client_attempt.out:
+    def _release_if_finished(self, client_attempt: ClientAttempt) -> None:
+        if client_attempt.answered_at >= 0 and not client_attempt.in_flight:
             self.asked.pop(client_attempt.id, None)
 
     # Attempts
@@ -277,18 +279,18 @@
             self.context.servers_by_id[action.server],
         )
         if client_attempt is None:
-            self.context.rules.unknown(action, self)
+            self.context.rules.record_unknown_request(action, self)
             return
-        number, client_attempt.made = client_attempt.made, client_attempt.made + 1
+        number, client_attempt.attempts_made = client_attempt.attempts_made, client_attempt.attempts_made + 1
         incarnation = server.incarnation if isinstance(server, CacheServer) else 0
         attempt = Attempt(client_attempt, number, self, server, now, self.life, incarnation)
         time_left = client_attempt.deadline - now
         timeout = min(action.timeout, time_left) if action.timeout > 0 else time_left
-        if not self.context.rules.sending(attempt) or timeout <= 0:
-            client_attempt.out[number] = attempt
+        if not self.context.rules.check_attempt(attempt) or timeout <= 0:
+            client_attempt.in_flight[number] = attempt
             self.clock.after(0, self._end_unsent, attempt)
             return
-        client_attempt.out[number] = client_attempt.live[number] = attempt
+        client_attempt.in_flight[number] = client_attempt.possibly_executed[number] = attempt
         self._record_event(client_attempt, f"attempt {number} to {server.id}, {timeout / MILLI:.0f} ms")
         self.clock.after(timeout, self._timed_out, attempt)
         self._connect(attempt)
@@ -304,7 +306,7 @@
             self.clock.after(backlog + net.delay(0, 1), self._reach_server, attempt)
             return
         if server.zone != self.zone:
-            account.crossings += 1
+            account.cross_zone_attempts += 1
         if self._reuse_connection(attempt):
             self.clock.after(backlog + net.delay(self.zone, server.zone), self._reach_server, attempt)
             return
@@ -322,7 +324,7 @@
             since, incarnation = idle_connections.pop()
             if self.clock.now - since < self.idle_timeout:
                 attempt.incarnation = incarnation
-                attempt.linked = True
+                attempt.connection_counted = True
                 return True
             self._close_connection(attempt.server, incarnation)
         return False
@@ -338,7 +340,7 @@
             self._connect_failed(attempt)
             return
         attempt.incarnation = server.incarnation
-        attempt.linked = True
+        attempt.connection_counted = True
         server.connections += 1
         self.clock.after(self.context.net.delay(self.zone, server.zone), self._reach_server, attempt)
 
@@ -350,7 +352,7 @@
     def _reach_server(self, attempt: Attempt) -> None:
         """Delivers an attempt, whose last byte has arrived at the server."""
         server, net = attempt.server, self.context.net
-        if attempt.ended and not attempt.linked:
+        if attempt.ended and not attempt.connection_counted:
             return
         attempt.written = True
         self.context.account.attempts += 1
@@ -362,7 +364,7 @@
         if not server.up or server.overloaded or server.incarnation != attempt.incarnation:
             self.clock.after(net.delay(self.zone, server.zone), self._reset, attempt)
             return
-        informed = self.context.rules.informed_of_start(self, server)
+        informed = self.context.rules.knows_latest_start(self, server)
         if server.receive(attempt, informed):
             self.context.on_overload(server)
 
@@ -400,12 +402,12 @@
         if demand.write:
             for server in self.context.servers:
                 server.stored_keys.pop(demand.key, None)
-        elif client_attempt.final < 0 and not attempt.ended:
-            for server in client_attempt.missed[:MAX_STORES_PER_MISS]:
+        elif client_attempt.answered_at < 0 and not attempt.ended:
+            for server in client_attempt.missed_at[:MAX_STORES_PER_MISS]:
                 if server.up and not server.overloaded:
                     server.store(demand.key)
 
-    def _receive_answer(self, argument: tuple[Attempt, api.Status, int, api.Load | None]) -> None:
+    def _receive_answer(self, argument: tuple[Attempt, api.Status, int, api.LoadReport | None]) -> None:
         attempt, status, note, load = argument
         if attempt.ended or attempt.life != self.life:
             return
@@ -415,30 +417,32 @@
         if not attempt.ended and attempt.life == self.life:
             self._end_attempt(attempt, api.Status.TIMEOUT if attempt.written else api.Status.MOOT, 0, None)
 
-    def _end_attempt(self, attempt: Attempt, status: api.Status, note: int, load: api.Load | None) -> None:
+    def _end_attempt(
+        self, attempt: Attempt, status: api.Status, note: int, load: api.LoadReport | None
+    ) -> None:
         client_attempt, server, now = attempt.asked, attempt.server, self.clock.now
         attempt.ended = True
         broken = status in (api.Status.RESET, api.Status.TIMEOUT, api.Status.CONNECT_FAILED, api.Status.MOOT)
         if broken:
             self._release_connection(attempt)
-        elif attempt.linked:
+        elif attempt.connection_counted:
             self.idle_connections.setdefault(server.id, deque()).append((now, attempt.incarnation))
-        client_attempt.out.pop(attempt.number, None)
+        client_attempt.in_flight.pop(attempt.number, None)
         if status in (api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.MOOT, api.Status.MISS):
-            client_attempt.live.pop(attempt.number, None)
+            client_attempt.possibly_executed.pop(attempt.number, None)
         if status is api.Status.MISS and isinstance(server, CacheServer):
-            client_attempt.missed.append(server)
-        client_attempt.last = self.context.account.ended(status, server)
+            client_attempt.missed_at.append(server)
+        client_attempt.last_outcome = self.context.account.record_attempt(status, server)
         self._record_event(client_attempt, f"attempt {attempt.number} at {server.id}: {status}")
-        succeeded = status is api.Status.OK and client_attempt.final < 0
+        succeeded = status is api.Status.OK and client_attempt.answered_at < 0
         if succeeded:
-            client_attempt.final = now
+            client_attempt.answered_at = now
         event = api.Outcome(
             client_attempt.id,
             attempt.number,
             server.id,
             status,
-            client_attempt.final >= 0,
+            client_attempt.answered_at >= 0,
             now - attempt.sent,
             note,
             load,
@@ -451,11 +455,11 @@
     # Connections
 
     def _release_connection(self, attempt: Attempt) -> None:
-        if attempt.linked:
-            attempt.linked = False
+        if attempt.connection_counted:
+            attempt.connection_counted = False
             self._close_connection(attempt.server, attempt.incarnation)
 
-    def _close_connection(self, server: Place, incarnation: int) -> None:
+    def _close_connection(self, server: Backend, incarnation: int) -> None:
         if isinstance(server, CacheServer) and server.incarnation == incarnation and server.connections:
             server.connections -= 1
 
@@ -466,5 +470,5 @@
             while idle_connections and idle_connections[0][0] < idle_before:
                 self._close_connection(self.context.servers_by_id[name], idle_connections.popleft()[1])
 
-    def _record_event(self, client_attempt: Asked, text: str) -> None:
+    def _record_event(self, client_attempt: ClientAttempt, text: str) -> None:
         client_attempt.events.append((self.clock.now, text))
--- a/applehub/lab/rules.py
+++ b/applehub/lab/rules.py
@@ -10,7 +10,7 @@
 from applehub.lab.attempts import Attempt, Backend, ClientAttempt, Router
 from applehub.lab.clock import MILLI, SECOND, Clock
 from applehub.lab.discovery import Registry
-from applehub.lab.servers import LONG_AGO, CacheServer
+from applehub.lab.servers import STARTED_BEFORE_RUN, CacheServer
 from applehub.settings import Json
 
 MAX_RECORDED = 20  # violations recorded in full; later ones are only counted
@@ -118,7 +118,7 @@
             self.record_violation(
                 "no second effect", client_attempt, server, "a non-idempotent request was sent again"
             )
-        elif self.clock.now > first_sent + spec.window:
+        elif self.clock.now > first_sent + spec.idempotency_window:
             self.record_violation(
                 "no second effect",
                 client_attempt,
@@ -157,10 +157,10 @@
 
     def knows_latest_start(self, router: Router, server: CacheServer) -> bool:
         """Returns whether the router was notified of the server's latest start."""
-        if server.started == LONG_AGO:
+        if server.started_at == STARTED_BEFORE_RUN:
             return True
         member = router.known.get(server.id)
-        return member is not None and member.since >= server.started > LONG_AGO
+        return member is not None and member.since >= server.started_at > STARTED_BEFORE_RUN
 
     def record_overload(self, server: CacheServer) -> None:
         """Records the overload of a server that warms up.
@@ -168,6 +168,6 @@
         The rule is broken if informed routers sent most of the load.
         """
         server.events.append((self.clock.now, "crashed from overload"))
-        if server.informed_part >= INFORMED_FRACTION:
-            age = (self.clock.now - server.started) / SECOND
+        if server.informed_fraction >= INFORMED_FRACTION:
+            age = (self.clock.now - server.started_at) / SECOND
             self.record_violation("cold servers", None, server.id, f"overloaded {age:.1f} s after its start")
--- a/applehub/lab/runner.py
+++ b/applehub/lab/runner.py
@@ -17,8 +17,8 @@
 import orjson
 
 import applehub
-from applehub.lab.play import play
-from applehub.lab.spec import Day, Experiment, read_raw
+from applehub.lab.simulation_run import run_simulation
+from applehub.lab.spec import Experiment, Scenario, parse_experiment
 from applehub.settings import Json
 
 EXTRA_SOURCES = ("interface.py", "settings.py")  # in addition to lab, policy and peers
@@ -43,7 +43,7 @@
 
     experiment: Experiment
     raw: Json
-    points: list[tuple[Json, Day]]
+    points: list[tuple[Json, Scenario]]
 
     @property
     def tasks(self) -> list[Task]:
@@ -76,7 +76,7 @@
 
 def make_plan(name: str, raw: Json) -> Plan:
     """Parses an experiment; raises SpecError if it is invalid."""
-    experiment, points = read_raw(name, raw)
+    experiment, points = parse_experiment(name, raw)
     return Plan(experiment, raw, points)
 
 
@@ -84,10 +84,11 @@
     return {"point": point, "policy": task.policy, "seed": task.seed, "result": result}
 
 
-def _run_task(task_inputs: tuple[Task, Json, Day]) -> bytes:
+def _run_task(task_inputs: tuple[Task, Json, Scenario]) -> bytes:
     task, point, scenario = task_inputs
     return orjson.dumps(
-        record_of(task, point, play(scenario, task.policy, task.seed)), option=orjson.OPT_APPEND_NEWLINE
+        record_of(task, point, run_simulation(scenario, task.policy, task.seed)),
+        option=orjson.OPT_APPEND_NEWLINE,
     )
 
 
@@ -136,7 +137,7 @@
     return len(task_inputs)
 
 
-def _run_tasks(task_inputs: list[tuple[Task, Json, Day]], processes: int) -> Iterator[bytes]:
+def _run_tasks(task_inputs: list[tuple[Task, Json, Scenario]], processes: int) -> Iterator[bytes]:
     if processes <= 1 or len(task_inputs) <= 1:
         yield from map(_run_task, task_inputs)
         return
--- a/applehub/lab/servers.py
+++ b/applehub/lab/servers.py
@@ -187,7 +187,7 @@
         self.connections = 0
         self.handshake_work = int(spec.handshake_ms * MILLI)
         self.mean_work = 1
-        self.load_report: api.Load | None = None
+        self.load_report: api.LoadReport | None = None
         self.next_report_at = int(random_stream.uniform() * spec.report_ms * MILLI)
         self.errors_since_report = 0
         self.hits = self.misses = 0
@@ -308,14 +308,14 @@
         sent = sum(entry[1] for entry in self.warmup_arrivals)
         return sum(entry[1] for entry in self.warmup_arrivals if entry[2]) / max(1, sent)
 
-    def load(self) -> api.Load | None:
+    def load(self) -> api.LoadReport | None:
         """Returns the load report that an answer carries; it is refreshed periodically and includes noise."""
         now = self.clock.now
         if now >= self.next_report_at:
             period = self.spec.report_ms / 1000
             since = max(0.1, (now - self.next_report_at) / SECOND + period)
             noise = 1 + self.spec.report_noise * (2 * self.random_stream.uniform() - 1)
-            self.load_report = api.Load(
+            self.load_report = api.LoadReport(
                 queue=len(self.queue) * noise, eps=self.errors_since_report / since * noise
             )
             self.errors_since_report = 0
--- a/applehub/lab/simulation.py
+++ b/applehub/lab/simulation.py
@@ -8,6 +8,7 @@
 
 from applehub import interface as api
 from applehub.lab.account import Account
+from applehub.lab.attempts import Backend, ClientAttempt
 from applehub.lab.clients import Clients
 from applehub.lab.clock import MILLI, SECOND, Clock
 from applehub.lab.discovery import Registry
@@ -20,11 +21,10 @@
 from applehub.lab.servers import STARTED_BEFORE_RUN, CacheServer
 from applehub.lab.spec import Scenario, router_settings
 from applehub.lab.streams import RandomStream, generator
-from applehub.lab.tries import Asked, Place
 from applehub.lab.workload import base_rate, draw_workload
 from applehub.policy.keys import KeyRanges
 from applehub.settings import Json, read_settings
-from applehub.wirehost import Decider
+from applehub.wirehost import DecisionModule
 
 IDLE_CHECK_INTERVAL = SECOND
 MAX_LOGS = 200
@@ -43,13 +43,13 @@
         self.net = EmulatedNetwork(scenario.network, self.random_stream("network"))
         self.registry = Registry(self.clock, scenario.discovery, self.random_stream("discovery"))
         self.server_random = self.random_stream("servers")
-        self.servers_by_id: dict[str, Place] = {}
+        self.servers_by_id: dict[str, Backend] = {}
         self.servers: list[CacheServer] = []
         self.all_servers: list[CacheServer] = []  # including those that were replaced
         self.origin = self._make_origin()
         self._make_servers()
         classes = self.settings.classes
-        self.account = Account(scenario, [one.aim for one in classes], self.clock)
+        self.account = Account(scenario, [one.latency_objective for one in classes], self.clock)
         self.rules = Rules(scenario.rules, classes, self.clock, self.servers_by_id, self.registry)
         self.make_policy = policy_factory(policy, self)
         self.peering = self._make_peering()
@@ -62,7 +62,7 @@
             RouterHost(context, n, n % len(scenario.topology.zones)) for n in range(scenario.topology.routers)
         ]
         if self.peering is not None:
-            self.peering.know(self.routers)
+            self.peering.register(self.routers)
         self.routers_by_zone: list[list[RouterHost]] = [[] for _ in scenario.topology.zones]
         for router in self.routers:
             self.routers_by_zone[router.zone].append(router)
@@ -71,7 +71,7 @@
             self.routers_by_zone, self.random_stream, self.record_attempt,
         )  # fmt: skip
         self.traced_demand = -1  # number of the demand whose client attempts are recorded; -1: none
-        self.client_attempts: list[Asked] = []
+        self.client_attempts: list[ClientAttempt] = []
         self.logs: list[tuple[int, int, str]] = []
 
     def random_stream(self, name: str) -> RandomStream:
@@ -94,7 +94,7 @@
         writes = base_rate(self.scenario) * sum(one.share for one in classes if one.write) / total
         missed_reads = self.workload.read_rate * (1 - self.scenario.workload.keys.pooled_hits)
         rate = spec.capacity_rps or spec.headroom * (missed_reads + writes)
-        aim = min(one.aim for one in self.settings.classes)
+        aim = min(one.latency_objective for one in self.settings.classes)
         origin = OriginServer(self.clock, "origin", spec, rate, aim, self.random_stream("origin"))
         self.servers_by_id["origin"] = origin
         return origin
@@ -166,7 +166,7 @@
         The decision module is not asked, because each request would change its statistics.
         """
         ranges = KeyRanges(1)
-        ranges.deal(0, names)
+        ranges.assign(0, names)
         return lambda _, key: ranges.locate(key, 0)[2]
 
     def _owner_by_policy(self, names: list[str]) -> Callable[[int, str], str]:
@@ -205,12 +205,12 @@
             if not attempt.ended:
                 attempt.router.broken(attempt)
 
-    def _answered(self, client_attempt: Asked, outcome: str, retry_after: int, delay: int) -> None:
+    def _answered(self, client_attempt: ClientAttempt, outcome: str, retry_after: int, delay: int) -> None:
         self.clients.answered(client_attempt, outcome, retry_after, delay)
 
     def stop_overloaded(self, server: CacheServer) -> None:
         """Reports the overload of a warming server to the rules, and stops the server."""
-        self.rules.tipped(server)
+        self.rules.record_overload(server)
         self.stop_server(server)
         server.overloaded = True
 
@@ -220,7 +220,7 @@
         """Starts a router process, seeded by the router's index and incarnation."""
         rules = replace(self.settings)
 
-        def make_policy(life: int) -> Decider:
+        def make_policy(life: int) -> DecisionModule:
             seed = int(generator(self.seed, f"router {router.index} life {life}").integers(1 << 62))
             return self.make_policy(rules, seed)
 
@@ -233,7 +233,7 @@
         if len(self.logs) < MAX_LOGS:
             self.logs.append((self.clock.now, router.index, text))
 
-    def record_attempt(self, client_attempt: Asked) -> None:
+    def record_attempt(self, client_attempt: ClientAttempt) -> None:
         """Stores a client attempt that belongs to the traced demand."""
         if client_attempt.demand.number == self.traced_demand:
             self.client_attempts.append(client_attempt)
--- a/applehub/lab/spec.py
+++ b/applehub/lab/spec.py
@@ -10,7 +10,7 @@
 
 from pydantic import Field, ValidationError, model_validator
 
-from applehub.checked import Table, describe_faults, validate
+from applehub.checked import Table, format_validation_errors, validate
 from applehub.settings import Json
 
 Share = Annotated[float, Field(ge=0, le=1)]
@@ -448,7 +448,7 @@
                 _set_by_path(point_settings, key, value)
             points.append((point, Scenario.model_validate(point_settings)))
         except ValidationError as error:
-            raise SpecError(describe_faults(f"{name}: sweep {point}", error)) from None
+            raise SpecError(format_validation_errors(f"{name}: sweep {point}", error)) from None
         except (LookupError, TypeError, ValueError, AttributeError):
             raise SpecError(f"{name}: sweep {point}: expected the dotted path of a setting") from None
     return experiment, points
--- a/applehub/lab/throttle_analysis.py
+++ b/applehub/lab/throttle_analysis.py
@@ -68,7 +68,7 @@
         SECOND / (RATE * load), count
     )
     times = np.cumsum(interarrivals).astype(np.int64).tolist()
-    spec = api.RequestClass(aim=SECOND, deadline=SECOND)
+    spec = api.RequestClass(latency_objective=SECOND, deadline=SECOND)
     throughputs, blocked_fractions, blocked, batch_start, batch_size = [], [], 0, 0, max(1, count // BATCHES)
     for number, now in enumerate(times, 1):
         throttle.refill(now)
--- a/applehub/lab/warmup_load.py
+++ b/applehub/lab/warmup_load.py
@@ -10,11 +10,11 @@
 from rich.console import Console
 from rich.table import Table
 
-from applehub.lab.play import stage
-from applehub.lab.problems import guarded
-from applehub.lab.servers import bound_of
+from applehub.lab.command_errors import report_errors
+from applehub.lab.servers import request_bound
+from applehub.lab.simulation_run import build_simulation
 from applehub.lab.sizes import counts
-from applehub.lab.spec import read_raw
+from applehub.lab.spec import parse_experiment
 from applehub.settings import Json
 
 JOIN = {"kind": "join", "at_s": 8, "for_s": 7, "part": 0.6}
@@ -45,7 +45,7 @@
     @property
     def ratio(self) -> float:
         """The load relative to the bound; the rule is exceeded over 1."""
-        return self.sent / bound_of(self.budget)
+        return self.sent / request_bound(self.budget)
 
 
 def simulate(scenario: str, routers: int, seed: int, load: float) -> list[PeakWindow]:
@@ -55,9 +55,9 @@
         "name": "cold", "seconds": 34, "topology": {"routers": routers, "servers": servers},
         "workload": {"load": load}, "faults": SCENARIOS[scenario],
     }  # fmt: skip
-    world = stage(read_raw(scenario, raw)[1][0][1], "router", seed)
-    world.play()
-    return [PeakWindow(*server.fullest) for server in world.all_servers if server.fullest[1] > 0]
+    world = build_simulation(parse_experiment(scenario, raw)[1][0][1], "router", seed)
+    world.run()
+    return [PeakWindow(*server.peak_load) for server in world.all_servers if server.peak_load[1] > 0]
 
 
 def _tasks(sizes: Sequence[int], seeds: range, load: float) -> Iterator[tuple[str, int, int, float]]:
@@ -90,7 +90,7 @@
 @click.option("--first", type=click.IntRange(0), default=1, show_default=True, help="First seed.")
 @click.option("--load", type=click.FloatRange(0.05, 1.5), default=0.6, show_default=True)
 @click.option("--jobs", type=click.IntRange(1), default=None, help="Parallel processes [all cores].")
-@guarded
+@report_errors
 def cold(sizes: tuple[int, ...], seeds: int, first: int, load: float, jobs: int | None) -> None:
     """Measures the load that warming servers receive from all routers, per server in its peak window, against
     the bound N + 2 sqrt(N) + 2. Exits with code 1 if a server received more."""
--- a/applehub/node/caches.py
+++ b/applehub/node/caches.py
@@ -12,7 +12,7 @@
 from applehub.node import resp
 from applehub.node.call import AttemptResult, Exchange, read_load
 from applehub.node.pool import Connection, Pool
-from applehub.node.stream import Stream, pieces_of
+from applehub.node.stream import Stream, chunks_of
 
 LONG_VALUE = re.compile(rb"\*([1-8])\r\n\$(\d{1,10})\r\n")  # start of a reply whose first element is a value
 CACHE_NOTES = {b"hit": 1, b"miss": 2, b"pending": 3}
@@ -39,7 +39,7 @@
 
     def __init__(self, pool: Pool) -> None:
         super().__init__(pool)
-        self.frames = resp.Frames()
+        self.frames = resp.FrameParser()
         self.stream: Stream | None = None
         self.remaining = 0  # bytes of the long value not yet received
 
@@ -50,7 +50,7 @@
             yield resp.command(*parts)
             return
         yield b"*%d\r\n%b$%d\r\n" % (len(parts) + 1, b"".join(map(resp.bulk, parts)), len(call.value))
-        yield from pieces_of(call.value)
+        yield from chunks_of(call.value)
         yield b"\r\n"
 
     def read(self, data: bytes) -> None:
@@ -64,7 +64,7 @@
         if (
             self.stream is None
             and (head := LONG_VALUE.match(self.frames.buffer))
-            and int(head[2]) > resp.MOST_VALUE
+            and int(head[2]) > resp.MAX_BUFFERED_VALUE
         ):
             self._start_stream(int(head[2]), head.end())
             return
@@ -73,7 +73,7 @@
         except resp.FramingError:
             self.protocol_error()
             return
-        if reply is resp.WAITING:
+        if reply is resp.INCOMPLETE:
             return
         self.stream = None
         result = result_of(reply)
@@ -87,7 +87,7 @@
 
         An empty value takes its place in the buffer, so that the rest of the reply is parsed as usual.
         """
-        if size > resp.MOST_LONG or self.exchange is None:
+        if size > resp.MAX_LONG_VALUE or self.exchange is None:
             self.protocol_error()
             return
         self.stream = self.exchange.on_long_value(size, self)
--- a/applehub/node/call.py
+++ b/applehub/node/call.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from applehub.interface import Load, Status
+from applehub.interface import LoadReport, Status
 from applehub.node.memory_budget import MemoryBudget
-from applehub.node.resp import MOST_VALUE
+from applehub.node.resp import MAX_BUFFERED_VALUE
 from applehub.node.stream import Source, Stream
-from applehub.settings import LOAD, Names
+from applehub.settings import LOAD_FIELDS, Names
 
 PRINTABLE_ASCII = re.compile(rb"[!-~]+")  # allowed in a client's ids and parameter lists, and in HTTP headers
 LOAD_VALUE = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")  # a value in a load report
@@ -62,7 +62,7 @@
     status: Status
     value: bytes | bytearray = b""
     note: int = 0
-    load: Load | None = None
+    load: LoadReport | None = None
 
 
 class Carrier(Protocol):
@@ -112,7 +112,7 @@
     key, identity, info = parts[1:4]
     if (
         not key
-        or len(key) > MOST_VALUE
+        or len(key) > MAX_BUFFERED_VALUE
         or not PRINTABLE_ASCII.fullmatch(identity)
         or not PRINTABLE_ASCII.fullmatch(info)
     ):
@@ -141,7 +141,7 @@
     return Call(name, key, identity, info, value_sent, class_index, class_name, tenant, wait_ms, is_retry)
 
 
-def read_load(report: object) -> Load | None:
+def read_load(report: object) -> LoadReport | None:
     """Parses a load report of name=value pairs, given as bytes or text; skips unknown names.
 
     Returns None for a report that is truncated or invalid, or has no known name.
@@ -154,6 +154,6 @@
         name, _, value = pair.partition("=")
         if not name or not LOAD_VALUE.fullmatch(value):
             return None
-        if name in LOAD:
-            fields[LOAD[name]] = float(value)
-    return Load(**fields) if fields else None
+        if name in LOAD_FIELDS:
+            fields[LOAD_FIELDS[name]] = float(value)
+    return LoadReport(**fields) if fields else None
--- a/applehub/node/clients.py
+++ b/applehub/node/clients.py
@@ -11,7 +11,7 @@
 from applehub.node import resp
 from applehub.node.arrivals import ArrivalTimes, TimedSelector
 from applehub.node.call import CallError, read_call
-from applehub.node.driver import Driver, Held
+from applehub.node.driver import Driver, PendingRequest
 from applehub.node.memory_budget import LONG_VALUE_FRACTION
 from applehub.node.stream import SharedBufferProtocol, Stream
 from applehub.node.unread import PEER_CLOSED, UnreadInput
@@ -41,7 +41,7 @@
     def __init__(self, client: "ClientConnection") -> None:
         self.client, self.waits = client, client.is_connected
         self.answer: bytes | None = None
-        self.held: Held | None = None
+        self.held: PendingRequest | None = None
         self.stream: Stream | None = None
 
     def fill(self, answer: bytes) -> None:
@@ -176,7 +176,7 @@
     def _discard_input(self) -> None:
         """Discards unprocessed input and releases its memory."""
         self.frames = resp.FrameParser()
-        self.owner.driver.room.release(self.reserved_bytes)
+        self.owner.driver.memory.release(self.reserved_bytes)
         self.reserved_bytes = 0
         self._count_buffers()
         self.owner.sending_ended(self)
@@ -185,7 +185,7 @@
         """Updates the memory budget with the bytes that this connection buffers."""
         unsent = self.transport.get_write_buffer_size() if self.transport is not None else 0
         buffered = len(self.frames.buffer) + unsent
-        self.owner.driver.room.add(buffered - self.buffered_bytes)
+        self.owner.driver.memory.add(buffered - self.buffered_bytes)
         self.buffered_bytes = buffered
 
     def pause_writing(self) -> None:
@@ -220,7 +220,7 @@
 
     def _reserve_value(self, size: int) -> bool:
         """Reserves memory for an announced long value; without it, the value is read and discarded."""
-        if not self.owner.driver.room.reserve(size, LONG_VALUE_FRACTION):
+        if not self.owner.driver.memory.reserve(size, LONG_VALUE_FRACTION):
             return False
         self.reserved_bytes += size
         return True
@@ -391,7 +391,7 @@
 
     def _handle_call(self, parts: list[bytes]) -> None:
         # If the driver accepts the call, it reserves the memory of the value itself.
-        self.owner.driver.room.release(self.reserved_bytes)
+        self.owner.driver.memory.release(self.reserved_bytes)
         self.reserved_bytes = 0
         try:
             call = read_call(parts, self.owner.names)
@@ -401,7 +401,7 @@
         slot = self._new_slot()
         try:
             arrived = self.arrivals.of_last_byte_before(len(self.frames.buffer))
-            held = self.owner.driver.take(call, slot, arrived)
+            held = self.owner.driver.accept(call, slot, arrived)
             slot.held = held if slot.answer is None else None
         except Exception:
             log.exception("failed to start a request")
@@ -431,5 +431,5 @@
             self.arrivals.resume()
         self.owner.set_reading_paused(self, full)
         self._count_buffers()
-        if self.owner.driver.room.over and self.buffered_bytes > resp.MAX_BUFFERED_VALUE:
+        if self.owner.driver.memory.over and self.buffered_bytes > resp.MAX_BUFFERED_VALUE:
             self.transport.abort()
--- a/applehub/node/configuration.py
+++ b/applehub/node/configuration.py
@@ -22,7 +22,7 @@
 )
 
 if TYPE_CHECKING:
-    from applehub.node.peering import PeersTold
+    from applehub.node.peering import PeersConfig
 
 CONSOLE_VARIABLE = "BALANCER_CONSOLE"
 INHERITED_VARIABLE = "BALANCER_INHERITED_FD"
@@ -67,7 +67,7 @@
     network_limits: NetworkLimits
     raw: Json
     name: str
-    peers: "PeersTold | None"
+    peers: "PeersConfig | None"
     state_dir: str | None
 
 
@@ -153,7 +153,7 @@
     return int(descriptor)
 
 
-def read_peers_setting(source: Json, info: Json) -> "PeersTold | None":
+def read_peers_setting(source: Json, info: Json) -> "PeersConfig | None":
     """Reads `peers`, the gossip settings.
 
     info: the settings, whose `ceilings.mayTell` may forbid gossip.
--- a/applehub/node/driver.py
+++ b/applehub/node/driver.py
@@ -15,8 +15,8 @@
 from applehub import interface as api
 from applehub.node import resp
 from applehub.node.call import MIN_TIME_LEFT, NS_PER_MS, AttemptResult, Call, Carrier, Exchange
-from applehub.node.figures import Answered, Figures
 from applehub.node.memory_budget import MemoryBudget
+from applehub.node.metrics import Metrics, ResponseResult
 from applehub.node.pool import Pools
 from applehub.node.stream import Source, Stream
 from applehub.policy import Balancer
@@ -74,14 +74,14 @@
 class Driver:
     """Host of one Balancer."""
 
-    def __init__(self, balancer: Balancer, pools: Pools, max_requests: int, figures: Figures) -> None:
+    def __init__(self, balancer: Balancer, pools: Pools, max_requests: int, figures: Metrics) -> None:
         self.balancer, self.pools, self.max_requests = balancer, pools, max_requests
         self.figures = figures
         self.loop = asyncio.get_running_loop()
         self.requests: dict[str, PendingRequest] = {}
         self.memory = MemoryBudget()
         self.start_watch: Callable[[], None] = lambda: None
-        self.publish: Callable[[api.Tell], None] = lambda _: None
+        self.publish: Callable[[api.PublishGossip], None] = lambda _: None
         # monotonic ns by which all requests must be answered; 0 until the router stops
         self.answer_all_by = 0
         self._events: deque[api.Event] = deque()
@@ -96,19 +96,19 @@
         """
         request_id = call.id.decode()
         if request_id in self.requests:
-            self.figures.answered(call.class_name, Answered.ERRORS)
+            self.figures.count_response(call.class_name, ResponseResult.ERRORS)
             reply.fill(resp.error("this id is in use"))
             return None
         spec = self.balancer.settings.classes[call.class_index]
         answer_by = received_at + (spec.deadline if call.wait_ms is None else call.wait_ms * NS_PER_MS)
         answer_by = min(answer_by, self.answer_all_by or answer_by)
         time_left = answer_by - ANSWER_MARGIN - time.monotonic_ns()
-        over_limit = call.value is resp.DROPPED or len(self.requests) >= self.max_requests
+        over_limit = call.value is resp.DISCARDED or len(self.requests) >= self.max_requests
         if time_left < MIN_TIME_LEFT or over_limit or not self.memory.reserve(call.size):
             log.debug("request %s rejected: %d ms left", request_id, (time_left + ANSWER_MARGIN) // NS_PER_MS)
-            self.figures.answered(call.class_name, Answered.SHED)
+            self.figures.count_response(call.class_name, ResponseResult.SHED)
             # No attempt was started, so the client may retry.
-            reply.fill(resp.refused(-(-self.balancer.come_back // NS_PER_MS)))
+            reply.fill(resp.busy(-(-self.balancer.client_retry_after // NS_PER_MS)))
             return None
         request = self.requests[request_id] = PendingRequest(
             request_id, call, reply, answer_by - ANSWER_MARGIN
@@ -140,7 +140,7 @@
         if request.open:
             log.debug("request %s cancelled by its client", request.id)
             self._close(request)
-            self._process(api.Withdrawn(request.id))
+            self._process(api.RequestCancelled(request.id))
             carrier = self._carrier(request.attempt)
             if request.attempt is not None and carrier is not None and carrier.unsent:
                 carrier.abort_attempt()
@@ -158,7 +158,13 @@
         return attempt.exchange.carrier if attempt is not None and attempt.exchange is not None else None
 
     def notify(
-        self, event: api.Members | api.ByHand | api.Retuned | api.Copies | api.Fleet | api.Learnt
+        self,
+        event: api.Members
+        | api.ServerOverride
+        | api.SettingsChanged
+        | api.ProcessCount
+        | api.GossipSummary
+        | api.SavedStatistics,
     ) -> None:
         """Passes an event that concerns no single request to the balancer."""
         self._process(event)
@@ -182,8 +188,8 @@
         This bounds the time of every request, also if the balancer never answers it.
         """
         if request.open:
-            self._answer(request, resp.FAILED, Answered.ERRORS)
-            self._process(api.Withdrawn(request.id))
+            self._answer(request, resp.FAILED, ResponseResult.ERRORS)
+            self._process(api.RequestCancelled(request.id))
             self._remove_if_done(request)
 
     def _process(self, event: api.Event) -> None:
@@ -221,20 +227,20 @@
         match action:
             case api.Send():
                 self._send(action)
-            case api.Refuse() | api.Fail():
+            case api.Reject() | api.Fail():
                 request = self.requests.get(action.id)
                 if request is not None and request.open:
-                    if isinstance(action, api.Refuse):
-                        refusal = resp.refused(-(-action.retry_after // NS_PER_MS))
-                        self._answer(request, refusal, Answered.SHED)
+                    if isinstance(action, api.Reject):
+                        refusal = resp.busy(-(-action.retry_after // NS_PER_MS))
+                        self._answer(request, refusal, ResponseResult.SHED)
                     else:
-                        self._answer(request, resp.FAILED, Answered.ERRORS)
+                        self._answer(request, resp.FAILED, ResponseResult.ERRORS)
                     self._remove_if_done(request)
-            case api.Wake():
-                self.loop.call_later(action.delay / NS_PER_S, self._process, api.Alarm(action.token))
+            case api.SetTimer():
+                self.loop.call_later(action.delay / NS_PER_S, self._process, api.TimerFired(action.token))
             case api.Watch():
                 self.start_watch()
-            case api.Tell():
+            case api.PublishGossip():
                 self.publish(action)
             case api.Log():
                 log.info("%s", action.text)
@@ -262,7 +268,7 @@
             lambda result: self._attempt_ended(attempt, result),
             lambda size, source: self._start_stream(attempt, size, source),
             self.memory,
-            start_by=action.begin_by or math.inf,
+            start_by=action.start_by or math.inf,
             still_wanted=lambda: self._still_wanted(attempt),
         )
         if not pool.start(attempt.exchange):
@@ -311,17 +317,17 @@
         self._close(request)
         request.stream = Stream(size, source)
         request.reply.begin(request.stream)
-        self._process(api.Opened(request.id, attempt.number, attempt.server))
+        self._process(api.StreamOpened(request.id, attempt.number, attempt.server))
         return request.stream
 
     def _end_stream(self, request: PendingRequest, stream: Stream, status: api.Status) -> None:
         request.stream = None
         if status is api.Status.OK:
-            self.figures.answered(request.call.class_name, Answered.OK)
+            self.figures.count_response(request.call.class_name, ResponseResult.OK)
             stream.end()
         elif status is not api.Status.CANCELLED:  # a cancellation by the client is not counted as an error
             log.debug("request %s: stream aborted: %s", request.id, status)
-            self.figures.answered(request.call.class_name, Answered.ERRORS)
+            self.figures.count_response(request.call.class_name, ResponseResult.ERRORS)
             request.reply.break_off()
 
     def _attempt_ended(self, attempt: Attempt, result: AttemptResult) -> None:
@@ -331,13 +337,13 @@
         carrier = self._carrier(attempt)
         connected = carrier is not None and carrier.connected
         request.attempt = attempt.exchange = None  # breaks the reference cycle between attempt and exchange
-        request.local_failures += result.status in api.NOT_BEGUN
+        request.local_failures += result.status in api.NOT_STARTED
         if attempt.timer is not None:
             attempt.timer.cancel()
         if request.stream is not None:
             self._end_stream(request, request.stream, result.status)
         elif result.status is api.Status.OK and request.open:
-            self._answer(request, resp.bulk(result.value), Answered.OK)
+            self._answer(request, resp.bulk(result.value), ResponseResult.OK)
         self._report_outcome(attempt, result, connected)
         self._remove_if_done(request)
 
@@ -366,8 +372,8 @@
             )
         )
 
-    def _answer(self, request: PendingRequest, answer: bytes, outcome: Answered) -> None:
-        self.figures.answered(request.call.class_name, outcome)
+    def _answer(self, request: PendingRequest, answer: bytes, outcome: ResponseResult) -> None:
+        self.figures.count_response(request.call.class_name, outcome)
         log.debug("request %s answered: %.16r", request.id, answer)
         self._close(request)
         request.reply.fill(answer)
@@ -385,4 +391,4 @@
     def _remove_if_done(self, request: PendingRequest) -> None:
         """Removes a request that is answered and has no attempt in flight."""
         if not request.open and request.attempt is None and self.requests.pop(request.id, None) is not None:
-            self.memory.free(request.call.size)
+            self.memory.release(request.call.size)
--- a/applehub/node/http1.py
+++ b/applehub/node/http1.py
@@ -5,7 +5,7 @@
 
 import h11
 
-from applehub.node.stream import pieces_of
+from applehub.node.stream import chunks_of
 
 
 class HttpError(ValueError):
@@ -60,7 +60,7 @@
         if body is not None:
             all_headers.append((b"Content-Length", b"%d" % len(body)))
         head = self.connection.send(h11.Request(method=method, target=target, headers=all_headers)) or b""
-        for piece in pieces_of(body or b""):
+        for piece in chunks_of(body or b""):
             # The piece itself is written, so that a long body is not copied; h11 only counts its length.
             self.connection.send_with_data_passthrough(h11.Data(data=piece))  # type: ignore[arg-type]
             yield b"".join((head, piece)) if head else piece
--- a/applehub/node/listener.py
+++ b/applehub/node/listener.py
@@ -100,7 +100,7 @@
 
     def connection_closed(self, client: ClientConnection) -> None:
         self.lingering.pop(client, None)
-        self.driver.room.release(client.buffered_bytes + client.reserved_bytes)
+        self.driver.memory.release(client.buffered_bytes + client.reserved_bytes)
         client.buffered_bytes = client.reserved_bytes = 0
         self._check_empty()
 
--- a/applehub/node/operator_overrides.py
+++ b/applehub/node/operator_overrides.py
@@ -23,7 +23,10 @@
     """Applies overrides to the directory and the policy; shares them with the router's other process."""
 
     def __init__(
-        self, directory: Directory, send_event: Callable[[api.ByHand], None], shared_state: SharedState
+        self,
+        directory: Directory,
+        send_event: Callable[[api.ServerOverride], None],
+        shared_state: SharedState,
     ) -> None:
         """send_event: passes an event to the policy. shared_state: holds the override file."""
         self.directory, self.send_event, self.file = directory, send_event, shared_state.override_file
@@ -116,7 +119,7 @@
             # The policy may choose a server only while its connection pool is open. Closing the pool fails
             # its attempts back to the policy, which must already know that the server is out of service.
             if not override.offline:
-                self.directory.leave_out(server, False)
-            self.send_event(api.ByHand(server, override.offline, max(1, override.accepted_ns)))
+                self.directory.set_excluded(server, False)
+            self.send_event(api.ServerOverride(server, override.offline, max(1, override.accepted_ns)))
             if override.offline:
-                self.directory.leave_out(server, True)
+                self.directory.set_excluded(server, True)
--- a/applehub/node/origin.py
+++ b/applehub/node/origin.py
@@ -6,9 +6,9 @@
 from applehub.interface import Status
 from applehub.node.call import AttemptResult, Exchange, read_load
 from applehub.node.http1 import HttpClient, HttpError, HttpResponse
-from applehub.node.memory_budget import LONG_PART, MemoryBudget
+from applehub.node.memory_budget import LONG_VALUE_FRACTION, MemoryBudget
 from applehub.node.pool import Connection, Pool
-from applehub.node.resp import MOST_LONG, MOST_VALUE
+from applehub.node.resp import MAX_BUFFERED_VALUE, MAX_LONG_VALUE
 
 
 def result_of(response: HttpResponse) -> AttemptResult:
@@ -30,7 +30,10 @@
     def __init__(self, pool: Pool) -> None:
         super().__init__(pool)
         self.http = HttpClient(
-            f"{pool.endpoint[0]}:{pool.endpoint[1]}", MOST_VALUE, self._start_stream, self._reserve_body
+            f"{pool.endpoint[0]}:{pool.endpoint[1]}",
+            MAX_BUFFERED_VALUE,
+            self._start_stream,
+            self._reserve_body,
         )
         self.memory: MemoryBudget | None = None  # accounts for a long body without a Content-Length
         self.reserved = 0  # bytes reserved for it
@@ -42,7 +45,7 @@
         yield from self.http.request(b"GET" if call.value is None else b"PUT", target, headers, call.value)
 
     def _start_stream(self, size: int) -> Callable[[bytes], None] | None:
-        stream = self.exchange.on_long_value(size, self) if self.exchange and size <= MOST_LONG else None
+        stream = self.exchange.on_long_value(size, self) if self.exchange and size <= MAX_LONG_VALUE else None
         return stream.feed if stream is not None else None
 
     def _reserve_body(self, length: int) -> bool:
@@ -52,17 +55,17 @@
         it is too long, no memory is left or no client waits.
         """
         exchange = self.exchange
-        if exchange is None or exchange.memory is None or length > MOST_LONG:
+        if exchange is None or exchange.memory is None or length > MAX_LONG_VALUE:
             return False
         self.memory = exchange.memory
-        if not self.memory.reserve(length - self.reserved, LONG_PART):
+        if not self.memory.reserve(length - self.reserved, LONG_VALUE_FRACTION):
             return False
         self.reserved = length
         return True
 
     def _release_memory(self) -> None:
         if self.memory is not None:
-            self.memory.free(self.reserved)
+            self.memory.release(self.reserved)
         self.memory, self.reserved = None, 0
 
     def finish(self, result: AttemptResult, reusable: bool = True) -> None:
--- a/applehub/node/peering.py
+++ b/applehub/node/peering.py
@@ -11,7 +11,7 @@
 
 from applehub import interface as api
 from applehub.node.pool import Endpoint
-from applehub.peers.agent import GossipAgent, Outgoing
+from applehub.peers.agent import GossipAgent, OutgoingDatagram
 from applehub.peers.codec import MAX_NAME_BYTES, Peer, PeerState
 from applehub.peers.policy_adapter import PolicyAdapter
 from applehub.settings import SettingError, setting
@@ -73,7 +73,7 @@
         self,
         config: PeersConfig,
         name: str,
-        notify: Callable[[api.Fleet], None],
+        notify: Callable[[api.GossipSummary], None],
         servers: Callable[[], Iterable[str]],
         kinds: Callable[[], dict[str, int]],
     ) -> None:
@@ -132,9 +132,9 @@
         self._send(self.adapter.agent.tick(now))
         if loop.time() - self.reported_at >= REPORT_INTERVAL:
             self.reported_at = loop.time()
-            self.notify(self.adapter.fleet_event(now, self.servers(), self.kinds()))
+            self.notify(self.adapter.gossip_summary(now, self.servers(), self.kinds()))
 
-    def _send(self, outgoing: list[Outgoing]) -> None:
+    def _send(self, outgoing: list[OutgoingDatagram]) -> None:
         if self.transport is None or self.transport.is_closing():
             return
         for destination, data in outgoing:
@@ -145,7 +145,7 @@
             if address is not None:
                 self.transport.sendto(data, address)
 
-    def publish(self, report: api.Tell) -> None:
+    def publish(self, report: api.PublishGossip) -> None:
         """Publishes what the balancer reports to the other routers."""
         self.adapter.publish(time.monotonic_ns(), report, self.kinds())
 
@@ -156,8 +156,8 @@
         """
         self.config = PeersConfig(self.config.fleet, self.config.listen, config.routers, config.period)
         membership = self.adapter.agent.membership
-        membership.configured_names = [one for one in config.routers if one != membership.me.name]
-        membership.set_period(int(config.period * 1e9))
+        membership.configured_names = [one for one in config.routers if one != membership.local_peer.name]
+        membership.set_tick_interval(int(config.period * 1e9))
 
     def lines(self) -> list[str]:
         """Returns the metrics of the gossip, each as `peers.NAME=VALUE`."""
@@ -165,15 +165,15 @@
         view = agent.view(time.monotonic_ns())
         values: dict[str, int] = {
             "routers": view.routers,
-            "limits_heard": view.limits,
-            "rate": round(view.rate),
-            "spent": round(view.spent),
-            "accused": len(view.accused),
-            **{f"age_ms.{name}": age // NS_PER_MS for name, age in view.ages.items()},
-            "sent": agent.sent,
-            "taken": agent.accepted,
+            "limits_heard": view.limit_reporters,
+            "rate": round(view.throttle_rate),
+            "spent": round(view.spend_rate),
+            "accused": len(view.failure_reports),
+            **{f"age_ms.{name}": age // NS_PER_MS for name, age in view.max_record_ages.items()},
+            "sent": agent.datagrams_sent,
+            "taken": agent.datagrams_accepted,
             "bytes": agent.bytes_sent,
-            **{f"dropped.{reason}": count for reason, count in sorted(agent.dropped.items())},
+            **{f"dropped.{reason}": count for reason, count in sorted(agent.drop_counts.items())},
         }
         return [f"peers.{name}={value}" for name, value in values.items()]
 
--- a/applehub/node/persisted_statistics.py
+++ b/applehub/node/persisted_statistics.py
@@ -30,7 +30,7 @@
 class PersistedStatistics:
     """The statistics of servers: loaded once at the start, then saved every few seconds."""
 
-    def __init__(self, folder: str, get_statistics: Callable[[], api.Learnt]) -> None:
+    def __init__(self, folder: str, get_statistics: Callable[[], api.SavedStatistics]) -> None:
         """get_statistics: returns the current statistics. Raises OSError if the folder cannot be created."""
         self.saver, self.get_statistics = (
             Saver(folder, "learnt", FORMAT_VERSION, "server statistics"),
@@ -39,7 +39,7 @@
         self.boot_id = boot_id()
         self.save_task: asyncio.Task[None] | None = None
 
-    def load(self) -> api.Learnt | None:
+    def load(self) -> api.SavedStatistics | None:
         """Returns the statistics of the previous process, with their age.
 
         Returns None if there are none, if they cannot be read, or if their age is unknown.
@@ -50,14 +50,16 @@
         try:
             stored = orjson.loads(value)
             age = self._age(stored)
-            servers = {name: api.Seen(*map(float, fields)) for name, fields in stored["servers"].items()}
+            servers = {
+                name: api.ServerStatistics(*map(float, fields)) for name, fields in stored["servers"].items()
+            }
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             log.warning("stored server statistics ignored: %s: %s", type(error).__name__, error)
             return None
         if age is None or age < 0:
             log.info("stored server statistics ignored: their age is unknown")
             return None
-        return api.Learnt(age, servers)
+        return api.SavedStatistics(age, servers)
 
     def _age(self, stored: Json) -> int | None:
         """Returns the age of statistics (ns); None or a negative value if unknown. Raises KeyError."""
@@ -78,7 +80,12 @@
 
     def _value(self) -> bytes:
         servers = {
-            name: (round(seen.latency), round(seen.base), round(seen.held, 3), round(seen.share, 4))
+            name: (
+                round(seen.latency),
+                round(seen.base_latency),
+                round(seen.mean_in_flight, 3),
+                round(seen.range_fraction, 4),
+            )
             for name, seen in self.get_statistics().servers.items()
         }
         times = {
--- a/applehub/node/pool.py
+++ b/applehub/node/pool.py
@@ -14,10 +14,10 @@
 from collections.abc import Callable, Iterator
 from typing import cast
 
-from applehub.interface import NOT_BEGUN, Status
+from applehub.interface import NOT_STARTED, Status
 from applehub.node.call import AttemptResult, Exchange, NoTimeLeftError
-from applehub.node.stream import Reader
-from applehub.node.unread import Unread
+from applehub.node.stream import SharedBufferProtocol
+from applehub.node.unread import UnreadInput
 
 MAX_IDLE_SECONDS = 10.0  # a connection that is idle for longer is closed
 # Fraction of the server's keepalive time after which an idle connection is closed, before the server closes
@@ -53,7 +53,7 @@
     return Status.UNREACHABLE if error.errno in NO_ROUTE_ERRNOS else Status.CONNECT_FAILED
 
 
-class Connection(Reader):
+class Connection(SharedBufferProtocol):
     """A connection that carries one attempt at a time and reports its result."""
 
     def __init__(self, pool: "Pool") -> None:
@@ -162,7 +162,7 @@
         or would be matched with that response.
         """
         is_open = self.transport is not None and not self.transport.is_closing()
-        return is_open and not self.unread.waits()
+        return is_open and not self.unread.pending()
 
     def pause(self) -> None:
         if self.transport is not None:
@@ -196,7 +196,7 @@
         if self.unsent:
             # A server that accepted the connection is reachable, even if the network broke it.
             status = Status.MOOT if self.accepted else self.connect_failure
-            if isinstance(error, OSError) and status_of_failed_connect(error) in NOT_BEGUN:
+            if isinstance(error, OSError) and status_of_failed_connect(error) in NOT_STARTED:
                 status = status_of_failed_connect(error)  # the write failed on this machine
         log.debug("connection lost: request %s, server %s:%d", self._request_id(), *self.pool.endpoint)
         self.pool.drop(self)
@@ -214,7 +214,7 @@
             # After EAGAIN, asyncio treats the connect as pending and then the closed socket as connected.
             # Such a socket has no peer, and the first write to it fails.
             self.connect_failure = Status.LOCAL_FAILURE
-        self.unread = Unread(self.transport.get_extra_info("socket"))
+        self.unread = UnreadInput(self.transport.get_extra_info("socket"))
         self.transport.set_write_buffer_limits(0)  # pause_writing is called as soon as one byte is buffered
         if self.exchange is None:
             self.close()
--- a/applehub/node/router.py
+++ b/applehub/node/router.py
@@ -8,11 +8,11 @@
 from applehub import interface as api
 from applehub.node.configuration import Configuration, ConfigurationError, read_configuration
 from applehub.node.console import CommandError, Console, Handler
-from applehub.node.descriptors import Places, share_out
+from applehub.node.descriptors import ConnectionLimits, allocate_descriptors
 from applehub.node.discovery import Directory, ListError
 from applehub.node.driver import Driver
-from applehub.node.listener import Clients
-from applehub.node.memory_budget import bytes_for_values
+from applehub.node.listener import ClientListener
+from applehub.node.memory_budget import buffer_limit_bytes
 from applehub.node.metrics import Metrics
 from applehub.node.operator_overrides import OperatorOverrides
 from applehub.node.pool import Pools
@@ -57,15 +57,17 @@
         self.pools = Pools(0, limits.dial_timeout / NS_PER_S, limits.keepalive / NS_PER_S)
         self.balancer = Balancer(settings, configuration.seed)
         self.driver = Driver(self.balancer, self.pools, limits.max_in_flight, self.metrics)
-        self.clients = Clients(self.driver, names, self._connection_limits())
-        self.directory = Directory(names, _origin_kind(settings), self.pools, self.driver.tell)
-        self.watch = Watch(configuration.discovery, self.directory, configuration.seed, settings.must_ask)
-        self.driver.watch = self.watch.start
+        self.clients = ClientListener(self.driver, names, self._connection_limits())
+        self.directory = Directory(names, _origin_kind(settings), self.pools, self.driver.notify)
+        self.watch = Watch(
+            configuration.discovery, self.directory, configuration.seed, settings.list_on_request
+        )
+        self.driver.start_watch = self.watch.start
         self.clients.can_serve = lambda: self.directory.can_serve
         self.shared_state = self._open_shared_state()
         self.overrides: OperatorOverrides | None = None
         if self.shared_state is not None:
-            self.overrides = OperatorOverrides(self.directory, self.driver.tell, self.shared_state)
+            self.overrides = OperatorOverrides(self.directory, self.driver.notify, self.shared_state)
         self.peering = self._create_peering()
         self.persisted_list: PersistedList | None = None
         self.persisted_statistics: PersistedStatistics | None = None
@@ -92,10 +94,10 @@
 
         configuration.settings.peers = True
         peering = Peering(
-            configuration.peers, configuration.name, self.driver.tell, lambda: self.directory.targets,
+            configuration.peers, configuration.name, self.driver.notify, lambda: self.directory.targets,
             lambda: self.configuration.names.kinds,
         )  # fmt: skip
-        self.driver.say = peering.say
+        self.driver.publish = peering.publish
         return peering
 
     def _open_persisted(self) -> None:
@@ -108,17 +110,17 @@
 
         try:
             self.persisted_list = PersistedList(folder)
-            self.persisted_statistics = PersistedStatistics(folder, self.balancer.learnt)
+            self.persisted_statistics = PersistedStatistics(folder, self.balancer.statistics)
         except OSError as error:
             raise ConfigurationError(f"state_dir: {error}") from None
-        self.directory.took = self.persisted_list.update
+        self.directory.on_update = self.persisted_list.update
 
     def _register_gauges(self) -> None:
         self.metrics.gauges |= {
-            "tries": lambda: self.pools.written,
+            "tries": lambda: self.pools.attempts_written,
             "active": lambda: self.driver.active,
-            "pool_size": lambda: self.directory.size,
-            "pool_ejected": lambda: self.balancer.roster.avoided,
+            "pool_size": lambda: self.directory.cache_count,
+            "pool_ejected": lambda: self.balancer.server_table.excluded_count,
         }
 
     def _console_commands(self) -> dict[str, Handler]:
@@ -139,8 +141,10 @@
             raise CommandError("not ready")
         return "+OK"
 
-    def _connection_limits(self) -> Places:
-        return share_out(self.configuration.max_descriptors, self.configuration.console is not None)
+    def _connection_limits(self) -> ConnectionLimits:
+        return allocate_descriptors(
+            self.configuration.max_descriptors, self.configuration.console is not None
+        )
 
     def _apply_limits(self, processes: int) -> None:
         """Applies this process's part of the configured limits.
@@ -148,10 +152,10 @@
         processes: number of running processes of this router.
         """
         self.processes = processes
-        self.clients.places = self._connection_limits()
-        self.pools.most = self.clients.places.pools // processes
-        self.driver.room.most = bytes_for_values(self.configuration.memory_limit_mb, processes)
-        self.driver.tell(api.Copies(processes))
+        self.clients.connection_limits = self._connection_limits()
+        self.pools.max_connections = self.clients.connection_limits.server_connections // processes
+        self.driver.memory.limit = buffer_limit_bytes(self.configuration.memory_limit_mb, processes)
+        self.driver.notify(api.ProcessCount(processes))
 
     def _poll_shared_state(self) -> None:
         """Applies changes by the other process, and detects its start and end; reschedules itself."""
@@ -179,7 +183,7 @@
         self.metrics.config_applied += 1
         log.info("told to reload: discovery at %s:%d", *configuration.discovery[0])
         self._apply(configuration)
-        self.watch.move(configuration.discovery)
+        self.watch.set_endpoints(configuration.discovery)
 
     def _apply(self, configuration: Configuration) -> None:
         """Applies a reloaded configuration to every component that depends on it."""
@@ -189,15 +193,15 @@
         self.directory.origin_kind = _origin_kind(settings)
         self.configuration = configuration
         self.metrics.add_classes(list(names.classes))
-        self.driver.most_held = limits.max_in_flight
-        self.pools.limit_times(limits.dial_timeout / NS_PER_S, limits.keepalive / NS_PER_S)
-        self.watch.must_ask = settings.must_ask
+        self.driver.max_requests = limits.max_in_flight
+        self.pools.set_timeouts(limits.dial_timeout / NS_PER_S, limits.keepalive / NS_PER_S)
+        self.watch.must_ask = settings.list_on_request
         self._apply_limits(self.processes)
         if self.peering is not None:
             settings.peers = True
             if configuration.peers is not None:
-                self.peering.move(configuration.peers)
-        self.driver.tell(api.Retuned(settings))
+                self.peering.reconfigure(configuration.peers)
+        self.driver.notify(api.SettingsChanged(settings))
 
     def _keep_indexes(self, configuration: Configuration) -> None:
         """Keeps the indexes of known zones and kinds, since listed servers refer to them."""
@@ -218,7 +222,7 @@
         self._restore_statistics()
         self._poll_shared_state()
         await self._listen()
-        if not configuration.settings.must_ask:
+        if not configuration.settings.list_on_request:
             self.watch.start()
         if self.peering is not None:
             await self.peering.start()
@@ -229,7 +233,7 @@
             initial_list = self.configuration.initial_list
             if self.persisted_list is not None:
                 initial_list = self.persisted_list.load(initial_list)
-            self.directory.take(initial_list, cached=True)
+            self.directory.apply(initial_list, cached=True)
         except ListError as error:
             log.warning("initial server list rejected: %s", error)
 
@@ -240,7 +244,7 @@
         statistics = self.persisted_statistics.load()
         if statistics is not None:
             log.info("restored statistics: %d servers", len(statistics.servers))
-            self.driver.tell(statistics)
+            self.driver.notify(statistics)
         self.persisted_statistics.start()
 
     async def _listen(self) -> None:
@@ -266,11 +270,11 @@
             await asyncio.sleep(ACCEPT_AFTER_SIGTERM)
         else:
             self.clients.hand_over()
-            await self.clients.emptied(killed_at - CLOSE_IDLE_BEFORE_KILL - loop.time())
-        await self.clients.shut(killed_at - ANSWER_BEFORE_KILL - loop.time())
+            await self.clients.wait_empty(killed_at - CLOSE_IDLE_BEFORE_KILL - loop.time())
+        await self.clients.shut_down(killed_at - ANSWER_BEFORE_KILL - loop.time())
         if self.peering is not None:
             self.peering.stop()
-        await self.clients.emptied(killed_at - EXIT_BEFORE_KILL - loop.time())
+        await self.clients.wait_empty(killed_at - EXIT_BEFORE_KILL - loop.time())
         self.watch.stop()
         if self.persisted_list is not None:
             self.persisted_list.close()
@@ -281,4 +285,4 @@
 
 def _origin_kind(settings: api.Settings) -> int:
     """Returns the index of the origin's kind; -1 if caches fetch from the origin themselves."""
-    return settings.origin_kind if settings.aside else -1
+    return settings.origin_kind if settings.cache_aside else -1
--- a/applehub/node/saver.py
+++ b/applehub/node/saver.py
@@ -37,7 +37,7 @@
         except OSError as error:
             log.warning("stored %s ignored: %s", self.label, error)
             return None
-        for reason in loaded.passed_over:
+        for reason in loaded.skipped_files:
             log.warning("stored %s ignored: %s", self.label, reason)
         return loaded.value
 
--- a/applehub/peers/policy_adapter.py
+++ b/applehub/peers/policy_adapter.py
@@ -22,42 +22,44 @@
         self.published_verdicts: set[str] = set()  # names of servers with a published verdict
         self.limits_published_at = -LIMIT_PUBLISH_INTERVAL
 
-    def publish(self, now: int, report: api.Tell, kinds: dict[str, int]) -> None:
+    def publish(self, now: int, report: api.PublishGossip, kinds: dict[str, int]) -> None:
         """Publishes a report of the decision module. kinds: index of each server kind, by name."""
         self._publish_verdicts(now, report)
         if now - self.limits_published_at < LIMIT_PUBLISH_INTERVAL or not self.agent.publishes_limits:
             return
         self.limits_published_at = now
-        self.agent.publish(now, Limit(report.rate, report.spent))
+        self.agent.publish(now, Limit(report.throttle_rate, report.spend_rate))
         kind_fractions = [
-            (digest(name), report.shares[kind]) for name, kind in kinds.items() if kind in report.shares
+            (digest(name), report.range_fractions[kind])
+            for name, kind in kinds.items()
+            if kind in report.range_fractions
         ]
         self.agent.publish(now, Shares(self._select_kind_fractions(kind_fractions)))
 
-    def gossip_summary(self, now: int, servers: Iterable[str], kinds: dict[str, int]) -> api.Fleet:
+    def gossip_summary(self, now: int, servers: Iterable[str], kinds: dict[str, int]) -> api.GossipSummary:
         """Returns the state of the fleet for the decision module, restricted to the servers and kinds given.
 
         servers: names of the servers on the endpoint list. kinds: index of each server kind, by name.
         """
         view = self.agent.view(now)
-        fleet = api.Fleet(view.routers)
+        fleet = api.GossipSummary(view.routers)
         for name, kind in kinds.items():
             fraction = view.range_fractions.get(digest(name))
             if fraction is not None:
-                fleet.shares[kind] = fraction
+                fleet.range_fractions[kind] = fraction
         if view.failure_reports:
             for name in servers:
                 reports = view.failure_reports.get(digest(name))
                 if reports is not None:
-                    fleet.accused[name] = (reports.failing, reports.reporters)
+                    fleet.failure_reports[name] = (reports.failing, reports.reporters)
         return fleet
 
-    def _publish_verdicts(self, now: int, report: api.Tell) -> None:
+    def _publish_verdicts(self, now: int, report: api.PublishGossip) -> None:
         for name, attempts in report.failing.items():
             self.agent.publish(now, Verdict(True, attempts), digest(name))
-        for name in report.vouched:
+        for name in report.healthy:
             self.agent.publish(now, Verdict(False, 0), digest(name))
-        reported = report.failing.keys() | set(report.vouched)
+        reported = report.failing.keys() | set(report.healthy)
         for name in self.published_verdicts - reported:
             self.agent.publish(now, Verdict(False, 0), digest(name))
             self.agent.withdraw(Verdict, digest(name))
--- a/applehub/registry/listener.py
+++ b/applehub/registry/listener.py
@@ -8,7 +8,7 @@
 import socket
 from collections.abc import Callable
 
-from applehub.node.accepting import BROKEN, OUTAGE_APART, RETRY
+from applehub.node.accepting import BROKEN_CONNECTION_ERRORS, FAILURE_LOG_INTERVAL, RETRY_DELAY
 
 BACKLOG = 1024  # pending connections; thousands of routers may connect at once
 ACCEPT_BATCH = 64  # connections accepted per event loop iteration, so that other tasks are not delayed
@@ -50,7 +50,7 @@
         except OSError as error:
             self._log_failure(error)
             self._loop.remove_reader(self._socket)
-            self._retry = self._loop.call_later(RETRY, self._resume_accepting)
+            self._retry = self._loop.call_later(RETRY_DELAY, self._resume_accepting)
 
     def _accept_batch(self) -> None:
         """Accepts up to one batch of pending connections.
@@ -63,7 +63,7 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                if error.errno not in BROKEN:
+                if error.errno not in BROKEN_CONNECTION_ERRORS:
                     raise
                 reset_error = error
                 continue
@@ -83,8 +83,8 @@
     def _log_failure(self, error: OSError) -> None:
         """Logs only the first failure of an outage, to limit the number of log lines."""
         now = self._loop.time()
-        if now - self._failed_at > OUTAGE_APART:
-            log.error("accept fails, retrying every %.0f ms: %s", RETRY * 1000, error)
+        if now - self._failed_at > FAILURE_LOG_INTERVAL:
+            log.error("accept fails, retrying every %.0f ms: %s", RETRY_DELAY * 1000, error)
         self._failed_at = now
 
     def _resume_accepting(self) -> None:
--- a/applehub/settings.py
+++ b/applehub/settings.py
@@ -69,13 +69,13 @@
     path = f"classes[{index}]"
     # A class without `effect` counts as not idempotent, so that its requests never run twice.
     return io.RequestClass(
-        aim=_count(source, f"{path}.aim", 1),
+        latency_objective=_count(source, f"{path}.aim", 1),
         deadline=_count(source, f"{path}.deadline", 1),
         effect=io.Effect(_choice(source, f"{path}.effect", tuple(io.Effect), io.Effect.UNSAFE)),
         group=_choice(source, f"{path}.group", ("all", "zone", "cell"), "cell"),
-        window=_count(source, f"{path}.repeatWindow", 0, 0),
-        worth=_number(source, f"{path}.gain", 0, 1),
-        late_worth=_number(source, f"{path}.lateWorth", 0, 0),
+        idempotency_window=_count(source, f"{path}.repeatWindow", 0, 0),
+        priority_weight=_number(source, f"{path}.gain", 0, 1),
+        late_weight=_number(source, f"{path}.lateWorth", 0, 0),
         stream=setting(source, f"{path}.stream", bool, False),
     )
 
@@ -91,22 +91,22 @@
     cache = setting(info, "specifics", dict, {})
     return io.Settings(
         classes=[_request_class(entry, index) for index, entry in enumerate(classes)],
-        balancers=_count(info, "balancers", 1, 1),
+        router_count=_count(info, "balancers", 1, 1),
         tenants=[
             io.Tenant(_number(entry, f"tenants[{n}].quotaRps", 0, 0)) for n, entry in enumerate(tenants)
         ],
-        aside=_choice(cache, "specifics.mode", CACHE_MODES, "through") == "aside",
+        cache_aside=_choice(cache, "specifics.mode", CACHE_MODES, "through") == "aside",
         origin_kind=_count(cache, "specifics.originKind", -1, -1),
-        must_ask=_choice(info, "registryMode", REGISTRY_MODES, "pushed") == "on_request",
+        list_on_request=_choice(info, "registryMode", REGISTRY_MODES, "pushed") == "on_request",
         retry_after=setting(ceilings, "ceilings.retryAfter", bool, False),
         max_retry_after=_count(ceilings, "ceilings.maxRetryAfter", 0, 0),
         max_attempts=_count(ceilings, "ceilings.attemptsCap", 1, 1),
         connect_timeout=_count(ceilings, "ceilings.dialTimeout", 0, 250_000_000),
-        ask_within=_count(safety, "safety.askWithin", 0, 10_000_000_000),
-        cold_from=_number(safety, "safety.coldFrom", 0, 1),
-        ramp_time=_count(safety, "safety.rampTime", 0, 0),
-        tip_multiple=_number(safety, "safety.tipMultiple", 0, 1),
-        fall_time=_count(safety, "safety.fall", 0, 1_000_000_000),
+        max_poll_interval=_count(safety, "safety.askWithin", 0, 10_000_000_000),
+        slow_start_capacity=_number(safety, "safety.coldFrom", 0, 1),
+        slow_start_time=_count(safety, "safety.rampTime", 0, 0),
+        overload_factor=_number(safety, "safety.tipMultiple", 0, 1),
+        overload_window=_count(safety, "safety.fall", 0, 1_000_000_000),
     )
 
 
--- a/applehub/wirehost.py
+++ b/applehub/wirehost.py
@@ -9,7 +9,7 @@
 
 from applehub import interface as io
 from applehub.policy import Balancer
-from applehub.settings import LOAD, Json, SettingError, read_settings
+from applehub.settings import LOAD_FIELDS, Json, SettingError, read_settings
 
 STATUS = {
     "completed": io.Status.OK,
@@ -62,7 +62,11 @@
     if not report:
         return None
     return io.LoadReport(
-        **{LOAD[name]: value for name, value in report.items() if name in LOAD and value is not None}
+        **{
+            LOAD_FIELDS[name]: value
+            for name, value in report.items()
+            if name in LOAD_FIELDS and value is not None
+        }
     )
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -17,26 +17,26 @@
 
 # Tests that take more than half a minute on a busy machine, the slowest first.
 SLOW_TESTS = (
-    "test_the_model_holds_and_each_mutant_is_found",
-    "test_after_an_outage_all_routers_have_the_list_in_the_time_that_their_calls_take",
-    "test_the_same_file_and_seed_give_the_same_bytes",
+    "test_invariants_hold_and_each_mutant_is_detected",
+    "test_all_routers_get_list_in_time_after_outage",
+    "test_results_are_reproducible_and_resumable",
     "test_rules_hold_over_random_legal_sequences",
-    "test_the_lab_measures_the_sum_beside_its_bound",
-    "test_every_order_of_steps_crashes_and_lost_messages_keeps_the_rules",
-    "test_each_message_crash_and_sync_by_itself",
-    "test_a_controller_killed_between_any_two_steps_does_none_twice",
-    "test_of_many_servers_one_that_leaves_moves_its_own_keys_at_once_and_the_others_in_a_turn",
-    "test_each_of_many_servers_is_reached_within_the_places_for_connections",
+    "test_cold_command_measures_the_load_against_the_bound",
+    "test_model_has_no_violation_with_crashes_and_failed_steps",
+    "test_invariants_hold_with_separate_messages_crashes_and_syncs",
+    "test_killed_controller_repeats_no_step",
+    "test_removed_server_moves_its_own_keys_at_once_and_other_keys_gradually",
+    "test_all_of_many_servers_are_reached_within_the_connection_limit",
     "test_a_listed_test_is_left_out_and_run_and_printed",
-    "test_a_start_is_right_from_every_state_that_a_loss_of_power_leaves",
-    "test_no_acknowledged_change_is_lost_when_primaries_are_killed_and_stopped",
+    "test_store_recovers_from_every_power_loss_state",
+    "test_acknowledged_changes_survive_killed_and_suspended_leaders",
 )
 # Tests in real time, whose result depends on how soon a process gets a core.
 EXCLUSIVE_TESTS = (
     "test_a_good_router_holds_and_each_bad_variant_is_found",
-    "test_a_load_reaches_the_router_and_each_request_is_counted_once",
-    "test_the_demo_shows_a_newcomer_what_the_router_does",
-    "test_the_program_s_routers_take_up_lists_on_the_machine_s_own_clock",
+    "test_load_counts_each_request_once",
+    "test_demo_prints_the_answers_and_counters",
+    "test_routers_apply_lists_on_the_real_clock",
     "test_all_read_requests_are_answered_before_sigkill_while_servers_hang",
 )
 # Accepts examples that are slow because the machine is busy, but not examples that hang.
--- a/tests/measure_sizes.py
+++ b/tests/measure_sizes.py
@@ -15,7 +15,7 @@
 
 import psutil
 from peers import entry, info
-from popularity_trials import trial
+from popularity_trials import run_trial
 from support import MILLI, SECOND
 
 from applehub import interface as api
@@ -27,7 +27,7 @@
 from applehub.peers.codec import Peer, PeerState
 from applehub.peers.records import RETENTION, Limit, Record, Shares, Verdict, digest
 from applehub.policy import Balancer
-from applehub.policy.keys import DEALS_KEPT
+from applehub.policy.keys import MAX_ASSIGNMENTS
 from applehub.settings import read_names, read_settings
 
 RUNS = 5
@@ -59,17 +59,17 @@
     """Measures the cost of a list in the directory, the pools and the policy of one router."""
     settings = read_settings({**info(), "balancers": servers})
     driver = Driver(Balancer(settings, 1), Pools(64, 0.25, 60.0), 100, Metrics())
-    directory = Directory(read_names(info()), 1, driver.pools, driver.tell)
+    directory = Directory(read_names(info()), 1, driver.pools, driver.notify)
     listed = [entry(f"c{number}", f"10.0.{number // 200}.{number % 200}:6379") for number in range(servers)]
     body = json.dumps({"rev": 1, "all": True, "targets": listed}).encode()
     rss_without_list = resident_mb()
-    full_update = cpu_seconds(lambda: directory.take(json.loads(body)))
+    full_update = cpu_seconds(lambda: directory.apply(json.loads(body)))
     rss_with_list = resident_mb()
 
     def apply_updates() -> None:
         for number in range(LIST_UPDATES):
             state = ("Terminating", "Ready")[number % 2]
-            directory.take({"rev": 2 + number, "all": False, "targets": [{**listed[0], "state": state}]})
+            directory.apply({"rev": 2 + number, "all": False, "targets": [{**listed[0], "state": state}]})
 
     return {
         "list, kB": len(body) / KILOBYTE,
@@ -89,17 +89,20 @@
     before = tracemalloc.get_traced_memory()[0]
     balancer = Balancer(settings, 1)
     driver = Driver(balancer, Pools(64, 0.25, 60.0), 100, Metrics())
-    directory = Directory(read_names(info()), 1, driver.pools, driver.tell)
-    directory.take(json.loads(body))
+    directory = Directory(read_names(info()), 1, driver.pools, driver.notify)
+    directory.apply(json.loads(body))
     gc.collect()
     one_list = tracemalloc.get_traced_memory()[0] - before
-    for number in range(4 * DEALS_KEPT):
+    for number in range(4 * MAX_ASSIGNMENTS):
         state = ("Terminating", "Ready")[number % 2]
-        directory.take({"rev": 2 + number, "all": False, "targets": [{**listed[0], "state": state}]})
+        directory.apply({"rev": 2 + number, "all": False, "targets": [{**listed[0], "state": state}]})
     gc.collect()
     many_lists = tracemalloc.get_traced_memory()[0] - before
-    assert len(balancer.roster.ranges.deals) == DEALS_KEPT
-    return {"held, kB": one_list / KILOBYTE, f"with {DEALS_KEPT} lists remembered, kB": many_lists / KILOBYTE}
+    assert len(balancer.server_table.ranges.assignments) == MAX_ASSIGNMENTS
+    return {
+        "held, kB": one_list / KILOBYTE,
+        f"with {MAX_ASSIGNMENTS} lists remembered, kB": many_lists / KILOBYTE,
+    }
 
 
 def measure_decisions(servers: int) -> Measurements:
@@ -122,13 +125,13 @@
 
 def measure_hot_keys(servers: int) -> Measurements:
     """Measures how many requests for hot keys are detected, and how many are falsely detected."""
-    first, later = trial(servers, LATER_REQUESTS, range(1, 6))
+    first, later = run_trial(servers, LATER_REQUESTS, range(1, 6))
     return {
         "for hot keys, %": later.hot / later.requests * 100,
-        "found of the first 500, %": first.found_part * 100,
-        "falsely taken of these, %": first.false_part * 100,
-        "found later, %": later.found_part * 100,
-        "falsely taken later, %": later.false_part * 100,
+        "found of the first 500, %": first.detected_fraction * 100,
+        "falsely taken of these, %": first.false_fraction * 100,
+        "found later, %": later.detected_fraction * 100,
+        "falsely taken later, %": later.false_fraction * 100,
     }
 
 
@@ -158,7 +161,7 @@
     tick_with_verdicts = cpu_seconds(run_ticks) / TICKS * 1e3
     view_with_verdicts = cpu_seconds(lambda: agent.view(SECOND)) * 1e3
     agent.store.expire(100 * SECOND)
-    agent.pending.clear()
+    agent.pending_records.clear()
     return {
         "members and their records, kB": with_records / KILOBYTE,
         "with all servers accused, kB": with_verdicts / KILOBYTE,
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -8,14 +8,14 @@
 
 import hiredis
 
-from applehub.node.descriptors import Places
+from applehub.node.descriptors import ConnectionLimits
 from applehub.node.discovery import Directory
 from applehub.node.driver import Driver
-from applehub.node.figures import Figures
-from applehub.node.listener import Clients
+from applehub.node.listener import ClientListener
+from applehub.node.metrics import Metrics
 from applehub.node.pool import Pools
 from applehub.node.resp import command
-from applehub.settings import read_ceilings, read_names, read_settings
+from applehub.settings import read_names, read_network_limits, read_settings
 
 ACCEPTS_PER_ITERATION = 16  # clients that a bench accepts per event loop iteration
 WAIT_TIMEOUT = 20.0  # maximum seconds of a wait; every wait ends with an event
@@ -175,7 +175,7 @@
     cache: Cache
     origin: Web
     driver: Driver
-    clients: Clients
+    clients: ClientListener
     directory: Directory
     pools: Pools
     port: int
@@ -214,12 +214,14 @@
     settings_json = info(**ceilings)
     settings, limits, names = (
         read_settings(settings_json),
-        read_ceilings(settings_json),
+        read_network_limits(settings_json),
         read_names(settings_json),
     )
     pools = Pools(sockets, limits.dial_timeout / 1e9, limits.keepalive / 1e9)
-    driver = Driver(Balancer(settings, 1), pools, limits.most_held, Figures())
-    clients = Clients(driver, names, Places(sockets, max(4, sockets // 8), ACCEPTS_PER_ITERATION, sockets))
+    driver = Driver(Balancer(settings, 1), pools, limits.max_in_flight, Metrics())
+    clients = ClientListener(
+        driver, names, ConnectionLimits(sockets, max(4, sockets // 8), ACCEPTS_PER_ITERATION, sockets)
+    )
     directory = Directory(names, 1, pools, driver.notify)
     clients.can_serve = lambda: directory.can_serve
     listed = [entry("c0", peers[0].address), entry("o", peers[1].address, model="origin")]
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from peers import PATIENCE, Bench, entry, hit, router, soon
+from peers import WAIT_TIMEOUT, Bench, entry, hit, router, wait_until
 from test_arrivals import DEADLINE_MS, get, notified_deadlines
 from test_closes import PING, PONG, RawClient, raw_client
 from test_descriptors import connect_client, running_program
@@ -68,7 +68,7 @@
 
 
 def error_text(error: str) -> str:
-    return SystemCallFault("accept", error).failure().strerror or ""
+    return SystemCallFault("accept", error).to_os_error().strerror or ""
 
 
 def test_each_outage_is_logged_once(
@@ -96,7 +96,7 @@
         async with router() as bench:
             with ExitStack() as stack, accept_fails(bench.port, "ENFILE") as faults:
                 queue_clients(stack, bench.port, [PING])
-                await soon(lambda: faults.count("accept"))
+                await wait_until(lambda: faults.count("accept"))
                 getattr(bench.clients, end)()
                 attempts = faults.count("accept")
                 stack.enter_context(socket.create_server(("127.0.0.1", 0)))  # reuses the descriptor
@@ -121,7 +121,7 @@
     with ExitStack() as stack, accept_fails(listener.getsockname()[1], error, times=3) as faults:
         queue_clients(stack, listener.getsockname()[1], [b""] * 5)
         acceptor = accepting.Acceptor(listener, make_protocol, 8)
-        await soon(lambda: polls)
+        await wait_until(lambda: polls)
         assert len(polls) == 5 and len(set(polls)) == 1
         assert faults.count("accept", error) == 3
         acceptor.close()
@@ -160,7 +160,7 @@
             )
             with accept_fails(port, "EMFILE") as faults:
                 queue_clients(stack, port, [b"waits"])
-                await soon(lambda: faults.count("accept"))
+                await wait_until(lambda: faults.count("accept"))
                 acceptor.close()
             platform.setblocking(False)
             sock, _ = platform.accept()
@@ -213,8 +213,8 @@
             transport.abort()
             started = loop.time()
             await bench.clients.wait_empty(0.5)
-            assert loop.time() - started == 0.5 and bench.cache.got
-            bench.cache.lines[0].write(hit())
+            assert loop.time() - started == 0.5 and bench.cache.received
+            bench.cache.writers[0].write(hit())
             assert await client.read_all() == b"$1\r\nv\r\n"
             client.sock.close()
             await bench.clients.wait_empty(60)
@@ -265,10 +265,10 @@
     ):
         caller = await connect_client(addresses["listening on"])
         caller.send(b"PING")
-        await soon(lambda: [line for line in lines if "accept fails" in line])
+        await wait_until(lambda: [line for line in lines if "accept fails" in line])
         running.terminate()
         assert await caller.answer() == b"PONG" and await caller.answer() is None
-        assert await asyncio.wait_for(running.wait(), PATIENCE) == 0
+        assert await asyncio.wait_for(running.wait(), WAIT_TIMEOUT) == 0
         assert len([line for line in lines if "accept" in line]) == 1
     assert recorded(tmp_path / "injected")["accept", "ENFILE"] >= 2
 
@@ -282,7 +282,7 @@
         served = Console({"HEALTH": lambda _: "+OK"})
         _, port = await served.listen("127.0.0.1", 0)
         with ExitStack() as stack, accept_fails(port, error, for_s=OUTAGE_SECONDS) as faults:
-            callers = queue_clients(stack, port, [b"HEALTH\n"] * (console.MOST_CALLERS + 4))
+            callers = queue_clients(stack, port, [b"HEALTH\n"] * (console.MAX_CONNECTIONS + 4))
             started = loop.time()
             assert [await one.read_all() for one in callers] == [b"+OK\n"] * len(callers)
             assert loop.time() - started <= OUTAGE_SECONDS + MAX_RESUME_DELAY and faults.count("accept") >= 1
--- a/tests/test_arrivals.py
+++ b/tests/test_arrivals.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 import pytest
-from peers import MISS, PATIENCE, Bench, Cache, Json, Web, entry, hit, http, router, soon
-from test_begins import slow_dials
+from peers import MISS, WAIT_TIMEOUT, Bench, Cache, Json, Web, entry, hit, http, router, wait_until
+from test_attempt_start import delay_connects
 from virtual import VirtualTimeLoop, run_in_virtual_time
 
 from applehub.node import arrivals, clients, resp
@@ -49,7 +49,7 @@
 
 def notified_deadlines(bench: Bench) -> dict[bytes, int]:
     """Returns the deadline in ms of which the cache server was notified, by request id."""
-    return {command[2]: notified_deadline(command[3]) for command in bench.cache.got}
+    return {command[2]: notified_deadline(command[3]) for command in bench.cache.received}
 
 
 class RecordingServer:
@@ -73,7 +73,7 @@
 
 
 def origin_deadlines(bench: Bench) -> list[int]:
-    return [notified_deadline(headers[b"x-call-info"]) for _, _, headers, _ in bench.origin.got]
+    return [notified_deadline(headers[b"x-call-info"]) for _, _, headers, _ in bench.origin.received]
 
 
 def stall_loop(seconds: float = STALL_SECONDS) -> None:
@@ -110,7 +110,7 @@
 async def wait_for_full_pipeline(bench: Bench) -> None:
     """Waits until the only client has the maximum number of commands in progress."""
     (one,) = bench.clients.connections
-    await soon(lambda: len(one.slots) == clients.MAX_PIPELINED_COMMANDS)
+    await wait_until(lambda: len(one.slots) == clients.MAX_PIPELINED_COMMANDS)
 
 
 @contextlib.contextmanager
@@ -132,7 +132,7 @@
 
 
 async def receive(sock: socket.socket) -> bytes:
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_TIMEOUT):
         return await asyncio.get_running_loop().sock_recv(sock, 1 << 16)
 
 
@@ -193,7 +193,7 @@
         sent = time.monotonic()
         client.sendall(get(b"second"))
         time.sleep(STALL_SECONDS / 2)
-        await soon(lambda: len(server.times) == 2)
+        await wait_until(lambda: len(server.times) == 2)
         assert (
             server.min_deadline(b"first", polled_at)
             <= notified_deadlines(bench)[b"first"]
@@ -254,7 +254,7 @@
             await wait_for_full_pipeline(bench)
             stall_loop()
             held_answers.open()
-            await soon(lambda: not bench.driver.held)
+            await wait_until(lambda: not bench.driver.requests)
             deadlines = [
                 deadline
                 for name, deadline in notified_deadlines(bench).items()
@@ -282,7 +282,7 @@
             client.sendall(get(b"late"))
             await asyncio.sleep(STALL_SECONDS)
             held_answers.open()
-            await soon(lambda: b"late" in notified_deadlines(bench))
+            await wait_until(lambda: b"late" in notified_deadlines(bench))
             assert (
                 DEADLINE_MS - STALL_MS - SLACK_MS
                 <= notified_deadlines(bench)[b"late"]
@@ -291,7 +291,7 @@
             # Once reading has resumed, no delay is added.
             await asyncio.sleep(1)
             client.sendall(get(b"later"))
-            await soon(lambda: b"later" in notified_deadlines(bench))
+            await wait_until(lambda: b"later" in notified_deadlines(bench))
             assert notified_deadlines(bench)[b"later"] == DEADLINE_MS - 8
 
     run_in_virtual_time(monkeypatch, test)
@@ -312,7 +312,7 @@
         client.sendall(get(b"late"))
         await asyncio.sleep(STALL_SECONDS / 2)
         held_answers.open()
-        await soon(lambda: server.times)
+        await wait_until(lambda: server.times)
         assert (
             server.min_deadline(b"late", sent, KERNEL_TIME_ERROR_MS)
             <= notified_deadlines(bench)[b"late"]
@@ -331,7 +331,7 @@
         ):
             client.sendall(get(b"big", 9000))
             (one,) = bench.clients.connections
-            await soon(lambda: one.write_paused)
+            await wait_until(lambda: one.write_paused)
             client.sendall(get(b"late"))
             await asyncio.sleep(STALL_SECONDS)
             while b"late" not in notified_deadlines(bench):
@@ -357,7 +357,7 @@
         for n in range(count):
             stack.enter_context(raw_socket(bench)).sendall(get(b"i%d" % n, key=b"k%d" % n))
         time.sleep(STALL_SECONDS)
-        await soon(lambda: bench.cache.got and not bench.driver.held)
+        await wait_until(lambda: bench.cache.received and not bench.driver.requests)
         assert all(
             one <= DEADLINE_MS - STALL_MS
             for one in [*notified_deadlines(bench).values(), *origin_deadlines(bench)]
@@ -442,7 +442,7 @@
             (one,) = bench.clients.connections
             client.sendall(put(bytes(90_000)))
             stall_loop()
-            await soon(lambda: bench.origin.got)
+            await wait_until(lambda: bench.origin.received)
             assert origin_deadlines(bench) == [DEADLINE_MS - STALL_MS - 8]
             assert not one.frames.buffer
 
@@ -456,12 +456,12 @@
 def test_request_without_time_left_is_rejected_at_once(monkeypatch: pytest.MonkeyPatch, wait: int) -> None:
     async def test() -> None:
         async with router() as bench, connected_socket(bench) as client:
-            started, request_flow = time.monotonic(), bench.driver.balancer.roster.flow
+            started, request_flow = time.monotonic(), bench.driver.balancer.server_table.request_rate
             before = request_flow.per_second(time.monotonic_ns())
             client.sendall(get(wait=wait))
             assert await receive(client) == BUSY
             assert time.monotonic() == started
-            assert not bench.cache.got and not bench.driver.held
+            assert not bench.cache.received and not bench.driver.requests
             assert request_flow.per_second(time.monotonic_ns()) == before  # the balancer never received it
 
     run_in_virtual_time(monkeypatch, test)
@@ -472,7 +472,7 @@
         client.sendall(get(wait=300))
         time.sleep(STALL_SECONDS)
         assert await receive(client) == BUSY
-        assert not bench.cache.got and not bench.origin.got and not bench.driver.held
+        assert not bench.cache.received and not bench.origin.received and not bench.driver.requests
 
 
 def test_request_that_expired_unread_is_rejected_at_once(
@@ -485,7 +485,7 @@
             started = time.monotonic()
             assert await receive(client) == BUSY
             assert time.monotonic() == started
-            assert not bench.cache.got and not bench.origin.got and not bench.driver.held
+            assert not bench.cache.received and not bench.origin.received and not bench.driver.requests
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -516,7 +516,7 @@
             client.sendall(get(b"i2"))
             stall_loop(0.3)
             assert await receive(client) == BUSY
-            assert len(bench.cache.got) == 1
+            assert len(bench.cache.received) == 1
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -538,7 +538,7 @@
 
 def test_slow_connect_is_subtracted_from_notified_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        slow_dials(monkeypatch, STALL_SECONDS)
+        delay_connects(monkeypatch, STALL_SECONDS)
         async with router() as bench, connected_socket(bench) as client:
             client.sendall(get())
             assert await receive(client) == b"$1\r\nv\r\n"
@@ -565,7 +565,7 @@
             client.sendall(put(b"value") if write else get())
             assert (await receive(client)).startswith(b"-BUSY")
             await asyncio.sleep(3)
-            assert not bench.cache.got and not bench.origin.got and not bench.driver.held
+            assert not bench.cache.received and not bench.origin.received and not bench.driver.requests
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -583,7 +583,7 @@
             (connection,) = bench.pools.pools["c0"].idle
             connection.pause_writing()
             client.sendall(get(b"i2"))
-            await soon(lambda: connection.exchange)
+            await wait_until(lambda: connection.exchange)
             stall_loop(PAST_DEADLINE)
             connection.resume_writing()
             assert (await receive(client)).startswith(b"-BUSY")
@@ -606,7 +606,7 @@
             (connection,) = bench.pools.pools["o"].idle
             connection.pause_writing()
             client.sendall(get(b"i2"))
-            await soon(lambda: connection.exchange)
+            await wait_until(lambda: connection.exchange)
             stall_loop()
             connection.resume_writing()
             assert await receive(client) == b"$11\r\nfrom origin\r\n"
@@ -629,11 +629,11 @@
             throttle = bench.driver.balancer.monitor.throttle = Throttle(time.monotonic_ns(), 4.0, 10)
             throttle.level = 0
             client.sendall(get())
-            await soon(lambda: throttle.queue)
+            await wait_until(lambda: throttle.queue)
             stall_loop(PAST_DEADLINE if expired else 0.0)
             answer = await receive(client)
             if expired:
-                assert answer.startswith(b"-BUSY") and not bench.cache.got and not bench.origin.got
+                assert answer.startswith(b"-BUSY") and not bench.cache.received and not bench.origin.received
             else:
                 assert answer == b"$11\r\nfrom origin\r\n"
                 assert (
@@ -680,7 +680,7 @@
         assert all(
             one <= 5000 - STALL_MS for one in [*notified_deadlines(bench).values(), *origin_deadlines(bench)]
         )
-        assert not bench.driver.held and bench.driver.room.used == 0
+        assert not bench.driver.requests and bench.driver.memory.used == 0
 
 
 # Unit tests
--- a/tests/test_attempt_start.py
+++ b/tests/test_attempt_start.py
@@ -10,7 +10,7 @@
 
 import pytest
 from peers import MISS, Bench, entry, hit, router
-from virtual import play
+from virtual import run_in_virtual_time
 
 from applehub import interface as api
 from applehub.node.pool import Connection, Pool
@@ -61,7 +61,7 @@
             assert not bench.cache.received
             assert all(pool.connections == set() for name, pool in bench.pools.pools.items() if name != "o")
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_attempt_cancelled_by_drain_goes_to_another_server(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -81,7 +81,7 @@
             (other,) = [name for name, pool in bench.pools.pools.items() if pool.connections]
             assert other != first and len(bench.cache.received) == 1
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_server_excluded_by_operator_during_connect_receives_no_attempt(
@@ -93,14 +93,14 @@
             caller = await bench.caller()
             caller.get()
             await asyncio.sleep(0.5)
-            bench.driver.notify(api.ByHand("c0", True, 1))
+            bench.driver.notify(api.ServerOverride("c0", True, 1))
             bench.directory.set_excluded("c0", True)
             answer = await caller.answer()
             assert answer == b"from origin" or str(answer).startswith("BUSY")
             await asyncio.sleep(2 * CONNECT_TIME)
             assert not bench.cache.received
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("delay", [0.0, 0.7, 1.49])
@@ -125,7 +125,7 @@
             other.get(name=b"i2")
             assert await other.answer() == b"v"
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("window", [1.0, 2.0])
@@ -135,7 +135,7 @@
     async def test() -> None:
         async with router(origin=lambda request, writer: writer.transport.abort()) as bench:
             settings = bench.driver.balancer.settings
-            settings.classes[1].window = int(window * 1e9)
+            settings.classes[1].idempotency_window = int(window * 1e9)
             caller = await bench.caller()
             started_at = time.monotonic_ns()
             caller.send(b"C.SET", b"k", b"i1", b"c=put,t=acme,d=9000,k=1", b"value")
@@ -147,7 +147,7 @@
             assert len(bench.origin.received) == (1 if window < CONNECT_TIME else 2)
             assert time.monotonic_ns() - started_at < 9e9
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_origin_read_is_retried_if_connection_breaks_before_write(
@@ -172,7 +172,7 @@
             assert await caller.answer() == b"from origin"
             assert len(broken) == 1 and len(bench.origin.received) == 1
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_started_attempt_completes_while_server_drains(
@@ -188,7 +188,7 @@
             bench.cache.writers[0].write(hit())
             assert await caller.answer() == b"v"
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_disconnects_during_slow_origin_connect_do_not_start_throttle(
@@ -213,7 +213,7 @@
                 await asyncio.sleep(0.05)
                 caller.writer.close()
                 await asyncio.sleep(0.01)
-                assert monitor.bad == 0 and monitor.throttle is None
+                assert monitor.unhealthy_count == 0 and monitor.throttle is None
             assert not bench.origin.received and not bench.driver.requests
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
--- a/tests/test_broken_clients.py
+++ b/tests/test_broken_clients.py
@@ -10,7 +10,7 @@
 from types import SimpleNamespace
 
 import pytest
-from peers import PATIENCE, Bench, hit, router, soon
+from peers import WAIT_TIMEOUT, Bench, hit, router, wait_until
 from test_arrivals import get
 from test_closes import PING, PONG, RawClient, raw_client
 from virtual import run_in_virtual_time
@@ -57,16 +57,16 @@
             raw_client(bench) as client,
         ):
             client.sock.sendall(get(b"i1"))
-            await soon(lambda: bench.cache.got)
+            await wait_until(lambda: bench.cache.received)
             with SystemCallFaults(SystemCallFault("recv", error, peer=peer_of(client))) as faults:
                 client.sock.sendall(get(b"i2"))
-                await soon(lambda: faults.count("recv", error))
-                await soon(lambda: not bench.driver.held)
-                assert len(bench.clients.connections) == 1 and len(bench.cache.got) == 1
+                await wait_until(lambda: faults.count("recv", error))
+                await wait_until(lambda: not bench.driver.requests)
+                assert len(bench.clients.connections) == 1 and len(bench.cache.received) == 1
                 await check_still_serving(bench, other)
                 assert faults.count("recv") == 1
-            await soon(lambda: len(bench.clients.connections) == 1 and not bench.clients.lingering)
-            assert not bench.driver.room.used
+            await wait_until(lambda: len(bench.clients.connections) == 1 and not bench.clients.lingering)
+            assert not bench.driver.memory.used
         assert not logged_warnings(caplog)
 
     run_in_virtual_time(monkeypatch, test)
@@ -87,11 +87,11 @@
         ):
             with SystemCallFaults(SystemCallFault("send", error, peer=peer_of(client))) as faults:
                 client.sock.sendall(b"".join([PING, *[get(b"i%d" % n) for n in range(20)], PING * 20]))
-                await soon(lambda: faults.count("send", error))
-                await soon(lambda: not bench.driver.held and len(bench.clients.connections) == 1)
+                await wait_until(lambda: faults.count("send", error))
+                await wait_until(lambda: not bench.driver.requests and len(bench.clients.connections) == 1)
                 await check_still_serving(bench, other)
                 assert faults.count("send") == 1
-            assert not bench.driver.room.used and not bench.clients.lingering
+            assert not bench.driver.memory.used and not bench.clients.lingering
         assert not logged_warnings(caplog)
 
     run_in_virtual_time(monkeypatch, test)
@@ -107,9 +107,9 @@
             await asyncio.sleep(1)  # the connection to the cache server is reusable
             with SystemCallFaults(SystemCallFault("send", "ETIMEDOUT", peer=peer_of(client))) as faults:
                 client.sock.sendall(PING * 40 + get(b"late"))
-                await soon(lambda: faults.count("send"))
+                await wait_until(lambda: faults.count("send"))
                 await asyncio.sleep(1)
-            assert [request[2] for request in bench.cache.got] == [b"first"]
+            assert [request[2] for request in bench.cache.received] == [b"first"]
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -162,14 +162,14 @@
             staying = [await stack.enter_async_context(raw_client(bench)) for _ in range(8)]
             requesting = await stack.enter_async_context(raw_client(bench))
             requesting.sock.sendall(get())
-            await soon(lambda: bench.cache.got)
+            await wait_until(lambda: bench.cache.received)
             for one in leaving:
                 reset_connection(one)
             bench.clients.close()
             assert [await one.read_all() for one in staying] == [b""] * 8
-            bench.cache.lines[0].write(hit())
+            bench.cache.writers[0].write(hit())
             assert await requesting.read_all() == b"$1\r\nv\r\n"
-            await asyncio.wait_for(bench.clients.wait_empty(PATIENCE), PATIENCE)
+            await asyncio.wait_for(bench.clients.wait_empty(WAIT_TIMEOUT), WAIT_TIMEOUT)
             assert not bench.clients.connections
         assert not logged_warnings(caplog)
 
@@ -195,7 +195,7 @@
                     faults = stack.enter_context(SystemCallFaults(fault))
                 client.sock.sendall(PING)
                 assert await client.read() == PONG
-                await soon(lambda: not bench.clients.lingering)
+                await wait_until(lambda: not bench.clients.lingering)
                 assert [one.sent_command for one in bench.clients.connections] == [True]
                 assert how == "reset" or faults.count("shutdown") == 1
         assert not logged_warnings(caplog)
@@ -224,9 +224,9 @@
     async def test() -> None:
         async with router(lambda request, writer: None, sockets=256) as bench, raw_client(bench) as client:
             client.sock.sendall(b"".join(get(b"i%d" % n) for n in range(MAX_PIPELINED_COMMANDS + 1)))
-            await soon(lambda: failed)
+            await wait_until(lambda: failed)
             reset_connection(client)
-            await soon(lambda: not bench.driver.held)
+            await wait_until(lambda: not bench.driver.requests)
             assert len(failed) > 1
 
     failed: list[bool] = []
@@ -242,7 +242,7 @@
                 client.sock.sendall(get(b"i%d" % n))
                 assert await client.read() == b"$1\r\nv\r\n"
             assert faults.count("epoll", "EINTR") >= 20
-        assert len(bench.cache.got) == 20
+        assert len(bench.cache.received) == 20
 
 
 @pytest.mark.parametrize("call", ["recv", "send"])
@@ -260,10 +260,10 @@
             fault = SystemCallFault(call, error, peer=peer_of(first))  # type: ignore[arg-type]
             with SystemCallFaults(fault) as faults:
                 first.sock.sendall(b"HEALTH\n")
-                await soon(lambda: faults.count(call, error))  # type: ignore[arg-type]
+                await wait_until(lambda: faults.count(call, error))  # type: ignore[arg-type]
                 second.sock.sendall(b"HEALTH\n")
                 assert await second.read_all() == b"+OK\n"
-                await soon(lambda: not served.callers)
+                await wait_until(lambda: not served.connections)
                 assert faults.count() == 1
         served.close()
         assert not logged_warnings(caplog)
--- a/tests/test_broken_connections.py
+++ b/tests/test_broken_connections.py
@@ -9,7 +9,7 @@
 
 import pytest
 from peers import MISS, Bench, Caller, hit, http, router
-from virtual import play
+from virtual import run_in_virtual_time
 
 from applehub import interface as api
 from applehub.lab.fleet.system_call_faults import SystemCall, SystemCallFault, SystemCallFaults
@@ -108,7 +108,7 @@
                 assert await other.answer() in (b"v", b"receipt")
             results.extend((answer, executions(bench), final_statuses))
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
     return results[0], results[1], results[2]
 
 
@@ -231,15 +231,15 @@
                     send_request(caller, b"read", b"i%d" % n, b"k%d" % n)
                     await asyncio.sleep(0.03)
                 assert faults.count() >= 10
-                server = bench.driver.balancer.roster.servers["c0"]
-                assert (server.fails, server.breaks) == (0, 0)
+                server = bench.driver.balancer.server_table.servers["c0"]
+                assert (server.failures, server.broken_attempts) == (0, 0)
             started_at = asyncio.get_running_loop().time()
             assert [await caller.answer() for caller in callers] == [b"v"] * 10
             assert asyncio.get_running_loop().time() - started_at < 0.1
             assert len(bench.cache.received) == 10
             assert log_is_quiet(caplog, 0)
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_origin_fetch_is_retried_after_receive_error(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -252,7 +252,7 @@
                 assert faults.count() == 1
             assert len(bench.origin.received) == 2
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_broken_stream_closes_client_connection(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -266,4 +266,4 @@
                 assert await caller.answer() is None
             assert len(bench.cache.received) == 1 and not bench.driver.requests
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -11,7 +11,7 @@
 from contextlib import asynccontextmanager
 
 import pytest
-from peers import MISS, Bench, hit, http, router, soon
+from peers import MISS, Bench, hit, http, router, wait_until
 from virtual import run_in_virtual_time
 
 from applehub.node import clients, listener, resp
@@ -71,8 +71,8 @@
             await asyncio.sleep(clients.LINGER_TIMEOUT / 2)
             client.sock.sendall(sent)  # the router still reads
             await asyncio.sleep(3)
-            assert not bench.cache.got and not bench.clients.lingering
-            assert bench.driver.room.used == 0
+            assert not bench.cache.received and not bench.clients.lingering
+            assert bench.driver.memory.used == 0
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -82,22 +82,22 @@
     async def test() -> None:
         async with router(lambda request, writer: None) as bench, raw_client(bench) as client:
             client.sock.sendall(GET)
-            await soon(lambda: bench.cache.got)
+            await wait_until(lambda: bench.cache.received)
             (bench.clients.close if end == "SIGTERM" else bench.clients.hand_over)()
-            write = bench.clients.driver.room.add  # called while the answer is written
+            write = bench.clients.driver.memory.add  # called while the answer is written
 
             def add_and_send(change: int) -> None:
-                if not bench.driver.held and not sent_during_write:
+                if not bench.driver.requests and not sent_during_write:
                     sent_during_write.append(True)
                     client.sock.sendall(GET.replace(b"i1", b"i2"))
                 write(change)
 
             sent_during_write: list[bool] = []
-            monkeypatch.setattr(bench.driver.room, "add", add_and_send)
-            bench.cache.lines[0].write(hit())
+            monkeypatch.setattr(bench.driver.memory, "add", add_and_send)
+            bench.cache.writers[0].write(hit())
             assert await client.read_all() == b"$1\r\nv\r\n"
             await asyncio.sleep(3)
-            assert sent_during_write and len(bench.cache.got) == 1 and not bench.clients.lingering
+            assert sent_during_write and len(bench.cache.received) == 1 and not bench.clients.lingering
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -119,12 +119,12 @@
         async with router() as bench, raw_client(bench) as client:
             client.sock.sendall(GET[:20])
             (one,) = bench.clients.connections
-            await soon(lambda: one.frames.buffer)
+            await wait_until(lambda: one.frames.buffer)
             bench.clients.close()
             client.sock.sendall(GET[20:])
             assert await client.read_all() == b"-BUSY\r\n"
             await asyncio.sleep(3)
-            assert not bench.cache.got and not bench.clients.lingering
+            assert not bench.cache.received and not bench.clients.lingering
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -145,7 +145,7 @@
                 assert await one.read_all() == (b"$2\r\nj%d\r\n" % at if sent else b"")
                 one.sock.close()
             await asyncio.wait_for(bench.clients.wait_empty(60), 60)
-            assert not bench.clients.connections and len(bench.cache.got) == (3 if sent else 0)
+            assert not bench.clients.connections and len(bench.cache.received) == (3 if sent else 0)
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -167,7 +167,7 @@
             client.sock.sendall(sent + extra)
             assert await client.read_all() == answer
             await asyncio.sleep(3)
-            assert not bench.cache.got and not bench.clients.lingering
+            assert not bench.cache.received and not bench.clients.lingering
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -182,7 +182,7 @@
             rejected.sock.sendall(GET)
             assert await rejected.read_all() == b"-ERR max number of clients reached\r\n"
             await asyncio.sleep(3)
-            assert not bench.cache.got and not bench.clients.lingering
+            assert not bench.cache.received and not bench.clients.lingering
             rejected.sock.close()
 
     run_in_virtual_time(monkeypatch, test)
@@ -196,10 +196,10 @@
         answers = {b"i1": hit(b"whole"), b"i2": long[:100_000]}
         async with router(lambda request, writer: answers[request[2]]) as bench, raw_client(bench) as client:
             client.sock.sendall(GET + GET.replace(b"i1", b"i2"))
-            await soon(lambda: len(bench.cache.got) == 2)
+            await wait_until(lambda: len(bench.cache.received) == 2)
             await asyncio.sleep(0.1)
             client.sock.sendall(GET.replace(b"i1", b"i3"))
-            for writer in bench.cache.lines:
+            for writer in bench.cache.writers:
                 writer.transport.abort()
             got = await client.read_all()
             assert got.startswith(b"$5\r\nwhole\r\n$200000\r\n") and len(got) < 200_000
@@ -221,7 +221,7 @@
                 await asyncio.sleep(0.5)
             assert len(got) == len(value) + len(b"$8388608\r\n\r\n+OK\r\n")
             await asyncio.sleep(2 * clients.WRITE_STALL_TIMEOUT)  # the client keeps the connection open
-            assert not bench.clients.lingering and bench.driver.room.used == 0
+            assert not bench.clients.lingering and bench.driver.memory.used == 0
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -237,7 +237,7 @@
             client.sock.sendall(GET + resp.command(b"QUIT"))
             await asyncio.sleep(4 * clients.WRITE_STALL_TIMEOUT)
             assert not bench.clients.connections and not bench.clients.lingering
-            assert bench.driver.room.used == 0
+            assert bench.driver.memory.used == 0
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -249,7 +249,7 @@
         caller.get()
         assert await caller.answer() == b"from origin"
         transports = [client.transport for client in bench.clients.connections]
-        transports += [writer.transport for pool in bench.pools.pools.values() for writer in pool.all]
+        transports += [writer.transport for pool in bench.pools.pools.values() for writer in pool.connections]
         for transport in transports:
             assert transport is not None
             assert transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -274,18 +274,18 @@
         async with router(lambda request, writer: MISS, origin=lambda request, writer: None) as bench:
             caller = await bench.caller()
             caller.get()
-            await soon(lambda: bench.origin.got)
-            bench.origin.lines[0].write(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n" + b"half")
+            await wait_until(lambda: bench.origin.received)
+            bench.origin.writers[0].write(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n" + b"half")
             await asyncio.sleep(0.1)
             if complete:
-                bench.origin.lines[0].write_eof()
+                bench.origin.writers[0].write_eof()
             else:
-                reset_connection(bench.origin.lines[0])
+                reset_connection(bench.origin.writers[0])
             if complete and b"Length" not in head:
                 assert await caller.answer() == b"half"
                 return
-            await soon(lambda: len(bench.origin.got) == 2)
-            bench.origin.lines[1].write(http(200, b"all of it"))
+            await wait_until(lambda: len(bench.origin.received) == 2)
+            bench.origin.writers[1].write(http(200, b"all of it"))
             assert await caller.answer() == b"all of it"
 
     run_in_virtual_time(monkeypatch, test)
@@ -302,12 +302,12 @@
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
             names = [b"j%d" % n for n in range(5)]
             client.sock.sendall(b"".join(GET.replace(b"i1", name) for name in names) + resp.command(b"QUIT"))
-            await soon(lambda: len(bench.cache.got) == len(names))
-            first = [request[2] for request in bench.cache.got].index(names[0])
+            await wait_until(lambda: len(bench.cache.received) == len(names))
+            first = [request[2] for request in bench.cache.received].index(names[0])
             for writer in [
-                *bench.cache.lines[:first],
-                *bench.cache.lines[first + 1 :],
-                bench.cache.lines[first],
+                *bench.cache.writers[:first],
+                *bench.cache.writers[first + 1 :],
+                bench.cache.writers[first],
             ]:
                 writer.write(hit(bytes(60_000)))
                 await asyncio.sleep(0.1)
@@ -318,7 +318,7 @@
                 await asyncio.sleep(0.1)
             assert got.endswith(b"+OK\r\n") and got.count(b"$60000\r\n") == len(names)
             await asyncio.sleep(2 * clients.WRITE_STALL_TIMEOUT)
-            assert not bench.clients.lingering and bench.driver.room.used == 0
+            assert not bench.clients.lingering and bench.driver.memory.used == 0
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -334,20 +334,20 @@
         async with router(lambda request, writer: None) as bench:
             caller = await bench.caller()
             caller.get(name=b"i1")
-            await soon(lambda: bench.cache.got)
-            first = bench.cache.lines[0]
+            await wait_until(lambda: bench.cache.received)
+            first = bench.cache.writers[0]
             loop = asyncio.get_running_loop()
             first.write(hit(b"i1"))
             loop.call_later(delay, first.write, hit(b"i1 again"))
             assert await caller.answer() == b"i1"
             await asyncio.sleep(gap)
             caller.get(name=b"i2")
-            await soon(lambda: len(bench.cache.got) == 2)
+            await wait_until(lambda: len(bench.cache.received) == 2)
             await asyncio.sleep(0.02)
-            bench.cache.lines[-1].write(hit(b"i2"))
+            bench.cache.writers[-1].write(hit(b"i2"))
             assert await caller.answer() == b"i2"
             await asyncio.sleep(0.02)
-            assert bench.cache.ended == 1  # the connection with the surplus answer
+            assert bench.cache.closed_connections == 1  # the connection with the surplus answer
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -363,17 +363,17 @@
                 assert await caller.answer() == b"i1"
                 await asyncio.sleep(0.1)
                 (idle,) = bench.pools.pools["c0"].idle
-                assert idle.quiet
-                sock = bench.cache.lines[0].transport.get_extra_info("socket")
+                assert idle.no_unread_input
+                sock = bench.cache.writers[0].transport.get_extra_info("socket")
                 if unread:
                     os.write(sock.fileno(), unread)
                 else:
                     sock.shutdown(socket.SHUT_WR)
-                assert bench.pools.pools["c0"]._rested() is None and not idle.quiet
+                assert bench.pools.pools["c0"]._take_idle() is None and not idle.no_unread_input
                 caller.get(name=b"i2")
                 assert await caller.answer() == b"i2"
-                await soon(lambda: bench.cache.ended == 1)
-                assert len(bench.cache.lines) == 2
+                await wait_until(lambda: bench.cache.closed_connections == 1)
+                assert len(bench.cache.writers) == 2
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -427,6 +427,6 @@
             assert asyncio.get_running_loop().time() - started <= 3.0
             await asyncio.sleep(1)
             assert all(task.done() for task in tasks) and len(tasks) <= 4
-            assert not bench.driver.held and bench.driver.room.used == 0
+            assert not bench.driver.requests and bench.driver.memory.used == 0
 
     run_in_virtual_time(monkeypatch, test)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -10,8 +10,8 @@
 from applehub import interface as api
 from applehub.lab import warmup_load
 from applehub.lab.__main__ import main
-from applehub.lab.servers import bound_of
-from applehub.policy.rates import Bank
+from applehub.lab.servers import request_bound
+from applehub.policy.rates import TokenBucket
 
 FLEET_RATE, SERVERS = 100.0, 4  # requests/s of the whole fleet; number of cache servers
 STEP = SECOND // 10
@@ -21,31 +21,31 @@
     """Routers that share the traffic evenly, and one server that starts to warm up."""
 
     def __init__(self, count: int) -> None:
-        options = settings(balancers=count, cold_from=0.2, fall_time=SECOND)
+        options = settings(router_count=count, slow_start_capacity=0.2, overload_window=SECOND)
         self.routers = [Router(options, seed=seed) for seed in range(count)]
         self.now = START
         update = api.Members(api.ListKind.DELTA, [api.Member("c1", since=START)])
         for router in self.routers:
-            router.tell(update)
+            router.deliver(update)
 
     def step(self, demand: int) -> int:
         """Advances by STEP with `demand` requests for the server at each router; returns the number sent."""
         self.now += STEP
         sent = 0
         for router in self.routers:
-            turn, roster = router.balancer.turn, router.balancer.roster
+            turn, roster = router.balancer.context, router.balancer.server_table
             turn.now = self.now
-            roster.flow.add(self.now, FLEET_RATE / len(self.routers) * STEP / SECOND)
+            roster.request_rate.add(self.now, FLEET_RATE / len(self.routers) * STEP / SECOND)
             for _ in range(demand):
-                sent += router.balancer.placement._in_budget(roster.servers["c1"], SERVERS)
+                sent += router.balancer.placement._take_warmup_token(roster.servers["c1"], SERVERS)
         return sent
 
     def budget(self) -> float:
         """Returns the budget of a server with the mean request rate, in the rule's window."""
         options = self.routers[0].balancer.settings
-        age = (self.now - START) / options.ramp_time
-        warmth = min(1.0, options.cold_from + (1 - options.cold_from) * age)
-        return options.tip_multiple * FLEET_RATE / SERVERS * warmth * options.fall_time / SECOND
+        age = (self.now - START) / options.slow_start_time
+        warmth = min(1.0, options.slow_start_capacity + (1 - options.slow_start_capacity) * age)
+        return options.overload_factor * FLEET_RATE / SERVERS * warmth * options.overload_window / SECOND
 
 
 @pytest.mark.parametrize("count", [5, 20, 30, 200])
@@ -56,7 +56,7 @@
     for _ in range(int(idle_time * SECOND / STEP)):
         fleet.step(0)
     sent = [fleet.step(8) for _ in range(10)]
-    assert sum(sent) <= bound_of(fleet.budget())
+    assert sum(sent) <= request_bound(fleet.budget())
 
 
 @pytest.mark.parametrize("count", [5, 30, 200])
@@ -68,7 +68,7 @@
     sent = 0
     for _ in range(60):
         sent += fleet.step(2)
-        expected += fleet.budget() / fleet.routers[0].balancer.settings.tip_multiple * STEP / SECOND
+        expected += fleet.budget() / fleet.routers[0].balancer.settings.overload_factor * STEP / SECOND
     assert abs(sent - expected) <= 4 * math.sqrt(expected) + 0.15 * expected
 
 
@@ -81,10 +81,10 @@
         for index in range(group * 3, group * 3 + 3):
             restarted = Router(fleet.routers[index].balancer.settings, seed=100 + index)
             restarted.now = fleet.now
-            restarted.tell(api.Members(api.ListKind.DELTA, [api.Member("c1", since=START)]))
+            restarted.deliver(api.Members(api.ListKind.DELTA, [api.Member("c1", since=START)]))
             fleet.routers[index] = restarted
         sent += fleet.step(8)
-    assert sent <= bound_of(fleet.budget())
+    assert sent <= request_bound(fleet.budget())
 
 
 @pytest.mark.parametrize(
@@ -99,7 +99,7 @@
 def test_bucket_below_one_token_grants_with_proportional_probability(
     capacity: float, random_value: Callable[[], float], granted: bool
 ) -> None:
-    bank = Bank(0.0)
+    bank = TokenBucket(0.0)
     assert bank.take(10 * SECOND, 1.0, capacity, random_value()) is granted
     assert bank.tokens == (0.0 if capacity < 1 else capacity - 1)
     assert not bank.take(10 * SECOND, 1.0, capacity, random_value())
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -7,7 +7,7 @@
 
 import orjson
 import pytest
-from peers import MISS, PATIENCE, info, router, soon
+from peers import MISS, WAIT_TIMEOUT, info, router, wait_until
 
 from applehub.node import console
 from applehub.node.configuration import ConfigurationError, read_configuration
@@ -22,7 +22,7 @@
 async def send_command(port: int, sent: bytes) -> str:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(sent)
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_TIMEOUT):
         answer = await reader.read()
     writer.close()
     return answer.decode()
@@ -74,7 +74,7 @@
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     for piece in (b"HEA", b"LT", b"H\n"):
         writer.write(piece)
-        await soon(lambda: not writer.transport.get_write_buffer_size())
+        await wait_until(lambda: not writer.transport.get_write_buffer_size())
         await asyncio.sleep(0)
     assert await reader.read() == b"+OK\n"
     writer.close()
@@ -111,29 +111,29 @@
     monkeypatch.setattr(console, "LINE_TIMEOUT", 0.05)
     server, port = await start_console(health=lambda _: "+OK")
     assert await send_command(port, b"HEAL") == "-ERR no whole call in time\n"
-    await soon(lambda: not server.connections)
+    await wait_until(lambda: not server.connections)
     server.close()
 
 
 async def test_metrics_count_each_result() -> None:
     async with router(lambda command, writer: MISS if command[1] == b"far" else None) as bench:
-        bench.driver.room.most = 1024
+        bench.driver.memory.limit = 1024
         client = await bench.caller()
         client.get(b"far", b"i1")
         assert await client.answer() == b"from origin"
         client.send(b"C.SET", b"k", b"w1", b"c=put,t=acme,d=9000,k=77", bytes(2048))
         assert str(await client.answer()) == "BUSY"
         client.get(b"near", b"i2", b"c=once,t=acme,d=9000")
-        await soon(lambda: len(bench.cache.got) == 2)
-        bench.driver._overdue(bench.driver.held["i2"])
+        await wait_until(lambda: len(bench.cache.received) == 2)
+        bench.driver._fail_overdue(bench.driver.requests["i2"])
         assert str(await client.answer()) == "ERR failed"
         client.get(b"near", b"i3")
-        await soon(lambda: len(bench.cache.got) == 3)
+        await wait_until(lambda: len(bench.cache.received) == 3)
         metrics = dict(line.split("=") for line in bench.driver.figures.lines())
         counts = {name: int(metrics[f"edge_balancer.responses.{name}"]) for name in ("read.ok", "put.shed")}
         assert counts == {"read.ok": 1, "put.shed": 1}
         assert metrics["edge_balancer.responses.once.errors"] == "1"
-        assert (bench.driver.active, bench.pools.written, bench.directory.size) == (1, 4, 1)
+        assert (bench.driver.active, bench.pools.attempts_written, bench.directory.cache_count) == (1, 4, 1)
 
 
 async def test_process_serves_an_inherited_listener_and_the_console(tmp_path: os.PathLike[str]) -> None:
@@ -165,9 +165,9 @@
     try:
         reader, writer = await asyncio.open_connection(*listener.getsockname())
         writer.write(b"*1\r\n$4\r\nPING\r\n")
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(WAIT_TIMEOUT):
             assert await reader.readline() == b"+PONG\r\n"
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(WAIT_TIMEOUT):
             while b"operators call at" not in (line := await process.stderr.readline()):
                 assert line
         port = int(line.rpartition(b":")[2])
@@ -176,7 +176,7 @@
         assert dump.startswith("+OK\n") and dump.endswith("\n.\n")
         assert "\nedge_balancer.pool_size=1\n" in dump and "\nedge_balancer.responses.read.ok=0\n" in dump
         process.terminate()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(WAIT_TIMEOUT):
             assert await process.wait() == 0
         # The process has closed its descriptor; the socket still accepts clients for the next process.
         with socket.create_connection(listener.getsockname()):
