--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -31,16 +31,16 @@
     """Disconnects the client and checks that no attempt starts after DETECTION_TIME, whatever `then` does."""
     disconnect(caller, how)
     await asyncio.sleep(DETECTION_TIME)
-    before = len(bench.cache.got) + len(bench.origin.got)
+    before = len(bench.cache.received) + len(bench.origin.received)
     then()
     await asyncio.sleep(2 * clients.WRITE_STALL_TIMEOUT)
-    assert len(bench.cache.got) + len(bench.origin.got) == before
-    assert not bench.driver.held and bench.driver.room.used == 0 and not bench.driver.balancer.jobs
+    assert len(bench.cache.received) + len(bench.origin.received) == before
+    assert not bench.driver.requests and bench.driver.memory.used == 0 and not bench.driver.balancer.jobs
 
 
 def answer_all(bench: Bench, answer: bytes) -> Callable[[], None]:
     def write() -> None:
-        for writer in bench.cache.lines:
+        for writer in bench.cache.writers:
             if not writer.transport.is_closing():
                 writer.write(answer)
 
@@ -154,7 +154,7 @@
             caller = await bench.caller()
             caller.send(b"C.SET", b"k", b"w", b"c=put,t=acme,d=9000,k=1", b"value")
             await asyncio.sleep(0.05)
-            assert len(bench.origin.got) == 1 and bench.driver.held
+            assert len(bench.origin.received) == 1 and bench.driver.requests
             await check_nothing_starts(bench, caller, how)
 
     run_in_virtual_time(monkeypatch, test)
@@ -169,14 +169,16 @@
             await asyncio.sleep(0.01)
             caller.get(name=b"i2")
             await asyncio.sleep(0.01)
-            assert len(bench.origin.got) == 1
+            assert len(bench.origin.received) == 1
             disconnect(caller, how)
             await asyncio.sleep(DETECTION_TIME)
-            before = len(bench.cache.got)
-            bench.origin.lines[0].transport.abort()  # the fetch fails and is retried for its own client only
+            before = len(bench.cache.received)
+            bench.origin.writers[
+                0
+            ].transport.abort()  # the fetch fails and is retried for its own client only
             await asyncio.sleep(8)
-            requested = [one[2][b"x-call-id"] for one in bench.origin.got]
-            assert set(requested) == {b"i1"} and len(bench.cache.got) == before
+            requested = [one[2][b"x-call-id"] for one in bench.origin.received]
+            assert set(requested) == {b"i1"} and len(bench.cache.received) == before
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -201,12 +203,12 @@
     async with router(lambda request, writer: None) as bench:
         caller = await bench.caller()
         caller.get()
-        while not bench.cache.got:
+        while not bench.cache.received:
             await asyncio.sleep(0)
         disconnect(caller, "closes")
-        while bench.driver.held["i1"].open:
+        while bench.driver.requests["i1"].open:
             await asyncio.sleep(0)
-        bench.cache.lines[0].write(hit())
-        while bench.driver.held:
+        bench.cache.writers[0].write(hit())
+        while bench.driver.requests:
             await asyncio.sleep(0)
-        assert bench.pools.pools["c0"].idle and not bench.cache.ended
+        assert bench.pools.pools["c0"].idle and not bench.cache.closed_connections
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -12,8 +12,8 @@
 
 import psutil
 import pytest
-from peers import PATIENCE, Cache, Caller, Web, entry, hit, http, soon
-from test_discovery import ROOT, configuration, listing, whole_list
+from peers import WAIT_TIMEOUT, Cache, Caller, Web, entry, hit, http, wait_until
+from test_discovery import ROOT, configuration, http_list, listing
 
 from applehub.lab.fleet.system_call_faults import SystemCallFault, in_environment
 from applehub.node.descriptors import (
@@ -72,12 +72,12 @@
     reading = asyncio.create_task(read(running.stderr))
     try:
         wanted = 1 + ("console" in changes)
-        await soon(lambda: len(addresses) == wanted or running.returncode is not None)
+        await wait_until(lambda: len(addresses) == wanted or running.returncode is not None)
         yield running, addresses, lines
     finally:
         with contextlib.suppress(ProcessLookupError):
             running.terminate()
-        await asyncio.wait_for(running.wait(), PATIENCE)
+        await asyncio.wait_for(running.wait(), WAIT_TIMEOUT)
         await reading
 
 
@@ -109,12 +109,12 @@
         assert rejected  # all connections were in use
         used = psutil.Process(running.pid).num_fds()
         assert used <= 128
-        discovery_server = Web(lambda request, writer: whole_list(9, entry("c0", cache.address)))
+        discovery_server = Web(lambda request, writer: http_list(9, entry("c0", cache.address)))
         discovery_server.server = await asyncio.start_server(discovery_server._serve, "127.0.0.1", port)
-        await soon(lambda: discovery_server.got)
+        await wait_until(lambda: discovery_server.received)
         console = await connect_client(at["operators call at"])
         console.writer.write(b"HEALTH\n")
-        assert await asyncio.wait_for(console.reader.readline(), PATIENCE) == b"+OK\n"
+        assert await asyncio.wait_for(console.reader.readline(), WAIT_TIMEOUT) == b"+OK\n"
         served = next(one for one in idle if not one.reader.at_eof())
         served.get()
         assert await served.answer() == b"v"
@@ -128,7 +128,7 @@
 async def test_router_recovers_from_lack_of_descriptors_without_busy_loop(tmp_path: Path) -> None:
     """The limit of the process is lower than configured: accept fails, and succeeds once some are free."""
     known = listing(3, entry("c0", "127.0.0.1:1"))
-    web = Web(lambda request, writer: None if len(web.got) > 1 else http(503))
+    web = Web(lambda request, writer: None if len(web.received) > 1 else http(503))
     await web.start()
     async with running_program(tmp_path, 40, discovery=web.address, known=known) as (running, at, lines):
         process = psutil.Process(running.pid)
@@ -136,7 +136,7 @@
         for one in many[:10]:
             one.send(b"PING")
             assert await one.answer() == b"PONG"
-        await soon(lambda: [line for line in lines if "accept fails" in line])
+        await wait_until(lambda: [line for line in lines if "accept fails" in line])
         before = sum(process.cpu_times()[:2])
         await asyncio.sleep(1.0)  # only the retries of accept are running
         assert sum(process.cpu_times()[:2]) - before < 0.25
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -9,7 +9,7 @@
 
 import pytest
 from peers import Bench, Caller, Web, entry, hit, http, router
-from virtual import play
+from virtual import run_in_virtual_time
 
 from applehub import interface as api
 from applehub.lab.fleet.system_call_faults import SystemCall, SystemCallFault, SystemCallFaults
@@ -36,12 +36,16 @@
 
 
 def server(bench: Bench, name: str = "c0") -> Server:
-    return bench.driver.balancer.roster.servers[name]
+    return bench.driver.balancer.server_table.servers[name]
 
 
 def servers_with_failures(bench: Bench) -> list[str]:
-    servers = bench.driver.balancer.roster.servers
-    return [name for name, one in servers.items() if one.fails or one.breaks or one.refusals or one.silences]
+    servers = bench.driver.balancer.server_table.servers
+    return [
+        name
+        for name, one in servers.items()
+        if one.failures or one.broken_attempts or one.refused_connects or one.timeouts
+    ]
 
 
 def fault(call: str, error: str, **when: Any) -> SystemCallFault:
@@ -90,7 +94,7 @@
             assert loop.time() - recovered_at < 2 * MAX_RECOVERY_TIME
             assert not servers_with_failures(bench)
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize(("call", "error"), [LOCAL_ERRORS[4], NO_ROUTE_ERRORS[0]])
@@ -116,7 +120,7 @@
                 assert faults.count() == connects
             assert not bench.origin.received and not bench.cache.received and not bench.driver.requests
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("peer", ["quick", "slow", "refuses"])
@@ -171,7 +175,7 @@
             assert servers_with_failures(bench) == (["c0"] if peer == "refuses" else [])
             assert len(bench.cache.received) <= 1.2 * CALLERS
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_single_unreachable_server_is_avoided(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -206,7 +210,7 @@
             assert servers_with_failures(bench) == ["c1"]
         await origin.stop()
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 async def _start_everywhere(peer: Any) -> None:
@@ -235,4 +239,4 @@
                 await asyncio.sleep(0.1)
             assert outcomes == [(api.Status.OK, True), (api.Status.OK, False), (api.Status.OK, False)]
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -15,7 +15,7 @@
 from applehub import interface as api
 from applehub.node import call_schedule, pool
 from applehub.node.discovery import Directory, ListError, read_endpoint
-from applehub.node.memory_budget import bytes_for_values
+from applehub.node.memory_budget import buffer_limit_bytes
 from applehub.node.pool import Pools
 from applehub.node.watch import Watch
 from applehub.settings import read_names
@@ -286,7 +286,7 @@
 
 def test_value_budget_leaves_memory_for_program() -> None:
     """The budget for buffered values leaves memory for the program itself, down to a limit of 32 MB."""
-    assert [bytes_for_values(memory) >> 20 for memory in (32, 64, 192)] == [3, 19, 83]
+    assert [buffer_limit_bytes(memory) >> 20 for memory in (32, 64, 192)] == [3, 19, 83]
 
 
 async def test_sighup_switches_to_new_discovery_address(tmp_path: Path) -> None:
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -24,22 +24,22 @@
 
 
 def test_every_log_line_on_the_on_call_page_exists_and_no_other() -> None:
-    router = Router(settings(must_ask=True))
-    router.throttle_on()
-    router.wait(60 * SECOND)
-    router.die("k")
+    router = Router(settings(list_on_request=True))
+    router.enable_throttle()
+    router.advance(60 * SECOND)
+    router.crash_owner("k")
     owner = router.candidates("k")[0]
-    router.fails_most(next(key for key in "abcdefgh" if router.candidates(key)[0] is not owner))
-    router.wait(2 * SECOND)
-    _, (again,) = router.ask("k")
-    router.end(again, api.Status.OK, elapsed=MILLI)
-    router.tell(api.Members(api.ListKind.FAILED, []))
-    router.wait(5 * SECOND)
-    router.tell(api.Fleet(9, accused={f"c{number}": (9, 9) for number in range(4)}))
+    router.make_owner_fail(next(key for key in "abcdefgh" if router.candidates(key)[0] is not owner))
+    router.advance(2 * SECOND)
+    _, (again,) = router.send_request("k")
+    router.finish_attempt(again, api.Status.OK, elapsed=MILLI)
+    router.deliver(api.Members(api.ListKind.FAILED, []))
+    router.advance(5 * SECOND)
+    router.deliver(api.GossipSummary(9, failure_reports={f"c{number}": (9, 9) for number in range(4)}))
     for key, status in (("m1", api.Status.LOCAL_FAILURE), ("m2", api.Status.UNREACHABLE)):
-        router.wait(11 * SECOND)
-        _, (send, *_) = router.ask(key)
-        router.end(send, status, elapsed=0)
+        router.advance(11 * SECOND)
+        _, (send, *_) = router.send_request(key)
+        router.finish_attempt(send, status, elapsed=0)
     told = {re.sub(r"\bc\d\b", "S", re.sub(r"\b\d+\b", "N", line)) for line in router.log}
     page = (ROOT / "docs" / "on-call.md").read_text()
     assert told == set(re.findall(r"^\| `(.*?)` \|", page, re.M))
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -26,7 +26,7 @@
 
 def test_store_recovers_from_every_power_loss_state() -> None:
     verdict = search(VALUES, make_store)
-    assert verdict.wrong == [] and verdict.states > 100_000
+    assert verdict.failures == [] and verdict.state_count > 100_000
 
 
 class StoreWithoutSync(Store):
@@ -61,12 +61,12 @@
     "mutant", [StoreWithoutSync, StoreWithoutFolderSync, StoreLoadingOlderGeneration, StoreWithoutLock]
 )
 def test_search_detects_each_mutant(mutant: type[Store]) -> None:
-    assert search(VALUES[:3], lambda disk: mutant(disk, "x", 1), flip_step=7).wrong
+    assert search(VALUES[:3], lambda disk: mutant(disk, "x", 1), flip_step=7).failures
 
 
 def test_search_detects_checksum_that_omits_header(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("applehub.durable.frame.crc32", lambda data, start=0: len(data) and data[-1])
-    assert search(VALUES[:3], make_store).wrong
+    assert search(VALUES[:3], make_store).failures
 
 
 @pytest.mark.parametrize("operation", ["write", "sync", "rename", "sync_names"])
@@ -75,12 +75,12 @@
     store = make_store(disk)
     store.open()
     store.save(b"kept")
-    disk.fails = operation
+    disk.failing_operation = operation
     with pytest.raises(OSError, match=operation):
         store.save(b"refused")
-    disk.fails = ""
+    disk.failing_operation = ""
     assert store.load().value in (b"kept", b"refused")
-    for state in disk.states():
+    for state in disk.crash_states():
         assert make_store(state).load().value in (b"kept", b"refused")
     store.save(b"after")
     assert make_store(disk).load().value == b"after"
@@ -95,10 +95,10 @@
         store.save(value)
     store.close()
     reopened = make_store(disk)
-    disk.fails = "read"
+    disk.failing_operation = "read"
     with pytest.raises(OSError, match="read"):
         reopened.open()
-    disk.fails = ""
+    disk.failing_operation = ""
     with pytest.raises(StoreError, match="not open"):
         reopened.save(b"too early")
     assert make_store(disk).open().value == VALUES[2]  # the lock was released by the failed open
@@ -200,11 +200,11 @@
     persisted_list = PersistedList(str(tmp_path))
     persisted_list.load({"rev": 1, "targets": []})
     persisted_list.update({"rev": 2, "targets": [{"uid": "c0", "state": "Ready"}]}, False)
-    while not persisted_list.saver.complained:
+    while not persisted_list.saver.last_save_failed:
         await asyncio.sleep(0.01)
     assert other.load().value is None
     other.close()
-    while persisted_list.saver.complained:
+    while persisted_list.saver.last_save_failed:
         await asyncio.sleep(0.01)
     assert b"c0" in (other.load().value or b"")
     persisted_list.close()
@@ -213,22 +213,22 @@
 async def test_statistics_are_loaded_unless_their_age_is_unknown(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    seen = {"c0": api.Seen(2e6, 1e6, 1.5, 0.25)}
-    statistics = PersistedStatistics(str(tmp_path), lambda: api.Learnt(0, seen))
+    seen = {"c0": api.ServerStatistics(2e6, 1e6, 1.5, 0.25)}
+    statistics = PersistedStatistics(str(tmp_path), lambda: api.SavedStatistics(0, seen))
     assert statistics.load() is None
     statistics.close()
     wall, now = time.time_ns(), time.monotonic_ns()
     for step in (0, 3, -3, 3_600, -3_600):  # steps of the wall clock in s, which must not change the age
         monkeypatch.setattr(time, "time_ns", lambda step=step: wall + step * 1_000_000_000)
         monkeypatch.setattr(time, "monotonic_ns", lambda: now + 7_000_000_000)
-        found = PersistedStatistics(str(tmp_path), statistics.learnt).load()
+        found = PersistedStatistics(str(tmp_path), statistics.get_statistics).load()
         assert found is not None and found.servers == seen and 7_000 <= found.age // 1_000_000 < 8_000
     monkeypatch.setattr(time, "monotonic_ns", lambda: now - 7_000_000_000)  # as on another machine
-    assert PersistedStatistics(str(tmp_path), statistics.learnt).load() is None
+    assert PersistedStatistics(str(tmp_path), statistics.get_statistics).load() is None
     monkeypatch.undo()
     for identifier in ("", "of the time before a restart"):
         monkeypatch.setattr(persisted_statistics, "boot_id", lambda identifier=identifier: identifier)
-        assert PersistedStatistics(str(tmp_path), statistics.learnt).load() is None
+        assert PersistedStatistics(str(tmp_path), statistics.get_statistics).load() is None
     store = Store(Folder(str(tmp_path)), "learnt", 1)
     store.open()
     for value in (
@@ -237,4 +237,4 @@
         b'{"wall_ms": 1, "servers": {"c0": [1]}}',
     ):
         store.save(value)
-        assert PersistedStatistics(str(tmp_path), statistics.learnt).load() is None
+        assert PersistedStatistics(str(tmp_path), statistics.get_statistics).load() is None
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -8,7 +8,7 @@
 from support import MILLI, SECOND, Router, settings
 
 from applehub import interface as api
-from applehub.policy.job import HELD_UP
+from applehub.policy.job import MAX_PAUSE
 from applehub.settings import SettingError, read_settings
 
 Status = api.Status
@@ -21,7 +21,7 @@
     for key, strictest in (("group", "cell"), ("repeatWindow", 0), ("effect", api.Effect.UNSAFE)):
         idempotent.pop(key)
         read = read_settings(configured).classes[configured["classes"].index(idempotent)]
-        assert getattr(read, "window" if key == "repeatWindow" else key) == strictest
+        assert getattr(read, "idempotency_window" if key == "repeatWindow" else key) == strictest
 
 
 @pytest.mark.parametrize("effect", ["", "Safe", "idempotent", 1])
@@ -33,7 +33,7 @@
 
 
 def class_of(effect: api.Effect, window: int) -> api.RequestClass:
-    return api.RequestClass(SECOND, 2 * SECOND, effect, "all", window, late_worth=0.5)
+    return api.RequestClass(SECOND, 2 * SECOND, effect, "all", window, late_weight=0.5)
 
 
 @pytest.mark.parametrize("write", [False, True])
@@ -44,25 +44,25 @@
     window = SECOND
     for cls, effect in enumerate(order):
         router = Router(settings(classes=[class_of(one, window) for one in order]))
-        name, (first,) = router.ask("k", cls, write)
-        actions = router.end(first, Status.RESET)
+        name, (first,) = router.send_request("k", cls, write)
+        actions = router.finish_attempt(first, Status.RESET)
         if write and not actions:
-            actions = router.wait(SECOND // 2)
+            actions = router.advance(SECOND // 2)
         retries = [action for action in actions if isinstance(action, api.Send)]
         assert bool(retries) == (effect is not api.Effect.UNSAFE)
         if effect is api.Effect.UNSAFE:
             assert actions == [api.Fail(name)]
-        assert all(bool(retry.begin_by) == (effect is api.Effect.KEYED) for retry in retries)
+        assert all(bool(retry.start_by) == (effect is api.Effect.KEYED) for retry in retries)
 
 
 @pytest.mark.parametrize("write", [False, True])
 @pytest.mark.parametrize("window", [0, MILLI, 20 * MILLI, 300 * MILLI])
 def test_request_with_idempotency_key_is_not_retried_after_its_window(window: int, write: bool) -> None:
     router = Router(settings(classes=[class_of(api.Effect.KEYED, window)]))
-    _, (first,) = router.ask("k", 0, write)
+    _, (first,) = router.send_request("k", 0, write)
     sent = router.now
-    router.wait(window)
-    actions = router.end(first, Status.RESET, elapsed=window or 1) + router.wait(SECOND)
+    router.advance(window)
+    actions = router.finish_attempt(first, Status.RESET, elapsed=window or 1) + router.advance(SECOND)
     assert not [one for one in actions if isinstance(one, api.Send)]
     assert [type(one) for one in actions] == [api.Fail] and router.now >= sent + window
 
@@ -70,24 +70,24 @@
 @pytest.mark.parametrize("window", [400 * MILLI, SECOND])
 def test_retry_with_idempotency_key_has_a_latest_start_time(window: int) -> None:
     router = Router(settings(classes=[class_of(api.Effect.KEYED, window)]))
-    _, (first,) = router.ask("k")
+    _, (first,) = router.send_request("k")
     sent = router.now
-    router.wait(window // 2)
-    (retry,) = router.end(first, Status.RESET)
+    router.advance(window // 2)
+    (retry,) = router.finish_attempt(first, Status.RESET)
     assert isinstance(first, api.Send) and isinstance(retry, api.Send)
-    assert (first.begin_by, retry.begin_by) == (0, sent + window - HELD_UP)
+    assert (first.start_by, retry.start_by) == (0, sent + window - MAX_PAUSE)
     # The retry expires before it is written, so it did not run; no third attempt follows after the window.
-    router.now = sent + window - HELD_UP
-    (end,) = router.end(retry, Status.MOOT, 1)
+    router.now = sent + window - MAX_PAUSE
+    (end,) = router.finish_attempt(retry, Status.MOOT, 1)
     assert isinstance(end, api.Fail)
 
 
 def test_reloaded_class_applies_its_effect_to_new_requests_only() -> None:
     router = Router(settings(classes=[class_of(api.Effect.SAFE, 0)]))
-    _, (first,) = router.ask("k")
-    router.tell(api.Retuned(settings(classes=[class_of(api.Effect.UNSAFE, 0)])))
-    (retry,) = router.end(first, Status.RESET)  # the request arrived while its class was safe
+    _, (first,) = router.send_request("k")
+    router.deliver(api.SettingsChanged(settings(classes=[class_of(api.Effect.UNSAFE, 0)])))
+    (retry,) = router.finish_attempt(first, Status.RESET)  # the request arrived while its class was safe
     assert isinstance(retry, api.Send)
-    _, (second,) = router.ask("k2")
-    (end,) = router.end(second, Status.RESET)
+    _, (second,) = router.send_request("k2")
+    (end,) = router.finish_attempt(second, Status.RESET)
     assert isinstance(end, api.Fail)
--- a/tests/test_failed_starts.py
+++ b/tests/test_failed_starts.py
@@ -18,7 +18,7 @@
 
 
 def server_named(router: Router, name: str) -> Server:
-    return router.balancer.roster.servers[name]
+    return router.balancer.server_table.servers[name]
 
 
 class FailingHost:
@@ -41,18 +41,18 @@
             action = pending.pop(0)
             if isinstance(action, api.Send):
                 self.attempts.append((self.router.now, action.id))
-                pending += self.router.end(action, self.status, self.next_attempt(action), 0)
-            elif isinstance(action, api.Refuse | api.Fail):
+                pending += self.router.finish_attempt(action, self.status, self.next_attempt(action), 0)
+            elif isinstance(action, api.Reject | api.Fail):
                 self.responses.append(action)
 
     def fail_for(self, duration: int) -> None:
         for _ in range(duration // MILLI):
-            self.fail(self.router.wait(MILLI))
+            self.fail(self.router.advance(MILLI))
 
     def wait_for_sends(self, timeout: int) -> list[api.Send]:
         """Simulates a recovered host: waits up to `timeout` ns and returns the next attempts."""
         for _ in range(timeout // MILLI):
-            if new_sends := sends(self.router.wait(MILLI)):
+            if new_sends := sends(self.router.advance(MILLI)):
                 return new_sends
         return []
 
@@ -62,15 +62,24 @@
     router = Router()
     host = FailingHost(router, status)
     for n in range(6):
-        host.fail(router.ask(f"k{n}")[1])
+        host.fail(router.send_request(f"k{n}")[1])
     host.fail_for(100 * MILLI)
     assert len(host.attempts) >= 6
-    for server in router.balancer.roster.servers.values():
-        assert (server.fails, server.breaks, server.refusals, server.silences, server.out) == (0, 0, 0, 0, 0)
-        assert server.open(router.now) and not server.answered_at
-    assert router.balancer.roster.crowded == 0 and router.balancer.roster.avoided == 0
+    for server in router.balancer.server_table.servers.values():
+        assert (
+            server.failures,
+            server.broken_attempts,
+            server.refused_connects,
+            server.timeouts,
+            server.in_flight,
+        ) == (0, 0, 0, 0, 0)
+        assert server.is_available(router.now) and not server.answered_at
+    assert (
+        router.balancer.server_table.connect_failure_rate == 0
+        and router.balancer.server_table.excluded_count == 0
+    )
     assert not any(line.startswith("server") for line in router.log)
-    _, actions = router.ask("new")
+    _, actions = router.send_request("new")
     (send,) = sends(actions)
     assert send.server == router.candidates("new")[0].member.server
 
@@ -79,12 +88,12 @@
     router = Router()
     host = FailingHost(router, Status.LOCAL_FAILURE)
     for n in range(50):
-        host.fail(router.ask(f"k{n}")[1])
+        host.fail(router.send_request(f"k{n}")[1])
         host.fail_for(20 * MILLI)
     (line,) = [text for text in router.log if "this machine" in text]
     assert "could not begin an attempt at c" in line and line.endswith(": local_failure")
     host.fail_for(10 * SECOND)
-    host.fail(router.ask("later")[1])
+    host.fail(router.send_request("later")[1])
     assert sum("this machine" in text for text in router.log) == 2
 
 
@@ -92,11 +101,13 @@
 def test_local_failures_are_not_gossiped(status: api.Status) -> None:
     router = Router(settings(peers=True))
     host = FailingHost(router, status)
-    messages: list[api.Tell] = []
+    messages: list[api.PublishGossip] = []
     for n in range(6):
-        host.fail(router.ask(f"k{n}")[1])
+        host.fail(router.send_request(f"k{n}")[1])
     for _ in range(10):
-        messages += [action for action in router.wait(100 * MILLI) if isinstance(action, api.Tell)]
+        messages += [
+            action for action in router.advance(100 * MILLI) if isinstance(action, api.PublishGossip)
+        ]
     assert messages and all(message.failing == {} for message in messages)
 
 
@@ -106,13 +117,13 @@
     """The request was not executed, so any class may be retried, and no allowed attempt is used up."""
     router = Router(settings(max_attempts=1))
     host = FailingHost(router, status)
-    name, actions = router.ask("k", cls=cls, write=cls > 0)
+    name, actions = router.send_request("k", cls=cls, write=cls > 0)
     host.fail(actions)
     host.fail_for(300 * MILLI)
     assert not host.responses and len(host.attempts) > 4
     (send,) = host.wait_for_sends(60 * MILLI)
     assert send.id == name
-    assert not router.end(send, Status.OK, host.next_attempt(send))
+    assert not router.finish_attempt(send, Status.OK, host.next_attempt(send))
     assert not router.balancer.jobs
 
 
@@ -121,10 +132,10 @@
 def test_request_is_rejected_in_time_if_the_host_does_not_recover(status: api.Status, write: bool) -> None:
     router = Router(settings(classes=[api.RequestClass(SECOND, 2 * SECOND)]))
     host = FailingHost(router, status)
-    name, actions = router.ask("k", write=write)
+    name, actions = router.send_request("k", write=write)
     host.fail(actions)
     host.fail_for(SECOND + 2 * MILLI)
-    assert [type(response) for response in host.responses] == [api.Refuse]
+    assert [type(response) for response in host.responses] == [api.Reject]
     attempts = len(host.attempts)
     host.fail_for(SECOND)
     assert len(host.attempts) == attempts and not router.balancer.jobs and name
@@ -132,10 +143,10 @@
 
 @pytest.mark.parametrize("status", NOT_STARTED)
 def test_retries_of_many_requests_are_paced(status: api.Status) -> None:
-    router = Router(settings(balancers=1))
+    router = Router(settings(router_count=1))
     host = FailingHost(router, status)
     for n in range(400):
-        host.fail(router.ask(f"k{n}")[1])
+        host.fail(router.send_request(f"k{n}")[1])
     first = len(host.attempts)
     assert first <= 800  # one each, and if the server is unreachable one more at another
     started_at = router.now
@@ -148,9 +159,9 @@
     served: list[tuple[int, str]] = []
     recovered_at = router.now
     while router.now < recovered_at + 600 * MILLI:
-        for send in sends(router.wait(MILLI)):
+        for send in sends(router.advance(MILLI)):
             served.append((router.now, send.id))
-            router.end(send, Status.OK, host.next_attempt(send), MILLI)
+            router.finish_attempt(send, Status.OK, host.next_attempt(send), MILLI)
     assert len({name for _, name in served}) == 400
     assert served[0][0] - recovered_at <= 51 * MILLI and served[-1][0] - recovered_at <= 500 * MILLI
     sent_times = [at for at, _ in served]
@@ -159,20 +170,20 @@
 
 def test_local_failure_spends_no_throttle_token() -> None:
     router = Router()
-    router.throttle_on()
+    router.enable_throttle()
     throttle = router.balancer.monitor.throttle
     assert throttle is not None
     host = FailingHost(router, Status.LOCAL_FAILURE)
-    router.wait(SECOND)
-    before, spent = throttle.level, router.balancer.monitor.spent.per_second(router.now)
+    router.advance(SECOND)
+    before, spent = throttle.level, router.balancer.monitor.token_usage.per_second(router.now)
     assert before > 0
-    name, actions = router.ask("fresh")
+    name, actions = router.send_request("fresh")
     host.fail(actions)
     assert throttle.level == before - 1  # the waiting request reserves one token
-    router.tell(api.Withdrawn(name))
+    router.deliver(api.RequestCancelled(name))
     assert throttle.level == before
-    assert router.balancer.monitor.spent.per_second(router.now) == pytest.approx(spent)
-    assert router.balancer.monitor.bad == 0 and not router.balancer.reads
+    assert router.balancer.monitor.token_usage.per_second(router.now) == pytest.approx(spent)
+    assert router.balancer.monitor.unhealthy_count == 0 and not router.balancer.misses_in_flight
 
 
 def test_local_failure_spends_no_token_of_a_warming_server() -> None:
@@ -180,35 +191,35 @@
     router = Router(members=[api.Member("c0"), api.Member("c1", since=START - SECOND)])
     warming = server_named(router, "c1")
     for n in range(2000):
-        router.wait(2 * MILLI)
-        before = warming.sent_at
-        name, actions = router.ask(f"k{n}")
+        router.advance(2 * MILLI)
+        before = warming.last_sent_at
+        name, actions = router.send_request(f"k{n}")
         (send,) = sends(actions)
         if send.server == "c1":
             break
-        router.end(send, Status.OK, 0, MILLI)
+        router.finish_attempt(send, Status.OK, 0, MILLI)
     else:
         raise AssertionError("no request was sent to the warming server")
-    tokens = warming.budget.tokens
-    router.end(send, Status.LOCAL_FAILURE, 0, 0)
-    assert name and warming.budget.tokens == tokens + 1
-    assert warming.sent_at == before and not warming.trial and not warming.out
+    tokens = warming.warmup_budget.tokens
+    router.finish_attempt(send, Status.LOCAL_FAILURE, 0, 0)
+    assert name and warming.warmup_budget.tokens == tokens + 1
+    assert warming.last_sent_at == before and not warming.is_trial and not warming.in_flight
 
 
 def test_request_that_joined_a_fetch_that_never_started_is_sent_itself() -> None:
     router = Router(settings(classes=[api.RequestClass(SECOND, 2 * SECOND)]))
     host = FailingHost(router, Status.LOCAL_FAILURE)
-    _, (first,) = router.ask("k")
-    (read,) = router.end(first, Status.MISS)
+    _, (first,) = router.send_request("k")
+    (read,) = router.finish_attempt(first, Status.MISS)
     host.last_attempt["r1"] = 0
-    _, join_actions = router.ask("k")
+    _, join_actions = router.send_request("k")
     for send in sends(join_actions):
-        assert not router.end(send, Status.MISS)  # it joins the fetch in flight
+        assert not router.finish_attempt(send, Status.MISS)  # it joins the fetch in flight
         host.last_attempt[send.id] = 0
     host.fail([read])
-    router.tell(api.Withdrawn("r1"))
-    resumed = host.wait_for_sends(10 * MILLI) or sends(router.wait(MILLI))
-    assert resumed or "r2" in {name for _, name in host.attempts} or router.balancer.jobs["r2"].out
+    router.deliver(api.RequestCancelled("r1"))
+    resumed = host.wait_for_sends(10 * MILLI) or sends(router.advance(MILLI))
+    assert resumed or "r2" in {name for _, name in host.attempts} or router.balancer.jobs["r2"].in_flight
 
 
 def reachability_statuses(
@@ -218,22 +229,24 @@
 
     Between two attempts another server accepts a connection if `others_connect` is set."""
     for n in range(count):
-        router.wait(20 * MILLI)
+        router.advance(20 * MILLI)
         event = api.Outcome(f"x{n}", 0, unreachable, Status.UNREACHABLE, True, 0)
-        yield router.balancer.roster.reachability.status(server_named(router, unreachable), event)
-        router.wait(20 * MILLI)
+        yield router.balancer.server_table.reachability.status(server_named(router, unreachable), event)
+        router.advance(20 * MILLI)
         if others_connect:
-            router.tell(api.Outcome(f"y{n}", 0, "c1", Status.OK, True, MILLI, connected=True))
+            router.deliver(api.Outcome(f"y{n}", 0, "c1", Status.OK, True, MILLI, connected=True))
 
 
 def test_unreachable_server_has_failed_if_others_accept_connections() -> None:
     router = Router()
     statuses = list(reachability_statuses(router, "c0", True, 4))
     assert statuses == [Status.UNREACHABLE, Status.UNREACHABLE, Status.CONNECT_FAILED, Status.CONNECT_FAILED]
-    router.tell(api.Outcome("z", 0, "c0", Status.UNREACHABLE, True, 0))
-    assert server_named(router, "c0").fails == 1 and not server_named(router, "c0").open(router.now)
+    router.deliver(api.Outcome("z", 0, "c0", Status.UNREACHABLE, True, 0))
+    assert server_named(router, "c0").failures == 1 and not server_named(router, "c0").is_available(
+        router.now
+    )
     assert any(line == "server c0 unreachable" for line in router.log)
-    assert all(not server_named(router, name).fails for name in ("c1", "c2", "c3"))
+    assert all(not server_named(router, name).failures for name in ("c1", "c2", "c3"))
 
 
 def test_isolated_host_marks_no_server_as_failed() -> None:
@@ -244,36 +257,36 @@
 def test_answers_on_open_connections_are_no_evidence_of_reachability() -> None:
     router = Router()
     for n in range(20):
-        router.wait(20 * MILLI)
+        router.advance(20 * MILLI)
         for name in ("c0", "c2"):
-            router.tell(api.Outcome(f"x{name}{n}", 0, name, Status.UNREACHABLE, True, 0))
-        router.tell(api.Outcome(f"y{n}", 0, "c1", Status.OK, True, MILLI))
-    assert not server_named(router, "c0").fails and not server_named(router, "c2").fails
+            router.deliver(api.Outcome(f"x{name}{n}", 0, name, Status.UNREACHABLE, True, 0))
+        router.deliver(api.Outcome(f"y{n}", 0, "c1", Status.OK, True, MILLI))
+    assert not server_named(router, "c0").failures and not server_named(router, "c2").failures
 
 
 def test_two_short_local_failures_mark_no_server_as_failed() -> None:
     router = Router()
     for _ in range(2):
-        router.wait(100 * MILLI)
+        router.advance(100 * MILLI)
         for name in ("c0", "c2", "c3"):
-            router.tell(api.Outcome("x", 0, name, Status.UNREACHABLE, True, 0))
-        router.wait(100 * MILLI)
-        router.tell(api.Outcome("y", 0, "c1", Status.OK, True, MILLI, connected=True))
-    assert not any(server.fails for server in router.balancer.roster.servers.values())
+            router.deliver(api.Outcome("x", 0, name, Status.UNREACHABLE, True, 0))
+        router.advance(100 * MILLI)
+        router.deliver(api.Outcome("y", 0, "c1", Status.OK, True, MILLI, connected=True))
+    assert not any(server.failures for server in router.balancer.server_table.servers.values())
 
 
 def test_answer_resets_the_count_of_unreachable_attempts() -> None:
     router = Router()
     list(reachability_statuses(router, "c0", True, 2))
-    router.tell(api.Outcome("z", 0, "c0", Status.OK, True, MILLI))
+    router.deliver(api.Outcome("z", 0, "c0", Status.OK, True, MILLI))
     assert list(reachability_statuses(router, "c0", True, 2)) == [Status.UNREACHABLE, Status.UNREACHABLE]
 
 
 def test_request_for_an_unreachable_server_goes_to_another_at_once() -> None:
     router = Router(members=fleet(4))
-    _, (first,) = router.ask("k")
+    _, (first,) = router.send_request("k")
     assert isinstance(first, api.Send)
-    (second,) = router.end(first, Status.UNREACHABLE, 0, 0)
+    (second,) = router.finish_attempt(first, Status.UNREACHABLE, 0, 0)
     assert isinstance(second, api.Send) and second.server not in (first.server, "origin")
 
 
@@ -281,7 +294,7 @@
     """The simulator protocol has no local failures: they come from system calls of a real host."""
     from applehub import wirehost
 
-    assert not api.NOT_BEGUN & set(wirehost.STATUS.values())
+    assert not api.NOT_STARTED & set(wirehost.STATUS.values())
     balancer = Balancer(settings(), 1)
     for status in Status:  # for an unlisted server and an unknown request
         assert balancer.handle(SECOND, api.Outcome("x", 0, "none", status, False, 0)) is not None
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -8,14 +8,19 @@
 
 import orjson
 import pytest
-from test_fleet import ASKED, event
+from test_fleet import REQUEST_FIELDS, event
 
 from applehub.events import EventKind
 from applehub.lab.fleet.checks import run_checks
-from applehub.lab.fleet.commands import find
-from applehub.lab.fleet.draw import DIALS, FAILING, STEPS, draw
+from applehub.lab.fleet.commands import find_plan
 from applehub.lab.fleet.history import build_history
-from applehub.lab.fleet.plan import Clock, Link, Plan, SystemCalls, make_plan
+from applehub.lab.fleet.plan import ClockFault, LinkFault, Plan, SystemCallsFault, make_plan
+from applehub.lab.fleet.plan_generator import (
+    CLOCK_STEPS_S,
+    CONNECTING_CALLS,
+    SYSTEM_CALL_CHOICES,
+    generate_plan,
+)
 from applehub.lab.fleet.processes import environment
 from applehub.lab.fleet.system_call_faults import recorded
 from applehub.lab.fleet.system_calls import FILE_CALLS
@@ -102,31 +107,31 @@
 def test_each_system_call_fault_of_random_plans_is_valid_and_in_the_shipped_plan() -> None:
     shipped = {
         (shipped_fault.call, shipped_fault.error or shipped_fault.short, shipped_fault.side)
-        for shipped_fault in find("system_calls").faults
-        if isinstance(shipped_fault, SystemCalls)
+        for shipped_fault in find_plan("system_calls").faults
+        if isinstance(shipped_fault, SystemCallsFault)
     }
-    for call, errors, max_seconds in FAILING:
+    for call, errors, max_seconds in SYSTEM_CALL_CHOICES:
         for error in errors:
             fields = {"kind": "system_call", "target": ["router-0"], "at": 1, "for_s": max_seconds, **call}
             (fault,) = make_plan("p", {"name": "p", "faults": [{**fields, "error": error}]}).faults
-            assert isinstance(fault, SystemCalls)
+            assert isinstance(fault, SystemCallsFault)
             assert (fault.call, error or fault.short, fault.side) in shipped
-            process_fault = fault.struck("127.0.0.1:*", "/disk")
+            process_fault = fault.for_process("127.0.0.1:*", "/disk")
             assert process_fault.path == ("/disk" if fault.call in FILE_CALLS else None)
 
 
 def test_random_plans_have_system_call_faults_and_clock_steps() -> None:
-    plans = [draw(seed, 4, 4, 30, 60.0, 100.0) for seed in range(40)]
+    plans = [generate_plan(seed, 4, 4, 30, 60.0, 100.0) for seed in range(40)]
     faults = [fault for plan in plans for fault in plan.faults]
-    calls = [fault for fault in faults if isinstance(fault, SystemCalls)]
-    assert {fault.call for fault in calls} == {call["call"] for call, _, _ in FAILING}
-    assert {fault.step_s for fault in faults if isinstance(fault, Clock)} == set(STEPS)
+    calls = [fault for fault in faults if isinstance(fault, SystemCallsFault)]
+    assert {fault.call for fault in calls} == {call["call"] for call, _, _ in SYSTEM_CALL_CHOICES}
+    assert {fault.step_s for fault in faults if isinstance(fault, ClockFault)} == set(CLOCK_STEPS_S)
     for plan in plans:
-        system_calls = [fault for fault in plan.faults if isinstance(fault, SystemCalls)]
+        system_calls = [fault for fault in plan.faults if isinstance(fault, SystemCallsFault)]
         assert plan.fleet.keeps == any(fault.call in FILE_CALLS for fault in system_calls)
-        resets = sum(isinstance(fault, Link) and fault.kind == "reset" for fault in plan.faults)
+        resets = sum(isinstance(fault, LinkFault) and fault.kind == "reset" for fault in plan.faults)
         # The last fault may be too close to the end of the plan for a reset after it.
-        assert resets >= sum(fault.call in DIALS for fault in system_calls) - 1
+        assert resets >= sum(fault.call in CONNECTING_CALLS for fault in system_calls) - 1
 
 
 @pytest.mark.parametrize(
@@ -138,7 +143,7 @@
     fault_fields = {"kind": "system_call", "processes": ["router-0"], "edges": edges, "keep_disk": True}
     records = [
         event(1.0, EventKind.FAULT_BEGUN, fault=0, **fault_fields),
-        event(1.1, EventKind.REQUEST_SENT, "r", **ASKED),
+        event(1.1, EventKind.REQUEST_SENT, "r", **REQUEST_FIELDS),
         event(1.2, EventKind.CLOSED_UNANSWERED, "r", router="router-0"),
         event(1.3, EventKind.FAULT_ENDED, fault=0),
     ]
@@ -158,8 +163,10 @@
     ],
 )
 def test_faults_that_break_client_connections(changes: dict[str, object], breaks: bool) -> None:
-    fault = SystemCalls.model_validate({"kind": "system_call", "target": ["router-0"], "at": 1, **changes})
-    assert fault.breaks is breaks
+    fault = SystemCallsFault.model_validate(
+        {"kind": "system_call", "target": ["router-0"], "at": 1, **changes}
+    )
+    assert fault.breaks_client_connections is breaks
 
 
 def test_invalid_fault_is_rejected() -> None:
--- a/tests/test_fault_scenarios.py
+++ b/tests/test_fault_scenarios.py
@@ -6,14 +6,22 @@
 from typing import Any
 
 import pytest
-from peers import MISS, Cache, Web, entry, hit, http, router, soon
-from test_closes import GET, raw, resets
-from test_told import FULL, SILENT, TOLD, TOLD_ANEW, TRICKLING, Service, Told
+from peers import MISS, Cache, Web, entry, hit, http, router, wait_until
+from test_closes import GET, raw_client, reset_connection
+from test_list_propagation import (
+    ANSWERING,
+    CHANGE_DEADLINE,
+    RELOAD_DEADLINE,
+    SILENT,
+    TRICKLING,
+    FaultyDiscovery,
+    WatchHarness,
+)
 from test_watch import SlowDiscovery, routers
-from virtual import play
+from virtual import run_in_virtual_time
 
 from applehub.node import resp
-from applehub.node.clients import MOST_PIPELINED
+from applehub.node.clients import MAX_PIPELINED_COMMANDS
 
 INCOMPLETE_COMMAND_TIMEOUT = 3.0  # s, until the error or close of a command that stays incomplete
 ANSWER_TOLERANCE = 0.5  # s, allowed past a request's deadline until its final answer
@@ -58,9 +66,13 @@
                     assert loop.time() - stopped_at <= INCOMPLETE_COMMAND_TIMEOUT
             assert answers[-1].startswith("ERR") and loop.time() - stopped_at <= INCOMPLETE_COMMAND_TIMEOUT
             await asyncio.sleep(3)
-            assert not bench.clients.open and not bench.clients.ending and bench.driver.room.used == 0
+            assert (
+                not bench.clients.connections
+                and not bench.clients.lingering
+                and bench.driver.memory.used == 0
+            )
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def answer_late(request: Any, writer: Any) -> None:
@@ -91,7 +103,7 @@
             assert await caller.answer() is None
             assert loop.time() - stopped_at <= INCOMPLETE_COMMAND_TIMEOUT
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_command_completed_in_time_behind_a_pending_one_is_served(
@@ -105,7 +117,7 @@
             caller.writer.write(read_command(b"i2")[20:])
             assert [await caller.answer(), await caller.answer()] == [b"v", b"v"]
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_complete_commands_past_the_pipeline_limit_do_not_time_out(
@@ -114,7 +126,7 @@
     """Commands past the limit wait, complete, for as long as the servers take."""
 
     async def test() -> None:
-        count = MOST_PIPELINED + 3
+        count = MAX_PIPELINED_COMMANDS + 3
         async with router(answer_late) as bench:
             caller = await bench.caller()
             caller.writer.write(b"".join(read_command(b"i%d" % number) for number in range(count)))
@@ -123,7 +135,7 @@
             caller.send(b"PING")
             assert await caller.answer() == b"PONG"
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 NO_LENGTH: dict[str, Callable[[bytes], list[bytes]]] = {
@@ -158,9 +170,9 @@
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == body
-        await soon(lambda: not bench.driver.held)
-        assert len(bench.origin.got) == 1
-        await soon(lambda: bench.driver.room.used == 0)
+        await wait_until(lambda: not bench.driver.requests)
+        assert len(bench.origin.received) == 1
+        await wait_until(lambda: bench.driver.memory.used == 0)
 
 
 @pytest.mark.parametrize("size", [1, 65_537, 1 << 20])
@@ -171,17 +183,17 @@
         async with router(lambda request, writer: MISS, origin=lambda request, writer: None) as bench:
             caller = await bench.caller()
             caller.get()
-            await soon(lambda: bench.origin.got)
-            bench.origin.lines[0].write(b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * size)
-            await bench.origin.lines[0].drain()
+            await wait_until(lambda: bench.origin.received)
+            bench.origin.writers[0].write(b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * size)
+            await bench.origin.writers[0].drain()
             await asyncio.sleep(0.1)
-            resets(bench.origin.lines[0])
-            await soon(lambda: len(bench.origin.got) == 2)
-            bench.origin.lines[1].write(http(200, b"all of it"))
+            reset_connection(bench.origin.writers[0])
+            await wait_until(lambda: len(bench.origin.received) == 2)
+            bench.origin.writers[1].write(http(200, b"all of it"))
             assert await caller.answer() == b"all of it"
-            assert bench.driver.room.used == 0
+            assert bench.driver.memory.used == 0
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_responses_without_length_stay_within_the_memory_limit(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -190,24 +202,24 @@
     async def test() -> None:
         body = b"x" * (1 << 20)
         async with router(lambda request, writer: MISS, origin=lambda request, writer: None) as bench:
-            bench.driver.room.most = 4 << 20  # three quarters are available to long values
+            bench.driver.memory.limit = 4 << 20  # three quarters are available to long values
             callers = [await bench.caller() for _ in range(4)]
             for index, caller in enumerate(callers):
                 caller.get(key=b"k%d" % index, name=b"i%d" % index, info=INFO)
-            writers = list(await soon(lambda: len(bench.origin.got) == 4 and bench.origin.lines))
+            writers = list(await wait_until(lambda: len(bench.origin.received) == 4 and bench.origin.writers))
             for writer in writers:
                 writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + body)
             await asyncio.sleep(1)
-            assert (2 << 20) < bench.driver.room.used <= 3 << 20
+            assert (2 << 20) < bench.driver.memory.used <= 3 << 20
             for writer in writers:
                 if not writer.transport.is_closing():
                     writer.write_eof()
             answers = [await caller.answer() for caller in callers]
             assert answers.count(body) == 2 and [str(answer) for answer in answers].count("BUSY") == 2
             await asyncio.sleep(3)
-            assert bench.driver.room.used == 0 and not bench.driver.held
+            assert bench.driver.memory.used == 0 and not bench.driver.requests
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("deadline_ms", [1, 5, 8, 9, 10, 12, 20, 50, 150])
@@ -242,9 +254,9 @@
                 caller.get(key=b"then%d" % number, name=b"then%d" % number, info=INFO)
                 assert await caller.answer() == (b"far" if at_origin else b"v")
             # Reads are throttled for a while after the only origin has stopped answering.
-            assert at_origin or (loop.time() - started <= 0.5 and not bench.origin.got)
+            assert at_origin or (loop.time() - started <= 0.5 and not bench.origin.received)
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def unsafe_read(name: bytes) -> bytes:
@@ -262,7 +274,7 @@
 # Faults of idle connections; new connections work. None: the server fails them at the next request.
 CONNECTION_FAULTS: dict[str, Callable[[Any], Any] | None] = {
     "closed": lambda writer: writer.close(),
-    "reset": resets,
+    "reset": reset_connection,
     "ended and left open": lambda writer: writer.write_eof(),
     "reset by the next request": None,
     "forgotten: the next request is dropped": None,
@@ -278,7 +290,7 @@
         if writer not in old_connections:
             return good
         if reset:
-            resets(writer)
+            reset_connection(writer)
         return None
 
     return answer
@@ -308,12 +320,12 @@
                 for warm_up in callers:
                     assert await warm_up.answer() in (b"v", b"far")
             await asyncio.sleep(idle_s)
-            old_connections.update(server.lines)
+            old_connections.update(server.writers)
             for writer in [
-                open_writer for open_writer in server.lines if not open_writer.transport.is_closing()
+                open_writer for open_writer in server.writers if not open_writer.transport.is_closing()
             ]:
                 (CONNECTION_FAULTS[fault] or old_connections.add)(writer)
-            caller, count_before, started = await bench.caller(), len(server.got), loop.time()
+            caller, count_before, started = await bench.caller(), len(server.received), loop.time()
             for number in range(3):
                 caller.writer.write(ask(b"i%d" % number))
                 answer = await caller.answer()
@@ -321,14 +333,14 @@
                 if CONNECTION_FAULTS[fault] is not None:  # no request was executed on an old connection
                     assert answer in (b"v", b"far")
                 started = loop.time()
-            attempts = [got for got in server.got[count_before:] if b"i0" in str(got).encode()]
+            attempts = [got for got in server.received[count_before:] if b"i0" in str(got).encode()]
             assert len(attempts) == 1 if ask is unsafe_read else 1 <= len(attempts) <= 4
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 IMMEDIATE_FAILURES: dict[str, Callable[[Any], Any]] = {
-    "resets": resets,
+    "resets": reset_connection,
     "closes": lambda writer: writer.close(),
     "fails": lambda writer: b"",
     "refuses": lambda writer: b"",
@@ -372,38 +384,38 @@
                 assert str(await caller.answer()).split()[0] in ("ERR", "BUSY")
                 assert loop.time() - started <= 3.0 + ANSWER_TOLERANCE
             all_got = [
-                str(got) for server in (bench.cache, *extra_caches, bench.origin) for got in server.got
+                str(got) for server in (bench.cache, *extra_caches, bench.origin) for got in server.received
             ]
             maybe_executed = fault != "refuses"
             for number in range(50):
                 attempts = sum(f"i{number}-" in got for got in all_got)
                 assert attempts <= (1 if ask is unsafe_read and maybe_executed else 4)
-            await soon(lambda: not bench.driver.held)
+            await wait_until(lambda: not bench.driver.requests)
         for extra_cache in extra_caches:
             await extra_cache.stop()
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("idle_s", [60, 3600])
 @pytest.mark.parametrize(
-    "fault", [[SILENT, FULL], [TRICKLING, FULL], [SILENT, SILENT, FULL]], ids=" then ".join
+    "fault", [[SILENT, ANSWERING], [TRICKLING, ANSWERING], [SILENT, SILENT, ANSWERING]], ids=" then ".join
 )
 @pytest.mark.parametrize("must_ask", [False, True])
 def test_discovery_faults_after_a_long_idle_time_are_recovered_in_time(
     monkeypatch: pytest.MonkeyPatch, fault: list[str], must_ask: bool, idle_s: float
 ) -> None:
     async def test() -> None:
-        service = Service()
-        discovery_client = Told(must_ask, await service.start())
+        service = FaultyDiscovery()
+        discovery_client = WatchHarness(must_ask, await service.start())
         await asyncio.sleep(idle_s)
-        service.how, changed_at = list(fault), asyncio.get_running_loop().time()
+        service.behaviours, changed_at = list(fault), asyncio.get_running_loop().time()
         service.rev += 1
-        assert await discovery_client.heard(2) - changed_at <= TOLD
+        assert await discovery_client.wait_for_version(2) - changed_at <= CHANGE_DEADLINE
         discovery_client.watch.stop()
         service.server.close()
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("idle_s", [60, 3600])
@@ -419,7 +431,7 @@
             if not failing:
                 return hit()
             if fault == "resets":
-                resets(writer)
+                reset_connection(writer)
             return MISS if fault == "misses" else None
 
         async with router(cache_answer, origin=lambda request, writer: http(200, b"far")) as bench:
@@ -443,7 +455,7 @@
                     caller.writer.write(read_command(b"back%d" % number))
                     answer = await caller.answer()
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("late", [0.0, 1.4, 3.0])
@@ -456,28 +468,28 @@
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        first, last = SlowDiscovery(late=late), SlowDiscovery(late=late)
-        faulty = [Service() for _ in range(3)]
+        first, last = SlowDiscovery(delay=late), SlowDiscovery(delay=late)
+        faulty = [FaultyDiscovery() for _ in range(3)]
         for service, fault in zip(faulty, ("silent", "trickling", "503"), strict=True):
-            service.how = [fault]
+            service.behaviours = [fault]
         addresses = [await service.start() for service in faulty]
         async with routers(first, 1, must_ask) as (client,):
             await asyncio.sleep(10)
             for number in range(9):
-                client.watch.move([addresses[number % 3]])
+                client.watch.set_endpoints([addresses[number % 3]])
                 await asyncio.sleep(gap)
             last.rev = 7
             address = await last.start()
-            client.watch.move([address])
+            client.watch.set_endpoints([address])
             moved_at = loop.time()
-            assert await client.heard(7) - moved_at <= max(TOLD_ANEW, late + 1)
+            assert await client.wait_for_version(7) - moved_at <= max(RELOAD_DEADLINE, late + 1)
             changed_at = last.change()
-            assert await client.heard(8) - changed_at <= TOLD
+            assert await client.wait_for_version(8) - changed_at <= CHANGE_DEADLINE
         for service in faulty:
             service.server.close()
         last.server.close()
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("must_ask", [False, True])
@@ -495,14 +507,14 @@
             for address in addresses:
                 await asyncio.sleep(0.2)
                 for client in clients:
-                    client.watch.move([address])
+                    client.watch.set_endpoints([address])
             services[-1].rev, moved_at = 9, loop.time()
-            delays = [await client.heard(9) - moved_at for client in clients]
-            assert max(delays) <= 16 / 8 + TOLD
+            delays = [await client.wait_for_version(9) - moved_at for client in clients]
+            assert max(delays) <= 16 / 8 + CHANGE_DEADLINE
         for service in services:
             service.server.close()
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("rest", [GET[30:], GET[30:] + GET, b""], ids=["the rest", "more", "nothing"])
@@ -512,17 +524,17 @@
     """Late bytes neither reset the connection nor reach a server."""
 
     async def test() -> None:
-        async with router() as bench, raw(bench) as client:
-            client.line.sendall(GET[:30])
-            (connection,) = bench.clients.open
-            await soon(lambda: connection.late)
-            connection._too_late()  # the rest is sent in the event loop tick of the timeout
-            client.line.sendall(rest)
-            assert await client.all() == b"-ERR Protocol error: no whole command in time\r\n"
+        async with router() as bench, raw_client(bench) as client:
+            client.sock.sendall(GET[:30])
+            (connection,) = bench.clients.connections
+            await wait_until(lambda: connection.command_timer)
+            connection._command_timed_out()  # the rest is sent in the event loop tick of the timeout
+            client.sock.sendall(rest)
+            assert await client.read_all() == b"-ERR Protocol error: no whole command in time\r\n"
             await asyncio.sleep(3)
-            assert not bench.cache.got and not bench.clients.ending
+            assert not bench.cache.received and not bench.clients.lingering
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("servers", [3, 200, 1000])
@@ -540,7 +552,7 @@
                 caller.get(key=b"k%d" % number, name=b"i%d" % number, info=INFO)
                 assert await caller.answer() == b"from origin"
                 await asyncio.sleep(0.02)
-            assert len(bench.origin.got) == 200
+            assert len(bench.origin.received) == 200
 
 
 @pytest.mark.parametrize("answered", [None, 0.1, 2.4], ids=["never", "soon", "late"])
@@ -558,16 +570,16 @@
             caller = await bench.caller()
             caller.get(info=INFO)
             caller.writer.write(sent)
-            await soon(lambda: bench.cache.got)
+            await wait_until(lambda: bench.cache.received)
             stopped_at = loop.time()
             if answered is not None:
-                loop.call_later(answered, bench.cache.lines[0].write, hit())
+                loop.call_later(answered, bench.cache.writers[0].write, hit())
             assert str(await caller.answer()) == ("BUSY" if answered is None else "b'v'")
             assert str(await caller.answer()) == "ERR Protocol error: no whole command in time"
             assert loop.time() - stopped_at <= INCOMPLETE_COMMAND_TIMEOUT
             assert await caller.answer() is None
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("deadline_ms", [9, 12, 30], ids="{} ms".format)
@@ -612,4 +624,4 @@
         for extra_cache in extra_caches:
             await extra_cache.stop()
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,8 +19,8 @@
 from applehub.lab import fleet as fleet_package
 from applehub.lab.__main__ import main
 from applehub.lab.fleet import relay
-from applehub.lab.fleet.checks import judge
-from applehub.lab.fleet.history import ordered
+from applehub.lab.fleet.checks import run_checks
+from applehub.lab.fleet.history import build_history
 from applehub.lab.fleet.plan import Plan, make_plan
 from applehub.lab.fleet.plan_generator import generate_plan, shrink
 from applehub.lab.fleet.processes import environment
@@ -120,14 +120,14 @@
         event(1.2, EventKind.CLOSED_UNANSWERED, "r", router="router-0"),
         event(1.3, EventKind.FAULT_ENDED, fault=0),
     ]
-    broken = judge(ordered(records), Plan(name="p"))
+    broken = run_checks(build_history(records), Plan(name="p"))
     assert [one.check for one in broken] == ([] if excused else ["answered"])
     other = [
         event(3.0, EventKind.REQUEST_SENT, "s", **REQUEST_FIELDS),
         event(3.1, EventKind.CLOSED_UNANSWERED, "s", router="router-0"),
     ]
-    (found,) = judge(ordered([*records[:1], records[3], *other]), Plan(name="p"))
-    assert found.text(ordered(records)).count("\n") == 4  # two events of the fault, two of the request
+    (found,) = run_checks(build_history([*records[:1], records[3], *other]), Plan(name="p"))
+    assert found.text(build_history(records)).count("\n") == 4  # two events of the fault, two of the request
 
 
 @pytest.mark.parametrize(("since", "excused"), [(1.5, True), (0.5, False)])
@@ -140,7 +140,9 @@
         event(since, EventKind.FAULT_BEGUN, **fault_fields),
         event(2.0, EventKind.FAULT_NOT_BEGUN, fault=0, of="router-0", why="router-0 was never ready"),
     ]
-    assert [one.check for one in judge(ordered(records), Plan(name="p"))] == ([] if excused else ["standing"])
+    assert [one.check for one in run_checks(build_history(records), Plan(name="p"))] == (
+        [] if excused else ["standing"]
+    )
 
 
 @pytest.mark.parametrize(
@@ -160,7 +162,7 @@
         whole=True,
         states={"cache-0": "Ready", "origin": "Ready"},
     )
-    broken = judge(ordered([list_sent, *records]), Plan(name="p"))
+    broken = run_checks(build_history([list_sent, *records]), Plan(name="p"))
     assert [one.check for one in broken] == (["resends"] if breaks else [])
 
 
@@ -172,7 +174,9 @@
 
 def broken_versions(*records: EventRecord) -> list[str]:
     """Returns the violations of the check `versions` in a run with these events."""
-    found = judge(ordered([event(0.1, EventKind.STARTED, of="router-0", number=1), *records]), Plan(name="p"))
+    found = run_checks(
+        build_history([event(0.1, EventKind.STARTED, of="router-0", number=1), *records]), Plan(name="p")
+    )
     return [one.what for one in found if one.check == "versions"]
 
 
@@ -383,7 +387,7 @@
         event(40.0, EventKind.PEERS_AGREED, routers=1),
     ]
     plan = Plan(name="p", rules={"stale_ms": 30_000})  # type: ignore[arg-type]
-    assert [one.check for one in judge(ordered(records), plan)] == ([] if holds else ["told"])
+    assert [one.check for one in run_checks(build_history(records), plan)] == ([] if holds else ["told"])
 
 
 @pytest.mark.parametrize(
@@ -413,7 +417,7 @@
         if fault == "stop":
             begin.fields.update(processes=["cache-0"], edges=[])
         records += [begin, end]
-    assert [one.check for one in judge(ordered(records), Plan(name="p"))] == ["departed"] * breaks
+    assert [one.check for one in run_checks(build_history(records), Plan(name="p"))] == ["departed"] * breaks
 
 
 @pytest.mark.parametrize(("at", "holds"), [(7.5, True), (9.2, False)])
@@ -425,4 +429,6 @@
         event(2.1, EventKind.LIST_SENT, **LIST_FIELDS, version=2),
         event(at, EventKind.ATTEMPT_BEGUN, "r", **{**ATTEMPT_FIELDS, "cls": "read"}),
     ]
-    assert [one.check for one in judge(ordered(records), Plan(name="p"))] == ([] if holds else ["drained"])
+    assert [one.check for one in run_checks(build_history(records), Plan(name="p"))] == (
+        [] if holds else ["drained"]
+    )
--- a/tests/test_key_assignment.py
+++ b/tests/test_key_assignment.py
@@ -8,7 +8,7 @@
 
 from applehub import interface as api
 from applehub.policy.keys import KeyRanges
-from applehub.policy.roster import Roster
+from applehub.policy.server_table import ServerTable
 from applehub.policy.servers import Server
 
 
@@ -18,19 +18,19 @@
     def __init__(self) -> None:
         self.ranges = KeyRanges(10 * SECOND)
 
-    def check(self, now: int, roster: Roster) -> None:
-        current = roster.turn.settings
-        origin = current.origin_kind if current.aside else -1
+    def check(self, now: int, roster: ServerTable) -> None:
+        current = roster.context.settings
+        origin = current.origin_kind if current.cache_aside else -1
         ready = [server for server in roster.servers.values() if server.member.state is api.State.READY]
         caches = [server for server in ready if server.member.kind != origin]
-        self.ranges.deal(now, sorted(server.member.server for server in caches))
+        self.ranges.assign(now, sorted(server.member.server for server in caches))
         mean = sum(server.member.weight for server in caches) / max(1, len(caches))
         for server in caches:
-            assert roster.size(server) == pytest.approx(
+            assert roster.relative_weight(server) == pytest.approx(
                 server.member.weight / mean if mean else 1.0, rel=1e-12
             )
         assert roster.origin is next((server for server in ready if server.member.kind == origin), None)
-        assert roster.ranges.deals == self.ranges.deals
+        assert roster.ranges.assignments == self.ranges.assignments
         for number in range(20):
             actual, expected = roster.ranges.locate(f"k{number}", now), self.ranges.locate(f"k{number}", now)
             assert actual[:3] == expected[:3] and list(actual[3]) == list(expected[3])
@@ -44,11 +44,11 @@
     return api.Member(f"c{number}", state, kind, weight=draw.choice((0.0, 0.5, 0.7, 1.0, 1.0, 3.0)))
 
 
-def random_event(draw: random.Random, servers: int) -> api.Members | api.ByHand:
+def random_event(draw: random.Random, servers: int) -> api.Members | api.ServerOverride:
     """Returns a list update, mostly a delta of few entries, or an operator override."""
     chance = draw.random()
     if chance < 0.1:
-        return api.ByHand(f"c{draw.randrange(servers)}", draw.random() < 0.5, 0)
+        return api.ServerOverride(f"c{draw.randrange(servers)}", draw.random() < 0.5, 0)
     if chance < 0.15:
         entries = [random_entry(draw, servers) for _ in range(servers)]
         return api.Members(draw.choice((api.ListKind.FULL, api.ListKind.CACHED)), entries)
@@ -63,16 +63,16 @@
 def test_incremental_changes_assign_keys_as_the_complete_list_does(servers: int, seed: int) -> None:
     draw = random.Random(f"{servers} {seed}")
     router, full = Router(members=fleet(servers)), FullAssignment()
-    full.check(router.now, router.balancer.roster)
+    full.check(router.now, router.balancer.server_table)
     for _ in range(200):
-        router.wait(draw.randrange(SECOND))
+        router.advance(draw.randrange(SECOND))
         event = random_event(draw, servers)
-        router.tell(event)
-        if isinstance(event, api.Members) or event.server in router.balancer.roster.servers:
-            full.check(router.now, router.balancer.roster)
+        router.deliver(event)
+        if isinstance(event, api.Members) or event.server in router.balancer.server_table.servers:
+            full.check(router.now, router.balancer.server_table)
         if draw.random() < 0.1:
-            router.tell(api.Retuned(settings(aside=draw.random() < 0.7)))
-            full.check(router.now, router.balancer.roster)
+            router.deliver(api.SettingsChanged(settings(cache_aside=draw.random() < 0.7)))
+            full.check(router.now, router.balancer.server_table)
 
 
 class CountingDict(dict[str, Server]):
@@ -100,8 +100,8 @@
 @pytest.mark.parametrize("servers", [16, 200, 1024, 3200])
 def test_change_of_one_entry_accesses_only_its_server(servers: int) -> None:
     """The cost of a list update must not grow with the number of servers."""
-    router = Router(settings(balancers=servers), fleet(servers))
-    roster = router.balancer.roster
+    router = Router(settings(router_count=servers), fleet(servers))
+    roster = router.balancer.server_table
     roster.servers = servers_by_name = CountingDict(roster.servers)
     for entry in (
         api.Member("c3", api.State.DRAINING),
@@ -111,17 +111,20 @@
     ):
         servers_by_name.accesses = 0
         router.now += MILLI
-        router.tell(api.Members(api.ListKind.DELTA, [entry]))
+        router.deliver(api.Members(api.ListKind.DELTA, [entry]))
         assert servers_by_name.accesses <= 10
-    assigned = [names for _, names in roster.ranges.deals]
+    assigned = [names for _, names in roster.ranges.assignments]
     assert all(earlier is not later for earlier, later in pairwise(assigned))  # no list is mutated
     assert [len(names) for names in assigned if names] == [servers, servers - 1, servers]
 
 
 def lowest_base(router: Router, kind: int) -> float:
     """Returns the lowest idle answer time, in ns, of the listed servers of a kind."""
-    servers = router.balancer.roster.servers.values()
-    return min((server.base for server in servers if server.base and server.member.kind == kind), default=0.0)
+    servers = router.balancer.server_table.servers.values()
+    return min(
+        (server.base_latency for server in servers if server.base_latency and server.member.kind == kind),
+        default=0.0,
+    )
 
 
 @pytest.mark.parametrize("servers", [2, 16, 200])
@@ -129,32 +132,33 @@
     """Servers join, leave and change their kind; some have statistics of an earlier process."""
     draw = random.Random(servers)
     router = Router(members=fleet(servers))
-    roster = router.balancer.roster
+    roster = router.balancer.server_table
     statistics = {
-        f"c{number}": api.Seen(8.0 * MILLI, draw.uniform(4, 8) * MILLI, 1.0, 1.0) for number in range(3)
+        f"c{number}": api.ServerStatistics(8.0 * MILLI, draw.uniform(4, 8) * MILLI, 1.0, 1.0)
+        for number in range(3)
     }
-    router.tell(api.Learnt(0, statistics))
+    router.deliver(api.SavedStatistics(0, statistics))
     for number in range(2000):
-        router.wait(10 * MILLI)
-        _, actions = router.ask(f"k{draw.randrange(50)}")
+        router.advance(10 * MILLI)
+        _, actions = router.send_request(f"k{draw.randrange(50)}")
         for send in actions:
             if isinstance(send, api.Send):
-                router.end(send, api.Status.OK, elapsed=int(draw.expovariate(0.1) * MILLI) + MILLI)
+                router.finish_attempt(send, api.Status.OK, elapsed=int(draw.expovariate(0.1) * MILLI) + MILLI)
                 kind = roster.servers[send.server].member.kind
-                assert roster.kinds[kind].uncrowded == lowest_base(router, kind)
+                assert roster.kinds[kind].lowest_base_latency == lowest_base(router, kind)
         if number % 5 == 0:
-            router.tell(api.Members(api.ListKind.DELTA, [random_entry(draw, servers)]))
+            router.deliver(api.Members(api.ListKind.DELTA, [random_entry(draw, servers)]))
         assert all(len(kind.heap) <= 4 * servers + 128 for kind in roster.kinds.values())
 
 
 def test_answer_accesses_only_its_own_server() -> None:
     """The cost of an answer must not grow with the number of servers."""
     router = Router(members=fleet(3200))
-    roster = router.balancer.roster
+    roster = router.balancer.server_table
     roster.servers = servers_by_name = CountingDict(roster.servers)
     requests = 400
     for number in range(requests):
-        _, (send,) = router.ask(f"k{number % 7}")
+        _, (send,) = router.send_request(f"k{number % 7}")
         assert isinstance(send, api.Send)
-        router.end(send, api.Status.OK, elapsed=(10 + number) * MILLI)
+        router.finish_attempt(send, api.Status.OK, elapsed=(10 + number) * MILLI)
     assert servers_by_name.accesses <= 10 * requests
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 
 from applehub import interface as api
-from applehub.lab import berger, policies, simulation
+from applehub.lab import policies, simulation, throttle_analysis
 from applehub.lab.__main__ import main
 from applehub.lab.clock import MILLI, Clock
 from applehub.lab.compare import mean_of
@@ -212,10 +212,10 @@
 
 def test_throttle_blocking_matches_the_published_markov_chain() -> None:
     # With one token, the throughput is r (1 - exp(-load)).
-    assert berger.chain(1, 2.0)[0] == pytest.approx(1 - 2.718281828**-2)
-    results = [berger.played(10, buffer, 1.2, 40_000, 1) for buffer in (0, 5)]
+    assert throttle_analysis.analyze_chain(1, 2.0)[0] == pytest.approx(1 - 2.718281828**-2)
+    results = [throttle_analysis.simulate(10, buffer, 1.2, 40_000, 1) for buffer in (0, 5)]
     for _, blocked in results:
-        assert blocked.value == pytest.approx(berger.chain(10, 1.2)[1], abs=0.01)
+        assert blocked.value == pytest.approx(throttle_analysis.analyze_chain(10, 1.2)[1], abs=0.01)
 
 
 def test_run_and_sim_do_not_import_the_emulator() -> None:
--- a/tests/test_list_propagation.py
+++ b/tests/test_list_propagation.py
@@ -8,12 +8,12 @@
 
 import pytest
 from peers import entry, http, info
-from virtual import play
+from virtual import run_in_virtual_time
 
 from applehub.node import call_schedule
 from applehub.node.discovery import Directory
 from applehub.node.driver import Driver
-from applehub.node.figures import Figures
+from applehub.node.metrics import Metrics
 from applehub.node.pool import Pools
 from applehub.node.watch import Watch
 from applehub.policy import Balancer
@@ -88,7 +88,7 @@
     def __init__(self, must_ask: bool, *endpoints: tuple[str, int]) -> None:
         settings_json = {**info(), "registryMode": "on_request" if must_ask else "pushed"}
         settings = read_settings(settings_json)
-        self.driver = Driver(Balancer(settings, 1), Pools(64, 0.25, 60.0), 100, Figures())
+        self.driver = Driver(Balancer(settings, 1), Pools(64, 0.25, 60.0), 100, Metrics())
         self.directory = Directory(read_names(settings_json), 1, self.driver.pools, self.driver.notify)
         self.watch = Watch(list(endpoints), self.directory, 1, must_ask)
         self.driver.start_watch = self.watch.start
@@ -145,7 +145,7 @@
         harness.watch.stop()
         service.server.close()
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("must_ask", [False, True])
@@ -169,7 +169,7 @@
             harness.watch.stop()
             service.server.close()
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("must_ask", [False, True])
@@ -197,7 +197,7 @@
             for one in (old, new):
                 one.server.close()
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("must_ask", [False, True])
@@ -226,7 +226,7 @@
         harness.watch.stop()
         service.server.close()
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @pytest.mark.parametrize("must_ask", [False, True])
@@ -253,7 +253,7 @@
             one.cancel()
         return calls.index(done.pop())
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_unchanged_list_is_polled_once_per_hold(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -268,4 +268,4 @@
         harness.watch.stop()
         service.server.close()
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -10,7 +10,7 @@
 from applehub.node.http1 import HttpResponse
 
 REPORT = b"backlog=3.5,errors_per_s=0.25,x0=0.691"
-LOAD = api.Load(queue=3.5, eps=0.25)
+LOAD = api.LoadReport(queue=3.5, eps=0.25)
 INVALID_REPORTS = [
     None,
     7,
@@ -33,7 +33,7 @@
 def test_known_fields_of_report_are_parsed() -> None:
     assert read_load(REPORT) == LOAD
     assert read_load("x0=0.5") is None
-    assert read_load(b"backlog=0,soon=1") == api.Load(queue=0)
+    assert read_load(b"backlog=0,soon=1") == api.LoadReport(queue=0)
 
 
 @pytest.mark.parametrize("report", INVALID_REPORTS)
@@ -72,20 +72,20 @@
 
 def test_reported_errors_reveal_server_failing_other_routers() -> None:
     """Reported errors reveal a server that fails other routers' requests to a router that seldom uses it."""
-    router = Router(settings(balancers=40))
+    router = Router(settings(router_count=40))
     for n in range(40):
-        name, _ = router.ask(f"other{n}")
-        router.tell(api.Withdrawn(name))
-        router.wait(SECOND // 10)
-    for server in router.balancer.roster.servers.values():
-        server.out = 0
-    _, (send,) = router.ask("k")
+        name, _ = router.send_request(f"other{n}")
+        router.deliver(api.RequestCancelled(name))
+        router.advance(SECOND // 10)
+    for server in router.balancer.server_table.servers.values():
+        server.in_flight = 0
+    _, (send,) = router.send_request("k")
     assert isinstance(send, api.Send)
-    server = router.balancer.roster.servers[send.server]
-    request_rate = router.balancer.roster.flow.per_second(router.now) * 40 / 4
-    router.end(send, api.Status.MISS, load=api.Load(queue=0, eps=0.8 * request_rate))
-    assert server.errors == pytest.approx(0.4, rel=0.1)
-    router.balancer.roster.observe(
-        server, api.Outcome("", 0, send.server, api.Status.MISS, False, 0, load=api.Load(eps=0.0))
+    server = router.balancer.server_table.servers[send.server]
+    request_rate = router.balancer.server_table.request_rate.per_second(router.now) * 40 / 4
+    router.finish_attempt(send, api.Status.MISS, load=api.LoadReport(queue=0, eps=0.8 * request_rate))
+    assert server.error_rate == pytest.approx(0.4, rel=0.1)
+    router.balancer.server_table.observe(
+        server, api.Outcome("", 0, send.server, api.Status.MISS, False, 0, load=api.LoadReport(eps=0.0))
     )
-    assert server.errors < 0.4
+    assert server.error_rate < 0.4
--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from peers import MISS, Bench, entry, hit, router, soon
+from peers import MISS, Bench, entry, hit, router, wait_until
 from support import MILLI, SECOND, Router, settings
 
 from applehub import interface as api
@@ -21,32 +21,32 @@
     """Returns the cache servers to which requests for `keys` keys are sent."""
     servers = set()
     for n in range(keys):
-        _, sends = router.ask(f"key{n}")
+        _, sends = router.send_request(f"key{n}")
         for send in sends:
             assert isinstance(send, api.Send)
             servers.add(send.server)
-            router.end(send, api.Status.OK, elapsed=MILLI)
-        router.wait(5 * MILLI)
+            router.finish_attempt(send, api.Status.OK, elapsed=MILLI)
+        router.advance(5 * MILLI)
     return servers
 
 
 def test_offline_server_drains_despite_list_updates_until_it_is_online() -> None:
     router = Router()
     assert "c1" in servers_sent_to(router)
-    router.tell(api.ByHand("c1", True, router.now))
-    assert router.balancer.roster.avoided == 1
+    router.deliver(api.ServerOverride("c1", True, router.now))
+    assert router.balancer.server_table.excluded_count == 1
     for kind, listed in (
         (api.ListKind.DELTA, [api.Member("c1")]),
         (api.ListKind.DELTA, [api.Member("c1", api.State.GONE)]),
         (api.ListKind.DELTA, [api.Member("c1", since=router.now)]),
         (api.ListKind.FULL, [api.Member(f"c{n}") for n in range(4)]),
     ):
-        router.tell(api.Members(kind, listed))
+        router.deliver(api.Members(kind, listed))
         assert "c1" not in servers_sent_to(router)
-    router.tell(api.ByHand("c1", False, router.now))
-    assert router.balancer.roster.avoided == 0
+    router.deliver(api.ServerOverride("c1", False, router.now))
+    assert router.balancer.server_table.excluded_count == 0
     for _ in range(10):
-        router.wait(SECOND // 2)
+        router.advance(SECOND // 2)
         if "c1" in servers_sent_to(router):
             break
     else:
@@ -56,40 +56,40 @@
 @pytest.mark.parametrize("relisted", [False, True])
 def test_slow_start_begins_when_a_server_is_put_online_despite_its_boot_time(relisted: bool) -> None:
     router = Router()
-    router.tell(api.ByHand("c1", True, router.now))
-    router.wait(20 * SECOND)
-    router.tell(api.ByHand("c1", False, router.now))
+    router.deliver(api.ServerOverride("c1", True, router.now))
+    router.advance(20 * SECOND)
+    router.deliver(api.ServerOverride("c1", False, router.now))
     back = router.now
     if relisted:
-        router.tell(api.Members(api.ListKind.DELTA, [api.Member("c1", api.State.GONE)]))
-        router.tell(api.Members(api.ListKind.DELTA, [api.Member("c1", since=back - 15 * SECOND)]))
-    assert router.balancer.roster.servers["c1"].cold_since == back
+        router.deliver(api.Members(api.ListKind.DELTA, [api.Member("c1", api.State.GONE)]))
+        router.deliver(api.Members(api.ListKind.DELTA, [api.Member("c1", since=back - 15 * SECOND)]))
+    assert router.balancer.server_table.servers["c1"].warming_since == back
 
 
 def test_listed_as_draining_server_stays_draining_when_put_online() -> None:
     router = Router()
-    router.tell(api.ByHand("c1", True, router.now))
-    router.tell(api.Members(api.ListKind.DELTA, [api.Member("c1", api.State.DRAINING)]))
-    router.tell(api.ByHand("c1", False, router.now))
+    router.deliver(api.ServerOverride("c1", True, router.now))
+    router.deliver(api.Members(api.ListKind.DELTA, [api.Member("c1", api.State.DRAINING)]))
+    router.deliver(api.ServerOverride("c1", False, router.now))
     assert "c1" not in servers_sent_to(router)
 
 
 def test_two_processes_share_the_tokens_of_a_warming_server() -> None:
     def tokens_taken(copies: int) -> int:
         # The window is long, so that the number of tokens limits the requests rather than the traffic.
-        router = Router(settings(ramp_time=60 * SECOND, fall_time=60 * SECOND))
+        router = Router(settings(slow_start_time=60 * SECOND, overload_window=60 * SECOND))
         servers_sent_to(router, 200)
-        router.tell(api.Copies(copies))
-        server = router.balancer.roster.servers["c1"]
-        server.budget.tokens, server.budget.at = 9.0, router.now
-        server.cold_since = router.now
-        return sum(router.balancer.placement._in_budget(server, 4) for _ in range(9))
+        router.deliver(api.ProcessCount(copies))
+        server = router.balancer.server_table.servers["c1"]
+        server.warmup_budget.tokens, server.warmup_budget.updated_at = 9.0, router.now
+        server.warming_since = router.now
+        return sum(router.balancer.placement._take_warmup_token(server, 4) for _ in range(9))
 
     assert (tokens_taken(1), tokens_taken(2)) == (2, 1)
 
 
 def open_overrides(bench: Bench, folder: Path) -> OperatorOverrides:
-    return OperatorOverrides(bench.directory, bench.driver.tell, SharedState(str(folder)))
+    return OperatorOverrides(bench.directory, bench.driver.notify, SharedState(str(folder)))
 
 
 def two_caches(cache: object, origin: object) -> list[dict[str, object]]:
@@ -111,15 +111,15 @@
         assert [overrides.offline("c1"), overrides.offline("c1")] == ["+OK", "+OK"]
         assert (
             bench.pools.pools["c1"].retired
-            and balancer.roster.servers["c1"].member.state is api.State.DRAINING
+            and balancer.server_table.servers["c1"].member.state is api.State.DRAINING
         )
-        bench.directory.take({"rev": 6, "all": True, "targets": two_caches(bench.cache, bench.origin)})
+        bench.directory.apply({"rev": 6, "all": True, "targets": two_caches(bench.cache, bench.origin)})
         assert bench.pools.pools["c1"].retired and bench.directory.can_serve
         overrides.offline("c0")
-        assert not bench.directory.can_serve and bench.directory.size == 2
+        assert not bench.directory.can_serve and bench.directory.cache_count == 2
         assert [overrides.online("c1"), overrides.online("c1")] == ["+OK", "+OK"]
         assert not bench.pools.pools["c1"].retired and bench.directory.can_serve
-        assert balancer.roster.servers["c1"].cold_since > 0
+        assert balancer.server_table.servers["c1"].warming_since > 0
 
 
 async def test_both_processes_of_an_upgrade_apply_the_same_overrides(tmp_path: Path) -> None:
@@ -132,7 +132,7 @@
         new_overrides.online("c1")
         old_overrides.poll()
         assert not old.pools.pools["c1"].retired
-        cold = [one.driver.balancer.roster.servers["c1"].cold_since for one in (old, new)]
+        cold = [one.driver.balancer.server_table.servers["c1"].warming_since for one in (old, new)]
         assert abs(cold[0] - cold[1]) < SECOND and min(cold) > 0
         old_overrides.offline("c0")
         assert new_overrides.offline("c0") == "+OK" and new.pools.pools["c0"].retired
@@ -191,8 +191,8 @@
         overrides = open_overrides(bench, tmp_path)
         caller = await bench.caller()
         caller.get(name=b"i1")
-        await soon(lambda: bench.cache.got)
+        await wait_until(lambda: bench.cache.received)
         overrides.offline("c0")
-        bench.cache.lines[0].write(hit())
+        bench.cache.writers[0].write(hit())
         assert await caller.answer() == b"v"
-        await soon(lambda: not bench.pools.pools["c0"].all)
+        await wait_until(lambda: not bench.pools.pools["c0"].connections)
--- a/tests/test_override_file.py
+++ b/tests/test_override_file.py
@@ -33,10 +33,10 @@
     """A router process: its overrides, and the events that it passed to the policy."""
 
     def __init__(self, folder: Path) -> None:
-        self.events: list[api.ByHand] = []
+        self.events: list[api.ServerOverride] = []
         directory = Directory(read_names(info()), 1, Pools(64, 0.25, 60.0), lambda event: None)
         listed = [entry(f"c{number}", "127.0.0.1:1") for number in range(4)]
-        directory.take({"rev": 1, "all": True, "targets": listed})
+        directory.apply({"rev": 1, "all": True, "targets": listed})
         self.operator_overrides = OperatorOverrides(directory, self.events.append, SharedState(str(folder)))
         self.operator_overrides.poll()
 
@@ -422,7 +422,7 @@
     clocks.wait(5)
     restarted = Process(tmp_path)
     assert [each.events[-1] for each in (process, other, restarted)] == [
-        api.ByHand("c0", False, returned_at)
+        api.ServerOverride("c0", False, returned_at)
     ] * 3
 
 
@@ -460,7 +460,9 @@
         times = {"boot_id": identifier, "made": {"c0": [stored_ms, 5 * SECOND], "c1": [5, 5 * SECOND]}}
         (tmp_path / "applehub-by-hand.times.json").write_text(json.dumps(times))
     process = Process(tmp_path)
-    assert api.ByHand("c0", False, clocks.monotonic) in process.events and process.offline_servers() == {"c1"}
+    assert api.ServerOverride(
+        "c0", False, clocks.monotonic
+    ) in process.events and process.offline_servers() == {"c1"}
     clocks.wait(590)
     process.operator_overrides.offline("c2")
     assert set(stored(tmp_path)) == {"c0", "c1", "c2"}
--- a/tests/test_parallel_run.py
+++ b/tests/test_parallel_run.py
@@ -44,7 +44,7 @@
 """
 
 
-@pytest.mark.parametrize("names", [conftest.LONG, conftest.ALONE], ids=["long", "alone"])
+@pytest.mark.parametrize("names", [conftest.SLOW_TESTS, conftest.EXCLUSIVE_TESTS], ids=["long", "alone"])
 def test_each_listed_name_is_a_test(names: tuple[str, ...]) -> None:
     defined = [
         name
@@ -56,7 +56,7 @@
 
 def test_exclusive_tests_run_alone_while_others_run_in_parallel(tmp_path: Path) -> None:
     (tmp_path / "conftest.py").write_text((FOLDER / "conftest.py").read_text())
-    test = TIMED_TESTS.replace("ALONE", conftest.ALONE[0]).replace("LONG", conftest.LONG[-1])
+    test = TIMED_TESTS.replace("ALONE", conftest.EXCLUSIVE_TESTS[0]).replace("LONG", conftest.SLOW_TESTS[-1])
     (tmp_path / "test_times.py").write_text(test)
     options = ["-n", "3", "--dist", "loadgroup", "--no-loadscope-reorder", "-q", "-p", "no:cacheprovider"]
     result = subprocess.run(
@@ -86,13 +86,13 @@
 
 
 def test_longest_tests_are_ordered_first_and_exclusive_tests_last() -> None:
-    names = ["test_a", *conftest.ALONE, "test_b", *reversed(conftest.LONG), "test_c"]
+    names = ["test_a", *conftest.EXCLUSIVE_TESTS, "test_b", *reversed(conftest.SLOW_TESTS), "test_c"]
     items = [FakeItem(name) for name in names]
     conftest.pytest_collection_modifyitems(cast(list[pytest.Item], items))
     ordinary = ["test_a", "test_b", "test_c"]
-    assert [item.name for item in items] == [*conftest.LONG, *ordinary, *conftest.ALONE]
+    assert [item.name for item in items] == [*conftest.SLOW_TESTS, *ordinary, *conftest.EXCLUSIVE_TESTS]
     grouped = [item.name for item in items if item.marks == [pytest.mark.xdist_group("alone")]]
-    assert grouped == list(conftest.ALONE)
+    assert grouped == list(conftest.EXCLUSIVE_TESTS)
 
 
 def read_lines(file: Path) -> list[list[str]]:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -12,8 +12,8 @@
 from support import settings as router_settings
 
 from applehub import interface as api
-from applehub.lab.gossip import Gossip, Talk
-from applehub.node.configuration import ConfigurationError, read_peers_of
+from applehub.lab.gossip import GossipPlan, GossipSimulation
+from applehub.node.configuration import ConfigurationError, read_peers_setting
 from applehub.node.discovery import read_endpoint
 from applehub.node.peering import read_peers
 from applehub.peers.agent import GossipAgent
@@ -188,8 +188,8 @@
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 def test_fleet_rejoins_after_a_partition_and_removes_dead_routers(loss: float) -> None:
-    parameters = Gossip(12, loss=loss, seconds=3, cut_s=10, kill=0.7)
-    result = Talk(parameters, 4).play()
+    parameters = GossipPlan(12, loss=loss, seconds=3, cut_s=10, kill=0.7)
+    result = GossipSimulation(parameters, 4).simulate()
     assert result.missing == 0 and result.records < 100
     assert 0 < result.known_s < 5 and 0 < result.healed_s < 10 and 0 < result.buried_s < 10
     for type_name, ages in result.ages_ms.items():
@@ -213,47 +213,49 @@
 
 def test_server_is_excluded_by_a_quorum_of_reports_but_not_by_a_single_report() -> None:
     router = router_with_peers()
-    name = router.serve("k")
-    router.wait(3 * SECOND)
-    router.tell(api.Fleet(9, accused={name: (1, 1)}))
-    assert router.balancer.roster.avoided == 0
-    router.tell(api.Fleet(9, accused={name: (3, 9)}))
-    assert router.balancer.roster.avoided == 0  # most reporters see the server as healthy
-    router.tell(api.Fleet(40, accused={name: (4, 4)}))
-    assert router.balancer.roster.avoided == 0  # too few reporters for a fleet of 40 routers
-    router.tell(api.Fleet(9, accused={name: (3, 4)}))
-    assert router.balancer.roster.avoided == 1
-    _, (send,) = router.ask("k")
+    name = router.cache_key("k")
+    router.advance(3 * SECOND)
+    router.deliver(api.GossipSummary(9, failure_reports={name: (1, 1)}))
+    assert router.balancer.server_table.excluded_count == 0
+    router.deliver(api.GossipSummary(9, failure_reports={name: (3, 9)}))
+    assert router.balancer.server_table.excluded_count == 0  # most reporters see the server as healthy
+    router.deliver(api.GossipSummary(40, failure_reports={name: (4, 4)}))
+    assert router.balancer.server_table.excluded_count == 0  # too few reporters for a fleet of 40 routers
+    router.deliver(api.GossipSummary(9, failure_reports={name: (3, 4)}))
+    assert router.balancer.server_table.excluded_count == 1
+    _, (send,) = router.send_request("k")
     assert isinstance(send, api.Send) and send.server != name
 
 
 def test_own_responses_override_gossiped_health_and_gossip_is_not_forwarded() -> None:
     router = router_with_peers()
-    name = router.serve("k")
-    router.tell(api.Fleet(9, accused={name: (8, 8)}))
-    assert router.balancer.roster.avoided == 0
-    (report, *_) = [action for action in router.wait(SECOND) if isinstance(action, api.Tell)]
-    assert report.vouched == [name] and not report.failing
-    router.wait(3 * SECOND)
-    router.tell(api.Fleet(9, accused={name: (8, 8), "never-listed": (8, 8), "origin": (8, 8)}))
-    assert router.balancer.roster.avoided == 1
-    later_reports = [action for action in router.wait(2 * SECOND) if isinstance(action, api.Tell)]
-    assert later_reports and not any(action.failing or action.vouched for action in later_reports)
+    name = router.cache_key("k")
+    router.deliver(api.GossipSummary(9, failure_reports={name: (8, 8)}))
+    assert router.balancer.server_table.excluded_count == 0
+    (report, *_) = [action for action in router.advance(SECOND) if isinstance(action, api.PublishGossip)]
+    assert report.healthy == [name] and not report.failing
+    router.advance(3 * SECOND)
+    router.deliver(
+        api.GossipSummary(9, failure_reports={name: (8, 8), "never-listed": (8, 8), "origin": (8, 8)})
+    )
+    assert router.balancer.server_table.excluded_count == 1
+    later_reports = [action for action in router.advance(2 * SECOND) if isinstance(action, api.PublishGossip)]
+    assert later_reports and not any(action.failing or action.healthy for action in later_reports)
 
 
 def test_gossiped_health_excludes_a_bounded_part_of_the_servers() -> None:
     router = router_with_peers()
-    router.wait(3 * SECOND)
-    router.tell(api.Fleet(9, accused={f"c{number}": (9, 9) for number in range(4)}))
-    assert router.balancer.roster.avoided == 1  # of five listed servers, including the origin
+    router.advance(3 * SECOND)
+    router.deliver(api.GossipSummary(9, failure_reports={f"c{number}": (9, 9) for number in range(4)}))
+    assert router.balancer.server_table.excluded_count == 1  # of five listed servers, including the origin
 
 
 def test_failing_server_is_published_until_it_responds() -> None:
     router = router_with_peers()
-    _, (first,) = router.ask("k")
+    _, (first,) = router.send_request("k")
     assert isinstance(first, api.Send)
-    router.end(first, api.Status.CONNECT_FAILED)
-    (report, *_) = [action for action in router.wait(SECOND) if isinstance(action, api.Tell)]
+    router.finish_attempt(first, api.Status.CONNECT_FAILED)
+    (report, *_) = [action for action in router.advance(SECOND) if isinstance(action, api.PublishGossip)]
     assert report.failing == {first.server: 1}
     adapter, kinds = PolicyAdapter(make_agent(0)), {"cache": 0}
     adapter.publish(0, report, kinds)
@@ -270,10 +272,10 @@
 
 def test_starting_router_adopts_gossiped_range_fraction_and_then_converges() -> None:
     router = router_with_peers()
-    router.tell(api.Fleet(9, shares={0: 0.4}))
-    assert router.balancer.roster.kinds[0].share == pytest.approx(0.4)
-    router.tell(api.Fleet(9, shares={0: 0.8}))
-    assert router.balancer.roster.kinds[0].share == pytest.approx(0.5)
+    router.deliver(api.GossipSummary(9, range_fractions={0: 0.4}))
+    assert router.balancer.server_table.kinds[0].range_fraction == pytest.approx(0.4)
+    router.deliver(api.GossipSummary(9, range_fractions={0: 0.8}))
+    assert router.balancer.server_table.kinds[0].range_fraction == pytest.approx(0.5)
 
 
 # Settings
@@ -302,8 +304,8 @@
 
 def test_gossip_is_disabled_when_the_platform_forbids_it() -> None:
     configuration = {"name": "n1", "peers": {"fleet": "f", "listen": "127.0.0.1:0"}}
-    assert read_peers_of(configuration, {"ceilings": {"mayTell": False}}) is None
-    assert read_peers_of({}, {}) is None
-    assert read_peers_of(configuration, {"ceilings": {}}) is not None
+    assert read_peers_setting(configuration, {"ceilings": {"mayTell": False}}) is None
+    assert read_peers_setting({}, {}) is None
+    assert read_peers_setting(configuration, {"ceilings": {}}) is not None
     with pytest.raises(ConfigurationError, match="name"):
-        read_peers_of({**configuration, "name": ""}, {"ceilings": {}})
+        read_peers_setting({**configuration, "name": ""}, {"ceilings": {}})
--- a/tests/test_persisted.py
+++ b/tests/test_persisted.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from peers import soon
+from peers import wait_until
 
 from applehub import interface as api
 from applehub.durable.folder import Folder
@@ -73,17 +73,17 @@
     persisted.load({"rev": 1, "targets": []})
     if after_a_save:
         persisted.update(answer(3, "c1"), False)
-        await soon(lambda: persisted.saved_changes == persisted.changes)
+        await wait_until(lambda: persisted.saved_changes == persisted.changes)
         if call == "read":
             persisted.saver.store.close()  # the next save opens the store again, which reads its files
     with SystemCallFaults(SystemCallFault(call, error, path=str(tmp_path))) as faults:
         persisted.update(answer(4, "c1", "c2"), False)
-        await soon(lambda: persisted.saver.failures >= 3)
+        await wait_until(lambda: persisted.saver.failures >= 3)
         persisted.update(answer(5, "c0", state="Gone"), False)
-        await soon(lambda: persisted.saver.failures >= 6)
+        await wait_until(lambda: persisted.saver.failures >= 6)
         assert faults.count(call, error) >= 6
         faults.replace()
-        await soon(lambda: persisted.saved_changes == persisted.changes)
+        await wait_until(lambda: persisted.saved_changes == persisted.changes)
     assert restored_servers(tmp_path) == {"c1", "c2"}
     assert caplog.text.count("saving server list failed") == 1
     assert caplog.text.count("saving server list succeeded again") == 1
@@ -96,15 +96,15 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture, call: SystemCall, error: str
 ) -> None:
     caplog.set_level("INFO")
-    seen = {"c0": api.Seen(2e6, 1e6, 1.5, 0.25)}
-    persisted = PersistedStatistics(str(tmp_path), lambda: api.Learnt(0, seen))
-    before = PersistedStatistics(str(tmp_path), lambda: api.Learnt(0, {}))
+    seen = {"c0": api.ServerStatistics(2e6, 1e6, 1.5, 0.25)}
+    persisted = PersistedStatistics(str(tmp_path), lambda: api.SavedStatistics(0, seen))
+    before = PersistedStatistics(str(tmp_path), lambda: api.SavedStatistics(0, {}))
     before.close()  # leaves files, which a save reads when it opens the store
     with SystemCallFaults(SystemCallFault(call, error, path=str(tmp_path))) as faults:
         persisted.start()
-        await soon(lambda: persisted.saver.failures >= 4)
+        await wait_until(lambda: persisted.saver.failures >= 4)
         faults.replace()
-        await soon(lambda: persisted.saver.failures == 0)
+        await wait_until(lambda: persisted.saver.failures == 0)
     assert b"c0" in (stored(tmp_path, "learnt") or b"")
     assert caplog.text.count("saving server statistics failed") == 1
     persisted.close()
@@ -116,8 +116,8 @@
 async def test_saving_resumes_after_threads_could_not_be_started(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    seen = {"c0": api.Seen(2e6, 1e6, 1.5, 0.25)}
-    statistics = PersistedStatistics(str(tmp_path), lambda: api.Learnt(0, seen))
+    seen = {"c0": api.ServerStatistics(2e6, 1e6, 1.5, 0.25)}
+    statistics = PersistedStatistics(str(tmp_path), lambda: api.SavedStatistics(0, seen))
     persisted = PersistedList(str(tmp_path))
     with monkeypatch.context() as patch:
 
@@ -127,8 +127,8 @@
         patch.setattr(threading.Thread, "start", refuse)
         statistics.start()
         persisted.update(answer(2, "c0"), False)
-        await soon(lambda: statistics.saver.failures >= 2 and persisted.saver.failures >= 2)
-    await soon(lambda: statistics.saver.failures == persisted.saver.failures == 0)
+        await wait_until(lambda: statistics.saver.failures >= 2 and persisted.saver.failures >= 2)
+    await wait_until(lambda: statistics.saver.failures == persisted.saver.failures == 0)
     assert stored(tmp_path, "learnt") and restored_servers(tmp_path) == {"c0"}
     statistics.close()
     persisted.close()
@@ -183,7 +183,7 @@
 
     value_saver.save = delayed_save  # type: ignore[method-assign]
     older = asyncio.create_task(value_saver.save_in_thread(b"older"))
-    await soon(save_started.is_set)
+    await wait_until(save_started.is_set)
     value_saver.close(b"newest")
     save_may_continue.set()
     assert not await older
@@ -206,9 +206,9 @@
 
     monkeypatch.setattr(os, "fsync", slow_failure)
     persisted.update(answer(2, "c0"), False)
-    await soon(save_started.is_set)
+    await wait_until(save_started.is_set)
     closing = asyncio.get_running_loop().run_in_executor(None, persisted.close)
-    await soon(lambda: persisted.saver.closed)
+    await wait_until(lambda: persisted.saver.closed)
     save_may_continue.set()
     await closing
     assert restored_servers(tmp_path) == {"c0"}
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -13,7 +13,7 @@
 from registry_group import Group
 
 from applehub.lab.__main__ import main
-from applehub.lab.fleet.ground import claim_block
+from applehub.lab.fleet.harness import claim_block
 from applehub.registry import wire
 from applehub.registry.actions import Propose, Save, StoredState, Tick
 from applehub.registry.config import parse
--- a/tests/test_registry_disk.py
+++ b/tests/test_registry_disk.py
@@ -19,7 +19,7 @@
 import pytest
 from registry_group import Group
 
-from applehub.lab.fleet.ground import claim_block
+from applehub.lab.fleet.harness import claim_block
 from applehub.lab.fleet.processes import environment
 from applehub.registry.__main__ import open_host
 from applehub.registry.actions import (
--- a/tests/test_registry_system.py
+++ b/tests/test_registry_system.py
@@ -11,7 +11,7 @@
 import pytest
 from registry_replica import run_replica
 
-from applehub.lab.fleet.ground import claim_block
+from applehub.lab.fleet.harness import claim_block
 from applehub.lab.fleet.system_call_faults import SystemCallFault, SystemCallFaults
 from applehub.registry.host import Host, HostOptions
 from applehub.registry.listener import Listener
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from peers import entry, hit, info, router, soon
+from peers import entry, hit, info, router, wait_until
 from support import SECOND, Router, settings
 
 from applehub import interface as api
@@ -131,7 +131,7 @@
     assert running.clients.names.classes == {"once": 0, "browse": 1, "read": 2}
     now = running.driver.balancer.settings
     assert [one.effect for one in now.classes] == [api.Effect.UNSAFE] * 3
-    assert (now.max_attempts, running.pools.most, running.watch.endpoints[0][1]) == (2, 45, 2)
+    assert (now.max_attempts, running.pools.max_connections, running.watch.endpoints[0][1]) == (2, 45, 2)
     # Known servers refer to kinds by index, so known kinds keep their indexes and new kinds follow.
     assert running.directory.names.kinds == {"std": 0, "origin": 1, "new": 2}
     assert running.directory.origin_kind == now.origin_kind == 1
@@ -143,54 +143,54 @@
     assert put["name"] in running.clients.names.classes and running.metrics.config_applied == 2
 
 
-def retuned_event(*classes: api.RequestClass, **changes: object) -> api.Retuned:
-    return api.Retuned(settings(classes=list(classes), **changes))
+def retuned_event(*classes: api.RequestClass, **changes: object) -> api.SettingsChanged:
+    return api.SettingsChanged(settings(classes=list(classes), **changes))
 
 
 def test_request_in_flight_keeps_its_class_settings() -> None:
     router = Router()
-    _, (idempotent,) = router.ask("a", cls=0)
-    _, (not_idempotent,) = router.ask("b", cls=2)
+    _, (idempotent,) = router.send_request("a", cls=0)
+    _, (not_idempotent,) = router.send_request("b", cls=2)
     strict = api.RequestClass(SECOND, 2 * SECOND, api.Effect.UNSAFE)
-    router.tell(retuned_event(strict))
-    (retry,) = router.end(idempotent, api.Status.RESET)
+    router.deliver(retuned_event(strict))
+    (retry,) = router.finish_attempt(idempotent, api.Status.RESET)
     assert isinstance(retry, api.Send)
-    (failed,) = router.end(not_idempotent, api.Status.RESET)
+    (failed,) = router.finish_attempt(not_idempotent, api.Status.RESET)
     assert isinstance(failed, api.Fail)
-    _, (newer,) = router.ask("c", cls=0)
-    (failed,) = router.end(newer, api.Status.RESET)
+    _, (newer,) = router.send_request("c", cls=0)
+    (failed,) = router.finish_attempt(newer, api.Status.RESET)
     assert isinstance(failed, api.Fail)
 
 
 def test_lower_attempt_limit_applies_to_requests_in_flight() -> None:
     router = Router()
-    _, (first,) = router.ask("a")
-    router.tell(retuned_event(*settings().classes, max_attempts=1))
-    (rejected,) = router.end(first, api.Status.RESET)
-    assert isinstance(rejected, api.Refuse)
+    _, (first,) = router.send_request("a")
+    router.deliver(retuned_event(*settings().classes, max_attempts=1))
+    (rejected,) = router.finish_attempt(first, api.Status.RESET)
+    assert isinstance(rejected, api.Reject)
 
 
 def test_rates_are_kept_when_their_windows_change() -> None:
     router = Router(settings(tenants=[api.Tenant(5.0), api.Tenant(5.0)]))
     for n in range(50):
-        router.ask(f"k{n}")
-        router.wait(SECOND // 50)
-    before = router.balancer.roster.flow.per_second(router.now)
-    router.tell(retuned_event(api.RequestClass(SECOND // 4, SECOND), tenants=[api.Tenant(9.0)]))
-    assert abs(router.balancer.roster.flow.per_second(router.now) - before) < 1e-6 * before
-    assert len(router.balancer.tenants.shares) == len(router.balancer.tenants.banks) == 1
+        router.send_request(f"k{n}")
+        router.advance(SECOND // 50)
+    before = router.balancer.server_table.request_rate.per_second(router.now)
+    router.deliver(retuned_event(api.RequestClass(SECOND // 4, SECOND), tenants=[api.Tenant(9.0)]))
+    assert abs(router.balancer.server_table.request_rate.per_second(router.now) - before) < 1e-6 * before
+    assert len(router.balancer.tenants.request_rates) == len(router.balancer.tenants.token_buckets) == 1
     assert router.balancer.monitor.period == SECOND // 8
-    router.ask("again")
+    router.send_request("again")
 
 
 async def test_requests_in_flight_of_a_removed_class_are_answered_and_counted() -> None:
     async with router(lambda command, writer: None) as bench:
         caller = await bench.caller()
         caller.get()
-        await soon(lambda: bench.cache.got)
+        await wait_until(lambda: bench.cache.received)
         bench.clients.names.classes = {"other": 0}
-        bench.driver.tell(api.Retuned(settings(classes=[api.RequestClass(SECOND, SECOND)])))
-        bench.cache.lines[0].write(hit())
+        bench.driver.notify(api.SettingsChanged(settings(classes=[api.RequestClass(SECOND, SECOND)])))
+        bench.cache.writers[0].write(hit())
         assert await caller.answer() == b"v"
         assert bench.driver.figures.responses["read"]["ok"] == 1  # type: ignore[index]
         caller.get(name=b"i2")
@@ -199,10 +199,13 @@
 
 async def test_two_processes_share_the_limits_of_one(tmp_path: Path) -> None:
     running = create_router(tmp_path / "config.json")
-    single_process_limits = (running.pools.most, running.driver.room.most)
+    single_process_limits = (running.pools.max_connections, running.driver.memory.limit)
     running._apply_limits(2)
-    assert running.pools.most == single_process_limits[0] // 2 and running.driver.balancer.roster.copies == 2
+    assert (
+        running.pools.max_connections == single_process_limits[0] // 2
+        and running.driver.balancer.server_table.process_count == 2
+    )
     # The base memory of both processes is subtracted before the rest is shared.
-    assert running.driver.room.most * 2 < single_process_limits[1]
+    assert running.driver.memory.limit * 2 < single_process_limits[1]
     running._apply_limits(1)
-    assert (running.pools.most, running.driver.room.most) == single_process_limits
+    assert (running.pools.max_connections, running.driver.memory.limit) == single_process_limits
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -9,12 +9,24 @@
 
 import hiredis
 import pytest
-from peers import LET_IN, MISS, PATIENCE, Bench, Cache, Web, entry, hit, http, router, soon
+from peers import (
+    ACCEPTS_PER_ITERATION,
+    MISS,
+    WAIT_TIMEOUT,
+    Bench,
+    Cache,
+    Web,
+    entry,
+    hit,
+    http,
+    router,
+    wait_until,
+)
 
 from applehub import interface as api
 from applehub.node import clients, listener, pool, resp
 from applehub.node.call import Call, Exchange
-from applehub.node.driver import WAY_BACK, Held
+from applehub.node.driver import ANSWER_MARGIN, PendingRequest
 
 INFO = b"c=read,t=acme,d=9000"
 
@@ -22,7 +34,7 @@
 @pytest.fixture(autouse=True)
 def no_rest_between_answers(monkeypatch: pytest.MonkeyPatch) -> None:
     """Lets connections be reused at once, since these tests count connections."""
-    monkeypatch.setattr(pool, "REST", 0.0)
+    monkeypatch.setattr(pool, "MIN_IDLE_BEFORE_REUSE", 0.0)
 
 
 def once_info(deadline_ms: int = 9000) -> bytes:
@@ -55,7 +67,7 @@
         caller.get(b"key\xff", b"i1", b"c=read,t=acme,d=9000,size=7")
         assert await caller.answer() == b"PONG"
         assert await caller.answer() == b"a\r\n\0b"
-        name, key, identity, info = bench.cache.got[0]
+        name, key, identity, info = bench.cache.received[0]
         assert (name, key, identity) == (b"C.GET", b"key\xff", b"i1")
         fields = dict(one.split(b"=") for one in info.split(b","))
         assert 8000 < int(fields.pop(b"d")) <= 9000
@@ -67,7 +79,7 @@
         caller = await bench.caller()
         caller.get(b"a/b")
         assert await caller.answer() == b"from origin"
-        method, target, headers, body = bench.origin.got[0]
+        method, target, headers, body = bench.origin.received[0]
         assert (method, target, body) == (b"GET", b"/a%2Fb", b"")
         assert headers[b"x-call-id"] == b"i1"
         fields = dict(one.split(b"=") for one in headers[b"x-call-info"].split(b","))
@@ -80,8 +92,8 @@
         caller = await bench.caller()
         caller.send(b"C.SET", b"k", b"w1", b"c=put,t=acme,d=9000,k=77", b"value")
         assert await caller.answer() == b"from origin"
-        assert bench.origin.got[0][0] == b"PUT" and bench.origin.got[0][3] == b"value"
-        assert not bench.cache.got
+        assert bench.origin.received[0][0] == b"PUT" and bench.origin.received[0][3] == b"value"
+        assert not bench.cache.received
 
 
 async def test_answers_keep_the_order_of_their_commands() -> None:
@@ -98,7 +110,7 @@
         caller.get(name=b"i1")
         caller.get(name=b"i2")
         caller.send(b"PING")
-        await soon(lambda: len(bench.cache.got) == 2 and not bench.driver.held.keys() - {"i1"})
+        await wait_until(lambda: len(bench.cache.received) == 2 and not bench.driver.requests.keys() - {"i1"})
         delayed_writers[0].write(hit(b"i1"))
         assert [await caller.answer() for _ in range(3)] == [b"i1", b"i2", b"PONG"]
 
@@ -109,7 +121,7 @@
         for n in range(20):
             caller.get(name=b"i%d" % n)
             assert await caller.answer() == b"v"
-        assert len(bench.cache.lines) == 1
+        assert len(bench.cache.writers) == 1
 
 
 async def test_timed_out_attempt_is_closed_and_fails_within_the_client_deadline() -> None:
@@ -120,8 +132,8 @@
         answer = await caller.answer()
         assert isinstance(answer, hiredis.ReplyError) and str(answer) == "ERR failed"
         assert time.monotonic() - started_at >= 0.2
-        await soon(lambda: bench.cache.ended == 1)
-        assert len(bench.cache.got) == 1 and not bench.driver.held
+        await wait_until(lambda: bench.cache.closed_connections == 1)
+        assert len(bench.cache.received) == 1 and not bench.driver.requests
 
 
 @pytest.mark.parametrize("info", [once_info(), INFO])
@@ -151,7 +163,7 @@
         caller.get(info=info)
         assert str(await caller.answer()).startswith("BUSY")
         assert set(statuses) == {api.Status.CONNECT_FAILED}
-        assert not any(pool.all for pool in bench.pools.pools.values()) and not bench.driver.held
+        assert not any(pool.connections for pool in bench.pools.pools.values()) and not bench.driver.requests
 
 
 @pytest.mark.parametrize("reply", [b"-BUSY\r\n", b"-BUSY backlog=9.3,errors_per_s=0\r\n"])
@@ -160,7 +172,7 @@
         caller = await bench.caller()
         caller.get(info=once_info())
         assert str(await caller.answer()).startswith("BUSY")
-        await soon(lambda: len(bench.pools.pools["c0"].idle) == 1)
+        await wait_until(lambda: len(bench.pools.pools["c0"].idle) == 1)
 
 
 async def test_connection_lost_after_the_last_byte_is_a_failure() -> None:
@@ -171,7 +183,7 @@
         caller = await bench.caller()
         caller.get(info=once_info())
         assert str(await caller.answer()) == "ERR failed"
-        assert len(bench.cache.got) == 1
+        assert len(bench.cache.received) == 1
 
 
 async def test_connection_lost_before_the_last_byte_proves_that_the_request_did_not_run() -> None:
@@ -190,7 +202,7 @@
         call = Call(b"C.SET", b"k", b"i", b"c=put", bytes(32 << 20), 1, "put", 0, 9000, False)
         until = time.monotonic_ns() + 9_000_000_000
         pool.start(Exchange(call, until, lambda ending: statuses.append(ending.status)))
-        await soon(lambda: statuses)
+        await wait_until(lambda: statuses)
         assert statuses == [
             api.Status.MOOT
         ]  # the request did not run, although the connection was established
@@ -205,7 +217,7 @@
         caller = await bench.caller()
         caller.get(info=once_info())
         assert str(await caller.answer()) == "ERR failed"
-        await soon(lambda: bench.cache.ended == 1)
+        await wait_until(lambda: bench.cache.closed_connections == 1)
 
 
 async def test_extra_data_after_an_answer_closes_the_connection() -> None:
@@ -214,7 +226,7 @@
         for n in range(2):
             caller.get(name=b"i%d" % n)
             assert await caller.answer() == b"v"
-        await soon(lambda: bench.cache.ended == 2)
+        await wait_until(lambda: bench.cache.closed_connections == 2)
 
 
 @pytest.mark.parametrize(
@@ -231,22 +243,22 @@
         caller = await bench.caller()
         caller.send(b"C.SET", b"k", b"w1", once_info(900), b"value")
         assert str(await caller.answer()) == answer
-        await soon(lambda: not bench.driver.held)
+        await wait_until(lambda: not bench.driver.requests)
 
 
 async def test_disconnected_client_is_withdrawn_and_its_attempt_completes() -> None:
     async with router(lambda command, writer: None if command[2] == b"i1" else hit()) as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
-        await soon(lambda: bench.cache.got)
+        await wait_until(lambda: bench.cache.received)
         caller.writer.close()
-        await soon(lambda: not bench.driver.held["i1"].open)
-        bench.cache.lines[0].write(hit())
-        await soon(lambda: not bench.driver.held)
+        await wait_until(lambda: not bench.driver.requests["i1"].open)
+        bench.cache.writers[0].write(hit())
+        await wait_until(lambda: not bench.driver.requests)
         other = await bench.caller()
         other.get(name=b"i2")
         assert await other.answer() == b"v"
-        assert len(bench.cache.lines) == 1 and "i1" not in bench.driver.balancer.jobs
+        assert len(bench.cache.writers) == 1 and "i1" not in bench.driver.balancer.jobs
 
 
 @pytest.mark.parametrize(
@@ -296,14 +308,14 @@
 
 
 async def test_duplicate_request_id_is_rejected() -> None:
-    async with router(lambda command, writer: None if len(bench.cache.got) < 2 else hit()) as bench:
+    async with router(lambda command, writer: None if len(bench.cache.received) < 2 else hit()) as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
-        await soon(lambda: bench.cache.got)
+        await wait_until(lambda: bench.cache.received)
         other = await bench.caller()
         other.get(name=b"i1")
         assert str(await other.answer()) == "ERR this id is in use"
-        bench.cache.lines[0].write(hit())
+        bench.cache.writers[0].write(hit())
         assert await caller.answer() == b"v"
 
 
@@ -312,7 +324,7 @@
         caller = await bench.caller()
         for n in range(2):
             caller.get(name=b"i%d" % n)
-        await soon(lambda: len(bench.driver.held) == 2)
+        await wait_until(lambda: len(bench.driver.requests) == 2)
         other = await bench.caller()
         other.get(name=b"i3")
         assert str(await other.answer()) == "BUSY"
@@ -320,7 +332,7 @@
 
 async def test_value_beyond_the_memory_budget_is_rejected() -> None:
     async with router() as bench:
-        bench.driver.room.most = 1024
+        bench.driver.memory.limit = 1024
         caller = await bench.caller()
         caller.send(b"C.SET", b"k", b"w1", b"c=put,t=acme,d=9000,k=77", bytes(2048))
         caller.send(b"C.SET", b"k", b"w2", b"c=put,t=acme,d=9000,k=78", bytes(512))
@@ -329,16 +341,16 @@
 
 
 async def test_client_that_reads_nothing_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "STUCK", 0.2)
-    async with router(lambda command, writer: hit(bytes(resp.MOST_VALUE))) as bench:
+    monkeypatch.setattr(clients, "WRITE_STALL_TIMEOUT", 0.2)
+    async with router(lambda command, writer: hit(bytes(resp.MAX_BUFFERED_VALUE))) as bench:
         caller = await bench.caller()
         caller.writer.transport.pause_reading()  # type: ignore[attr-defined]
         for n in range(400):
             caller.get(name=b"i%d" % n)
-        await soon(lambda: bench.clients.open)
-        await soon(lambda: not bench.clients.open)
-        await soon(lambda: not bench.driver.held)
-        assert bench.driver.room.used == 0
+        await wait_until(lambda: bench.clients.connections)
+        await wait_until(lambda: not bench.clients.connections)
+        await wait_until(lambda: not bench.driver.requests)
+        assert bench.driver.memory.used == 0
 
 
 async def test_exception_in_the_policy_fails_only_that_request(
@@ -358,7 +370,7 @@
         caller.get(name=b"good")
         assert str(await caller.answer()) == "ERR failed"
         assert await caller.answer() == b"v"
-        assert "ZeroDivisionError" in caplog.text and not bench.driver.held
+        assert "ZeroDivisionError" in caplog.text and not bench.driver.requests
 
 
 async def test_request_without_a_policy_action_fails_by_its_deadline() -> None:
@@ -366,13 +378,13 @@
         bench.driver.balancer.handle = lambda now, event: []  # type: ignore[method-assign]
         caller = await bench.caller()
         caller.get(info=b"c=read,t=acme,d=9000")
-        (held,) = await soon(lambda: list(bench.driver.held.values()))
+        (held,) = await wait_until(lambda: list(bench.driver.requests.values()))
         # The guard timer fires after the policy's deadline and before the client's.
-        assert held.guard.when() * 1e9 - held.deadline < WAY_BACK
+        assert held.deadline_timer.when() * 1e9 - held.deadline < ANSWER_MARGIN
         caller.get(name=b"i2", info=b"c=read,t=acme,d=200")
-        bench.driver._overdue(held)
+        bench.driver._fail_overdue(held)
         assert [str(await caller.answer()) for _ in range(2)] == ["ERR failed"] * 2
-        assert not bench.driver.held
+        assert not bench.driver.requests
 
 
 async def test_connection_closed_by_the_server_is_removed_at_once() -> None:
@@ -380,8 +392,8 @@
         caller = await bench.caller()
         caller.get(name=b"i1")
         assert await caller.answer() == b"v"
-        bench.cache.lines[0].close()
-        await soon(lambda: not bench.pools.pools["c0"].all)
+        bench.cache.writers[0].close()
+        await wait_until(lambda: not bench.pools.pools["c0"].connections)
         caller.get(name=b"i2", info=once_info())
         assert await caller.answer() == b"v"
 
@@ -391,13 +403,13 @@
 ) -> None:
     from applehub.node import pool
 
-    monkeypatch.setattr(pool, "SWEEP", 0.05)
+    monkeypatch.setattr(pool, "SWEEP_INTERVAL", 0.05)
     async with router(keepalive=200_000_000) as bench:
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == b"v"
-        await soon(lambda: bench.cache.ended == 1)
-        assert bench.pools.idle_most < 0.2
+        await wait_until(lambda: bench.cache.closed_connections == 1)
+        assert bench.pools.max_idle < 0.2
 
 
 async def test_longest_idle_connection_is_closed_for_a_new_one() -> None:
@@ -405,8 +417,8 @@
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == b"from origin"
-        await soon(lambda: bench.cache.ended == 1)
-        assert sum(len(pool.all) for pool in bench.pools.pools.values()) == 1
+        await wait_until(lambda: bench.cache.closed_connections == 1)
+        assert sum(len(pool.connections) for pool in bench.pools.pools.values()) == 1
 
 
 async def test_retry_is_sent_after_the_previous_connection_has_ended() -> None:
@@ -477,7 +489,7 @@
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == b"v"
-        fields = dict(one.split(b"=") for one in bench.cache.got[0][3].split(b","))
+        fields = dict(one.split(b"=") for one in bench.cache.received[0][3].split(b","))
         assert int(fields[b"d"]) <= 8800
 
 
@@ -494,7 +506,7 @@
         call = Call(b"C.GET", b"k", b"i2", INFO, None, 0, "read", 0, 9000, False)
         pool = bench.pools.pools["c0"]
         pool.start(Exchange(call, time.monotonic_ns() + 9_000_000_000, outcomes.append))
-        await soon(lambda: outcomes)
+        await wait_until(lambda: outcomes)
         assert outcomes[0].status is api.Status.OK
 
 
@@ -506,21 +518,21 @@
         pool._dial = dial_forever  # type: ignore[method-assign]
         caller = await bench.caller()
         caller.get()
-        (first,) = await soon(lambda: list(pool.all))
+        (first,) = await wait_until(lambda: list(pool.connections))
         del pool._dial
-        first.taken = True  # the connection is lost before the command is written
-        first.lost()
+        first.accepted = True  # the connection is lost before the command is written
+        first.handle_loss()
         assert await caller.answer() == b"v"
         assert statuses == [api.Status.MOOT, api.Status.OK]
-        server = bench.driver.balancer.roster.servers["c0"]
-        assert not server.fails and not server.breaks and len(bench.cache.got) == 1
+        server = bench.driver.balancer.server_table.servers["c0"]
+        assert not server.failures and not server.broken_attempts and len(bench.cache.received) == 1
 
 
 async def test_answered_requests_leave_no_reference_cycles() -> None:
     """Prevents values from staying in memory until the next garbage collection."""
 
-    def live_requests() -> list[Held]:
-        return [one for one in gc.get_objects() if isinstance(one, Held)]
+    def live_requests() -> list[PendingRequest]:
+        return [one for one in gc.get_objects() if isinstance(one, PendingRequest)]
 
     async with router(lambda command, writer: None) as bench:
         caller = await bench.caller()
@@ -528,9 +540,9 @@
         gc.disable()
         try:
             caller.get()
-            await soon(lambda: bench.cache.got)
+            await wait_until(lambda: bench.cache.received)
             assert len(live_requests()) == 1
-            bench.cache.lines[0].write(hit())
+            bench.cache.writers[0].write(hit())
             assert await caller.answer() == b"v"
             assert not live_requests()
         finally:
@@ -543,7 +555,7 @@
 async def test_client_without_a_complete_command_in_time_gets_an_error_and_is_closed(
     monkeypatch: pytest.MonkeyPatch, sent: bytes
 ) -> None:
-    monkeypatch.setattr(clients, "PROMPT", 0.05)
+    monkeypatch.setattr(clients, "COMMAND_TIMEOUT", 0.05)
     async with router() as bench:
         caller = await bench.caller()
         caller.writer.write(sent)
@@ -551,45 +563,45 @@
             assert await caller.answer() == b"PONG"
         assert str(await caller.answer()) == "ERR Protocol error: no whole command in time"
         assert await caller.answer() is None
-        await soon(lambda: not bench.clients.open)
+        await wait_until(lambda: not bench.clients.connections)
 
 
 async def test_client_with_a_request_in_flight_or_answered_is_not_timed_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(clients, "PROMPT", 0.05)
+    monkeypatch.setattr(clients, "COMMAND_TIMEOUT", 0.05)
     async with router(lambda command, writer: None) as bench:
         caller = await bench.caller()
         caller.get()
-        await soon(lambda: bench.cache.got)
-        (client,) = bench.clients.open
-        assert client.late is None
-        bench.cache.lines[0].write(hit())
+        await wait_until(lambda: bench.cache.received)
+        (client,) = bench.clients.connections
+        assert client.command_timer is None
+        bench.cache.writers[0].write(hit())
         assert await caller.answer() == b"v"
-        assert client.late is None and client in bench.clients.open
+        assert client.command_timer is None and client in bench.clients.connections
 
 
 async def test_idle_client_is_closed_for_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
     """Prevents unused connections from exhausting the connection limit."""
-    monkeypatch.setattr(listener, "IDLE_LEAST", 0.0)
+    monkeypatch.setattr(listener, "MIN_IDLE_TIME", 0.0)
     async with router(lambda command, writer: None, sockets=2) as bench:
         idle, busy = await bench.caller(), await bench.caller()
         idle.send(b"PING")
         assert await idle.answer() == b"PONG"
         busy.get()
-        await soon(lambda: bench.cache.got)
+        await wait_until(lambda: bench.cache.received)
         third = await bench.caller()
         third.send(b"PING")
         assert await third.answer() == b"PONG"
         assert await idle.answer() is None
-        bench.cache.lines[0].write(hit())
+        bench.cache.writers[0].write(hit())
         assert await busy.answer() == b"v"
 
 
 async def test_client_beyond_the_limit_is_rejected_until_another_leaves(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(listener, "IDLE_LEAST", 2 * PATIENCE)
+    monkeypatch.setattr(listener, "MIN_IDLE_TIME", 2 * WAIT_TIMEOUT)
     async with router(sockets=2) as bench:
         for _ in range(2):
             caller = await bench.caller()
@@ -599,7 +611,7 @@
         assert str(await third.answer()) == "ERR max number of clients reached"
         assert await third.answer() is None
         caller.writer.close()
-        await soon(lambda: len(bench.clients.open) == 1)
+        await wait_until(lambda: len(bench.clients.connections) == 1)
         fourth = await bench.caller()
         fourth.send(b"PING")
         assert await fourth.answer() == b"PONG"
@@ -609,22 +621,22 @@
     async with router(lambda command, writer: None, sockets=1) as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
-        await soon(lambda: bench.cache.got)
+        await wait_until(lambda: bench.cache.received)
         caller.get(name=b"i2", info=once_info())
-        await soon(lambda: len(bench.driver.held) == 1)
-        bench.cache.lines[0].write(hit())
+        await wait_until(lambda: len(bench.driver.requests) == 1)
+        bench.cache.writers[0].write(hit())
         assert await caller.answer() == b"v"
         assert str(await caller.answer()) == "BUSY"
-        assert len(bench.cache.got) == 1
+        assert len(bench.cache.received) == 1
 
 
 def test_nested_array_is_rejected_before_the_rest_is_parsed() -> None:
     """Prevents a large nested input from blocking the event loop."""
-    frames = resp.Frames()
+    frames = resp.FrameParser()
     frames.feed(b"*2\r\n$1\r\na\r\n" * 2)
     with pytest.raises(resp.FramingError, match="an array in an array"):
         frames.next()
-    assert frames.at < 20
+    assert frames.position < 20
 
 
 async def test_burst_of_clients_is_accepted_a_few_at_a_time() -> None:
@@ -635,7 +647,7 @@
         while not max_seen or len(os.listdir("/proc/self/fd")) > descriptors_before + 4:
             await asyncio.sleep(0)
             max_seen = max(max_seen, len(os.listdir("/proc/self/fd")) - descriptors_before)
-        assert max_seen <= 4 + 4 * LET_IN
+        assert max_seen <= 4 + 4 * ACCEPTS_PER_ITERATION
         for one in burst:
             one.close()
 
@@ -652,11 +664,11 @@
         busy.get(name=b"i1")
         busy.get(name=b"i2")
         assert [await busy.answer() for _ in range(3)] == [b"v", b"v", None]
-        assert len(bench.clients.open) == 1
+        assert len(bench.clients.connections) == 1
         idle.get(name=b"i3")
         assert [await idle.answer() for _ in range(2)] == [b"v", None]
-        await asyncio.wait_for(bench.clients.emptied(PATIENCE), PATIENCE)
-        assert not bench.clients.open
+        await asyncio.wait_for(bench.clients.wait_empty(WAIT_TIMEOUT), WAIT_TIMEOUT)
+        assert not bench.clients.connections
 
 
 async def test_connection_with_unread_input_is_not_closed() -> None:
@@ -664,11 +676,11 @@
         caller = await bench.caller()
         caller.send(b"PING")
         assert await caller.answer() == b"PONG"
-        (client,) = bench.clients.open
-        assert client.transport is not None and not client._more_comes()
+        (client,) = bench.clients.connections
+        assert client.transport is not None and not client._has_unread_input()
         client.transport.pause_reading()
         caller.get()
-        await soon(client._more_comes)
+        await wait_until(client._has_unread_input)
         bench.clients.close()
         client.transport.resume_reading()
         assert [await caller.answer() for _ in range(2)] == [b"v", None]
@@ -678,27 +690,27 @@
     """Prevents a client from sending another request before it sees the end of the stream."""
     async with router() as bench:
         with socket.create_connection(("127.0.0.1", bench.port)) as raw:
-            raw.settimeout(PATIENCE)
+            raw.settimeout(WAIT_TIMEOUT)
             raw.sendall(resp.command(b"PING"))
             await asyncio.sleep(0)
-            await soon(lambda: any(client.proven for client in bench.clients.open))
+            await wait_until(lambda: any(client.sent_command for client in bench.clients.connections))
             assert raw.recv(100) == b"+PONG\r\n"
             bench.clients.hand_over()
             raw.sendall(resp.command(b"C.GET", b"k", b"i1", INFO))
-            await soon(lambda: not bench.clients.open)
+            await wait_until(lambda: not bench.clients.connections)
             assert raw.recv(100) == b"$1\r\nv\r\n" and raw.recv(100) == b""
 
 
 async def test_each_command_has_its_own_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     """Prevents the close of a client whose reads always end in the middle of a command."""
-    monkeypatch.setattr(clients, "PROMPT", PATIENCE)
+    monkeypatch.setattr(clients, "COMMAND_TIMEOUT", WAIT_TIMEOUT)
     async with router() as bench:
         caller = await bench.caller()
         ping = resp.command(b"PING")
         caller.writer.write(ping + ping[:3])
         assert await caller.answer() == b"PONG"
-        (client,) = bench.clients.open
-        first = client.late
+        (client,) = bench.clients.connections
+        first = client.command_timer
         caller.writer.write(ping[3:] + ping[:3])
         assert await caller.answer() == b"PONG"
-        assert first is not None and first.cancelled() and client.late is not None
+        assert first is not None and first.cancelled() and client.command_timer is not None
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -52,8 +52,8 @@
         self.outcomes = OUTCOMES  # drawn for failing attempts
         self.coarse_timers = self.rng.random() < 0.5
         self.options = router_settings(
-            aside=mode != "through",
-            must_ask=mode == "asked",
+            cache_aside=mode != "through",
+            list_on_request=mode == "asked",
             tenants=[api.Tenant(5.0), api.Tenant(5.0)] if mode == "tenants" else [],
         )
         self.now = 100 * SECOND
@@ -78,9 +78,9 @@
         for action in self.router.handle(self.now, event):
             if isinstance(action, api.Send):
                 self.check_send(action)
-            elif isinstance(action, api.Refuse | api.Fail):
+            elif isinstance(action, api.Reject | api.Fail):
                 self.check_answer(action)
-            elif isinstance(action, api.Wake):
+            elif isinstance(action, api.SetTimer):
                 assert action.delay >= 0
                 # Timers are coarser than the clock: an alarm may fire slightly early, but never immediately.
                 delay = action.delay // MICROSECOND * MICROSECOND if self.coarse_timers else action.delay
@@ -107,7 +107,7 @@
         if maybe_executed and spec.effect == "unsafe":
             raise AssertionError("rule 2: retry of an unsafe request that may have been executed")
         if maybe_executed and spec.effect == "keyed":
-            assert self.now < maybe_executed[0][1] + spec.window, (
+            assert self.now < maybe_executed[0][1] + spec.idempotency_window, (
                 "rule 2: retry with an idempotency key after its window"
             )
             for server, _ in maybe_executed:
@@ -123,13 +123,13 @@
         when = min(limit, self.now + self.rng.randrange(1, max_duration))
         self.pending_outcomes.append((when, action.id, len(request.attempts) - 1))
 
-    def check_answer(self, action: api.Refuse | api.Fail) -> None:
+    def check_answer(self, action: api.Reject | api.Fail) -> None:
         request = self.requests[action.id]
         assert not request.ended, "rule 1: a second final answer"
         assert self.now <= request.deadline + 20 * MILLI, "rule 1: final answer after the deadline"
         spec = request.spec
         maybe_executed = any(outcome not in NOT_EXECUTED for _, _, outcome in request.attempts)
-        if isinstance(action, api.Refuse) and maybe_executed and spec.effect != "safe":
+        if isinstance(action, api.Reject) and maybe_executed and spec.effect != "safe":
             assert spec.effect == "keyed" and spec.group == "all", (
                 "rule 2: rejection of a request that may have been executed"
             )
@@ -142,13 +142,13 @@
         deadline = self.now + int(spec.deadline * self.rng.uniform(0.05, 1))
         self.requests[name] = TrackedRequest(spec, deadline)
         key = self.rng.choice([None, "hot", f"k{self.rng.randrange(60)}"])
-        write = spec.effect != "safe" and self.options.aside
+        write = spec.effect != "safe" and self.options.cache_aside
         self.deliver(
             api.Request(name, cls, deadline, key, write, self.rng.randrange(2), self.rng.random() < 0.2)
         )
 
     def update_members(self) -> None:
-        if self.options.must_ask and self.rng.random() < 0.3:
+        if self.options.list_on_request and self.rng.random() < 0.3:
             self.deliver(api.Members(api.ListKind.FAILED, []))
             return
         entries = []
@@ -191,7 +191,7 @@
         request.attempts[attempt] = (server, sent, outcome)
         closed = request.ended or outcome == "ok"
         request.ended = closed
-        load = api.Load(inflight=self.rng.randrange(30), latency_ms=50, qps=20) if fails else None
+        load = api.LoadReport(inflight=self.rng.randrange(30), latency_ms=50, qps=20) if fails else None
         status, connected = api.Status(outcome), outcome not in NOT_STARTED and self.rng.random() < 0.5
         self.deliver(
             api.Outcome(
@@ -225,7 +225,7 @@
             self.now = min(when, alarm)
             if alarm <= when:
                 self.alarms.remove((alarm, token))
-                self.deliver(api.Alarm(token))
+                self.deliver(api.TimerFired(token))
             else:
                 self.pending_outcomes.remove((when, name, attempt))
                 self.finish_attempt(when, name, attempt)
@@ -240,7 +240,7 @@
         if open_requests:
             name = self.rng.choice(open_requests)
             self.requests[name].ended = True
-            self.deliver(api.Withdrawn(name))
+            self.deliver(api.RequestCancelled(name))
 
     def override_server(self) -> None:
         """Excludes a server by operator override, possibly a second time, or restores one."""
@@ -252,7 +252,7 @@
             self.excluded_at.setdefault(name, self.now)
         else:
             self.excluded_at.pop(name, None)
-        self.deliver(api.ByHand(name, exclude, self.now))
+        self.deliver(api.ServerOverride(name, exclude, self.now))
 
     def reload_settings(self) -> None:
         """Reloads settings with reordered classes, one possibly stricter, and another attempt limit."""
@@ -261,7 +261,7 @@
         classes[0].effect = self.rng.choice([classes[0].effect, api.Effect.UNSAFE])
         attempt_limit = self.rng.choice([1, 2, 4])
         self.options = replace(self.options, classes=classes, max_attempts=attempt_limit)
-        self.deliver(api.Retuned(self.options))
+        self.deliver(api.SettingsChanged(self.options))
 
     def restart(self) -> None:
         self.start()
--- a/tests/test_shutdown_under_load.py
+++ b/tests/test_shutdown_under_load.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from peers import PATIENCE, Cache, Caller, Web, entry, hit, http, info, soon
+from peers import WAIT_TIMEOUT, Cache, Caller, Web, entry, hit, http, info, wait_until
 from test_descriptors import connect_client, running_program
 from test_discovery import configuration, listing
 
@@ -72,7 +72,7 @@
                 one.get(key=b"hangs", name=b"h%d-%d" % (number, behind), info=b"c=read,t=acme")
         senders = [Sender(await connect_client(where), f"s{number}") for number in range(20)]
         sending = [asyncio.create_task(one.run(0.002 * number)) for number, one in enumerate(senders)]
-        await soon(lambda: cache.got and all(one.answered > 3 for one in senders))
+        await wait_until(lambda: cache.received and all(one.answered > 3 for one in senders))
         running.send_signal(signal.SIGTERM)
         killed_after = min(deadline, MAX_DEADLINE) + KILL_GRACE
         killing = asyncio.get_running_loop().call_later(killed_after, kill, running)
@@ -81,10 +81,10 @@
         for one in waiting:
             answers = [str(await one.answer()) for _ in range(pipelined)]
             assert all(answer.startswith(("BUSY", "ERR failed")) for answer in answers)
-        assert await asyncio.wait_for(running.wait(), PATIENCE) in (0, -signal.SIGKILL)
+        assert await asyncio.wait_for(running.wait(), WAIT_TIMEOUT) in (0, -signal.SIGKILL)
         killing.cancel()
-        await asyncio.wait_for(asyncio.gather(*sending), PATIENCE)
-        forwarded = {request[2] for request in cache.got}
+        await asyncio.wait_for(asyncio.gather(*sending), WAIT_TIMEOUT)
+        forwarded = {request[2] for request in cache.received}
         for sender in (*senders, late):
             assert sender.answered >= 1 and sender.sent - sender.answered <= 1
             # The last request may have crossed the close of its connection; then it must not be forwarded.
@@ -119,8 +119,8 @@
             answered += answer is not None
             caller.writer.close()
         assert answered > 10
-        assert not {request[2] for request in cache.got} & set(lost[:-1]) and len(lost) <= 1
-        assert await asyncio.wait_for(running.wait(), PATIENCE) == 0
+        assert not {request[2] for request in cache.received} & set(lost[:-1]) and len(lost) <= 1
+        assert await asyncio.wait_for(running.wait(), WAIT_TIMEOUT) == 0
     await cache.stop()
 
 
@@ -149,13 +149,13 @@
             await asyncio.sleep(0.01 * (number % 2))
         configuration(tmp_path, known=known, discovery=last.address)
         running.send_signal(signal.SIGHUP)
-        await soon(lambda: len(last.got) >= 2)  # the list, then the watch
+        await wait_until(lambda: len(last.received) >= 2)  # the list, then the watch
         before = sender.answered
-        await soon(lambda: sender.answered > before + 3)
+        await wait_until(lambda: sender.answered > before + 3)
         assert any(f"discovery at {last.address}" in line for line in lines)
         running.send_signal(signal.SIGTERM)
-        assert await asyncio.wait_for(running.wait(), PATIENCE) == 0
-        await asyncio.wait_for(sending, PATIENCE)
+        assert await asyncio.wait_for(running.wait(), WAIT_TIMEOUT) == 0
+        await asyncio.wait_for(sending, WAIT_TIMEOUT)
         assert sender.sent - sender.answered <= 1
     for web in (*webs, last):
         await web.stop()
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -13,11 +13,11 @@
 
 import psutil
 import pytest
-from peers import PATIENCE, Cache, Caller, Web, entry, hit, http, info, router, soon
+from peers import WAIT_TIMEOUT, Cache, Caller, Web, entry, hit, http, info, router, wait_until
 from support import MILLI, SECOND, Router, fleet, settings
-from test_descriptors import caller_at, program
-from test_discovery import ROOT, listing, whole_list
-from virtual import play
+from test_descriptors import connect_client, running_program
+from test_discovery import ROOT, http_list, listing
+from virtual import run_in_virtual_time
 
 from applehub import interface as api
 from applehub.events import EventKind
@@ -35,10 +35,10 @@
     PeerState,
     decode,
 )
-from applehub.peers.member_table import FORGET_AFTER
+from applehub.peers.member_table import ABSENT_MEMBER_RETENTION
 from applehub.peers.membership import Membership
 from applehub.peers.policy_adapter import PolicyAdapter
-from applehub.peers.record_store import MAX_SUBJECTS, RecordStore
+from applehub.peers.record_store import MAX_VERDICT_SUBJECTS, RecordStore
 from applehub.peers.records import (
     RETENTION,
     Limit,
@@ -47,11 +47,11 @@
     Verdict,
     digest,
 )
-from applehub.policy.keys import DEALS_KEPT, KeyRanges
+from applehub.policy.keys import MAX_ASSIGNMENTS, KeyRanges
 from applehub.policy.servers import Server
 from applehub.registry import answers as answers_module
 from applehub.registry.answers import AnswerCache
-from applehub.registry.descriptors import allow_callers
+from applehub.registry.descriptors import raise_descriptor_limit
 from applehub.registry.endpoint_list import EndpointList
 from applehub.registry.watchers import Watchers
 from applehub.settings import read_names
@@ -65,7 +65,7 @@
 
 
 def router_of_large_fleet(servers: int = FLEET_SIZE) -> Router:
-    return Router(settings(balancers=FLEET_SIZE), fleet(servers))
+    return Router(settings(router_count=FLEET_SIZE), fleet(servers))
 
 
 def range_owner(names: list[str], key: str) -> str:
@@ -79,9 +79,9 @@
 
 def serve_request(router_under_test: Router, key: str, elapsed: int = 10 * MILLI) -> str:
     """Sends and answers one request for a key; returns the server that served it."""
-    _, (send,) = router_under_test.ask(key)
+    _, (send,) = router_under_test.send_request(key)
     assert isinstance(send, api.Send)
-    router_under_test.end(send, api.Status.OK, elapsed=elapsed)
+    router_under_test.finish_attempt(send, api.Status.OK, elapsed=elapsed)
     return send.server
 
 
@@ -99,10 +99,10 @@
 def test_removed_server_moves_its_own_keys_at_once_and_other_keys_gradually() -> None:
     router_under_test, names = router_of_large_fleet(), cache_names()
     keys = [f"k{number}" for number in range(3 * FLEET_SIZE)]
-    router_under_test.tell(api.Members(api.ListKind.DELTA, [api.Member("c500", api.State.GONE)]))
+    router_under_test.deliver(api.Members(api.ListKind.DELTA, [api.Member("c500", api.State.GONE)]))
     moved = [key for key in keys if serve_request(router_under_test, key) != range_owner(names, key)]
     assert moved == [key for key in keys if range_owner(names, key) == "c500"] and moved
-    router_under_test.wait(10 * SECOND)
+    router_under_test.advance(10 * SECOND)
     names.remove("c500")
     assert all(router_under_test.candidates(key)[0].member.server == range_owner(names, key) for key in keys)
 
@@ -113,11 +113,11 @@
     ranges, begin, gap = KeyRanges(10 * SECOND), 100 * SECOND, 20 * MILLI
     lists = []
     for number in range(500):
-        ranges.deal(begin + number * gap, sorted(names))
+        ranges.assign(begin + number * gap, sorted(names))
         lists.append(sorted(names))
         names[number] = f"a{number:04}"  # sorts before all others, so that every range boundary shifts
     now = begin + 499 * gap
-    assert len(ranges.deals) <= DEALS_KEPT
+    assert len(ranges.assignments) <= MAX_ASSIGNMENTS
     keys_waiting = keys_moved = 0
     for key in (f"k{number}" for number in range(FLEET_SIZE)):
         _, at, owner, _ = ranges.locate(key, now)
@@ -127,12 +127,12 @@
         else:  # the key follows a list of about its migration time
             keys_moved += 1
             last = (at - begin) // gap
-            first = max(0, last - 2 * 500 // DEALS_KEPT)
+            first = max(0, last - 2 * 500 // MAX_ASSIGNMENTS)
             assert owner in {range_owner(lists[number], key) for number in range(first, last + 1)}
     assert keys_moved > FLEET_SIZE // 2 and keys_waiting + keys_moved == FLEET_SIZE
     ranges = KeyRanges(10 * SECOND)
     for number in range(250):  # half of the migration period
-        ranges.deal(begin + number * gap, lists[number])
+        ranges.assign(begin + number * gap, lists[number])
     now = begin + 249 * gap
     locations = [ranges.locate(f"k{number}", now)[1:3] for number in range(FLEET_SIZE)]
     unmoved_keys = [(owner, f"k{number}") for number, (at, owner) in enumerate(locations) if at < begin]
@@ -162,13 +162,13 @@
     lookups_by_size = {}
     for size in (16, FLEET_SIZE):
         router_under_test = router_of_large_fleet(size)
-        roster = router_under_test.balancer.roster
+        roster = router_under_test.balancer.server_table
         roster.servers = counting_servers = CountingServers(roster.servers)
         for number in range(100):
             serve_request(router_under_test, f"k{number}")
         lookups = counting_servers.lookups
         counting_servers.lookups = counting_servers.scans = 0
-        router_under_test.tell(api.Members(api.ListKind.DELTA, [api.Member("c3", api.State.DRAINING)]))
+        router_under_test.deliver(api.Members(api.ListKind.DELTA, [api.Member("c3", api.State.DRAINING)]))
         lookups_by_size[size] = lookups, counting_servers.lookups, counting_servers.scans
     assert lookups_by_size[FLEET_SIZE] == lookups_by_size[16]
     assert lookups_by_size[FLEET_SIZE][0] <= 4 * 100 and lookups_by_size[FLEET_SIZE][2] <= 2
@@ -176,9 +176,9 @@
 
 def test_hot_keys_spread_without_reading_the_complete_list() -> None:
     router_under_test = router_of_large_fleet()
-    roster = router_under_test.balancer.roster
+    roster = router_under_test.balancer.server_table
     for server in roster.servers.values():
-        server.base = server.latency = 10.0 * MILLI
+        server.base_latency = server.latency = 10.0 * MILLI
     roster.servers = counting_servers = CountingServers(roster.servers)
     for number in range(100):
         serve_request(router_under_test, f"k{number}")
@@ -205,7 +205,7 @@
     created = GossipAgent(me, "fleet", [], number + 1, TICK)
     for other in range(known):
         created.membership.merge(0, member(other, name))
-    created.membership.table.updates.clear()
+    created.membership.table.update_send_counts.clear()
     return created
 
 
@@ -225,8 +225,8 @@
 
 def agent_pair(name: str = "") -> tuple[GossipAgent, GossipAgent]:
     first, second = agent(0, name=name), agent(1, name=name)
-    first.membership.merge(0, second.membership.me)
-    second.membership.merge(0, first.membership.me)
+    first.membership.merge(0, second.membership.local_peer)
+    second.membership.merge(0, first.membership.local_peer)
     return first, second
 
 
@@ -236,7 +236,7 @@
     announced: set[int] = set()
     for _ in range(2 * FLEET_SIZE // 15):
         for _, data in sender.tick(0)[-1:]:
-            announced |= {peer.member_id for peer in decode(data, sender.fleet).peers}
+            announced |= {peer.member_id for peer in decode(data, sender.fleet_id).peers}
     assert announced >= {number + 1 for number in range(FLEET_SIZE)}
 
 
@@ -249,7 +249,7 @@
         for _, data in sender.tick(0)[-1:]:
             member_ids = [
                 peer.member_id
-                for peer in decode(data, sender.fleet).peers
+                for peer in decode(data, sender.fleet_id).peers
                 if peer.member_id != sender.member_id
             ]
             announced.update(member_ids[: FLEET_SIZE - sum(announced.values())])
@@ -260,20 +260,20 @@
     membership = Membership(member(FLEET_SIZE), [], 1, TICK)
     for number in range(FLEET_SIZE):
         membership.merge(0, member(number))
-    assert membership.alive == FLEET_SIZE + 1
+    assert membership.member_count == FLEET_SIZE + 1
     probed = set()
     for tick in range(FLEET_SIZE):
         for call in membership.tick(tick * TICK):
             if call.kind is MessageKind.PING:
                 probed.add(call.target)
                 membership.handle(
-                    tick * TICK, MessageKind.ACK, call.target, call.sequence, membership.me.member_id
+                    tick * TICK, MessageKind.ACK, call.target, call.sequence, membership.local_peer.member_id
                 )
-    assert len(probed) == FLEET_SIZE and membership.alive == FLEET_SIZE + 1
+    assert len(probed) == FLEET_SIZE and membership.member_count == FLEET_SIZE + 1
     for tick in range(FLEET_SIZE, FLEET_SIZE + 400):  # no probe is answered
         membership.tick(tick * TICK)
     gone = sum(peer.state is PeerState.DEAD for peer in membership.table.peers.values())
-    assert 200 < gone < 400 and membership.alive == FLEET_SIZE + 1 - gone
+    assert 200 < gone < 400 and membership.member_count == FLEET_SIZE + 1 - gone
 
 
 def test_router_probes_on_behalf_of_many_others_at_once() -> None:
@@ -286,7 +286,9 @@
     ]
     assert all(message.kind is MessageKind.PING for messages in probes for message in messages)
     assert sum(map(len, probes)) == FLEET_SIZE
-    (answer,) = membership.handle(0, MessageKind.ACK, 2, probes[0][0].sequence, membership.me.member_id)
+    (answer,) = membership.handle(
+        0, MessageKind.ACK, 2, probes[0][0].sequence, membership.local_peer.member_id
+    )
     assert answer.kind is MessageKind.ACK and answer.target == 1 and answer.sequence == 7
 
 
@@ -297,7 +299,7 @@
         sender.publish(0, Verdict(True, 1), digest(f"c{number}"))
     for tick in range(25):  # 1.25 s, less than the maximum age of a record
         run_tick(tick * TICK, {sender.member_id: sender, receiver.member_id: receiver})
-    accused = receiver.view(25 * TICK).accused
+    accused = receiver.view(25 * TICK).failure_reports
     assert accused.keys() == {digest(f"c{number}") for number in range(FLEET_SIZE)}
 
 
@@ -309,11 +311,11 @@
     sender.publish(now, Shares(tuple(shares.items())))
     for seq in range(1, 4):
         probe = DatagramBuilder(
-            sender.fleet, MessageKind.PING, receiver.member_id, seq, sender.member_id
+            sender.fleet_id, MessageKind.PING, receiver.member_id, seq, sender.member_id
         ).build()
         for _, answer in sender.receive(now, probe):
             receiver.receive(now, answer)
-    assert receiver.view(now).shares == shares
+    assert receiver.view(now).range_fractions == shares
 
 
 def test_kinds_beyond_one_record_are_sent_in_turn() -> None:
@@ -323,21 +325,21 @@
     received_kinds: set[int] = set()
     for tick in range(240):  # shares are published every 2 s
         now = tick * TICK
-        adapter.publish(now, api.Tell(0.0, 0.0, dict.fromkeys(kinds.values(), 0.5), {}, []), kinds)
+        adapter.publish(now, api.PublishGossip(0.0, 0.0, dict.fromkeys(kinds.values(), 0.5), {}, []), kinds)
         run_tick(now, {sender.member_id: sender, receiving_agent.member_id: receiving_agent})
-        received_kinds |= receiver.fleet_event(now, [], kinds).shares.keys()
+        received_kinds |= receiver.gossip_summary(now, [], kinds).range_fractions.keys()
     assert received_kinds == set(kinds.values())
 
 
 def test_records_on_many_servers_by_many_routers_are_bounded() -> None:
     store = RecordStore()
-    for subject in range(MAX_SUBJECTS + 500, 0, -1):
+    for subject in range(MAX_VERDICT_SUBJECTS + 500, 0, -1):
         for writer in range(1, 4):
             store.merge(Record(writer, subject, 1, 0, Verdict(True, 1)))
-    assert sorted(store.judged_servers()) == list(range(1, MAX_SUBJECTS + 1))
-    assert MAX_SUBJECTS >= MAX_CACHE_SERVERS and len(store.records) == 3 * MAX_SUBJECTS
+    assert sorted(store.list_verdict_subjects()) == list(range(1, MAX_VERDICT_SUBJECTS + 1))
+    assert MAX_VERDICT_SUBJECTS >= MAX_CACHE_SERVERS and len(store.records) == 3 * MAX_VERDICT_SUBJECTS
     store.expire(10 * SECOND)
-    assert not store.judged_servers() and not store.records and not store.writers
+    assert not store.list_verdict_subjects() and not store.records and not store.writers
     for writer in range(FLEET_SIZE, 0, -1):
         store.merge(Record(writer, 0, 1, 0, Limit(5.0, 1.0)))
     assert sorted(store.writers[Limit, 0]) == list(range(1, RETENTION[Limit].max_writers + 1))
@@ -347,7 +349,7 @@
     sender = agent(0)
     for number in range(2 * FLEET_SIZE):
         sender.publish(0, Verdict(True, 1), digest(f"old-{number}"))
-    now = 2 * FORGET_AFTER
+    now = 2 * ABSENT_MEMBER_RETENTION
     for number in range(FLEET_SIZE):
         sender.publish(now, Verdict(True, 1), digest(f"c{number}"))
     assert sender.published.keys() == {(Verdict, digest(f"c{number}")) for number in range(FLEET_SIZE)}
@@ -391,10 +393,10 @@
 
 async def test_one_change_wakes_all_watchers() -> None:
     watchers = Watchers()
-    wait_tasks = [asyncio.create_task(watchers.wait(PATIENCE)) for _ in range(2 * FLEET_SIZE)]
+    wait_tasks = [asyncio.create_task(watchers.wait(WAIT_TIMEOUT)) for _ in range(2 * FLEET_SIZE)]
     await asyncio.sleep(0)
     watchers.wake()
-    async with asyncio.timeout(PATIENCE / 2):
+    async with asyncio.timeout(WAIT_TIMEOUT / 2):
         await asyncio.gather(*wait_tasks)
     assert not watchers.waiting
 
@@ -410,14 +412,14 @@
     )
     assert running.stdout is not None and running.stderr is not None
     try:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(WAIT_TIMEOUT):
             while (event := json.loads(await running.stdout.readline())).get("event") != EventKind.READY:
                 pass
         host, _, port = event["address"].rpartition(":")
         yield host, int(port)
     finally:
         running.terminate()
-        await asyncio.wait_for(running.communicate(), PATIENCE)
+        await asyncio.wait_for(running.communicate(), WAIT_TIMEOUT)
 
 
 async def test_list_service_started_with_few_descriptors_accepts_more_clients(tmp_path: Path) -> None:
@@ -425,7 +427,7 @@
         callers = [await asyncio.open_connection(*address) for _ in range(400)]
         for _, writer in callers:
             writer.write(b"GET /api/targets?from=0&hold_ms=x HTTP/1.1\r\nHost: a\r\n\r\n")
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(WAIT_TIMEOUT):
             answers = [await reader.readline() for reader, _ in callers]
         assert set(answers) == {b"HTTP/1.1 400 Bad Request\r\n"}
         for _, writer in callers:
@@ -447,7 +449,7 @@
     applied_limits: list[tuple[int, int]] = []
     monkeypatch.setattr(resource, "getrlimit", lambda of: (soft, hard))
     monkeypatch.setattr(resource, "setrlimit", lambda of, limits: applied_limits.append(limits))
-    allow_callers(1500)
+    raise_descriptor_limit(1500)
     assert applied_limits == ([(granted, hard)] if granted else [])
     assert ("limits.callers" in caplog.text) is warned
 
@@ -482,12 +484,12 @@
             max_seen = 0
             for begin in range(0, FLEET_SIZE, CONCURRENT_REQUESTS):
                 await request_keys(caller, keys[begin : begin + CONCURRENT_REQUESTS])
-                max_seen = max(max_seen, sum(len(pool.all) for pool in bench.pools.pools.values()))
+                max_seen = max(max_seen, sum(len(pool.connections) for pool in bench.pools.pools.values()))
             assert max_seen == max_connections  # the limit is reached and not exceeded
-            assert len(bench.cache.lines) == FLEET_SIZE == len(bench.directory.targets) - 1
-            assert {command[1] for command in bench.cache.got} == set(keys)
+            assert len(bench.cache.writers) == FLEET_SIZE == len(bench.directory.targets) - 1
+            assert {command[1] for command in bench.cache.received} == set(keys)
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def create_directory() -> tuple[Directory, list[api.Members]]:
@@ -498,32 +500,35 @@
 async def test_update_of_a_large_list_changes_only_the_listed_entries() -> None:
     directory, events = create_directory()
     listed = [entry(f"c{number}", f"127.0.0.1:{number + 1}") for number in range(FLEET_SIZE)]
-    directory.take(listing(1, *listed))
+    directory.apply(listing(1, *listed))
     before = dict(directory.pools.pools)
     changes = [entry("c7", "127.0.0.1:8", state="Gone"), entry("new", "127.0.0.1:9")]
-    directory.take(listing(2, *changes, whole=False))
+    directory.apply(listing(2, *changes, whole=False))
     assert [len(event.entries) for event in events] == [FLEET_SIZE, 2]
-    assert directory.size == FLEET_SIZE and "c7" not in directory.pools.pools
+    assert directory.cache_count == FLEET_SIZE and "c7" not in directory.pools.pools
     unchanged = {name: pool for name, pool in directory.pools.pools.items() if name != "new"}
     del before["c7"]
     assert unchanged == before  # the pool objects are the same
-    directory.take(listing(3, *listed))
+    directory.apply(listing(3, *listed))
     assert directory.targets.keys() == {f"c{number}" for number in range(FLEET_SIZE)}
 
 
 async def test_watch_receives_a_large_list_and_an_update() -> None:
     listed = [entry(f"c{number}", f"127.0.0.1:{number + 1}") for number in range(FLEET_SIZE)]
-    change = whole_list(2, entry("c7", "127.0.0.1:8", state="Gone"), whole=False)
+    change = http_list(2, entry("c7", "127.0.0.1:8", state="Gone"), whole=False)
     script = [http(200, json.dumps(listing(1, *listed), indent=8).encode()), change]
     web = Web(lambda command, writer: script.pop(0) if script else None)
     await web.start()
     directory, events = create_directory()
     watch = Watch([read_endpoint(web.address)], directory, 1, False)
     watch.start()
-    await soon(lambda: directory.rev == 2)
+    await wait_until(lambda: directory.rev == 2)
     watch.stop()
-    assert directory.size == FLEET_SIZE - 1 and [len(event.entries) for event in events] == [FLEET_SIZE, 1]
-    assert b"from=1" in web.got[1][1]
+    assert directory.cache_count == FLEET_SIZE - 1 and [len(event.entries) for event in events] == [
+        FLEET_SIZE,
+        1,
+    ]
+    assert b"from=1" in web.received[1][1]
     await web.stop()
 
 
@@ -537,8 +542,8 @@
         "limits": {"sockets": sockets},
         "settings": {**info(), "balancers": FLEET_SIZE},
     }
-    async with program(tmp_path, sockets, **changes) as (running, addresses, lines):
-        caller = await caller_at(addresses["listening on"])
+    async with running_program(tmp_path, sockets, **changes) as (running, addresses, lines):
+        caller = await connect_client(addresses["listening on"])
         process, max_seen = psutil.Process(running.pid), 0
         for begin in range(0, requests, CONCURRENT_REQUESTS):
             await request_keys(
@@ -548,5 +553,5 @@
         caller.writer.transport.abort()
         assert sockets / 3 < max_seen <= sockets
         assert not [line for line in lines if "Too many open files" in line]
-    assert len(cache.lines) > sockets
+    assert len(cache.writers) > sockets
     await cache.stop()
--- a/tests/test_slow_registry.py
+++ b/tests/test_slow_registry.py
@@ -174,7 +174,7 @@
         await test(registry)
         await registry.close()
 
-    virtual.play(monkeypatch, run)
+    virtual.run_in_virtual_time(monkeypatch, run)
 
 
 def now() -> float:
@@ -354,7 +354,7 @@
         await asyncio.sleep(0.01)  # until both ends of closed connections are closed
         assert psutil.Process().num_fds() == before
 
-    virtual.play(monkeypatch, run)
+    virtual.run_in_virtual_time(monkeypatch, run)
     return found[0]
 
 
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -14,12 +14,12 @@
 
 import pytest
 from peers import MISS, Bench, Caller, Peer, entry, hit, http, router
-from test_told import Service
+from test_list_propagation import FaultyDiscovery
 from virtual import VirtualTimeLoop, run_in_virtual_time
 
 from applehub.node.caches import CacheConnection
 from applehub.node.call import Exchange
-from applehub.node.call_schedule import HOLD
+from applehub.node.call_schedule import MAX_HOLD
 from applehub.node.clients import Slot
 from applehub.node.driver import Driver
 from applehub.node.origin import OriginConnection
@@ -202,7 +202,7 @@
             return None
 
         async with router(lambda request, writer: MISS, fail_first) as bench:
-            bench.driver.balancer.settings.classes[1].window = int(window * 1e9)
+            bench.driver.balancer.settings.classes[1].idempotency_window = int(window * 1e9)
             if reused:  # two connections to the origin, one of which fails with the first attempt
                 callers = [await bench.caller() for _ in range(2)]
                 for n, caller in enumerate(callers):
@@ -255,10 +255,10 @@
             else:
                 caller.get()
             await asyncio.sleep(1.0)
-            assert left and not bench.driver.held and not bench.driver.balancer.jobs
+            assert left and not bench.driver.requests and not bench.driver.balancer.jobs
             late = [when for when, _ in attempts.received if when - stalls.started[0] > DETECTION_TIME]
             assert not late
-            assert bench.driver.balancer.roster.servers["c0"].out == 0
+            assert bench.driver.balancer.server_table.servers["c0"].in_flight == 0
             # Other clients are served.
             other = await bench.caller()
             other.get(b"k2", name=b"i2")
@@ -298,7 +298,7 @@
             closed = now()
             _close_now(caller)
             stall_process()
-            for writer in bench.cache.lines:
+            for writer in bench.cache.writers:
                 writer.write(hit())
             await asyncio.sleep(1.0)
             assert all(when - closed <= DETECTION_TIME for when, _ in attempts.received)
@@ -319,7 +319,7 @@
             service = DrainingDiscovery(bench, how)
             watch = Watch([await service.start()], bench.directory, 1, False)
             watch.start()
-            await asyncio.wait_for(service.called.wait(), 5)
+            await asyncio.wait_for(service.call_event.wait(), 5)
             await asyncio.sleep(0.1)
             caller = await bench.caller()
             if reused:
@@ -344,7 +344,7 @@
     run(monkeypatch, test)
 
 
-class DrainingDiscovery(Service):
+class DrainingDiscovery(FaultyDiscovery):
     """Discovery with one server, which starts to drain."""
 
     def __init__(self, bench: Bench, how: str) -> None:
@@ -354,7 +354,7 @@
     async def _answer(self, writer: asyncio.StreamWriter, how: str, since: int, hold: float) -> bool:
         if since == self.rev:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.news.wait(), hold)
+                await asyncio.wait_for(self.change_event.wait(), hold)
         state = "Ready" if self.rev == 6 else self.to
         targets = [
             entry("c0", self.bench.cache.address, state=state),
@@ -426,7 +426,7 @@
             caller.get(name=b"i1")
             assert await caller.answer() == b"v"
             ((when, _),) = attempts.received
-            assert when - idle < keepalive or len(bench.cache.lines) == 2
+            assert when - idle < keepalive or len(bench.cache.writers) == 2
 
     run(monkeypatch, test)
 
@@ -438,19 +438,19 @@
         async with router() as bench:
             service = DrainingDiscovery(bench, "Terminating")
             watch = Watch([await service.start()], bench.directory, 1, False)
-            take, taken_at = bench.directory.take, []
+            take, taken_at = bench.directory.apply, []
 
             def stalled(*what: Any, **more: Any) -> None:
                 taken_at.append(now())
                 stall_process()
                 take(*what, **more)
 
-            monkeypatch.setattr(bench.directory, "take", stalled)
+            monkeypatch.setattr(bench.directory, "apply", stalled)
             watch.start()
-            await asyncio.sleep(3 * HOLD)
+            await asyncio.sleep(3 * MAX_HOLD)
             assert len(taken_at) >= 2
             for when in taken_at:
-                assert min(request - when for request in service.asked if request >= when) <= 0.2
+                assert min(request - when for request in service.call_times if request >= when) <= 0.2
             watch.stop()
             service.server.close()
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -61,7 +61,7 @@
 
     def _notify(self, event: api.Members) -> None:
         self.router.now = self.clocks.now
-        self.router.tell(event)
+        self.router.deliver(event)
 
     def apply_list(self, boot_times: dict[str, int], full: bool = False, cached: bool = False) -> None:
         self.rev += 1
@@ -74,12 +74,12 @@
 
     def age(self, name: str) -> float:
         """Returns the seconds since the start of a server, as the balancer has it."""
-        return (self.clocks.now - self.router.balancer.roster.servers[name].cold_since) / NS_PER_S
+        return (self.clocks.now - self.router.balancer.server_table.servers[name].warming_since) / NS_PER_S
 
     def warmth(self, name: str) -> float:
-        self.router.balancer.turn.now = self.clocks.now
-        roster = self.router.balancer.roster
-        return roster.warmth(roster.servers[name])
+        self.router.balancer.context.now = self.clocks.now
+        roster = self.router.balancer.server_table
+        return roster.warm_capacity(roster.servers[name])
 
 
 @pytest.mark.parametrize("seconds", CLOCK_STEPS)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -30,7 +30,7 @@
 def test_store_returns_its_latest_value_and_accepts_new_ones(folder: Path) -> None:
     store = Store(Folder(str(folder)), "value", 3)
     loaded = store.open()
-    assert (loaded.value, loaded.generation, loaded.passed_over) == (bytes(range(256)), 3, [])
+    assert (loaded.value, loaded.generation, loaded.skipped_files) == (bytes(range(256)), 3, [])
     store.save(b"fourth")
     store.close()
     assert Store(Folder(str(folder)), "value", 3).load().value == b"fourth"
@@ -65,10 +65,11 @@
 def test_age_of_statistics_without_monotonic_time_follows_the_wall_clock(
     folder: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    statistics = PersistedStatistics(str(folder), lambda: api.Learnt(0, {}))
+    statistics = PersistedStatistics(str(folder), lambda: api.SavedStatistics(0, {}))
     monkeypatch.setattr(time, "time_ns", lambda: (STATISTICS_WALL_MS + 7_000) * 1_000_000)
-    assert statistics.load() == api.Learnt(
-        7_000_000_000, {"c0": api.Seen(2e6, 1e6, 1.5, 0.25), "c1": api.Seen(3e6, 2e6, 1.0, 1.0)}
+    assert statistics.load() == api.SavedStatistics(
+        7_000_000_000,
+        {"c0": api.ServerStatistics(2e6, 1e6, 1.5, 0.25), "c1": api.ServerStatistics(3e6, 2e6, 1.0, 1.0)},
     )
     monkeypatch.setattr(time, "time_ns", lambda: (STATISTICS_WALL_MS - 1) * 1_000_000)
     assert statistics.load() is None
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from peers import MISS, PATIENCE, Bench, Caller, hit, http, router, soon
+from peers import MISS, WAIT_TIMEOUT, Bench, Caller, hit, http, router, wait_until
 from support import MILLI, SECOND, Router
 
 from applehub import interface as api
@@ -22,11 +22,11 @@
 @pytest.fixture(autouse=True)
 def no_quarantine(monkeypatch: pytest.MonkeyPatch) -> None:
     """Makes connections reusable at once, since these tests count connections."""
-    monkeypatch.setattr(pool, "REST", 0.0)
+    monkeypatch.setattr(pool, "MIN_IDLE_BEFORE_REUSE", 0.0)
 
 
 async def read_exactly(caller: Caller, size: int) -> bytes:
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_TIMEOUT):
         return await caller.reader.readexactly(size)
 
 
@@ -44,8 +44,8 @@
         for n in range(3):
             caller.get(name=b"i%d" % n)
             assert await caller.answer() == value
-        assert len(bench.cache.lines) == 1 and len(bench.origin.lines) == int(from_origin)
-        await soon(lambda: not bench.driver.held)
+        assert len(bench.cache.writers) == 1 and len(bench.origin.writers) == int(from_origin)
+        await wait_until(lambda: not bench.driver.requests)
         assert bench.driver.figures.responses["read"]["ok"] == 3  # type: ignore[index]
 
 
@@ -53,8 +53,8 @@
     async with router(lambda request, writer: None) as bench:
         caller = await bench.caller()
         caller.get()
-        await soon(lambda: bench.cache.got)
-        answer, line = hit(LONG), bench.cache.lines[0]
+        await wait_until(lambda: bench.cache.received)
+        answer, line = hit(LONG), bench.cache.writers[0]
         cuts = [*range(12), 13, 500, 501, 70_000, len(answer) - 20, len(answer) - 3, len(answer)]
         for start, end in itertools.pairwise(cuts):
             line.write(answer[start:end])
@@ -69,15 +69,15 @@
         head = b"$%d\r\n" % len(LONG)
         assert await read_exactly(caller, len(head) + 90_000) == head + LONG[:90_000]
         assert bench.driver.active == 1 and not bench.driver.figures.responses
-        (held,) = bench.driver.held.values()
+        (held,) = bench.driver.requests.values()
         # The deadline no longer applies once the answer has started.
-        assert held.guard is not None and held.guard.cancelled()
+        assert held.deadline_timer is not None and held.deadline_timer.cancelled()
         assert held.attempt is not None and held.attempt.timer is not None and held.attempt.timer.cancelled()
-        bench.cache.lines[0].write(hit(LONG)[100_000:])
+        bench.cache.writers[0].write(hit(LONG)[100_000:])
         rest = len(LONG) - 90_000
         assert await read_exactly(caller, rest + 2) == LONG[90_000:] + b"\r\n"
-        assert len(bench.cache.got) == 1
-        await soon(lambda: not bench.driver.active)
+        assert len(bench.cache.received) == 1
+        await wait_until(lambda: not bench.driver.active)
 
 
 async def test_server_disconnect_in_value_closes_client_connection_without_retry() -> None:
@@ -85,10 +85,10 @@
         caller = await bench.caller()
         caller.get()
         await read_exactly(caller, 150_000)
-        bench.cache.lines[0].transport.abort()
+        bench.cache.writers[0].transport.abort()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
             await read_exactly(caller, len(LONG))
-        assert len(bench.cache.got) == 1 and not bench.driver.held
+        assert len(bench.cache.received) == 1 and not bench.driver.requests
         assert bench.driver.figures.responses["read"]["errors"] == 1  # type: ignore[index]
 
 
@@ -99,12 +99,12 @@
     async with router(answer) as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
-        await soon(lambda: bench.cache.got)
+        await wait_until(lambda: bench.cache.received)
         caller.get(name=b"i2")
-        await soon(lambda: any(held.stream for held in bench.driver.held.values()))
-        bench.cache.lines[1].transport.abort()
-        await soon(lambda: len(bench.driver.held) == 1)
-        bench.cache.lines[0].write(hit())
+        await wait_until(lambda: any(held.stream for held in bench.driver.requests.values()))
+        bench.cache.writers[1].transport.abort()
+        await wait_until(lambda: len(bench.driver.requests) == 1)
+        bench.cache.writers[0].write(hit())
         assert await caller.answer() == b"v"
         assert str(await caller.answer()) == "ERR failed"
 
@@ -114,16 +114,16 @@
         caller = await bench.caller()
         caller.writer.transport.pause_reading()  # type: ignore[attr-defined]
         caller.get()
-        await soon(lambda: bench.driver.held)
+        await wait_until(lambda: bench.driver.requests)
         (client,) = bench.clients.connections
-        await soon(lambda: client.write_paused)
-        (line,) = bench.pools.pools["c0"].all
-        await soon(lambda: line.transport is not None and not line.transport.is_reading())
+        await wait_until(lambda: client.write_paused)
+        (line,) = bench.pools.pools["c0"].connections
+        await wait_until(lambda: line.transport is not None and not line.transport.is_reading())
         stream = client.slots[0].stream
         assert stream is not None and sum(map(len, stream.chunks)) <= CHUNK_SIZE
         caller.writer.transport.resume_reading()  # type: ignore[attr-defined]
         assert await caller.answer() == LONG * 8
-        await soon(lambda: line.transport is not None and line.transport.is_reading())
+        await wait_until(lambda: line.transport is not None and line.transport.is_reading())
         caller.get(name=b"i2")
         assert await caller.answer() == LONG * 8
 
@@ -134,19 +134,21 @@
         caller.get()
         await read_exactly(caller, 100_000)
         caller.writer.transport.abort()
-        await soon(lambda: bench.cache.ended == 1)
-        assert not bench.driver.held and not bench.driver.active and "i1" not in bench.driver.balancer.jobs
+        await wait_until(lambda: bench.cache.closed_connections == 1)
+        assert (
+            not bench.driver.requests and not bench.driver.active and "i1" not in bench.driver.balancer.jobs
+        )
 
 
 async def test_unwanted_long_answer_closes_server_connection() -> None:
     async with router(lambda request, writer: None) as bench:
         caller = await bench.caller()
         caller.get()
-        await soon(lambda: bench.cache.got)
+        await wait_until(lambda: bench.cache.received)
         caller.writer.close()
-        await soon(lambda: not bench.driver.held["i1"].open)
-        bench.cache.lines[0].write(hit(LONG))
-        await soon(lambda: bench.cache.ended == 1 and not bench.driver.held)
+        await wait_until(lambda: not bench.driver.requests["i1"].open)
+        bench.cache.writers[0].write(hit(LONG))
+        await wait_until(lambda: bench.cache.closed_connections == 1 and not bench.driver.requests)
 
 
 @pytest.mark.parametrize("size", [resp.MAX_LONG_VALUE + 1, 9_999_999_999])
@@ -155,23 +157,23 @@
         caller = await bench.caller()
         caller.get(info=b"c=once,t=acme,d=9000")
         assert str(await caller.answer()) == "ERR failed"
-        await soon(lambda: bench.cache.ended == 1)
+        await wait_until(lambda: bench.cache.closed_connections == 1)
 
 
 def test_time_of_long_answer_is_that_of_first_byte() -> None:
     """The rest depends on how fast the client reads, and says nothing about the server or the origin."""
     router = Router()
-    _, (first,) = router.ask("k")
-    (second,) = router.end(first, api.Status.MISS)
-    _, waits = router.ask("k")
+    _, (first,) = router.send_request("k")
+    (second,) = router.finish_attempt(first, api.Status.MISS)
+    _, waits = router.send_request("k")
     assert isinstance(second, api.Send) and not waits
-    (found,) = router.tell(api.Opened(second.id, 1, second.server))
+    (found,) = router.deliver(api.StreamOpened(second.id, 1, second.server))
     assert (
         isinstance(found, api.Send) and found.id != second.id
     )  # the request that waited for the key continues at once
-    router.wait(5 * SECOND)
-    assert router.balancer.monitor.bad == 0
-    router.tell(api.Outcome(second.id, 1, second.server, api.Status.OK, True, 20 * MILLI))
+    router.advance(5 * SECOND)
+    assert router.balancer.monitor.unhealthy_count == 0
+    router.deliver(api.Outcome(second.id, 1, second.server, api.Status.OK, True, 20 * MILLI))
     assert second.id not in router.balancer.jobs
 
 
@@ -188,7 +190,7 @@
 async def test_started_answer_continues_after_stop(end: Callable[[Bench], Any]) -> None:
     async with router_in_mid_stream() as (bench, caller):
         end(bench)
-        bench.cache.lines[0].write(hit(LONG)[200_000:])
+        bench.cache.writers[0].write(hit(LONG)[200_000:])
         head = len(b"$%d\r\n" % len(LONG))
         rest = await read_exactly(caller, head + len(LONG) + 2 - 100_000)
         assert rest == LONG[100_000 - head :] + b"\r\n"
@@ -205,10 +207,12 @@
         caller.writer.write(write(LONG[:size]) + resp.command(b"PING"))
         assert await caller.answer() == b"from origin"
         assert await caller.answer() == b"PONG"
-        method, _, headers, body = bench.origin.got[0]
+        method, _, headers, body = bench.origin.received[0]
         assert (method, body) == (b"PUT", LONG[:size]) and headers[b"x-call-id"] == b"w1"
-        await soon(lambda: not bench.driver.held and not bench.clients.connections.pop().buffered_bytes)
-        assert bench.driver.room.used == 0 and bench.pools.written == 1
+        await wait_until(
+            lambda: not bench.driver.requests and not bench.clients.connections.pop().buffered_bytes
+        )
+        assert bench.driver.memory.used == 0 and bench.pools.attempts_written == 1
 
 
 async def test_long_write_may_arrive_in_chunks_of_any_size() -> None:
@@ -220,50 +224,50 @@
             caller.writer.write(sent[start:end])
             await asyncio.sleep(0.002)
         assert [await caller.answer() for _ in range(2)] == [b"from origin"] * 2
-        assert sorted(body for _, _, _, body in bench.origin.got) == [LONG[:70_000], LONG]
+        assert sorted(body for _, _, _, body in bench.origin.received) == [LONG[:70_000], LONG]
 
 
 async def test_long_write_without_memory_is_rejected_and_next_command_is_parsed() -> None:
     async with router(retryAfter=True, maxRetryAfter=70 * MILLI) as bench:
-        bench.driver.room.limit = len(LONG) // 2
+        bench.driver.memory.limit = len(LONG) // 2
         caller = await bench.caller()
         caller.writer.write(write(LONG) + write(b"short", b"w2") + resp.command(b"PING"))
         assert str(await caller.answer()) == "BUSY 70"
         assert [await caller.answer() for _ in range(2)] == [b"from origin", b"PONG"]
-        assert [body for _, _, _, body in bench.origin.got] == [b"short"]
+        assert [body for _, _, _, body in bench.origin.received] == [b"short"]
         assert bench.driver.figures.responses["put"]["shed"] == 1  # type: ignore[index]
-        await soon(lambda: not bench.driver.held)
-        assert bench.driver.room.used == 0
+        await wait_until(lambda: not bench.driver.requests)
+        assert bench.driver.memory.used == 0
 
 
 async def test_memory_of_long_write_is_reserved_at_header_and_released_at_disconnect() -> None:
     async with router() as bench:
-        bench.driver.room.limit = 2 * len(LONG)
+        bench.driver.memory.limit = 2 * len(LONG)
         caller, other = await bench.caller(), await bench.caller()
         caller.writer.write(write(LONG)[:100])
-        await soon(lambda: bench.driver.room.used >= len(LONG))
+        await wait_until(lambda: bench.driver.memory.used >= len(LONG))
         other.writer.write(write(LONG, b"w2"))
         assert str(await other.answer()) == "BUSY"  # a part of the budget is left to reads
         other.get(name=b"i1")
         assert await other.answer() == b"v"
         caller.writer.transport.abort()
-        await soon(lambda: len(bench.clients.connections) == 1)
+        await wait_until(lambda: len(bench.clients.connections) == 1)
         other.writer.write(write(LONG, b"w3"))
         assert await other.answer() == b"from origin"
 
 
 async def test_slow_write_does_not_time_out_while_data_arrives(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "COMMAND_TIMEOUT", PATIENCE)
+    monkeypatch.setattr(clients, "COMMAND_TIMEOUT", WAIT_TIMEOUT)
     async with router() as bench:
         caller = await bench.caller()
         sent = write(LONG[:100_000])
         caller.writer.write(sent[:50_000])
-        await soon(lambda: bench.driver.room.used > 100_000)
+        await wait_until(lambda: bench.driver.memory.used > 100_000)
         (client,) = bench.clients.connections
         timer = client.command_timer
         assert timer is not None
         caller.writer.write(sent[50_000:60_000])
-        await soon(timer.cancelled)
+        await wait_until(timer.cancelled)
         assert client.command_timer is not None
         caller.writer.write(sent[60_000:])
         assert await caller.answer() == b"from origin"
@@ -295,8 +299,8 @@
         caller = await bench.caller()
         caller.writer.write(write(LONG[:70_000])[:-2] + b"xx")
         assert str(await caller.answer()).startswith("ERR Protocol error")
-        await soon(lambda: not bench.clients.connections)
-        assert bench.driver.room.used == 0 and not bench.origin.got
+        await wait_until(lambda: not bench.clients.connections)
+        assert bench.driver.memory.used == 0 and not bench.origin.received
 
 
 async def test_answer_before_end_of_request_closes_origin_connection() -> None:
@@ -305,7 +309,7 @@
     async def early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(http(503, b"", b"X-Rejected: 1\r\n"))
-        await asyncio.sleep(PATIENCE)
+        await asyncio.sleep(WAIT_TIMEOUT)
 
     async with router() as bench:
         server = await asyncio.start_server(early, "127.0.0.1", 0, limit=1024)
@@ -315,6 +319,6 @@
         statuses: list[api.Status] = []
         until = time.monotonic_ns() + 9 * SECOND
         pool.start(Exchange(call, until, lambda ending: statuses.append(ending.status)))
-        await soon(lambda: statuses)
-        assert statuses == [api.Status.FULL] and not pool.all and bench.pools.written == 0
+        await wait_until(lambda: statuses)
+        assert statuses == [api.Status.FULL] and not pool.connections and bench.pools.attempts_written == 0
         server.close()
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -5,7 +5,7 @@
 
 import pytest
 from peers import MISS, Bench, hit, http, router
-from virtual import play
+from virtual import run_in_virtual_time
 
 CLIENT_TIMEOUT_MS = 900  # time that the clients allow
 
@@ -17,7 +17,7 @@
 
 
 def remaining_ms_at_origin(bench: Bench) -> list[int]:
-    return [remaining_ms(headers[b"x-call-info"]) for _, _, headers, _ in bench.origin.got]
+    return [remaining_ms(headers[b"x-call-info"]) for _, _, headers, _ in bench.origin.received]
 
 
 def test_fetch_after_a_late_miss_carries_the_remaining_time(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -34,7 +34,7 @@
             (remaining,) = remaining_ms_at_origin(bench)
             assert 380 <= remaining <= CLIENT_TIMEOUT_MS - 500
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_retried_write_carries_the_remaining_time(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -51,7 +51,7 @@
             first, second = remaining_ms_at_origin(bench)
             assert first <= CLIENT_TIMEOUT_MS and second <= CLIENT_TIMEOUT_MS - 300
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 async def test_origin_gets_the_class_deadline_if_the_client_sends_none() -> None:
@@ -68,7 +68,7 @@
         caller = await bench.caller()
         caller.get(info=b"size=7,c=read,d=900,t=acme,r=1")
         assert await caller.answer() == b"from origin"
-        info = bench.origin.got[0][2][b"x-call-info"]
+        info = bench.origin.received[0][2][b"x-call-info"]
         names = [field.split(b"=")[0] for field in info.split(b",")]
         assert names == [b"size", b"c", b"d", b"t", b"r"]
         assert [field for field in info.split(b",") if not field.startswith(b"d=")] == [
@@ -81,4 +81,4 @@
         caller = await bench.caller()
         caller.get(info=b"c=read,t=acme,d=%d" % CLIENT_TIMEOUT_MS)
         assert await caller.answer() == b"v"
-        assert remaining_ms(bench.cache.got[0][3]) <= CLIENT_TIMEOUT_MS
+        assert remaining_ms(bench.cache.received[0][3]) <= CLIENT_TIMEOUT_MS
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -10,14 +10,14 @@
 
 import pytest
 from peers import entry, http, info
-from virtual import play
+from virtual import run_in_virtual_time
 
 from applehub.node import call_schedule, watch
 from applehub.node.call_schedule import CallBudget, CallSchedule
 from applehub.node.discovery import Directory, ListError
 from applehub.node.driver import Driver
-from applehub.node.figures import Figures
 from applehub.node.http1 import HttpResponse
+from applehub.node.metrics import Metrics
 from applehub.node.pool import Pools
 from applehub.node.response_time import ResponseTime
 from applehub.node.watch import Watch
@@ -117,7 +117,7 @@
     def __init__(self, endpoint: tuple[str, int], must_ask: bool, seed: int = 1) -> None:
         settings_json = {**info(), "registryMode": "on_request" if must_ask else "pushed"}
         self.driver = Driver(
-            Balancer(read_settings(settings_json), seed), Pools(64, 0.25, 60.0), 100, Figures()
+            Balancer(read_settings(settings_json), seed), Pools(64, 0.25, 60.0), 100, Metrics()
         )
         self.directory = Directory(read_names(settings_json), 1, self.driver.pools, self.driver.notify)
         self.watch = Watch([endpoint], self.directory, seed, must_ask)
@@ -172,7 +172,7 @@
                 changed_at = service.change()
                 assert await router.wait_for_version(service.rev) - changed_at <= CHANGE_DEADLINE
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @MUST_ASK
@@ -193,7 +193,7 @@
                 service.lost = False
                 assert await router.wait_for_version(service.rev) - changed_at <= CHANGE_DEADLINE
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @MUST_ASK
@@ -213,7 +213,7 @@
             assert last - started_at <= 4.5 + call_schedule.MAX_BACKOFF
             assert service.wasted_responses <= count // 10
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 @MUST_ASK
@@ -234,7 +234,7 @@
             last = max([await one.wait_for_version(service.rev) for one in harnesses])
             assert last - recovered_at <= CHANGE_DEADLINE
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_silent_discovery_receives_few_calls_on_few_connections(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -252,7 +252,7 @@
             # Recovery must be detected in time.
             assert max(gaps[1:]) <= call_schedule.OVERDUE_CALL_INTERVAL
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_rejecting_discovery_is_called_within_budget(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -263,7 +263,7 @@
             await asyncio.sleep(60.0)
             assert 30 <= service.rejected <= 60 * watch.CALLS_PER_SECOND + watch.CALL_BURST
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_late_response_to_older_call_is_applied(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -281,7 +281,7 @@
             await asyncio.sleep(5.0)
             assert service.wasted_responses == 0
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_rapid_changes_are_batched_and_arrive_soon(
@@ -305,7 +305,7 @@
                 arrived_at = min(applied for known, applied in router.applied_at.items() if known >= rev)
                 assert arrived_at - at <= call_schedule.MIN_WATCH_INTERVAL + 1e-6
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_change_after_quiet_period_arrives_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -317,7 +317,7 @@
                 changed_at = service.change()
                 assert await router.wait_for_version(service.rev) == changed_at
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_connection_closed_between_calls_is_replaced(
@@ -340,7 +340,7 @@
                 <= call_schedule.MIN_WATCH_INTERVAL + 1e-6
             )
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_moved_or_stopped_watch_closes_idle_connection(
@@ -365,7 +365,7 @@
             assert router.watch.idle_connection is None
             new.server.close()
 
-    play(monkeypatch, test)
+    run_in_virtual_time(monkeypatch, test)
 
 
 def test_full_list_is_needed_after_invalid_response() -> None:
