--- a/applehub/node/accepting.py
+++ b/applehub/node/accepting.py
@@ -10,7 +10,7 @@
 from applehub.node.arrivals import AcceptQueueTimes, running_selector
 
 RETRY_DELAY = 0.02  # seconds between two attempts while accept fails
-FAILURE_LOG_INTERVAL = 1.0  # seconds without a failure after which the next one is logged again
+FAILURE_LOG_INTERVAL = 1.0  # seconds without a failure after which the next failure is logged again
 # Errors of a connection that broke before it was accepted: accept(2) has removed it from the queue, and
 # others may follow it. Any other error, such as a lack of descriptors or memory, leaves the queue unchanged,
 # and an immediate retry would fail again.
@@ -39,7 +39,7 @@
         protocol_factory: creates the protocol of a connection; its argument is the monotonic time in ns
         before which the client can't have sent data. max_per_tick: maximum number of connections accepted in
         one event loop tick. inherited: connections may have waited since before this process started; other
-        processes may share the listener, so it is closed here and never shut down.
+        processes may share the listener, so it is only closed, never shut down.
         """
         self._listener, self._protocol_factory, self._max_per_tick = listener, protocol_factory, max_per_tick
         self._loop = asyncio.get_running_loop()
@@ -67,53 +67,53 @@
         try:
             if self._accept_batch():
                 self._queue.mark_remaining()
-        except OSError as problem:
-            self._retry_later(problem)
+        except OSError as error:
+            self._retry_later(error)
 
     def _accept_batch(self) -> bool:
         """Accepts waiting connections, up to the maximum of one tick; returns whether more may wait.
 
         Raises OSError if accept fails, or if every connection in the batch was broken.
         """
-        accepted, broken = 0, OSError()
+        accepted, last_broken = 0, OSError()
         for _ in range(self._max_per_tick):
             try:
                 sock, _ = self._listener.accept()
             except BlockingIOError:
                 return False
-            except OSError as problem:
-                if problem.errno not in BROKEN_CONNECTION_ERRORS:
+            except OSError as error:
+                if error.errno not in BROKEN_CONNECTION_ERRORS:
                     raise
-                broken = problem
+                last_broken = error
                 continue
             accepted += 1
             task = self._loop.create_task(self._connect(sock, self._queue.earliest_arrival))
             self._connecting.add(task)
             task.add_done_callback(self._connecting.discard)
         if not accepted:
-            raise broken
+            raise last_broken
         return True
 
     async def _connect(self, sock: socket.socket, earliest_arrival: int) -> None:
         try:
             await self._loop.connect_accepted_socket(lambda: self._protocol_factory(earliest_arrival), sock)
-        except OSError:  # the connection broke in the meantime
+        except OSError:  # the connection broke after it was accepted
             sock.close()
 
-    def _log_failure(self, problem: OSError) -> None:
+    def _log_failure(self, error: OSError) -> None:
         """Logs the first of a series of failures, to bound the size of the log."""
         now = self._loop.time()
         if now - self._failed_at > FAILURE_LOG_INTERVAL:
-            log.error("accept fails; retrying every %.0f ms: %s", RETRY_DELAY * 1000, problem)
+            log.error("accept fails; retrying every %.0f ms: %s", RETRY_DELAY * 1000, error)
         self._failed_at = now
 
-    def _retry_later(self, problem: OSError) -> None:
-        self._log_failure(problem)
+    def _retry_later(self, error: OSError) -> None:
+        self._log_failure(error)
         self._pause()
         self._retry = self._loop.call_later(RETRY_DELAY, self._resume)
 
     def _pause(self) -> None:
-        """Stops watching the listener, which would otherwise be reported as readable in every tick."""
+        """Stops polling the listener, which would otherwise be reported as readable in every tick."""
         self._loop.remove_reader(self._listener)
         self._queue.pause()
         if self._retry is not None:
@@ -125,8 +125,8 @@
         self._queue.resume()
         try:
             self._loop.add_reader(self._listener, self._on_readable)
-        except OSError as problem:  # registering with the selector can fail for lack of memory too
-            self._retry_later(problem)
+        except OSError as error:  # registering with the selector can fail for lack of memory too
+            self._retry_later(error)
 
     async def accept_all(self, timeout: float) -> None:
         """Accepts all waiting connections and none after that.
@@ -140,8 +140,8 @@
             try:
                 if not self._accept_batch():
                     return
-            except OSError as problem:
-                self._log_failure(problem)
+            except OSError as error:
+                self._log_failure(error)
                 delay = RETRY_DELAY
             if self._loop.time() + delay > end:
                 return
--- a/applehub/node/arrivals.py
+++ b/applehub/node/arrivals.py
@@ -1,11 +1,11 @@
 """Arrival times of the bytes that were read from a client.
 
-The event loop may read bytes some time after they arrived: it is busy, reading from the connection is
-paused, or the connection is still in the accept queue. The deadline of a request counts from its last byte,
-so each read is assigned the time before which none of its bytes can have arrived: that of the last poll that
-found no input on the socket. If that is much earlier than the read, the kernel is asked when it last received
-data. Where the time is unknown, the earlier bound is used, so that no server is notified of a deadline later
-than the client's.
+The event loop may read bytes some time after they arrived: because it is busy, because reading from the
+connection is paused, or because the connection is still in the accept queue. The deadline of a request counts
+from the arrival of its last byte. Each read is therefore assigned a lower bound on the arrival of its bytes:
+the time of the last poll that found no input on the socket. If that is much earlier than the read, the kernel
+is queried for the time at which it last received data. If the arrival time remains unknown, the lower bound
+is used, so that no server receives a deadline later than the client's.
 """
 
 import asyncio
@@ -20,10 +20,10 @@
 
 MILLI = 1_000_000
 SECOND = 1_000_000_000
-LONG_TICK = 5 * MILLI  # ns; for an uncertainty above this the kernel is asked for the arrival time
+LONG_TICK = 5 * MILLI  # ns; the kernel is queried for an arrival time that is uncertain by more
 TCP_INFO_RESOLUTION_MS = 10  # coarsest resolution of times in `struct tcp_info`
 NO_POLL = 1 << 62  # a poll count that is never reached
-UNKNOWN_TIME = 0  # input may have waited for an unknown time
+UNKNOWN_TIME = 0  # lower bound on the arrival of input that has waited for an unknown time
 ESTABLISHED, CLOSE_WAIT = 1, 8  # TCP states in which data can have been received
 # Start of Linux's `struct tcp_info`: state, size of received segments, ms since data was last received.
 TCP_INFO_HEAD = struct.Struct("=B19xI28xI")
@@ -41,25 +41,25 @@
         self.poll_count = self.polled_at = self.earliest_arrival = 0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        started, before = time.monotonic_ns(), self.polled_at
+        started, previous_poll_at = time.monotonic_ns(), self.polled_at
         self.poll_count += 1
         if timeout is not None and timeout <= 0:
-            self.earliest_arrival, self.polled_at = before, started
+            self.earliest_arrival, self.polled_at = previous_poll_at, started
             return super().select(0)
-        busy = started - before
-        if busy > LONG_TICK:
+        busy_time = started - previous_poll_at
+        if busy_time > LONG_TICK:
             # A poll without waiting separates input that arrived during the long tick from later input.
             ready = super().select(0)
             if ready:
-                self.earliest_arrival, self.polled_at = before, started
+                self.earliest_arrival, self.polled_at = previous_poll_at, started
                 return ready
-            busy = 0
+            busy_time = 0
         ready = super().select(timeout)
         polled_at = time.monotonic_ns()
         if timeout is not None:
-            # If the process was suspended during the wait, input may have arrived since the wait was to end.
+            # If the process was suspended during the wait, input may have arrived after the timeout expired.
             polled_at = min(polled_at, started + int(timeout * SECOND))
-        self.earliest_arrival, self.polled_at = polled_at - busy, polled_at
+        self.earliest_arrival, self.polled_at = polled_at - busy_time, polled_at
         return ready
 
 
@@ -80,7 +80,7 @@
 
 
 class SocketLike(Protocol):
-    """The methods of a socket that are used here."""
+    """The socket methods that this module uses."""
 
     def fileno(self) -> int:
         """Returns the file descriptor."""
@@ -102,7 +102,7 @@
 
 
 class ArrivalTimes:
-    """Arrival times of one connection's bytes, by their position in the stream.
+    """Lower bounds on the arrival times of one connection's bytes, by their position in the stream.
 
     Stores one or two entries for each read since the last call of `clear`.
     """
@@ -110,11 +110,14 @@
     __slots__ = ("_bound_until_poll", "_fixed_bound", "_reads", "_received", "_selector")
 
     def __init__(self, selector: TimedSelector, earliest_arrival: int) -> None:
-        """For a connection that is not read yet; earliest_arrival: lower bound for its first byte, in ns."""
+        """Creates the record of a connection from which nothing was read yet.
+
+        earliest_arrival: lower bound on the arrival of its first byte (monotonic ns).
+        """
         self._selector = selector
-        self._reads: list[tuple[int, int]] = []  # total bytes received, and arrival time of the last of them
+        self._reads: list[tuple[int, int]] = []  # (total bytes received, arrival time of the last)
         self._received = 0
-        # `_fixed_bound` holds up to this poll; after it, the bound of the selector does.
+        # The lower bound is `_fixed_bound` up to this poll, and the selector's `earliest_arrival` after it.
         self._fixed_bound, self._bound_until_poll = earliest_arrival, NO_POLL
 
     @property
@@ -132,30 +135,30 @@
             self._fixed_bound, self._bound_until_poll = self._bound, NO_POLL
 
     def resume(self) -> None:
-        """Records that the connection is read again from the next poll on."""
+        """Records that the connection is polled again from the next poll on."""
         if self._bound_until_poll == NO_POLL:
             self._bound_until_poll = self._selector.poll_count + 1
 
     def record_read(self, size: int, sock: SocketLike) -> None:
         """Records the arrival of `size` bytes that have just been read."""
-        arrived = self._bound
-        if size == CHUNK_SIZE:  # more input may be unread, which can have arrived as early as this
-            self._fixed_bound, self._bound_until_poll = arrived, self._selector.poll_count + 1
+        arrived_at = self._bound
+        if size == CHUNK_SIZE:  # the socket may hold more input, as old as these bytes
+            self._fixed_bound, self._bound_until_poll = arrived_at, self._selector.poll_count + 1
         self._received += size
-        if self._selector.polled_at - arrived > LONG_TICK:
-            last = self._last_received(sock)
-            if arrived == UNKNOWN_TIME:
-                arrived = last or self._selector.earliest_arrival
-            elif last > arrived:
-                self._reads.append((self._received - 1, arrived))
-                arrived = last
-        self._reads.append((self._received, arrived))
+        if self._selector.polled_at - arrived_at > LONG_TICK:
+            last_received_at = self._last_received(sock)
+            if arrived_at == UNKNOWN_TIME:
+                arrived_at = last_received_at or self._selector.earliest_arrival
+            elif last_received_at > arrived_at:
+                self._reads.append((self._received - 1, arrived_at))
+                arrived_at = last_received_at
+        self._reads.append((self._received, arrived_at))
 
     @staticmethod
     def _last_received(sock: SocketLike) -> int:
         """Returns when the last byte that was read arrived, as reported by the kernel; 0 if unknown."""
         elapsed_ms, now = ms_since_last_data(sock), time.monotonic_ns()
-        # With unread input, the kernel's time is that of the unread bytes and not of those that were read.
+        # If input is unread, the kernel reports the time of the unread bytes, not of the bytes that were read.
         return (
             0
             if elapsed_ms is None or UnreadInput(sock).pending()
@@ -170,12 +173,12 @@
         return self._reads[0][1]
 
     def clear(self) -> None:
-        """Drops all entries; called when no complete command is buffered."""
+        """Removes all entries; called when no complete command is buffered."""
         self._reads.clear()
 
 
 class AcceptQueueTimes:
-    """Arrival times of the connections in the accept queue of a listening socket.
+    """Lower bounds on the arrival times of connections in the accept queue of a listening socket.
 
     Connections that a tick leaves in the queue may have arrived as early as those that it accepted.
     """
@@ -183,12 +186,12 @@
     __slots__ = ("_bound_until_poll", "_fixed_bound", "_selector")
 
     def __init__(self, selector: TimedSelector, inherited: bool) -> None:
-        """For a listener that is watched from the next poll on.
+        """Creates the record of a listener that is polled from the next poll on.
 
-        inherited: connections may have waited in the queue for an unknown time.
+        inherited: whether connections may have waited in the queue for an unknown time.
         """
         self._selector = selector
-        # `_fixed_bound` holds up to this poll; after it, the bound of the selector does.
+        # The lower bound is `_fixed_bound` up to this poll, and the selector's `earliest_arrival` after it.
         self._fixed_bound, self._bound_until_poll = UNKNOWN_TIME, selector.poll_count + 1 if inherited else 0
 
     @property
@@ -205,9 +208,9 @@
         self._fixed_bound, self._bound_until_poll = self.earliest_arrival, self._selector.poll_count + 1
 
     def pause(self) -> None:
-        """Records that the listener is not watched from now on."""
+        """Records that the listener is no longer polled."""
         self._fixed_bound, self._bound_until_poll = self.earliest_arrival, NO_POLL
 
     def resume(self) -> None:
-        """Records that the listener is watched again from the next poll on."""
+        """Records that the listener is polled again from the next poll on."""
         self._bound_until_poll = self._selector.poll_count + 1
--- a/applehub/node/caches.py
+++ b/applehub/node/caches.py
@@ -1,6 +1,6 @@
 """Connections to cache servers, which speak RESP2.
 
-A connection carries one command at a time, because responses come in order.
+A connection carries one command at a time, because RESP2 responses arrive in the order of the commands.
 """
 
 import re
@@ -19,19 +19,19 @@
 
 
 def result_of(reply: object) -> AttemptResult | None:
-    """Returns the result that a cache server's reply stands for; None if the reply is invalid."""
+    """Converts a cache server's reply to the result of an attempt; returns None if the reply is invalid."""
     if isinstance(reply, hiredis.ReplyError):
-        words = str(reply).split(" ")
-        load = read_load(words[-1]) if len(words) > 1 else None  # a load report may end an error line
-        return AttemptResult(Status.FULL if words[0] == "BUSY" else Status.ERROR, load=load)
+        fields = str(reply).split(" ")
+        load = read_load(fields[-1]) if len(fields) > 1 else None  # an error line may end with a load report
+        return AttemptResult(Status.FULL if fields[0] == "BUSY" else Status.ERROR, load=load)
     if not isinstance(reply, list) or not reply:
         return None
     value, note = reply[0], reply[1] if len(reply) > 1 else None
-    number = CACHE_NOTES.get(note, 0) if isinstance(note, bytes) else 0
+    note_number = CACHE_NOTES.get(note, 0) if isinstance(note, bytes) else 0
     load = read_load(reply[2]) if len(reply) > 2 else None
     if value is None:
-        return AttemptResult(Status.MISS, note=number, load=load)
-    return AttemptResult(Status.OK, value, number, load) if isinstance(value, bytes) else None
+        return AttemptResult(Status.MISS, note=note_number, load=load)
+    return AttemptResult(Status.OK, value, note_number, load) if isinstance(value, bytes) else None
 
 
 class CacheConnection(Connection):
@@ -83,9 +83,9 @@
             self.finish(result, reusable=not self.frames.buffer)
 
     def _start_stream(self, size: int, end: int) -> None:
-        """Starts to stream a long value.
+        """Starts to stream a long value of `size` bytes, whose header ends at position `end` of the buffer.
 
-        An empty value takes its place in the buffer, so that the rest of the reply is parsed as usual.
+        In the buffer an empty value replaces it, so that the rest of the reply is parsed as usual.
         """
         if size > resp.MAX_LONG_VALUE or self.exchange is None:
             self.protocol_error()
--- a/applehub/node/call.py
+++ b/applehub/node/call.py
@@ -25,12 +25,12 @@
 
 
 class NoTimeLeftError(Exception):
-    """The time of an attempt ended before any of it was written."""
+    """The deadline of an attempt passed before any byte of its request was written."""
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A client's command. The key, id, info and value are forwarded as received."""
+    """A client's command. The key, id, info (its parameter list) and value are forwarded as received."""
 
     name: bytes
     key: bytes
@@ -38,7 +38,7 @@
     info: bytes
     value: bytes | bytearray | None
     class_index: int
-    class_name: str  # name of its class, which stays valid after a reload
+    class_name: str  # name of the request class; unlike the index, it stays valid after a reload
     tenant: int
     wait_ms: int | None  # ms until the client stops waiting, counted from when it sent the command
     is_retry: bool
@@ -52,12 +52,15 @@
         time_field = b"d=%d" % wait_ms
         if self.wait_ms is None:
             return self.info + b"," + time_field
-        return b",".join(time_field if one.startswith(b"d=") else one for one in self.info.split(b","))
+        return b",".join(time_field if field.startswith(b"d=") else field for field in self.info.split(b","))
 
 
 @dataclass(slots=True)
 class AttemptResult:
-    """The result of an attempt; the value is empty unless the status is OK."""
+    """The result of an attempt.
+
+    value: empty unless the status is OK. note: number of the cache server's note, 0 for none.
+    """
 
     status: Status
     value: bytes | bytearray = b""
@@ -80,12 +83,13 @@
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """An attempt as a connection sees it: the command, its deadline and its callbacks."""
+    """An attempt as passed to its connection: the command, the deadline and the callbacks."""
 
     call: Call
     deadline: int  # monotonic ns
     on_done: Callable[[AttemptResult], None]
-    # Called with the size of a long value when it starts; returns its stream, or None if no client waits.
+    # Called when a long value starts, with its size in bytes and its source; returns the stream, or None if
+    # no client waits for the value.
     on_long_value: Callable[[int, Source], Stream | None] = lambda size, source: None
     memory: MemoryBudget | None = None  # accounts for the buffered part of a long response
     carrier: Carrier | None = None
@@ -98,10 +102,10 @@
 
         Raises NoTimeLeftError if less than a millisecond is left.
         """
-        left = self.deadline - time.monotonic_ns()
-        if left < MIN_TIME_LEFT:
+        time_left = self.deadline - time.monotonic_ns()
+        if time_left < MIN_TIME_LEFT:
             raise NoTimeLeftError
-        return self.call.info_with_wait(left // NS_PER_MS)
+        return self.call.info_with_wait(time_left // NS_PER_MS)
 
 
 def read_call(parts: list[bytes], names: Names) -> Call:
@@ -109,11 +113,11 @@
     name = parts[0].upper()
     if len(parts) != (5 if name == b"C.SET" else 4):
         raise CallError("wrong number of arguments")
-    key, identity, info = parts[1:4]
+    key, call_id, info = parts[1:4]
     if (
         not key
         or len(key) > MAX_BUFFERED_VALUE
-        or not PRINTABLE_ASCII.fullmatch(identity)
+        or not PRINTABLE_ASCII.fullmatch(call_id)
         or not PRINTABLE_ASCII.fullmatch(info)
     ):
         raise CallError("invalid key, id or list")
@@ -135,10 +139,10 @@
         not wait_text.isdigit() or len(wait_text) > 7 or int(wait_text) > MAX_WAIT_MS
     ):
         raise CallError("invalid d")
-    value_sent = parts[4] if name == b"C.SET" else None
+    stored_value = parts[4] if name == b"C.SET" else None
     wait_ms = None if wait_text is None else int(wait_text)
     is_retry = fields.get("r") == "1"
-    return Call(name, key, identity, info, value_sent, class_index, class_name, tenant, wait_ms, is_retry)
+    return Call(name, key, call_id, info, stored_value, class_index, class_name, tenant, wait_ms, is_retry)
 
 
 def read_load(report: object) -> LoadReport | None:
--- a/applehub/node/call_schedule.py
+++ b/applehub/node/call_schedule.py
@@ -5,6 +5,9 @@
 on its own connection, as late as the observed response time and that deadline allow. The first call is not
 cancelled, because discovery handles calls in turn and a repeated call goes to the end of the queue.
 
+A call is an HTTP request for the list. It may be a long poll, which discovery holds until the list changes or
+the hold ends. A call on the connection of an answered call continues the watch and skips discovery's queue.
+
 All times are seconds on the event loop's clock.
 """
 
@@ -14,7 +17,7 @@
 
 MAX_HOLD = 2.5  # maximum seconds for which discovery may hold a long poll
 MIN_HOLD = 0.5  # minimum seconds for which discovery may hold a long poll
-# Seconds after the end of its hold at which a continued watch counts as lost, at least.
+# Minimum seconds from the end of its hold until a continued watch counts as lost.
 MIN_WATCH_TIMEOUT = 0.7
 # Maximum random increase of a delay, as a fraction of it, so that routers do not call in step.
 JITTER = 0.3
@@ -31,9 +34,11 @@
 # call costs discovery about as much for one change as for many.
 MIN_WATCH_INTERVAL = 0.05
 MIN_CALL_INTERVAL = 1.0  # minimum seconds between an unanswered call and the next one
-# Seconds between the two calls once the deadline has passed, when discovery may have recovered.
+# Seconds from an unanswered call to the next one after the deadline has passed; by then discovery may have
+# recovered.
 OVERDUE_CALL_INTERVAL = 2.4
-# Seconds between the two calls after a rejected call, which shows that discovery's queue is long.
+# Seconds from an unanswered call to the next one after a rejected call, which shows that discovery's queue is
+# long.
 OVERLOAD_CALL_INTERVAL = 3.0
 # Upper bound in seconds of the random backoff after one failed call, doubled with each further one.
 INITIAL_BACKOFF = 0.25
@@ -44,12 +49,12 @@
 class CallBudget:
     """A token bucket for calls that wait in discovery's queue. Calls that continue a watch need no token."""
 
-    __slots__ = ("at", "rate", "size", "tokens")
+    __slots__ = ("rate", "refilled_at", "size", "tokens")
 
     def __init__(self, size: float, rate: float) -> None:
         """size: calls that may be made at once. rate: calls per second after that."""
         self.size, self.rate = size, rate
-        self.tokens, self.at = size, 0.0
+        self.tokens, self.refilled_at = size, 0.0
 
     def wait(self, now: float) -> float:
         """Returns the seconds until the next call may be made."""
@@ -62,8 +67,8 @@
         self.tokens = max(0.0, self.tokens - 1)
 
     def _refill(self, now: float) -> None:
-        self.tokens = min(self.size, self.tokens + (now - self.at) * self.rate)
-        self.at = now
+        self.tokens = min(self.size, self.tokens + (now - self.refilled_at) * self.rate)
+        self.refilled_at = now
 
 
 class CallSchedule:
@@ -111,28 +116,28 @@
         The longer queued calls take, the shorter the hold, so that a lost watch is detected early enough. A
         shorter hold means more calls, but calls that continue a watch do not wait in discovery's queue.
         """
-        longest = (
+        max_hold = (
             CHANGE_DEADLINE - APPLY_MARGIN - self.queued_time.mean - self.watch_time.timeout * (1 + JITTER)
         )
-        return min(MAX_HOLD, max(longest, MIN_HOLD))
+        return min(MAX_HOLD, max(max_hold, MIN_HOLD))
 
     def jitter(self) -> float:
         """Returns a random factor for the delay of one call, so that routers do not call in step."""
         return 1 + JITTER * self.random.random()
 
     def watch_due(self, started_at: float, hold: float, queued: bool, jitter: float) -> float:
-        """Returns when another call is started beside a watch that is unanswered."""
+        """Returns the time at which another call is started beside an unanswered watch."""
         if queued:
             response_time = max(self.queued_time.timeout, INITIAL_RESPONSE_TIME)
             return started_at + min(hold + response_time, CHANGE_DEADLINE - APPLY_MARGIN - MIN_CALL_INTERVAL)
         return started_at + min(hold + self.watch_time.timeout * jitter, self._max_interval_for_deadline())
 
     def call_due(self, started_at: float, jitter: float) -> float:
-        """Returns when another call is started beside one that does not wait for a change or is connecting.
+        """Returns the time at which another call is started beside one that is connecting or no long poll.
 
-        A further call adds to discovery's queue, and discovery may drop the first one for it. It is needed
-        only if a connection is lost, and is made as late as the deadline allows. With several addresses it
-        goes to another service and is made sooner.
+        Another call adds to discovery's queue, and discovery may drop the first call in favour of it. It is
+        needed only if a connection is lost, and is made as late as the deadline allows. With several
+        addresses it goes to another address and is made sooner.
         """
         time_left = (self.deadline or started_at) - started_at
         if self.address_count > 1:
@@ -155,5 +160,5 @@
 
     def backoff(self, failures: int) -> float:
         """Returns the backoff after consecutive failed calls: exponential with full jitter."""
-        longest = min(MAX_BACKOFF, INITIAL_BACKOFF * 2.0 ** min(failures - 1, 10))
-        return self.random.uniform(0, longest)
+        max_backoff = min(MAX_BACKOFF, INITIAL_BACKOFF * 2.0 ** min(failures - 1, 10))
+        return self.random.uniform(0, max_backoff)
--- a/applehub/node/clients.py
+++ b/applehub/node/clients.py
@@ -25,42 +25,44 @@
 
 
 class Phase(Enum):
-    """Life cycle of a client connection; only moves forward."""
+    """Phases of a client connection, which never returns to an earlier one."""
 
     OPEN = 1  # commands are processed and answered
     FLUSHING = 2  # no further command is processed; sending ends after the pending answers
     LINGERING = 3  # sending has ended; input is read and discarded for a limited time
-    DISCONNECTED = 4  # the client has left; pending answers are dropped
+    DISCONNECTED = 4  # the client has disconnected; pending answers are dropped
 
 
 class Slot:
     """The position of one answer in the order of answers of a connection."""
 
-    __slots__ = ("answer", "client", "held", "stream", "waits")
+    __slots__ = ("answer", "client", "is_connected", "request", "stream")
 
     def __init__(self, client: "ClientConnection") -> None:
-        self.client, self.waits = client, client.is_connected
+        self.client, self.is_connected = client, client.is_connected
         self.answer: bytes | None = None
-        self.held: PendingRequest | None = None
+        self.request: PendingRequest | None = None
         self.stream: Stream | None = None
 
     def fill(self, answer: bytes) -> None:
         """Sets the complete answer, unless there is one already."""
         if self.answer is None:
             self.answer = answer
-            self.held = None  # breaks the reference cycle, so that memory is freed without the collector
+            self.request = (
+                None  # breaks the reference cycle, so that memory is freed without the garbage collector
+            )
             self.client.advance()
 
-    def begin(self, stream: Stream) -> None:
+    def begin_stream(self, stream: Stream) -> None:
         """Sets a long value as the answer; it is written as it arrives, after the earlier answers."""
         self.stream = stream
         stream.on_data = self.client.advance
 
-    def break_off(self) -> None:
-        """Closes the connection if a part of the value was written; otherwise answers with an error."""
-        stream, self.held, self.stream = self.stream, None, None
+    def abort_stream(self) -> None:
+        """Closes the connection if a part of the stream was written; otherwise answers with an error."""
+        stream, self.request, self.stream = self.stream, None, None
         if stream is not None and stream.started:
-            self.client.break_off()
+            self.client.abort_stream()
         else:
             self.fill(resp.FAILED)
 
@@ -71,8 +73,8 @@
     driver: Driver
     names: Names
     selector: TimedSelector
-    close_after_answer: bool  # each connection is closed after its next answer
-    closing: bool  # each connection is closed as soon as it is idle
+    close_after_answer: bool  # whether each connection is closed after its next answer
+    closing: bool  # whether each connection is closed as soon as it is idle
     connections: "set[ClientConnection]"
 
     def can_serve(self) -> bool:
@@ -103,17 +105,17 @@
         self.transport: asyncio.Transport | None = None
         self.phase = Phase.OPEN
         self.advancing = self.write_paused = False
-        self.buffered_bytes = 0  # as counted in the memory budget
-        self.reserved_bytes = 0  # of the memory budget, for a long value that is being received
+        self.buffered_bytes = 0  # bytes in its buffers, as counted in the memory budget
+        self.reserved_bytes = 0  # bytes of the memory budget for a long value that is being received
         self.stall_timer: asyncio.TimerHandle | None = None
         self.command_timer: asyncio.TimerHandle | None = None
-        self.sent_command = False  # a complete command was received
-        self.idle_since = 0.0
+        self.sent_command = False  # whether a complete command was received
+        self.idle_since = 0.0  # event loop time in seconds
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.arrivals.resume()
-        # asyncio does not set TCP_NODELAY on accepted sockets. It fails if the peer has already gone.
+        # asyncio does not set TCP_NODELAY on accepted sockets. Setting it fails if the client has disconnected.
         with contextlib.suppress(OSError):
             sock = self.transport.get_extra_info("socket")
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -144,7 +146,7 @@
                 timer.cancel()
 
     def eof_received(self) -> None:
-        self._disconnect()  # now, since the transport closes only once its write buffer is empty
+        self._disconnect()  # at once, since the transport closes only once its write buffer is empty
         if self.transport is not None and self.transport.get_write_buffer_size():
             self._watch_writes()
 
@@ -163,15 +165,15 @@
         )
 
     def _disconnect(self) -> None:
-        """Cancels all pending requests, so that no server works for a client that has left."""
+        """Cancels all pending requests, so that no server works for a disconnected client."""
         if self.phase is Phase.DISCONNECTED:
             return
         self.phase = Phase.DISCONNECTED
         self._discard_input()
         slots, self.slots = self.slots, deque()
         for slot in slots:
-            if slot.held is not None:
-                self.owner.driver.withdraw(slot.held)
+            if slot.request is not None:
+                self.owner.driver.withdraw(slot.request)
 
     def _discard_input(self) -> None:
         """Discards unprocessed input and releases its memory."""
@@ -193,16 +195,17 @@
         self._watch_writes()
         self._update_reading()
 
-    def _watch_writes(self, before: int = -1) -> None:
-        """Aborts the connection if the client has read nothing since the last call of this timer.
+    def _watch_writes(self, previous_unsent: int = -1) -> None:
+        """Aborts the connection if the client has read nothing since the last call; otherwise starts the timer.
 
-        before: size of the write buffer at that call. With an empty buffer, which only a closing connection
-        waits on, the connection is aborted after LINGER_TIMEOUT.
+        previous_unsent: size of the write buffer at the last call, -1 if there was none. If the
+        buffer is empty, which happens only while the connection is closing, it is aborted after
+        LINGER_TIMEOUT.
         """
         if self.transport is None:
             return
         unsent = self.transport.get_write_buffer_size()
-        if unsent == before:
+        if unsent == previous_unsent:
             self.abort_connection()
             return
         if self.stall_timer is not None:
@@ -219,7 +222,7 @@
         self.advance()
 
     def _reserve_value(self, size: int) -> bool:
-        """Reserves memory for an announced long value; without it, the value is read and discarded."""
+        """Reserves memory for an announced long value; if it returns False, the value is read and discarded."""
         if not self.owner.driver.memory.reserve(size, LONG_VALUE_FRACTION):
             return False
         self.reserved_bytes += size
@@ -254,8 +257,8 @@
         self.phase = Phase.FLUSHING
         self.advance()
 
-    def break_off(self) -> None:
-        """Ends the connection inside a value; the client sees from the length that it is incomplete."""
+    def abort_stream(self) -> None:
+        """Ends the connection within a value; the client detects the missing bytes by the announced length."""
         self._disconnect()
         self._end_sending()
 
@@ -266,8 +269,7 @@
     def advance(self) -> None:
         """Processes commands and writes answers, in order, as far as possible.
 
-        Not reentrant: an answer that arrives while this runs is written by the running loop, which prevents
-        recursion.
+        An answer that arrives during a call is written by that call, which prevents recursion.
         """
         if self.advancing or self.phase in (Phase.LINGERING, Phase.DISCONNECTED) or self.transport is None:
             return
@@ -292,7 +294,7 @@
             self._update_command_timer()
 
     def _has_unread_input(self) -> bool:
-        """Returns whether the socket holds input, which is read before sending ends."""
+        """Returns whether the socket holds unread input, which must be read before sending ends."""
         assert self.transport is not None
         return UnreadInput(self.transport.get_extra_info("socket")).pending()
 
@@ -301,7 +303,7 @@
         self._end_sending()
 
     def _end_sending(self, answers: bytes = b"") -> None:
-        """Writes the last answers and the end of the stream, then reads and discards input for a while.
+        """Writes the last answers and the end of the stream, then reads and discards input for a limited time.
 
         Closing a socket with unread input sends a reset, which can reach the client before the last answer.
         A command that is discarded has no effect; its client retries it on a new connection.
@@ -338,9 +340,9 @@
                     self.arrivals.clear()
                     break
                 self._handle_command(parts)
-        except resp.FramingError as problem:
-            # The start of the next command is unknown, so this error is the last answer.
-            self._append_answer(resp.error(f"Protocol error: {problem}"))
+        except resp.FramingError as error:
+            # The start of the next command is unknown, so the error is the last answer.
+            self._append_answer(resp.error(f"Protocol error: {error}"))
             self.phase = Phase.FLUSHING
 
     def _write_answers(self) -> bool:
@@ -354,7 +356,7 @@
                 ready.append(slot.stream.take())
                 if not slot.stream.done:
                     break
-                slot.held = slot.stream = None
+                slot.request = slot.stream = None
             elif slot.answer is None:
                 break
             else:
@@ -395,14 +397,14 @@
         self.reserved_bytes = 0
         try:
             call = read_call(parts, self.owner.names)
-        except CallError as problem:
-            self._append_answer(resp.error(str(problem)))
+        except CallError as error:
+            self._append_answer(resp.error(str(error)))
             return
         slot = self._new_slot()
         try:
             arrived = self.arrivals.of_last_byte_before(len(self.frames.buffer))
-            held = self.owner.driver.accept(call, slot, arrived)
-            slot.held = held if slot.answer is None else None
+            request = self.owner.driver.accept(call, slot, arrived)
+            slot.request = request if slot.answer is None else None
         except Exception:
             log.exception("failed to start a request")
             slot.fill(resp.FAILED)
@@ -418,7 +420,7 @@
         return slot
 
     def _update_reading(self) -> None:
-        """Pauses or resumes reading, to bound the memory used by clients that send much or read nothing."""
+        """Pauses or resumes reading, to bound the memory of clients that send much or read nothing."""
         if self.transport is None or self.transport.is_closing():
             return
         # Input after the last command is read and discarded, which uses no memory and detects a disconnect.
--- a/applehub/node/configuration.py
+++ b/applehub/node/configuration.py
@@ -42,12 +42,12 @@
     """A validated configuration.
 
     listen: the address for clients.
-    discovery: the addresses of the list service, the main one first.
+    discovery: the addresses of discovery, the service that provides the server list; the main one first.
     console: the address for operators; None if there is no console.
     inherited_descriptor: descriptor of a listening socket that the platform passes on; None if the router
         opens its own.
     max_descriptors, memory_limit_mb: limits for all processes of the router together.
-    initial_list: the server list to start from, in the form of the list service's answers.
+    initial_list: the server list to start from, in the form of discovery's answers.
     raw: the file's content; a reload must contain all of its keys.
     name: the name by which other routers know this one; may be empty if peers is None.
     peers: the gossip settings; None if this router does not gossip.
@@ -74,7 +74,7 @@
 def read_configuration(path: str | None, previous: Json | None = None) -> Configuration:
     """Reads and validates the file at `path`.
 
-    previous: at a reload, the content that the router was started with. All of its keys must be present, so
+    previous: at a reload, the content with which the router was started. All of its keys must be present, so
     that a default never replaces a configured value.
     Raises ConfigurationError.
     """
@@ -103,7 +103,7 @@
 def _read_configuration(source: Json, path: str) -> Configuration:
     info = source.get("settings")
     if not isinstance(info, dict):
-        raise ConfigurationError(f"{path}: settings is missing or not an object")
+        raise ConfigurationError(f"{path}: settings: expected an object")
     descriptors, memory_mb = _read_limits(source, path)
     # The environment takes precedence, because both processes of an upgrade may share the file.
     console = os.environ.get(CONSOLE_VARIABLE) or source.get("console")
@@ -157,12 +157,12 @@
     """Reads `peers`, the gossip settings.
 
     info: the settings, whose `ceilings.mayTell` may forbid gossip.
-    Returns None if there is no such key or if the settings forbid gossip. Raises ValueError, and
+    Returns None if the key is absent or the settings forbid gossip. Raises ValueError, and
     ConfigurationError if the router has no name.
     """
     if source.get("peers") is None:
         return None
-    from applehub.node.peering import read_peers  # imported here because it slows the start
+    from applehub.node.peering import read_peers  # a deferred import, since it slows the start
 
     peers, ceilings = read_peers(source["peers"], read_endpoint), info.get("ceilings")
     if not source.get("name"):
@@ -183,7 +183,7 @@
 
 def _read_discovery(source: Json) -> list[Endpoint]:
     """Returns the addresses in `discovery` and `discoveries`, without duplicates."""
-    more = source.get("discoveries") or []
-    if not isinstance(more, list):
-        raise ListError(f"discoveries: expected a list of addresses, got {more!r}")
-    return list(dict.fromkeys(map(read_endpoint, [source.get("discovery"), *more])))
+    additional = source.get("discoveries") or []
+    if not isinstance(additional, list):
+        raise ListError(f"discoveries: expected a list of addresses, got {additional!r}")
+    return list(dict.fromkeys(map(read_endpoint, [source.get("discovery"), *additional])))
--- a/applehub/node/console.py
+++ b/applehub/node/console.py
@@ -16,7 +16,7 @@
 MAX_LINE_BYTES = 512
 LINE_TIMEOUT = 2.5  # seconds in which a connection must send its line
 Handler = Callable[[str], str]
-COMMANDS_WITHOUT_ARGUMENT = frozenset({"HEALTH", "DUMP", "PEERS"})  # the others take a server's id
+COMMANDS_WITHOUT_ARGUMENT = frozenset({"HEALTH", "DUMP", "PEERS"})  # the other commands take a server's id
 log = logging.getLogger("applehub")
 
 
@@ -75,11 +75,11 @@
 
     def __init__(self, commands: dict[str, Handler]) -> None:
         self.commands = commands
-        self.connections: dict[ConsoleConnection, None] = {}  # without a complete line, oldest first
+        self.connections: dict[ConsoleConnection, None] = {}  # have sent no complete line; oldest first
         self._acceptor: Acceptor | None = None
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
-        """Listens; returns the address, with the port that was chosen for port 0. Raises OSError."""
+        """Listens; returns the host and port, the latter as chosen by the kernel for port 0. Raises OSError."""
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         listener = socket.create_server((host, port), family=family, backlog=BACKLOG)
         self._acceptor = Acceptor(listener, lambda _: ConsoleConnection(self), MAX_ACCEPTS_PER_TICK)
@@ -99,7 +99,7 @@
         self.connections.pop(connection, None)
 
     def execute(self, line: bytes) -> str:
-        """Runs the command of a line; returns the answer, an -ERR line if the command fails."""
+        """Runs the command in a line; returns the answer, which starts with -ERR if the command fails."""
         name, _, argument = line.decode("latin-1").strip().partition(" ")
         handler = self.commands.get(name.upper())
         if handler is None:
@@ -117,7 +117,7 @@
             return "-ERR the call failed"
 
     def close(self) -> None:
-        """Stops listening, and tells every open connection that the router is shutting down."""
+        """Stops listening, and answers every open connection that the router is shutting down."""
         if self._acceptor is not None:
             self._acceptor.close()
         for connection in list(self.connections):
--- a/applehub/node/descriptors.py
+++ b/applehub/node/descriptors.py
@@ -2,15 +2,18 @@
 
 from dataclasses import dataclass
 
-# Standard streams, event loop, signals, listener, five connections to discovery while its address changes,
-# persisted files, gossip with peers.
+# Descriptors of the router itself: standard streams, event loop, signals, listener, five connections to
+# discovery while its address changes, persisted files, gossip with peers.
 OWN_DESCRIPTORS = 19
-CONSOLE_DESCRIPTORS = 19  # listener, open connections, and connections that are closing
-# Event loop ticks for which a rejected client uses a descriptor; so many are reserved per accepted client.
+CONSOLE_DESCRIPTORS = (
+    19  # descriptors of the console: listener, open connections, and connections that are closing
+)
+# Event loop ticks for which a rejected client uses a descriptor, and so the number of descriptors reserved for
+# each client accepted in one tick.
 REJECTION_TICKS = 4
 MAX_ACCEPTED_PER_TICK = 16  # clients accepted in one event loop tick
-SERVER_FRACTION = 3 / 7  # of the remaining descriptors, for connections to servers
-LINGERING_FRACTION = 1 / 9  # of the descriptors for clients, for connections whose sending has ended
+SERVER_FRACTION = 3 / 7  # fraction of the remaining descriptors that connections to servers may use
+LINGERING_FRACTION = 1 / 9  # fraction of the clients' descriptors, for connections that have ended sending
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,12 +30,14 @@
     server_connections: int
 
 
-def allocate_descriptors(sockets: int, console: bool) -> ConnectionLimits:
+def allocate_descriptors(max_descriptors: int, console: bool) -> ConnectionLimits:
     """Divides a limit of at least 64 descriptors.
 
+    console: whether the router has a console.
+
     The descriptors for discovery, servers and operators stay available even if clients use all of theirs.
     """
-    remaining = sockets - OWN_DESCRIPTORS - (CONSOLE_DESCRIPTORS if console else 0)
+    remaining = max_descriptors - OWN_DESCRIPTORS - (CONSOLE_DESCRIPTORS if console else 0)
     accepted_per_tick = min(max(remaining // 64, 1), MAX_ACCEPTED_PER_TICK)
     remaining = max(remaining - REJECTION_TICKS * accepted_per_tick, 8)
     server_connections = int(remaining * SERVER_FRACTION)
--- a/applehub/node/discovery.py
+++ b/applehub/node/discovery.py
@@ -28,7 +28,7 @@
 
     member: api.Member
     endpoint: Endpoint
-    boot_ms: int  # latest start of the server as listed (Unix time, ms); 0 for long ago
+    boot_ms: int  # latest start of the server as listed (Unix time, ms); 0 if it is long past
 
 
 def read_endpoint(text: object) -> Endpoint:
@@ -48,14 +48,16 @@
         self.names, self.origin_kind, self.pools, self.notify = names, origin_kind, pools, notify
         self.rev = -1
         self.targets: dict[str, Target] = {}
-        self.excluded: set[str] = set()  # excluded by an operator override
-        # receives each applied list, and whether it is complete
+        self.excluded: set[str] = set()  # names of servers that an operator override excludes
+        # Called with each applied answer of discovery, and whether it contains the full list.
         self.on_update: Callable[[Json, bool], None] = lambda answer, is_full: None
         self.start_times = StartTimes()
 
     @property
     def can_serve(self) -> bool:
-        return any(self.is_cache(name) and self._accepts_attempts(one) for name, one in self.targets.items())
+        return any(
+            self.is_cache(name) and self._accepts_attempts(target) for name, target in self.targets.items()
+        )
 
     @property
     def cache_count(self) -> int:
@@ -75,7 +77,7 @@
         """Applies a list or changes of it; returns False, with no effect, for an older version.
 
         answer: decoded JSON, as discovery sends it.
-        cached: the list does not come from discovery, so it is complete and of unknown age.
+        cached: whether the list comes from the configuration or from disk; it is then complete and of unknown age.
 
         Raises ListError if the answer as a whole is invalid.
         """
@@ -91,7 +93,9 @@
             self.start_times.confirm(now)
             return True
         self.rev = rev
-        entries = [target for one in answer["targets"] if (target := self._read_entry(one, now)) is not None]
+        entries = [
+            target for entry in answer["targets"] if (target := self._read_entry(entry, now)) is not None
+        ]
         if not cached:
             self.start_times.confirm(now)
         listed = {target.member.server for target in entries}
@@ -102,8 +106,8 @@
         for target in entries:
             self._add(target)
         kind = api.ListKind.FULL if is_full else api.ListKind.DELTA
-        self.notify(api.Members(api.ListKind.CACHED if cached else kind, [one.member for one in entries]))
-        # Attempts that the following calls cancel are decided on by the new list, which the balancer now has.
+        self.notify(api.Members(api.ListKind.CACHED if cached else kind, [entry.member for entry in entries]))
+        # The calls below cancel attempts. The balancer has the new list and decides by it on their retries.
         for name in removed:
             self._remove(name)
         for target in entries:
@@ -114,7 +118,7 @@
         return True
 
     def _read_entry(self, entry: Any, now: ClockReading) -> Target | None:
-        """Parses an entry; logs an invalid one and returns None, so that the others still apply."""
+        """Parses an entry; logs an invalid one and returns None, so that the other entries still apply."""
         try:
             return self._parse_entry(entry, now)
         except (ListError, KeyError, TypeError, ValueError, AttributeError) as error:
@@ -147,7 +151,7 @@
             self.targets[name] = target
 
     def _finish_update(self, target: Target, previous: Target | None) -> None:
-        """Closes connections that became useless, after the balancer was notified."""
+        """Closes connections that are no longer usable, after the balancer was notified."""
         name = target.member.server
         if target.member.state is api.State.GONE:
             self._remove(name)
--- a/applehub/node/driver.py
+++ b/applehub/node/driver.py
@@ -1,6 +1,6 @@
 """Runs the balancer: passes events to it and executes its actions.
 
-The driver owns the requests, attempts and timers of the router. All decisions are the balancer's.
+The driver owns the requests, attempts and timers of the router. The balancer makes all decisions.
 """
 
 import asyncio
@@ -32,13 +32,13 @@
     def fill(self, answer: bytes) -> None:
         """Sends the complete answer."""
 
-    def begin(self, stream: Stream) -> None:
+    def begin_stream(self, stream: Stream) -> None:
         """Starts to stream a long answer."""
 
-    def waits(self) -> bool:
+    def is_connected(self) -> bool:
         """Returns whether the client is still connected."""
 
-    def break_off(self) -> None:
+    def abort_stream(self) -> None:
         """Aborts a long answer that cannot be completed."""
 
 
@@ -49,7 +49,7 @@
     request: "PendingRequest"
     number: int
     server: str
-    sent_at: int
+    sent_at: int  # monotonic ns
     long_answer_at: int = 0  # monotonic ns at which a long answer started
     exchange: Exchange | None = None
     timer: asyncio.TimerHandle | None = None
@@ -62,7 +62,7 @@
     id: str
     call: Call
     reply: Reply
-    deadline: int
+    deadline: int  # monotonic ns
     open: bool = True
     stream: Stream | None = None  # a long answer that is being streamed
     attempts_made: int = 0
@@ -72,7 +72,7 @@
 
 
 class Driver:
-    """Host of one Balancer."""
+    """Passes events to one Balancer and executes its actions."""
 
     def __init__(self, balancer: Balancer, pools: Pools, max_requests: int, figures: Metrics) -> None:
         self.balancer, self.pools, self.max_requests = balancer, pools, max_requests
@@ -99,8 +99,10 @@
             self.figures.count_response(call.class_name, ResponseResult.ERRORS)
             reply.fill(resp.error("this id is in use"))
             return None
-        spec = self.balancer.settings.classes[call.class_index]
-        answer_by = received_at + (spec.deadline if call.wait_ms is None else call.wait_ms * NS_PER_MS)
+        request_class = self.balancer.settings.classes[call.class_index]
+        answer_by = received_at + (
+            request_class.deadline if call.wait_ms is None else call.wait_ms * NS_PER_MS
+        )
         answer_by = min(answer_by, self.answer_all_by or answer_by)
         time_left = answer_by - ANSWER_MARGIN - time.monotonic_ns()
         over_limit = call.value is resp.DISCARDED or len(self.requests) >= self.max_requests
@@ -123,10 +125,10 @@
             (answer_by - ANSWER_MARGIN // 2) / NS_PER_S, self._fail_overdue, request
         )
         key = call.key.decode("latin-1")
-        write = call.value is not None
+        is_write = call.value is not None
         self._process(
             api.Request(
-                request_id, call.class_index, request.deadline, key, write, call.tenant, call.is_retry
+                request_id, call.class_index, request.deadline, key, is_write, call.tenant, call.is_retry
             )
         )
         return request
@@ -134,8 +136,8 @@
     def withdraw(self, request: PendingRequest) -> None:
         """Cancels a request whose client has disconnected.
 
-        An attempt that was sent completely runs on, so that its connection can be reused. An attempt that is
-        connecting or partly written is aborted.
+        An attempt that was sent completely continues, so that its connection can be reused. An attempt that
+        is connecting or partly written is aborted.
         """
         if request.open:
             log.debug("request %s cancelled by its client", request.id)
@@ -171,7 +173,7 @@
 
     @property
     def longest_deadline(self) -> int:
-        return max(spec.deadline for spec in self.balancer.settings.classes)
+        return max(request_class.deadline for request_class in self.balancer.settings.classes)
 
     def stop(self, seconds: float) -> None:
         """Fails every request that is still open after the given number of seconds."""
@@ -185,7 +187,7 @@
     def _fail_overdue(self, request: PendingRequest) -> None:
         """Fails an open request.
 
-        This bounds the time of every request, also if the balancer never answers it.
+        This bounds the duration of every request, even if the balancer never answers it.
         """
         if request.open:
             self._answer(request, resp.FAILED, ResponseResult.ERRORS)
@@ -193,7 +195,7 @@
             self._remove_if_done(request)
 
     def _process(self, event: api.Event) -> None:
-        """Handles an event, then the events that its actions cause, in order."""
+        """Handles an event, then the events that its actions cause, in the order in which they occur."""
         self._events.append(event)
         if self._handling:
             return
@@ -231,8 +233,8 @@
                 request = self.requests.get(action.id)
                 if request is not None and request.open:
                     if isinstance(action, api.Reject):
-                        refusal = resp.busy(-(-action.retry_after // NS_PER_MS))
-                        self._answer(request, refusal, ResponseResult.SHED)
+                        rejection = resp.busy(-(-action.retry_after // NS_PER_MS))
+                        self._answer(request, rejection, ResponseResult.SHED)
                     else:
                         self._answer(request, resp.FAILED, ResponseResult.ERRORS)
                     self._remove_if_done(request)
@@ -253,18 +255,18 @@
         number, request.attempts_made = request.attempts_made, request.attempts_made + 1
         attempt = Attempt(request, number, action.server, now)
         time_left = request.deadline - now
-        wait = min(action.timeout, time_left) if action.timeout else time_left
+        time_limit = min(action.timeout, time_left) if action.timeout else time_left
         pool = self.pools.pools.get(action.server)
         started, max_attempts = number - request.local_failures, self.balancer.settings.max_attempts
         allowed = request.open and request.attempt is None and started < max_attempts
-        if pool is None or pool.retired or not allowed or wait <= 0:
+        if pool is None or pool.retired or not allowed or time_limit <= 0:
             self._report_outcome(attempt, AttemptResult(api.Status.MOOT))
             return
         request.attempt = attempt
-        attempt.timer = self.loop.call_later(wait / NS_PER_S, self._timeout, attempt)
+        attempt.timer = self.loop.call_later(time_limit / NS_PER_S, self._timeout, attempt)
         attempt.exchange = Exchange(
             request.call,
-            now + wait,
+            now + time_limit,
             lambda result: self._attempt_ended(attempt, result),
             lambda size, source: self._start_stream(attempt, size, source),
             self.memory,
@@ -279,7 +281,7 @@
 
         The client may have disconnected since the event loop last polled its socket.
         """
-        if attempt.request.reply.waits():
+        if attempt.request.reply.is_connected():
             return True
         self.withdraw(attempt.request)
         return False
@@ -299,7 +301,7 @@
     def _start_stream(self, attempt: Attempt, size: int, source: Source) -> Stream | None:
         """Starts to stream a long answer; returns None if the attempt is no longer current.
 
-        From here on the attempt has no timeout and the request no retry.
+        After this call the attempt has no timeout, and the request is not retried.
         """
         request = attempt.request
         if request.attempt is not attempt or not request.open:
@@ -316,7 +318,7 @@
         attempt.long_answer_at = time.monotonic_ns()
         self._close(request)
         request.stream = Stream(size, source)
-        request.reply.begin(request.stream)
+        request.reply.begin_stream(request.stream)
         self._process(api.StreamOpened(request.id, attempt.number, attempt.server))
         return request.stream
 
@@ -328,7 +330,7 @@
         elif status is not api.Status.CANCELLED:  # a cancellation by the client is not counted as an error
             log.debug("request %s: stream aborted: %s", request.id, status)
             self.figures.count_response(request.call.class_name, ResponseResult.ERRORS)
-            request.reply.break_off()
+            request.reply.abort_stream()
 
     def _attempt_ended(self, attempt: Attempt, result: AttemptResult) -> None:
         request = attempt.request
--- a/applehub/node/listener.py
+++ b/applehub/node/listener.py
@@ -19,11 +19,11 @@
 
 
 def inherited_listener(descriptor: int) -> socket.socket:
-    """Returns the listening socket of a descriptor; raises OSError if it is none."""
+    """Returns the listening socket of a descriptor; raises OSError if the descriptor is not one."""
     try:
         listener = socket.socket(fileno=descriptor)
-    except OSError as problem:
-        raise OSError(f"the inherited descriptor {descriptor} is no socket: {problem.strerror}") from None
+    except OSError as error:
+        raise OSError(f"the inherited descriptor {descriptor} is no socket: {error.strerror}") from None
     if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         listener.detach()  # the descriptor belongs to the parent process
         raise OSError(f"the inherited descriptor {descriptor} is a socket that listens nowhere")
@@ -37,7 +37,8 @@
         self.driver, self.names, self.connection_limits = driver, names, connection_limits
         self.selector = running_selector()
         self.connections: set[ClientConnection] = set()
-        self.lingering: dict[ClientConnection, None] = {}  # closing or disconnected; oldest first
+        # Connections that are closing or disconnected, oldest first.
+        self.lingering: dict[ClientConnection, None] = {}
         self._reading_paused: set[ClientConnection] = set()
         self._check_scheduled = False
         self.can_serve: Callable[[], bool] = lambda: False
@@ -53,7 +54,7 @@
     async def listen(self, host: str, port: int, inherited: int | None = None) -> tuple[str, int]:
         """Listens on an address, or on an inherited listening socket, and returns the address.
 
-        An inherited socket is shared with other processes, so it is only closed here, never shut down.
+        An inherited socket is shared with other processes, so it is only closed, never shut down.
         """
         if inherited is None:
             family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -75,14 +76,16 @@
         """Returns whether one more connection is allowed; closes the longest idle one if necessary."""
         if len(self.connections) < self.connection_limits.clients:
             return True
-        before = asyncio.get_running_loop().time() - MIN_IDLE_TIME
+        idle_before = asyncio.get_running_loop().time() - MIN_IDLE_TIME
         idle = [
-            one for one in self.connections if one.idle_since < before and not one.slots and one.sent_command
+            client
+            for client in self.connections
+            if client.idle_since < idle_before and not client.slots and client.sent_command
         ]
-        oldest = min(idle, key=lambda one: one.idle_since, default=None)
-        if oldest is None:
+        longest_idle = min(idle, key=lambda client: client.idle_since, default=None)
+        if longest_idle is None:
             return False
-        oldest.close_idle()
+        longest_idle.close_idle()
         return True
 
     def sending_ended(self, client: ClientConnection) -> None:
@@ -120,7 +123,7 @@
     def _check_disconnects(self) -> None:
         """Detects disconnects of clients whose reading is paused, so that no server works for them.
 
-        Their end of stream is behind unread input and would not be seen otherwise.
+        The end of such a stream lies behind unread input, so reading does not detect it.
         """
         self._check_scheduled = bool(self._reading_paused)
         if self._check_scheduled:
@@ -131,14 +134,14 @@
                 descriptor = client.transport.get_extra_info("socket").fileno()
                 clients[descriptor] = client
                 poll.register(descriptor, select.POLLRDHUP)  # errors are always reported
-        found: list[tuple[int, int]] = []
-        with contextlib.suppress(OSError):  # out of memory; the next check repeats it
-            found = poll.poll(0)
-        for descriptor, _ in found:
+        ready: list[tuple[int, int]] = []
+        with contextlib.suppress(OSError):  # poll(2) lacked memory; the next check retries it
+            ready = poll.poll(0)
+        for descriptor, _ in ready:
             clients[descriptor].peer_closed()
 
     def hand_over(self) -> None:
-        """Stops listening, since another process accepts connections; closes each after its next answer."""
+        """Stops listening, and closes each connection after its next answer; another process accepts new ones."""
         self.close_after_answer = True
         if self._acceptor is not None:
             self._acceptor.close()
--- a/applehub/node/memory_budget.py
+++ b/applehub/node/memory_budget.py
@@ -1,9 +1,9 @@
 """Limits the bytes buffered for clients: writes, waiting requests, incomplete input and unsent output."""
 
 DEFAULT_LIMIT = 80 << 20  # bytes; used if no limit is configured
-LONG_VALUE_FRACTION = 3 / 4  # of the budget, available to long values; the rest is left to reads
-PROGRAM_MEMORY_MB = 26  # of one process, without its buffers
-MIN_BUFFER_MEMORY_MB = 4  # for the buffers of all processes, whatever the configured limit
+LONG_VALUE_FRACTION = 3 / 4  # fraction of the budget that long values may use; the rest is left for reads
+PROGRAM_MEMORY_MB = 26  # memory of one process without its buffers
+MIN_BUFFER_MEMORY_MB = 4  # minimum for the buffers of all processes together
 
 
 class MemoryBudget:
@@ -16,7 +16,7 @@
         self.limit, self.used = limit, 0
 
     def reserve(self, size: int, fraction: float = 1.0) -> bool:
-        """Counts `size` bytes if the sum is within `fraction` (0 to 1) of the limit; returns whether so."""
+        """Counts `size` bytes if the sum is at most `fraction` (0 to 1) of the limit; returns whether it is."""
         if self.used + size > self.limit * fraction:
             return False
         self.used += size
@@ -39,8 +39,8 @@
 def buffer_limit_bytes(memory_mb: int, processes: int = 1) -> int:
     """Returns the limit in bytes on the buffers of one process of a router.
 
-    memory_mb: memory limit of all processes of the router together. The part that is not used by the programs
-    is halved, since a value can be in two buffers at a time, and divided equally.
+    memory_mb: memory limit of all processes of the router together. The part that the processes do not use
+    themselves is halved, since a value can be in two buffers at a time, and divided equally between them.
     """
     available_mb = max(memory_mb - PROGRAM_MEMORY_MB * processes, MIN_BUFFER_MEMORY_MB)
     return (available_mb << 20) // 2 // processes
--- a/applehub/node/metrics.py
+++ b/applehub/node/metrics.py
@@ -7,7 +7,7 @@
 
 
 class ResponseResult(StrEnum):
-    """The result of a request, as the response counters name it."""
+    """The result of a request, as it appears in the names of the response counters."""
 
     OK = "ok"
     SHED = "shed"
@@ -17,7 +17,7 @@
 class Metrics:
     """Counters since the start of the process, and gauges.
 
-    Counters of a class that a reload removes are kept, so that sums over classes never decrease.
+    Counters of a class remain after a reload that removes it, so that sums over classes never decrease.
     """
 
     def __init__(self) -> None:
--- a/applehub/node/operator_overrides.py
+++ b/applehub/node/operator_overrides.py
@@ -1,8 +1,8 @@
 """Operator overrides: cache servers that operators take out of service, whatever the server list says.
 
-A command answered with `+OK` is in effect and survives a restart of the process and a power loss. One
-answered with `-ERR` had no effect, unless the answer says that it is in effect but a power loss may undo it;
-the sync to disk is then retried until it succeeds.
+A command answered with `+OK` is in effect and survives a restart of the process and a power loss. A command
+answered with `-ERR` had no effect, unless the answer states that it is in effect but a power loss may undo
+it; the sync to disk is then retried until it succeeds.
 """
 
 import logging
@@ -66,7 +66,7 @@
             log.info("operator overrides synced to disk again")
 
     def _refresh(self) -> None:
-        """Applies what is new in the file. Raises OSError, OverrideFileError."""
+        """Applies the overrides of a changed file. Raises OSError, OverrideFileError."""
         overrides = self.file.read_if_changed()
         if overrides is not None:
             self._apply(overrides)
@@ -116,8 +116,8 @@
                 server,
                 "taken out of service" if override.offline else "returned to service",
             )
-            # The policy may choose a server only while its connection pool is open. Closing the pool fails
-            # its attempts back to the policy, which must already know that the server is out of service.
+            # The policy may choose a server only while its connection pool is open. Closing the pool reports
+            # its attempts to the policy as failed, which by then must know that the server is out of service.
             if not override.offline:
                 self.directory.set_excluded(server, False)
             self.send_event(api.ServerOverride(server, override.offline, max(1, override.accepted_ns)))
--- a/applehub/node/origin.py
+++ b/applehub/node/origin.py
@@ -1,4 +1,4 @@
-"""Connections to the origin: HTTP/1.1."""
+"""Connections to the origin, which speaks HTTP/1.1."""
 
 from collections.abc import Callable, Iterator
 from urllib.parse import quote_from_bytes
@@ -12,10 +12,10 @@
 
 
 def result_of(response: HttpResponse) -> AttemptResult:
-    """Returns the result that the origin's response stands for.
+    """Converts a response of the origin to the result of an attempt.
 
-    A 503 or 504 counts as a rejection only with the header `x-rejected: 1`. Without it a proxy may have sent
-    it.
+    A 503 or 504 counts as a rejection only if it has the header `x-rejected: 1`; otherwise a proxy may have
+    sent it.
     """
     load = read_load(response.headers.get(b"x-load-report"))
     if response.status == 200:
@@ -36,7 +36,7 @@
             self._reserve_body,
         )
         self.memory: MemoryBudget | None = None  # accounts for a long body without a Content-Length
-        self.reserved = 0  # bytes reserved for it
+        self.reserved = 0  # bytes reserved for the long body
 
     def encode(self, exchange: Exchange) -> Iterator[bytes | memoryview]:
         call = exchange.call
--- a/applehub/node/override_file.py
+++ b/applehub/node/override_file.py
@@ -1,15 +1,15 @@
 """The file that stores operator overrides, shared by the processes of one router on one machine.
 
-Two JSON files lie side by side:
+The overrides are stored in two JSON files of one folder:
 
 - `applehub-by-hand.json`, `{server: [out, at]}`: the overrides, synced before they are acknowledged. Older
-  versions read and write this file alone.
+  versions read and write only this file.
 - `applehub-by-hand.times.json`, `{"boot_id": ID, "made": {server: [at, made]}}`: when the overrides were
   accepted on the machine's monotonic clock (ns), since wall clocks may be stepped. It is not synced, and its
   times are invalid after a restart of the machine.
 
-An override without a valid monotonic time counts as accepted when this process first reads it. This is the
-safe choice, because the server's slow start then begins at that time.
+An override without a valid monotonic time counts as accepted when this process first reads it. This is safe,
+because the server's slow start then starts at that time.
 
 A file that cannot be read is never replaced by one that lacks its overrides.
 """
@@ -27,9 +27,9 @@
 
 from applehub.node.machine_time import boot_id
 
-ONLINE_RETENTION_NS = 600 * 1_000_000_000  # an ONLINE override is kept until the server has warmed up
+ONLINE_RETENTION_NS = 600 * 1_000_000_000  # retention of ONLINE overrides, for the slow start
 NS_PER_MS = 1_000_000
-LOCK_TIMEOUT = 0.05  # seconds to wait for another process's lock; the event loop is blocked meanwhile
+LOCK_TIMEOUT = 0.05  # seconds to wait for another process's lock, which blocks the event loop
 LOCK_RETRY_INTERVAL = 0.001  # seconds
 FileIdentity = tuple[int, int, int]  # inode, size, modification time (ns)
 log = logging.getLogger("applehub")
@@ -57,15 +57,14 @@
     """Operator overrides on disk; the file is replaced atomically, so a killed process leaves it intact."""
 
     def __init__(self, folder: str) -> None:
-        """folder: where the files lie; nothing is read or written yet."""
+        """folder: contains the files; the constructor reads and writes nothing."""
         self.path = os.path.join(folder, "applehub-by-hand.json")
         self.times_path = os.path.join(folder, "applehub-by-hand.times.json")
         self.lock_path = os.path.join(folder, "applehub-by-hand.lock")
         self._boot_id = boot_id()
         self._last_known: dict[str, Override] | None = None  # the content as last read or written
-        self._returned_identity: FileIdentity | None = (
-            None  # of the content last returned by `read_if_changed`
-        )
+        # Identity of the file that `read_if_changed` returned last.
+        self._returned_identity: FileIdentity | None = None
         self._synced_identity: FileIdentity | None = None
 
     def read_if_changed(self) -> dict[str, Override] | None:
@@ -96,7 +95,7 @@
                 if override.offline or override.accepted_ns > now - ONLINE_RETENTION_NS
             }
             overrides[server] = Override(offline, time.time_ns() // NS_PER_MS, now)
-            self._write_times(overrides)  # first, so that a process that reads an override finds its time
+            self._write_times(overrides)  # written first, so that readers of an override find its time
             content = orjson.dumps(
                 {name: [override.offline, override.accepted_ms] for name, override in overrides.items()}
             )
@@ -121,7 +120,7 @@
 
     @contextlib.contextmanager
     def _lock(self) -> Iterator[None]:
-        """Excludes writers in other processes. Raises OSError, also after LOCK_TIMEOUT."""
+        """Excludes writers in other processes. Raises OSError, which includes a timeout after LOCK_TIMEOUT."""
         with open(self.lock_path, "wb") as lock_file:
             deadline = time.monotonic() + LOCK_TIMEOUT
             while True:
@@ -173,13 +172,16 @@
         return self._last_known, identity
 
     def _accepted_ns(self, name: str, offline: bool, accepted_ms: int, stored: Any, now: int) -> int:
-        """Returns the monotonic time of an override: as this process knows it, as stored, or `now`.
+        """Returns the monotonic time of an override: as read or written before, as stored, or `now`.
 
         A stored time is never later than `now`.
         """
-        known = (self._last_known or {}).get(name)
-        if known is not None and (known.offline, known.accepted_ms) == (offline, accepted_ms):
-            return known.accepted_ns
+        known_override = (self._last_known or {}).get(name)
+        if known_override is not None and (known_override.offline, known_override.accepted_ms) == (
+            offline,
+            accepted_ms,
+        ):
+            return known_override.accepted_ns
         match stored:
             case [int() as stored_ms, int() as stored_ns] if stored_ms == accepted_ms:
                 return min(stored_ns, now)
--- a/applehub/node/peering.py
+++ b/applehub/node/peering.py
@@ -18,7 +18,7 @@
 
 REPORT_INTERVAL = 0.25  # seconds between two reports of the fleet to the balancer
 BIND_RETRY_INTERVAL = 1.0  # seconds between two attempts to bind an address that another process uses
-PERIOD_RANGE_MS = (10, 5000)  # minimum and maximum
+PERIOD_RANGE_MS = (10, 5000)  # minimum and maximum of `period_ms`
 NS_PER_MS = 1_000_000
 log = logging.getLogger("applehub")
 
@@ -27,6 +27,7 @@
 class PeersConfig:
     """Configuration of the gossip.
 
+    fleet: name of the group of routers that gossip with each other.
     listen: address of this router's socket.
     routers: addresses of the other routers by name, as this one reaches them.
     """
@@ -40,7 +41,7 @@
 def read_peers(source: object, parse_endpoint: Callable[[object], Endpoint]) -> PeersConfig:
     """Reads the configuration key `peers`. Raises SettingError.
 
-    endpoint: parses an address; raises ValueError.
+    parse_endpoint: parses an address; raises ValueError.
     """
     if not isinstance(source, dict):
         raise SettingError(f"peers: expected an object, got {source!r}")
@@ -86,17 +87,17 @@
         incarnation = int.from_bytes(os.urandom(8)) | 1
         host, port = config.listen
         local_peer = Peer(incarnation, 0, PeerState.ALIVE, socket.inet_aton(host), port, name)
-        other_names = [one for one in config.routers if one != name]
+        other_names = [router for router in config.routers if router != name]
         self.adapter = PolicyAdapter(
             GossipAgent(local_peer, config.fleet, other_names, incarnation, int(config.period * 1e9))
         )
         self.transport: asyncio.DatagramTransport | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.reported_at = 0.0
+        self.reported_at = 0.0  # event loop time in seconds
         self.stopped = False
 
     async def start(self) -> None:
-        """Binds the socket; retries as long as another process of this router uses the address."""
+        """Binds the socket; retries while another process of this router uses the address."""
         loop = asyncio.get_running_loop()
         if self.stopped:
             return
@@ -123,7 +124,7 @@
         self._send(self.adapter.agent.receive(time.monotonic_ns(), data))
 
     def error_received(self, exc: Exception) -> None:
-        """Ignores the error: gossip detects an unreachable peer by its silence."""
+        """Ignores the error: gossip detects an unreachable peer by its missing answers."""
 
     def _tick(self) -> None:
         loop, now = asyncio.get_running_loop(), time.monotonic_ns()
@@ -146,7 +147,7 @@
                 self.transport.sendto(data, address)
 
     def publish(self, report: api.PublishGossip) -> None:
-        """Publishes what the balancer reports to the other routers."""
+        """Publishes a report of the balancer to the other routers."""
         self.adapter.publish(time.monotonic_ns(), report, self.kinds())
 
     def reconfigure(self, config: PeersConfig) -> None:
@@ -156,7 +157,9 @@
         """
         self.config = PeersConfig(self.config.fleet, self.config.listen, config.routers, config.period)
         membership = self.adapter.agent.membership
-        membership.configured_names = [one for one in config.routers if one != membership.local_peer.name]
+        membership.configured_names = [
+            router for router in config.routers if router != membership.local_peer.name
+        ]
         membership.set_tick_interval(int(config.period * 1e9))
 
     def lines(self) -> list[str]:
@@ -178,7 +181,7 @@
         return [f"peers.{name}={value}" for name, value in values.items()]
 
     def stop(self) -> None:
-        """Announces to the other routers that this process leaves, and closes the socket."""
+        """Announces the end of this process to the other routers, and closes the socket."""
         self.stopped = True
         if self.timer is not None:
             self.timer.cancel()
--- a/applehub/node/persisted_list.py
+++ b/applehub/node/persisted_list.py
@@ -1,6 +1,6 @@
-"""Persists the server list, so that a restarted process knows the servers that its predecessor knew.
+"""Persists the server list, so that a restarted process starts with the list of its predecessor.
 
-The value is JSON in the form of the list service's answers: `rev`, the version of the list, and `targets`,
+The value is JSON in the form of discovery's answers: `rev`, the version of the list, and `targets`,
 with every key as it was received.
 """
 
@@ -21,19 +21,19 @@
     """The server list as last received, saved outside the event loop's thread."""
 
     def __init__(self, folder: str) -> None:
-        """Raises OSError if the folder cannot be created."""
+        """folder: contains the stored list. Raises OSError if the folder cannot be created."""
         self.saver = Saver(folder, "list", FORMAT_VERSION, "server list")
         self.rev = 0
         self.targets: dict[str, Json] = {}
-        self.changes = 0  # number of changes merged
-        self.saved_changes = 0  # number of these changes that are on disk
+        self.changes = 0  # number of answers merged
+        self.saved_changes = 0  # number of merged answers whose result is on disk
         self.save_task: asyncio.Task[None] | None = None
 
     def load(self, configured: Json) -> Json:
         """Returns the list to start from: the persisted one if its version is newer than the configured one.
 
-        configured: the list from the configuration. The result always has its version, so that the list
-        service sends every later change again. A malformed list is returned unchanged, for the directory to
+        configured: the list from the configuration. The result always has the version of that list,
+        so that discovery sends every later change again. A malformed list is returned unchanged, for the directory to
         reject.
         """
         if not isinstance(configured, dict) or not isinstance(configured.get("targets"), list):
@@ -76,11 +76,11 @@
         self.changes += 1
 
     def update(self, answer: Json, is_full: bool) -> None:
-        """Merges an answer of the list service, and saves at once or SAVE_INTERVAL after the last save.
+        """Merges an answer of discovery, and saves the list at once or SAVE_INTERVAL after the last save.
 
         A failed save is retried with a backoff (`Saver.backoff`) until it succeeds.
 
-        is_full: the answer replaces the list; otherwise it holds the changed targets only.
+        is_full: whether the answer replaces the list; otherwise it contains only the changed targets.
         """
         self._merge(answer, is_full)
         if self.save_task is None or self.save_task.done():
--- a/applehub/node/persisted_statistics.py
+++ b/applehub/node/persisted_statistics.py
@@ -1,9 +1,9 @@
 """Persists the statistics that the policy has collected of each server, for the next process of this router.
 
 The value is JSON: when it was saved, as `boot_id` and `monotonic_ms` (the machine's monotonic clock) and, for
-older versions, as `wall_ms` (Unix time, ms); and `servers`, by id a list of four: the moving average of
-response times (ns), the minimum of that average (ns), the attempts in flight, and the fraction of its key
-range that the server can serve.
+older versions, as `wall_ms` (Unix time, ms); and `servers`, which maps each server id to four values: the
+moving average of response times (ns), the minimum of that average (ns), the attempts in flight, and the
+fraction of its key range that the server can serve.
 
 After a restart of the machine the age of the statistics is unknown, since wall clocks may be stepped; they
 are then ignored.
@@ -23,7 +23,7 @@
 
 FORMAT_VERSION = 1
 NS_PER_MS = 1_000_000
-SAVE_INTERVAL = 5.0  # seconds; a crash loses at most the statistics of this time
+SAVE_INTERVAL = 5.0  # seconds; a crash loses at most the statistics of this period
 log = logging.getLogger("applehub")
 
 
@@ -63,7 +63,7 @@
 
     def _age(self, stored: Json) -> int | None:
         """Returns the age of statistics (ns); None or a negative value if unknown. Raises KeyError."""
-        if "boot_id" not in stored:  # saved by an older version, which stored the wall clock's time alone
+        if "boot_id" not in stored:  # saved by an older version, which stored only the time of the wall clock
             return time.time_ns() - int(stored["wall_ms"]) * NS_PER_MS
         if stored["boot_id"] != self.boot_id or not self.boot_id:
             return None
@@ -81,12 +81,12 @@
     def _value(self) -> bytes:
         servers = {
             name: (
-                round(seen.latency),
-                round(seen.base_latency),
-                round(seen.mean_in_flight, 3),
-                round(seen.range_fraction, 4),
+                round(statistics.latency),
+                round(statistics.base_latency),
+                round(statistics.mean_in_flight, 3),
+                round(statistics.range_fraction, 4),
             )
-            for name, seen in self.get_statistics().servers.items()
+            for name, statistics in self.get_statistics().servers.items()
         }
         times = {
             "wall_ms": time.time_ns() // NS_PER_MS,
--- a/applehub/node/pool.py
+++ b/applehub/node/pool.py
@@ -1,6 +1,6 @@
-"""Connection pools: the connections to each server, and the choice of the one that an attempt uses.
+"""Connection pools: the connections to each server, and the choice of a connection for each attempt.
 
-The protocol spoken on a connection is that of the Connection subclass.
+A subclass of Connection implements the protocol of the server.
 """
 
 import asyncio
@@ -24,9 +24,9 @@
 # it.
 KEEPALIVE_FRACTION = 0.8
 SWEEP_INTERVAL = 1.0  # seconds
-MAX_PROCESS_STALL = 0.15  # seconds between reading the clock and the write that depends on it
+MAX_PROCESS_STALL = 0.15  # maximum seconds between reading the clock and the write that depends on it
 # Seconds for which a connection is not reused after a response. A duplicate response that arrives later
-# cannot be told from the response to the next request, so it must arrive while the connection is idle.
+# cannot be distinguished from the response to the next request, so it must arrive while the connection is idle.
 MIN_IDLE_BEFORE_REUSE = 0.01
 # Errors of socket() and connect() for resources that this machine lacks; the server does not cause them.
 LOCAL_FAILURE_ERRNOS = frozenset(
@@ -66,11 +66,13 @@
         self.connect_failure = Status.CONNECT_FAILED
         self.attempts_started = 0
         self.write_buffer_full = False
-        self.unwritten: Iterator[bytes | memoryview] = iter(())  # the rest of the request
+        self.unwritten: Iterator[bytes | memoryview] = iter(
+            ()
+        )  # pieces of the request that are not written yet
         self.write_started = False  # whether some of the request was passed to the kernel
         self.unsent = True  # whether the last byte of the request is not yet passed to the kernel
-        self.opened_at = 0.0  # on the event loop's clock
-        self.idle_since = 0.0
+        self.opened_at = 0.0  # event loop time in seconds
+        self.idle_since = 0.0  # event loop time in seconds
 
     @abstractmethod
     def encode(self, exchange: Exchange) -> Iterator[bytes | memoryview]:
@@ -331,7 +333,11 @@
         The others are closed after their response.
         """
         self.retired = True
-        for connection in [one for one in self.connections if not one.write_started or one in self.idle]:
+        for connection in [
+            candidate
+            for candidate in self.connections
+            if not candidate.write_started or candidate in self.idle
+        ]:
             connection.cancel_unstarted()
 
     def close_opened_before(self, restarted_at: float) -> None:
@@ -339,7 +345,7 @@
 
         restarted_at: event loop time of the restart, in seconds.
         """
-        for connection in [one for one in self.connections if one.opened_at < restarted_at]:
+        for connection in [candidate for candidate in self.connections if candidate.opened_at < restarted_at]:
             exchange = connection.exchange
             unsent = connection.unsent
             connection.exchange = None
@@ -358,7 +364,7 @@
         self.max_connections = max_connections
         self.set_timeouts(dial_timeout, keepalive)
         self.pools: dict[str, Pool] = {}
-        # Connections of all pools, established or connecting, also of pools that were replaced.
+        # Number of connections of all pools, established or connecting, including those of replaced pools.
         self.open_count = 0
         # Idle connections of all pools, longest idle first.
         self.idle: OrderedDict[Connection, None] = OrderedDict()
@@ -375,7 +381,9 @@
         pool = self.pools.get(name)
         if pool is None or pool.endpoint != endpoint:
             replaced, pool = pool, Pool(self, endpoint, make_connection)
-            self.pools[name] = pool  # before retire(), whose cancelled attempts may be retried here
+            self.pools[name] = (
+                pool  # before retire(), since its cancelled attempts may be retried in the new pool
+            )
             if replaced is not None:
                 replaced.retire()
         return pool
--- a/applehub/node/resp.py
+++ b/applehub/node/resp.py
@@ -6,14 +6,14 @@
 
 import hiredis
 
-MAX_BUFFERED_VALUE = 64 * 1024  # bytes of a key, an id, a list or a value that is parsed as a unit
+MAX_BUFFERED_VALUE = 64 * 1024  # bytes of a key, an id, a list or a value that is buffered completely
 MAX_LONG_VALUE = 8 << 20  # bytes of a value that is forwarded in chunks
-MAX_LINE = 1024
-MAX_ITEMS = 8
+MAX_LINE = 1024  # bytes of a line, without a bulk string that follows it
+MAX_ITEMS = 8  # items of an array
 WRITE_ITEMS = 5  # items of a C.SET command, the value last
 WRITE_COMMAND = re.compile(rb"\*5\r\n\$5\r\nC\.SET\r\n", re.IGNORECASE)
 MAX_FRAME = 5 * MAX_BUFFERED_VALUE  # bytes; a C.SET command has at most four large items
-DISCARDED = bytearray()  # stands for a long value that was not admitted
+DISCARDED = bytearray()  # replaces a long value that was not admitted
 INCOMPLETE = object()  # returned while no complete value is buffered
 FAILED = b"-ERR failed\r\n"
 
@@ -61,10 +61,10 @@
     def __init__(self, admit: Callable[[int], bool] | None = None) -> None:
         self.admit = admit  # called with the length of a long value; returns whether to store it
         self.buffer = bytearray()
-        self.position, self.missing = 0, 1  # end of the scanned part, and the number of values that it lacks
-        self.items = 0  # of the array that is being scanned
+        self.position, self.missing = 0, 1  # end of the scanned input; values still to be scanned
+        self.items = 0  # number of items of the array that is being scanned
         self.long_remaining = 0  # bytes of a long value not received yet
-        self.long: bytearray | None = None  # its bytes received so far
+        self.long: bytearray | None = None  # received bytes of the long value, or DISCARDED
         self.reader = hiredis.Reader()
 
     def feed(self, data: bytes) -> None:
@@ -104,29 +104,30 @@
             value[-1], self.long = self.long, None
         return value
 
-    def _start_long_value(self, at: int, end: int, size: int) -> None:
+    def _start_long_value(self, start: int, end: int, size: int) -> None:
+        """Replaces a long value in the buffer by an empty string; its header is at `start` to `end`."""
         received = self.buffer[end : end + size]
         self.long = received if self.admit is not None and self.admit(size) else DISCARDED
         self.long_remaining = size - len(received)
-        self.buffer[at : end + len(received)] = b"$0\r\n"
+        self.buffer[start : end + len(received)] = b"$0\r\n"
 
     def _scan_value(self) -> bool:
         """Advances past one value or array header; returns whether it is completely buffered."""
-        buffer, at = self.buffer, self.position
-        if at >= len(buffer):
+        buffer, start = self.buffer, self.position
+        if start >= len(buffer):
             return False
-        if buffer[at] not in b"+-:$*":
+        if buffer[start] not in b"+-:$*":
             raise FramingError("invalid first byte")
-        end = buffer.find(b"\r\n", at, at + MAX_LINE)
+        end = buffer.find(b"\r\n", start, start + MAX_LINE)
         if end < 0:
-            if len(buffer) - at >= MAX_LINE:
+            if len(buffer) - start >= MAX_LINE:
                 raise FramingError("line too long")
             return False
-        line, kind = bytes(buffer[at + 1 : end]), buffer[at : at + 1]
+        line, kind = bytes(buffer[start + 1 : end]), buffer[start : start + 1]
         end += 2
         if kind == b"*":
             # Neither clients nor servers nest arrays; the cost of parsing deep nesting is unbounded.
-            if at:
+            if start:
                 raise FramingError("an array in an array")
             self.items = _length(line, MAX_ITEMS)
             self.missing += max(0, self.items)
@@ -134,7 +135,7 @@
             long = self.admit is not None and self.in_value and WRITE_COMMAND.match(buffer) is not None
             size = _length(line, MAX_LONG_VALUE if long else MAX_BUFFERED_VALUE)
             if size > MAX_BUFFERED_VALUE:
-                self._start_long_value(at, end, size)
+                self._start_long_value(start, end, size)
                 return self._scan_value()
             if size >= 0:
                 if len(buffer) < end + size + 2:
--- a/applehub/node/router.py
+++ b/applehub/node/router.py
@@ -26,11 +26,11 @@
     from applehub.node.persisted_statistics import PersistedStatistics
 
 ACCEPT_AFTER_SIGTERM = 0.5  # seconds for which clients are still accepted if no other process accepts them
-# The platform sends SIGKILL this many seconds after the longest deadline of a request, of which it waits for
-# at most MAX_DEADLINE_GRACE seconds.
+# After SIGTERM the platform waits for the longest deadline of a request, but at most MAX_DEADLINE_GRACE seconds,
+# then for KILL_GRACE seconds, and sends SIGKILL.
 KILL_GRACE = 0.7
 MAX_DEADLINE_GRACE = 3.0
-# The steps of a graceful shutdown, in seconds before SIGKILL:
+# Times of the steps of a graceful shutdown, in seconds before SIGKILL:
 CLOSE_IDLE_BEFORE_KILL = 0.6  # idle connections are closed
 ANSWER_BEFORE_KILL = 0.3  # every accepted request is answered
 EXIT_BEFORE_KILL = 0.15  # the process exits, even if clients have not read their answers
@@ -147,7 +147,7 @@
         )
 
     def _apply_limits(self, processes: int) -> None:
-        """Applies this process's part of the configured limits.
+        """Applies this process's portion of the configured limits.
 
         processes: number of running processes of this router.
         """
@@ -164,8 +164,8 @@
         self.overrides.poll()
         processes = 2 if self.shared_state.has_other_process() else 1
         if processes != self.processes:
-            single = "no other process of this router is running"
-            log.info("another process of this router is running" if processes > 1 else single)
+            single_text = "no other process of this router is running"
+            log.info("another process of this router is running" if processes > 1 else single_text)
             self._apply_limits(processes)
         asyncio.get_running_loop().call_later(SHARED_STATE_PERIOD, self._poll_shared_state)
 
--- a/applehub/node/saver.py
+++ b/applehub/node/saver.py
@@ -7,15 +7,15 @@
 from applehub.durable.folder import Folder
 from applehub.durable.store import Store, StoreError
 
-MAX_BACKOFF = 8.0  # seconds; a crash after the disk has recovered loses at most the changes of this time
+MAX_BACKOFF = 8.0  # seconds; a crash after the disk has recovered loses at most the changes of this period
 log = logging.getLogger("applehub")
 
 
 class Saver:
-    """A store for one value. During an upgrade saves fail until the old process releases the store."""
+    """A store for one value. During an upgrade, saves fail until the old process releases the store."""
 
     def __init__(self, folder: str, name: str, format_version: int, label: str) -> None:
-        """name, format_version: of the store. label: names the value in log lines.
+        """name: name of the store. format_version: version of its data. label: names the value in log lines.
 
         Raises OSError if the folder cannot be created.
         """
@@ -84,7 +84,7 @@
     def close(self, value: bytes | None = None) -> None:
         """Saves a final value, if one is given, and releases the store.
 
-        Waits for a save in progress. A save that has not begun writes nothing, so that it cannot overwrite
+        Waits for a save in progress. A save that has not started writes nothing, so that it cannot overwrite
         the final value.
         """
         self.closed = True
--- a/applehub/node/shared_state.py
+++ b/applehub/node/shared_state.py
@@ -1,4 +1,4 @@
-"""State that the processes of one router share through $TMPDIR while one takes over from another."""
+"""State that the processes of one router share through $TMPDIR during an upgrade."""
 
 import fcntl
 import logging
@@ -16,7 +16,7 @@
     folder = os.environ.get("TMPDIR")
     if folder:
         return folder
-    import tempfile  # imported here because it slows the start, and deployments set $TMPDIR
+    import tempfile  # a deferred import, since it slows the start and deployments set $TMPDIR
 
     return tempfile.mkdtemp(prefix="applehub-")
 
@@ -29,13 +29,13 @@
         self.override_file = OverrideFile(folder)
         self.lock_file = open(os.path.join(folder, "applehub.runs"), "wb")  # noqa: SIM115 (open until `close`)
         # Each process locks the byte at the offset of its own process id. The kernel releases the lock when
-        # the process ends in any way, so a crashed process never counts as running.
+        # the process ends, even in a crash, so a crashed process never counts as running.
         fcntl.lockf(self.lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB, 1, os.getpid())
         self._has_other_process = False
         self._query_failed = False  # whether the last call of `has_other_process` failed
 
     def has_other_process(self) -> bool:
-        """Returns whether another process of this router runs; the last result if the lock query fails."""
+        """Returns whether another process of this router runs, or the previous result if the query fails."""
         whole_file = struct.pack(FLOCK_FORMAT, fcntl.F_WRLCK, os.SEEK_SET, 0, 0, 0)
         try:
             lock_type: int = struct.unpack(
--- a/applehub/node/start_times.py
+++ b/applehub/node/start_times.py
@@ -1,23 +1,23 @@
 """Converts the start times of cache servers from Unix time, as listed, to this process's monotonic clock.
 
-Wall clocks, here and at other machines, may be stepped by seconds or by an hour; the monotonic clock is not.
-A start is therefore converted once, when it is first listed, with both clocks as they are then. The result is
-limited by what is known without a wall clock:
+Wall clocks, on this and on other machines, may be stepped by seconds or by an hour; the monotonic clock is
+not. A start is therefore converted once, when it is first listed, with the readings of both clocks at that
+time. The result is limited by two bounds that do not depend on a wall clock:
 
 - it is not later than now;
-- it is later than the last response of the list service that did not contain the start.
+- it is later than the last response of discovery that did not contain the start.
 
-The first response has none before it, and the age of a list from the configuration or from disk is unknown.
-Starts in these depend on the wall clock alone. One in the future, which shows that clocks disagree, counts as
-now, so that the server goes through slow start. One in the past is believed; otherwise every restart of a
-router would put the whole fleet into slow start.
+The second bound is unknown for the first response of discovery and for a list from the configuration or from
+disk. The starts in these depend on the wall clock alone. A start in the future, which shows that the clocks
+disagree, counts as now, so that the server goes through slow start. A start in the past is accepted;
+otherwise every restart of a router would put all servers into slow start.
 """
 
 from collections.abc import Container
 from dataclasses import dataclass
 
 NS_PER_MS = 1_000_000
-MAX_UNLISTED = 4_096  # starts kept of servers that are no longer listed and may be listed again
+MAX_UNLISTED = 4_096  # maximum number of recorded starts of servers that are no longer listed
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,12 +41,12 @@
 
     def __init__(self) -> None:
         self._starts: dict[str, Start] = {}
-        self._confirmed: int | None = None  # last response of the list service (ns on the monotonic clock)
+        self._confirmed: int | None = None  # last response of discovery (ns on the monotonic clock)
 
     def since(self, name: str, boot_ms: int, now: ClockReading) -> int:
-        """Returns the start of a server (ns on the monotonic clock); 0 for long ago.
+        """Returns the start of a server (ns on the monotonic clock); 0 if it is long past.
 
-        boot_ms: the start as listed (Unix time); 0 or less for long ago.
+        boot_ms: the start as listed (Unix time, ms); 0 or less if it is long past.
         """
         if boot_ms <= 0:
             return 0
@@ -61,17 +61,16 @@
 
     def _convert(self, boot_ms: int, now: ClockReading) -> int:
         by_wall_clock = now.monotonic - (now.wall - boot_ms * NS_PER_MS)
-        # A response before this one contained the earlier start of the same server, so this one is later by
-        # at least 1 ns.
+        # The last response did not contain this start, so the start is later than it by at least 1 ns.
         earliest = 1 if self._confirmed is None else self._confirmed + 1
         return max(earliest, min(by_wall_clock, now.monotonic))
 
     def confirm(self, now: ClockReading) -> None:
-        """Records that the list service has just responded: starts listed later are later than now."""
+        """Records a response of discovery: starts that are first listed after it are later than `now`."""
         self._confirmed = now.monotonic
 
     def forget_unlisted(self, listed: Container[str], count: int) -> None:
-        """Limits the starts kept of servers that are no longer listed; the oldest are removed first.
+        """Limits the recorded starts of servers that are no longer listed; removes the oldest first.
 
         count: number of listed servers.
         """
--- a/applehub/node/stream.py
+++ b/applehub/node/stream.py
@@ -46,7 +46,7 @@
 
 
 class Stream:
-    """One value as a RESP bulk string, with backpressure from the client to the source.
+    """Forwards one value as a RESP bulk string, with backpressure from the client to the source.
 
     The source is paused while a chunk is buffered and resumed when the client takes it, so that at most the
     chunks of one read are buffered.
@@ -58,7 +58,7 @@
         """size: length of the value in bytes, which the header of the bulk string announces."""
         self.source = source
         self.chunks = [b"$%d\r\n" % size]
-        self.started = self.done = False  # a part was taken; the complete value was received
+        self.started = self.done = False  # whether data was taken; whether the value is complete
         self.on_data: Callable[[], None] = lambda: None  # called when there is data to take
 
     def feed(self, chunk: bytes) -> None:
--- a/applehub/node/unread.py
+++ b/applehub/node/unread.py
@@ -1,4 +1,4 @@
-"""Checks for input that the kernel has received on a socket and that was not read yet."""
+"""Checks a socket for input that the kernel has received and the process has not read."""
 
 import select
 from typing import Protocol
--- a/applehub/node/watch.py
+++ b/applehub/node/watch.py
@@ -42,7 +42,7 @@
     full_list: bool  # whether it requests the full list
     started_at: float  # event loop time in seconds
     hold: float  # seconds for which discovery may hold the long poll; 0 for none
-    jitter: float  # jitter factor of its delays
+    jitter: float  # random factor for the delays of this call
     queued: bool  # whether it waits in discovery's queue, because it does not continue a watch
     connection: ListConnection | None = None
     task: asyncio.Task[HttpResponse] | None = None
@@ -80,6 +80,8 @@
     With several addresses, each router starts at a random one and switches to the next one as soon as a call
     fails. The watch has failed only if all addresses have failed. Calls carry the current version, so that
     another address sends what has changed since; older versions are ignored.
+
+    must_ask: whether the balancer decides when to call again once all addresses have failed.
     """
 
     def __init__(self, endpoints: list[Endpoint], directory: Directory, seed: int, must_ask: bool) -> None:
@@ -88,13 +90,15 @@
         self.endpoint_index = self.random.randrange(len(endpoints)) if len(endpoints) > 1 else 0
         self.schedule = CallSchedule(self.random, len(endpoints))
         self.budget = CallBudget(CALL_BURST + len(endpoints) - 1, CALLS_PER_SECOND)
-        self.calls: list[Call] = []  # in flight, oldest first
+        self.calls: list[Call] = []  # calls in flight, oldest first
         # Event loop time of the next call; None if the balancer decides when to call again.
         self.next_call_at: float | None = None
-        self.idle_connection: ListConnection | None = None  # on which the next call continues the watch
+        self.idle_connection: ListConnection | None = None  # the next call continues the watch on it
         self.consecutive_failures = 0
         self.task: asyncio.Task[None] | None = None
-        self.needs_full_list = False  # the last response could not be applied, so changes may be missing
+        self.needs_full_list = (
+            False  # whether a response could not be applied, so that changes may be missing
+        )
         self.phase = Phase.WATCH
 
     def start(self) -> None:
@@ -103,7 +107,7 @@
             self.task = asyncio.get_running_loop().create_task(self._run())
 
     def set_endpoints(self, endpoints: list[Endpoint]) -> None:
-        """Changes the addresses of discovery; a running watch restarts there at once."""
+        """Changes the addresses of discovery; a running watch restarts at once with the new ones."""
         if endpoints == self.endpoints:
             return
         self.endpoints, self.endpoint_index = endpoints, self.endpoint_index % len(endpoints)
@@ -133,9 +137,11 @@
             if loop.time() >= self.next_call_at:
                 self._next_call(loop.time())
             await self._wait_for_calls(max(0.0, self.next_call_at - loop.time()))
-            for call in [one for one in self.calls if one.task is not None and one.task.done()]:
+            for call in [
+                pending for pending in self.calls if pending.task is not None and pending.task.done()
+            ]:
                 self._finish(call, loop.time())
-        # Scheduled for after this task has ended, because start() does nothing while it runs.
+        # Deferred until this task has ended, because start() does nothing while the task runs.
         loop.call_soon(self.directory.notify, api.Members(api.ListKind.FAILED, []))
 
     async def _wait_for_calls(self, max_wait: float) -> None:
@@ -169,7 +175,7 @@
         self._start_call(now)
 
     def _start_call(self, now: float, connection: ListConnection | None = None) -> None:
-        """Starts a call, on the connection of the call before if it is given.
+        """Starts a call, on `connection` if it is given and still open.
 
         The full list is requested only if there is no list to update, because it is expensive for discovery.
         """
@@ -197,7 +203,7 @@
         self.next_call_at = self._next_call_due(call)
 
     def _next_call_due(self, call: Call) -> float:
-        """Returns when another call is started beside the newest one in flight."""
+        """Returns the time at which another call is started beside `call`, the newest one in flight."""
         if call.hold and call.connection is not None:
             return self.schedule.watch_due(call.started_at, call.hold, call.queued, call.jitter)
         return self.schedule.call_due(call.started_at, call.jitter)
@@ -221,7 +227,7 @@
             self._call_answered(call, position, now)
 
     def _apply(self, response: HttpResponse, full_list: bool) -> None:
-        """Applies a response. After one that could not be applied, a full list is needed."""
+        """Applies a response; if this fails, the next call requests the full list."""
         needed_before, self.needs_full_list = self.needs_full_list, True
         self.directory.apply(orjson.loads(bytes(response.body)))
         self.needs_full_list = needed_before and not full_list
--- a/applehub/settings.py
+++ b/applehub/settings.py
@@ -81,22 +81,22 @@
 
 
 def read_settings(info: Json) -> io.Settings:
-    """Converts settings from their wire form to those of the policy. Raises SettingError."""
+    """Converts settings from their wire form to the policy's `Settings`. Raises SettingError."""
     if not isinstance(info, dict):
         raise SettingError("setting info makes no sense: not an object")
     classes, tenants = _object_list(info, "classes"), _object_list(info, "tenants", [])
     if not classes:
         raise SettingError("setting classes makes no sense: it is empty")
     ceilings, safety = setting(info, "ceilings", dict), setting(info, "safety", dict)
-    cache = setting(info, "specifics", dict, {})
+    specifics = setting(info, "specifics", dict, {})
     return io.Settings(
         classes=[_request_class(entry, index) for index, entry in enumerate(classes)],
         router_count=_count(info, "balancers", 1, 1),
         tenants=[
             io.Tenant(_number(entry, f"tenants[{n}].quotaRps", 0, 0)) for n, entry in enumerate(tenants)
         ],
-        cache_aside=_choice(cache, "specifics.mode", CACHE_MODES, "through") == "aside",
-        origin_kind=_count(cache, "specifics.originKind", -1, -1),
+        cache_aside=_choice(specifics, "specifics.mode", CACHE_MODES, "through") == "aside",
+        origin_kind=_count(specifics, "specifics.originKind", -1, -1),
         list_on_request=_choice(info, "registryMode", REGISTRY_MODES, "pushed") == "on_request",
         retry_after=setting(ceilings, "ceilings.retryAfter", bool, False),
         max_retry_after=_count(ceilings, "ceilings.maxRetryAfter", 0, 0),
@@ -120,7 +120,7 @@
     kinds: dict[str, int]
 
     def with_indexes_of(self, previous: "Names") -> "Names":
-        """Returns these names for a reload that replaces `previous`.
+        """Returns these names, adapted for a reload that replaces `previous`.
 
         Zones and kinds in `previous` keep their indexes, since listed servers refer to them; new ones follow.
         """
@@ -145,10 +145,10 @@
 
 
 def _indexes(source: Json, path: str, default: list[str]) -> dict[str, int]:
-    values = setting(source, path, list, default)
-    if not all(isinstance(item, str) for item in values) or len(set(values)) < len(values):
-        raise SettingError(f"setting {path} makes no sense: {values!r}")
-    return {name: index for index, name in enumerate(values)}
+    names = setting(source, path, list, default)
+    if not all(isinstance(item, str) for item in names) or len(set(names)) < len(names):
+        raise SettingError(f"setting {path} makes no sense: {names!r}")
+    return {name: index for index, name in enumerate(names)}
 
 
 def read_names(info: Json) -> Names:
