--- a/applehub/node/arrivals.py
+++ b/applehub/node/arrivals.py
@@ -158,7 +158,7 @@
     def _last_received(sock: SocketLike) -> int:
         """Returns when the last byte that was read arrived, as reported by the kernel; 0 if unknown."""
         elapsed_ms, now = ms_since_last_data(sock), time.monotonic_ns()
-        # If input is unread, the kernel reports the time of the unread bytes, not of the bytes that were read.
+        # If input is unread, the kernel reports the time of the unread bytes, not of those that were read.
         return (
             0
             if elapsed_ms is None or UnreadInput(sock).pending()
--- a/applehub/node/clients.py
+++ b/applehub/node/clients.py
@@ -36,10 +36,10 @@
 class Slot:
     """The position of one answer in the order of answers of a connection."""
 
-    __slots__ = ("answer", "client", "is_connected", "request", "stream")
+    __slots__ = ("answer", "client", "client_is_connected", "request", "stream")
 
     def __init__(self, client: "ClientConnection") -> None:
-        self.client, self.is_connected = client, client.is_connected
+        self.client, self.client_is_connected = client, client.is_connected
         self.answer: bytes | None = None
         self.request: PendingRequest | None = None
         self.stream: Stream | None = None
@@ -115,7 +115,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.arrivals.resume()
-        # asyncio does not set TCP_NODELAY on accepted sockets. Setting it fails if the client has disconnected.
+        # asyncio does not set TCP_NODELAY on accepted sockets. This fails if the client has disconnected.
         with contextlib.suppress(OSError):
             sock = self.transport.get_extra_info("socket")
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -196,11 +196,10 @@
         self._update_reading()
 
     def _watch_writes(self, previous_unsent: int = -1) -> None:
-        """Aborts the connection if the client has read nothing since the last call; otherwise starts the timer.
+        """Aborts the connection if the client has read nothing since the last call; else starts the timer.
 
-        previous_unsent: size of the write buffer at the last call, -1 if there was none. If the
-        buffer is empty, which happens only while the connection is closing, it is aborted after
-        LINGER_TIMEOUT.
+        previous_unsent: size of the write buffer at the last call, -1 if there was none. If the buffer is
+        empty, which happens only while the connection is closing, it is aborted after LINGER_TIMEOUT.
         """
         if self.transport is None:
             return
@@ -222,7 +221,7 @@
         self.advance()
 
     def _reserve_value(self, size: int) -> bool:
-        """Reserves memory for an announced long value; if it returns False, the value is read and discarded."""
+        """Reserves memory for an announced long value; returns False if the value must be discarded."""
         if not self.owner.driver.memory.reserve(size, LONG_VALUE_FRACTION):
             return False
         self.reserved_bytes += size
@@ -258,7 +257,7 @@
         self.advance()
 
     def abort_stream(self) -> None:
-        """Ends the connection within a value; the client detects the missing bytes by the announced length."""
+        """Ends the connection within a value; the announced length shows the client that bytes are missing."""
         self._disconnect()
         self._end_sending()
 
@@ -303,7 +302,7 @@
         self._end_sending()
 
     def _end_sending(self, answers: bytes = b"") -> None:
-        """Writes the last answers and the end of the stream, then reads and discards input for a limited time.
+        """Writes the last answers and the end of the stream, then discards input for a limited time.
 
         Closing a socket with unread input sends a reset, which can reach the client before the last answer.
         A command that is discarded has no effect; its client retries it on a new connection.
--- a/applehub/node/console.py
+++ b/applehub/node/console.py
@@ -79,7 +79,7 @@
         self._acceptor: Acceptor | None = None
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
-        """Listens; returns the host and port, the latter as chosen by the kernel for port 0. Raises OSError."""
+        """Listens; returns the host, and the port, which the kernel chooses for port 0. Raises OSError."""
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         listener = socket.create_server((host, port), family=family, backlog=BACKLOG)
         self._acceptor = Acceptor(listener, lambda _: ConsoleConnection(self), MAX_ACCEPTS_PER_TICK)
--- a/applehub/node/descriptors.py
+++ b/applehub/node/descriptors.py
@@ -5,11 +5,10 @@
 # Descriptors of the router itself: standard streams, event loop, signals, listener, five connections to
 # discovery while its address changes, persisted files, gossip with peers.
 OWN_DESCRIPTORS = 19
-CONSOLE_DESCRIPTORS = (
-    19  # descriptors of the console: listener, open connections, and connections that are closing
-)
-# Event loop ticks for which a rejected client uses a descriptor, and so the number of descriptors reserved for
-# each client accepted in one tick.
+# Descriptors of the console: listener, open connections, and connections that are closing.
+CONSOLE_DESCRIPTORS = 19
+# Event loop ticks for which a rejected client uses a descriptor, and therefore the number of descriptors that
+# are reserved for each client accepted in one tick.
 REJECTION_TICKS = 4
 MAX_ACCEPTED_PER_TICK = 16  # clients accepted in one event loop tick
 SERVER_FRACTION = 3 / 7  # fraction of the remaining descriptors that connections to servers may use
--- a/applehub/node/discovery.py
+++ b/applehub/node/discovery.py
@@ -77,7 +77,8 @@
         """Applies a list or changes of it; returns False, with no effect, for an older version.
 
         answer: decoded JSON, as discovery sends it.
-        cached: whether the list comes from the configuration or from disk; it is then complete and of unknown age.
+        cached: whether the list comes from the configuration or from disk; it is then complete and of unknown
+        age.
 
         Raises ListError if the answer as a whole is invalid.
         """
--- a/applehub/node/driver.py
+++ b/applehub/node/driver.py
@@ -35,7 +35,7 @@
     def begin_stream(self, stream: Stream) -> None:
         """Starts to stream a long answer."""
 
-    def is_connected(self) -> bool:
+    def client_is_connected(self) -> bool:
         """Returns whether the client is still connected."""
 
     def abort_stream(self) -> None:
@@ -281,7 +281,7 @@
 
         The client may have disconnected since the event loop last polled its socket.
         """
-        if attempt.request.reply.is_connected():
+        if attempt.request.reply.client_is_connected():
             return True
         self.withdraw(attempt.request)
         return False
--- a/applehub/node/memory_budget.py
+++ b/applehub/node/memory_budget.py
@@ -16,7 +16,7 @@
         self.limit, self.used = limit, 0
 
     def reserve(self, size: int, fraction: float = 1.0) -> bool:
-        """Counts `size` bytes if the sum is at most `fraction` (0 to 1) of the limit; returns whether it is."""
+        """Counts `size` bytes and returns True if the sum is at most `fraction` (0 to 1) of the limit."""
         if self.used + size > self.limit * fraction:
             return False
         self.used += size
--- a/applehub/node/override_file.py
+++ b/applehub/node/override_file.py
@@ -120,7 +120,7 @@
 
     @contextlib.contextmanager
     def _lock(self) -> Iterator[None]:
-        """Excludes writers in other processes. Raises OSError, which includes a timeout after LOCK_TIMEOUT."""
+        """Excludes writers in other processes. Raises OSError, also if LOCK_TIMEOUT has passed."""
         with open(self.lock_path, "wb") as lock_file:
             deadline = time.monotonic() + LOCK_TIMEOUT
             while True:
--- a/applehub/node/persisted_list.py
+++ b/applehub/node/persisted_list.py
@@ -32,9 +32,9 @@
     def load(self, configured: Json) -> Json:
         """Returns the list to start from: the persisted one if its version is newer than the configured one.
 
-        configured: the list from the configuration. The result always has the version of that list,
-        so that discovery sends every later change again. A malformed list is returned unchanged, for the directory to
-        reject.
+        configured: the list from the configuration. The result always has the version of that list, so that
+        discovery sends every later change again. A malformed list is returned unchanged; the directory
+        rejects it.
         """
         if not isinstance(configured, dict) or not isinstance(configured.get("targets"), list):
             return configured
--- a/applehub/node/pool.py
+++ b/applehub/node/pool.py
@@ -25,8 +25,8 @@
 KEEPALIVE_FRACTION = 0.8
 SWEEP_INTERVAL = 1.0  # seconds
 MAX_PROCESS_STALL = 0.15  # maximum seconds between reading the clock and the write that depends on it
-# Seconds for which a connection is not reused after a response. A duplicate response that arrives later
-# cannot be distinguished from the response to the next request, so it must arrive while the connection is idle.
+# Seconds for which a connection is not reused after a response. A duplicate response cannot be distinguished
+# from the response to the next request, so it must arrive while the connection is idle.
 MIN_IDLE_BEFORE_REUSE = 0.01
 # Errors of socket() and connect() for resources that this machine lacks; the server does not cause them.
 LOCAL_FAILURE_ERRNOS = frozenset(
--- a/applehub/node/router.py
+++ b/applehub/node/router.py
@@ -26,8 +26,8 @@
     from applehub.node.persisted_statistics import PersistedStatistics
 
 ACCEPT_AFTER_SIGTERM = 0.5  # seconds for which clients are still accepted if no other process accepts them
-# After SIGTERM the platform waits for the longest deadline of a request, but at most MAX_DEADLINE_GRACE seconds,
-# then for KILL_GRACE seconds, and sends SIGKILL.
+# After SIGTERM the platform waits for the longest deadline of a request, at most MAX_DEADLINE_GRACE seconds,
+# and then for KILL_GRACE seconds before it sends SIGKILL.
 KILL_GRACE = 0.7
 MAX_DEADLINE_GRACE = 3.0
 # Times of the steps of a graceful shutdown, in seconds before SIGKILL:
