--- a/applehub/node/arrivals.py
+++ b/applehub/node/arrivals.py
@@ -115,7 +115,8 @@
         earliest_arrival: lower bound on the arrival of its first byte (monotonic ns).
         """
         self._selector = selector
-        self._reads: list[tuple[int, int]] = []  # (total bytes received, arrival time of the last)
+        # Entries of (total bytes received after a read, arrival time of the last of them).
+        self._reads: list[tuple[int, int]] = []
         self._received = 0
         # The lower bound is `_fixed_bound` up to this poll, and the selector's `earliest_arrival` after it.
         self._fixed_bound, self._bound_until_poll = earliest_arrival, NO_POLL
--- a/applehub/node/caches.py
+++ b/applehub/node/caches.py
@@ -85,7 +85,7 @@
     def _start_stream(self, size: int, end: int) -> None:
         """Starts to stream a long value of `size` bytes, whose header ends at position `end` of the buffer.
 
-        In the buffer an empty value replaces it, so that the rest of the reply is parsed as usual.
+        In the buffer it is replaced by an empty value, so that the rest of the reply is parsed as usual.
         """
         if size > resp.MAX_LONG_VALUE or self.exchange is None:
             self.protocol_error()
--- a/applehub/node/call_schedule.py
+++ b/applehub/node/call_schedule.py
@@ -133,7 +133,7 @@
         return started_at + min(hold + self.watch_time.timeout * jitter, self._max_interval_for_deadline())
 
     def call_due(self, started_at: float, jitter: float) -> float:
-        """Returns the time at which another call is started beside one that is connecting or no long poll.
+        """Returns the time at which another call is started beside one that is connecting or is no long poll.
 
         Another call adds to discovery's queue, and discovery may drop the first call in favour of it. It is
         needed only if a connection is lost, and is made as late as the deadline allows. With several
--- a/applehub/node/clients.py
+++ b/applehub/node/clients.py
@@ -44,13 +44,12 @@
         self.request: PendingRequest | None = None
         self.stream: Stream | None = None
 
-    def fill(self, answer: bytes) -> None:
+    def set_answer(self, answer: bytes) -> None:
         """Sets the complete answer, unless there is one already."""
         if self.answer is None:
             self.answer = answer
-            self.request = (
-                None  # breaks the reference cycle, so that memory is freed without the garbage collector
-            )
+            # Breaks the reference cycle, so that memory is freed without the garbage collector.
+            self.request = None
             self.client.advance()
 
     def begin_stream(self, stream: Stream) -> None:
@@ -64,7 +63,7 @@
         if stream is not None and stream.started:
             self.client.abort_stream()
         else:
-            self.fill(resp.FAILED)
+            self.set_answer(resp.FAILED)
 
 
 class ConnectionOwner(Protocol):
@@ -257,7 +256,7 @@
         self.advance()
 
     def abort_stream(self) -> None:
-        """Ends the connection within a value; the announced length shows the client that bytes are missing."""
+        """Ends the connection within a value; the client detects by the length that bytes are missing."""
         self._disconnect()
         self._end_sending()
 
@@ -406,7 +405,7 @@
             slot.request = request if slot.answer is None else None
         except Exception:
             log.exception("failed to start a request")
-            slot.fill(resp.FAILED)
+            slot.set_answer(resp.FAILED)
 
     def _append_answer(self, answer: bytes) -> None:
         self._new_slot().answer = answer
@@ -432,5 +431,5 @@
             self.arrivals.resume()
         self.owner.set_reading_paused(self, full)
         self._count_buffers()
-        if self.owner.driver.memory.over and self.buffered_bytes > resp.MAX_BUFFERED_VALUE:
+        if self.owner.driver.memory.is_exceeded and self.buffered_bytes > resp.MAX_BUFFERED_VALUE:
             self.transport.abort()
--- a/applehub/node/discovery.py
+++ b/applehub/node/discovery.py
@@ -28,7 +28,7 @@
 
     member: api.Member
     endpoint: Endpoint
-    boot_ms: int  # latest start of the server as listed (Unix time, ms); 0 if it is long past
+    boot_ms: int  # latest start of the server as listed (Unix time, ms); 0 if it was long ago
 
 
 def read_endpoint(text: object) -> Endpoint:
@@ -119,7 +119,7 @@
         return True
 
     def _read_entry(self, entry: Any, now: ClockReading) -> Target | None:
-        """Parses an entry; logs an invalid one and returns None, so that the other entries still apply."""
+        """Parses an entry; logs an invalid entry and returns None, so that the others are still applied."""
         try:
             return self._parse_entry(entry, now)
         except (ListError, KeyError, TypeError, ValueError, AttributeError) as error:
--- a/applehub/node/driver.py
+++ b/applehub/node/driver.py
@@ -29,7 +29,7 @@
 class Reply(Protocol):
     """The destination of the answer to a request."""
 
-    def fill(self, answer: bytes) -> None:
+    def set_answer(self, answer: bytes) -> None:
         """Sends the complete answer."""
 
     def begin_stream(self, stream: Stream) -> None:
@@ -47,7 +47,7 @@
     """An attempt in flight."""
 
     request: "PendingRequest"
-    number: int
+    number: int  # counted from 0 within the request
     server: str
     sent_at: int  # monotonic ns
     long_answer_at: int = 0  # monotonic ns at which a long answer started
@@ -97,7 +97,7 @@
         request_id = call.id.decode()
         if request_id in self.requests:
             self.figures.count_response(call.class_name, ResponseResult.ERRORS)
-            reply.fill(resp.error("this id is in use"))
+            reply.set_answer(resp.error("this id is in use"))
             return None
         request_class = self.balancer.settings.classes[call.class_index]
         answer_by = received_at + (
@@ -110,7 +110,7 @@
             log.debug("request %s rejected: %d ms left", request_id, (time_left + ANSWER_MARGIN) // NS_PER_MS)
             self.figures.count_response(call.class_name, ResponseResult.SHED)
             # No attempt was started, so the client may retry.
-            reply.fill(resp.busy(-(-self.balancer.client_retry_after // NS_PER_MS)))
+            reply.set_answer(resp.busy(-(-self.balancer.client_retry_after // NS_PER_MS)))
             return None
         request = self.requests[request_id] = PendingRequest(
             request_id, call, reply, answer_by - ANSWER_MARGIN
@@ -178,9 +178,9 @@
     def stop(self, seconds: float) -> None:
         """Fails every request that is still open after the given number of seconds."""
         self.answer_all_by = time.monotonic_ns() + int(seconds * NS_PER_S)
-        self.loop.call_later(seconds - ANSWER_MARGIN / NS_PER_S, self._end_all)
+        self.loop.call_later(seconds - ANSWER_MARGIN / NS_PER_S, self._fail_all)
 
-    def _end_all(self) -> None:
+    def _fail_all(self) -> None:
         for request in list(self.requests.values()):
             self._fail_overdue(request)
 
@@ -250,7 +250,7 @@
     def _send(self, action: api.Send) -> None:
         request, now = self.requests.get(action.id), time.monotonic_ns()
         if request is None:
-            log.error("send action for an unknown request")
+            log.error("send action ignored: unknown request")
             return
         number, request.attempts_made = request.attempts_made, request.attempts_made + 1
         attempt = Attempt(request, number, action.server, now)
@@ -378,7 +378,7 @@
         self.figures.count_response(request.call.class_name, outcome)
         log.debug("request %s answered: %.16r", request.id, answer)
         self._close(request)
-        request.reply.fill(answer)
+        request.reply.set_answer(answer)
 
     @property
     def active(self) -> int:
--- a/applehub/node/listener.py
+++ b/applehub/node/listener.py
@@ -141,7 +141,7 @@
             clients[descriptor].peer_closed()
 
     def hand_over(self) -> None:
-        """Stops listening, since another process does, and closes each connection after its next answer."""
+        """Stops listening, since another process listens, and closes each connection after its next answer."""
         self.close_after_answer = True
         if self._acceptor is not None:
             self._acceptor.close()
--- a/applehub/node/memory_budget.py
+++ b/applehub/node/memory_budget.py
@@ -16,7 +16,7 @@
         self.limit, self.used = limit, 0
 
     def reserve(self, size: int, fraction: float = 1.0) -> bool:
-        """Counts `size` bytes and returns True if the sum is at most `fraction` (0 to 1) of the limit."""
+        """Counts `size` bytes if the sum is at most `fraction` (0 to 1) of the limit; else returns False."""
         if self.used + size > self.limit * fraction:
             return False
         self.used += size
@@ -31,7 +31,7 @@
         self.used += change
 
     @property
-    def over(self) -> bool:
+    def is_exceeded(self) -> bool:
         """Whether more bytes are counted than the limit."""
         return self.used > self.limit
 
--- a/applehub/node/operator_overrides.py
+++ b/applehub/node/operator_overrides.py
@@ -39,11 +39,11 @@
 
         Raises CommandError if no cache server has this id, or if the override cannot be stored.
         """
-        return self._set(server, True)
+        return self._set_override(server, True)
 
     def online(self, server: str) -> str:
         """Returns a cache server to service; returns and raises as `offline` does."""
-        return self._set(server, False)
+        return self._set_override(server, False)
 
     def poll(self) -> None:
         """Applies overrides that another process has written since the last call, and retries a failed sync.
@@ -71,7 +71,8 @@
         if overrides is not None:
             self._apply(overrides)
 
-    def _set(self, server: str, offline: bool) -> str:
+    def _set_override(self, server: str, offline: bool) -> str:
+        """Sets the override of a server and syncs it; returns and raises as `offline` does."""
         is_damaged = False
         try:
             self._refresh()  # the other process may have just written an override for this server
--- a/applehub/node/override_file.py
+++ b/applehub/node/override_file.py
@@ -27,10 +27,10 @@
 
 from applehub.node.machine_time import boot_id
 
-ONLINE_RETENTION_NS = 600 * 1_000_000_000  # retention of ONLINE overrides, for the slow start
+ONLINE_RETENTION_NS = 600 * 1_000_000_000  # ns; longer than a server's slow start
 NS_PER_MS = 1_000_000
-LOCK_TIMEOUT = 0.05  # seconds to wait for another process's lock, which blocks the event loop
-LOCK_RETRY_INTERVAL = 0.001  # seconds
+LOCK_TIMEOUT = 0.05  # seconds to wait for another process's lock; waiting blocks the event loop
+LOCK_RETRY_INTERVAL = 0.001  # seconds between two attempts to acquire the lock
 FileIdentity = tuple[int, int, int]  # inode, size, modification time (ns)
 log = logging.getLogger("applehub")
 
--- a/applehub/node/persisted_list.py
+++ b/applehub/node/persisted_list.py
@@ -89,15 +89,15 @@
     async def _save_changes(self) -> None:
         while self.saved_changes < self.changes:
             changes = self.changes
-            if await self.saver.save_in_thread(self._value()):
+            if await self.saver.save_in_thread(self._encode()):
                 self.saved_changes = changes
             await asyncio.sleep(self.saver.backoff(SAVE_INTERVAL))
 
-    def _value(self) -> bytes:
+    def _encode(self) -> bytes:
         return orjson.dumps({"rev": self.rev, "targets": list(self.targets.values())})
 
     def close(self) -> None:
         """Saves what has changed since the last save, and releases the store."""
         if self.save_task is not None:
             self.save_task.cancel()
-        self.saver.close(self._value() if self.saved_changes < self.changes else None)
+        self.saver.close(self._encode() if self.saved_changes < self.changes else None)
--- a/applehub/node/persisted_statistics.py
+++ b/applehub/node/persisted_statistics.py
@@ -76,9 +76,9 @@
     async def _save_periodically(self) -> None:
         while True:
             await asyncio.sleep(self.saver.backoff(SAVE_INTERVAL))
-            await self.saver.save_in_thread(self._value())
+            await self.saver.save_in_thread(self._encode())
 
-    def _value(self) -> bytes:
+    def _encode(self) -> bytes:
         servers = {
             name: (
                 round(statistics.latency),
@@ -99,4 +99,4 @@
         """Saves the current statistics, and releases the store."""
         if self.save_task is not None:
             self.save_task.cancel()
-        self.saver.close(self._value())
+        self.saver.close(self._encode())
--- a/applehub/node/pool.py
+++ b/applehub/node/pool.py
@@ -23,7 +23,7 @@
 # Fraction of the server's keepalive time after which an idle connection is closed, before the server closes
 # it.
 KEEPALIVE_FRACTION = 0.8
-SWEEP_INTERVAL = 1.0  # seconds
+SWEEP_INTERVAL = 1.0  # seconds between two sweeps, which close connections that were idle for too long
 MAX_PROCESS_STALL = 0.15  # maximum seconds between reading the clock and the write that depends on it
 # Seconds for which a connection is not reused after a response. A duplicate response cannot be distinguished
 # from the response to the next request, so it must arrive while the connection is idle.
@@ -66,9 +66,8 @@
         self.connect_failure = Status.CONNECT_FAILED
         self.attempts_started = 0
         self.write_buffer_full = False
-        self.unwritten: Iterator[bytes | memoryview] = iter(
-            ()
-        )  # pieces of the request that are not written yet
+        # Pieces of the request that are not written yet.
+        self.unwritten: Iterator[bytes | memoryview] = iter(())
         self.write_started = False  # whether some of the request was passed to the kernel
         self.unsent = True  # whether the last byte of the request is not yet passed to the kernel
         self.opened_at = 0.0  # event loop time in seconds
@@ -381,9 +380,8 @@
         pool = self.pools.get(name)
         if pool is None or pool.endpoint != endpoint:
             replaced, pool = pool, Pool(self, endpoint, make_connection)
-            self.pools[name] = (
-                pool  # before retire(), since its cancelled attempts may be retried in the new pool
-            )
+            # The pool is replaced before retire(), whose cancelled attempts may be retried in the new pool.
+            self.pools[name] = pool
             if replaced is not None:
                 replaced.retire()
         return pool
--- a/applehub/node/resp.py
+++ b/applehub/node/resp.py
@@ -8,7 +8,7 @@
 
 MAX_BUFFERED_VALUE = 64 * 1024  # bytes of a key, an id, a list or a value that is buffered completely
 MAX_LONG_VALUE = 8 << 20  # bytes of a value that is forwarded in chunks
-MAX_LINE = 1024  # bytes of a line, without a bulk string that follows it
+MAX_LINE = 1024  # bytes of one line, which contains no part of a bulk string
 MAX_ITEMS = 8  # items of an array
 WRITE_ITEMS = 5  # items of a C.SET command, the value last
 WRITE_COMMAND = re.compile(rb"\*5\r\n\$5\r\nC\.SET\r\n", re.IGNORECASE)
@@ -56,15 +56,16 @@
     discarded if it is not admitted, and an empty string replaces it until the command is complete.
     """
 
-    __slots__ = ("admit", "buffer", "items", "long", "long_remaining", "missing", "position", "reader")
+    __slots__ = ("admit", "buffer", "items", "long_remaining", "long_value", "missing", "position", "reader")
 
     def __init__(self, admit: Callable[[int], bool] | None = None) -> None:
         self.admit = admit  # called with the length of a long value; returns whether to store it
         self.buffer = bytearray()
-        self.position, self.missing = 0, 1  # end of the scanned input; values still to be scanned
+        # End of the scanned input, and number of values that are still to be scanned.
+        self.position, self.missing = 0, 1
         self.items = 0  # number of items of the array that is being scanned
         self.long_remaining = 0  # bytes of a long value not received yet
-        self.long: bytearray | None = None  # received bytes of the long value, or DISCARDED
+        self.long_value: bytearray | None = None  # received bytes of the long value, or DISCARDED
         self.reader = hiredis.Reader()
 
     def feed(self, data: bytes) -> None:
@@ -72,8 +73,8 @@
         if self.long_remaining:
             chunk, data = data[: self.long_remaining], data[self.long_remaining :]
             self.long_remaining -= len(chunk)
-            if self.long is not None and self.long is not DISCARDED:
-                self.long += chunk
+            if self.long_value is not None and self.long_value is not DISCARDED:
+                self.long_value += chunk
         self.buffer += data
 
     @property
@@ -100,14 +101,17 @@
             value = self.reader.gets()
         except hiredis.ProtocolError as problem:
             raise FramingError(str(problem)) from None
-        if self.long is not None:
-            value[-1], self.long = self.long, None
+        if self.long_value is not None:
+            value[-1], self.long_value = self.long_value, None
         return value
 
     def _start_long_value(self, start: int, end: int, size: int) -> None:
-        """Replaces a long value in the buffer by an empty string; its header is at `start` to `end`."""
+        """Replaces a long value in the buffer by an empty string.
+
+        start, end: position of the header in the buffer. size: length of the value in bytes.
+        """
         received = self.buffer[end : end + size]
-        self.long = received if self.admit is not None and self.admit(size) else DISCARDED
+        self.long_value = received if self.admit is not None and self.admit(size) else DISCARDED
         self.long_remaining = size - len(received)
         self.buffer[start : end + len(received)] = b"$0\r\n"
 
@@ -132,8 +136,8 @@
             self.items = _length(line, MAX_ITEMS)
             self.missing += max(0, self.items)
         elif kind == b"$":
-            long = self.admit is not None and self.in_value and WRITE_COMMAND.match(buffer) is not None
-            size = _length(line, MAX_LONG_VALUE if long else MAX_BUFFERED_VALUE)
+            may_be_long = self.admit is not None and self.in_value and WRITE_COMMAND.match(buffer) is not None
+            size = _length(line, MAX_LONG_VALUE if may_be_long else MAX_BUFFERED_VALUE)
             if size > MAX_BUFFERED_VALUE:
                 self._start_long_value(start, end, size)
                 return self._scan_value()
--- a/applehub/node/start_times.py
+++ b/applehub/node/start_times.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 
 NS_PER_MS = 1_000_000
-MAX_UNLISTED = 4_096  # maximum number of recorded starts of servers that are no longer listed
+MAX_UNLISTED = 4_096  # maximum number of recorded starts of unlisted servers, which may be listed again
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,9 +44,9 @@
         self._confirmed: int | None = None  # last response of discovery (ns on the monotonic clock)
 
     def since(self, name: str, boot_ms: int, now: ClockReading) -> int:
-        """Returns the start of a server (ns on the monotonic clock); 0 if it is long past.
+        """Returns the start of a server (ns on the monotonic clock); 0 if it was long ago.
 
-        boot_ms: the start as listed (Unix time, ms); 0 or less if it is long past.
+        boot_ms: the start as listed (Unix time, ms); 0 or less if it was long ago.
         """
         if boot_ms <= 0:
             return 0
--- a/applehub/node/watch.py
+++ b/applehub/node/watch.py
@@ -96,9 +96,8 @@
         self.idle_connection: ListConnection | None = None  # the next call continues the watch on it
         self.consecutive_failures = 0
         self.task: asyncio.Task[None] | None = None
-        self.needs_full_list = (
-            False  # whether a response could not be applied, so that changes may be missing
-        )
+        # Whether a response could not be applied, so that changes may be missing.
+        self.needs_full_list = False
         self.phase = Phase.WATCH
 
     def start(self) -> None:
