--- a/applehub/node/call.py
+++ b/applehub/node/call.py
@@ -40,7 +40,7 @@
     class_index: int
     class_name: str  # name of the request class; unlike the index, it stays valid after a reload
     tenant: int
-    wait_ms: int | None  # ms until the client stops waiting, counted from when it sent the command
+    wait_ms: int | None  # the client stops waiting this many ms after it sent the command
     is_retry: bool
 
     @property
--- a/applehub/node/call_schedule.py
+++ b/applehub/node/call_schedule.py
@@ -52,7 +52,7 @@
     __slots__ = ("rate", "refilled_at", "size", "tokens")
 
     def __init__(self, size: float, rate: float) -> None:
-        """size: calls that may be made at once. rate: calls per second after that."""
+        """size: number of calls that may be made at once. rate: tokens added per second."""
         self.size, self.rate = size, rate
         self.tokens, self.refilled_at = size, 0.0
 
@@ -82,10 +82,10 @@
     def _reset_response_times(self) -> None:
         self.queued_time = ResponseTime(INITIAL_RESPONSE_TIME, MIN_RESPONSE_TIME, MAX_RESPONSE_TIME)
         self.watch_time = ResponseTime(MIN_WATCH_TIMEOUT, MIN_WATCH_TIMEOUT, MAX_RESPONSE_TIME)
-        self.overloaded = False  # whether a call was rejected since the last response
+        self.overloaded = False  # whether a call was rejected since the last answered call
 
     def start(self, now: float) -> None:
-        """Records the start of the first call; later calls have no effect."""
+        """Records the start of the first call of the watch; has no effect if it is called again."""
         if self.deadline is None:
             self.deadline = now + CHANGE_DEADLINE
 
--- a/applehub/node/clients.py
+++ b/applehub/node/clients.py
@@ -44,7 +44,7 @@
         self.request: PendingRequest | None = None
         self.stream: Stream | None = None
 
-    def set_answer(self, answer: bytes) -> None:
+    def fill(self, answer: bytes) -> None:
         """Sets the complete answer, unless there is one already."""
         if self.answer is None:
             self.answer = answer
@@ -63,7 +63,7 @@
         if stream is not None and stream.started:
             self.client.abort_stream()
         else:
-            self.set_answer(resp.FAILED)
+            self.fill(resp.FAILED)
 
 
 class ConnectionOwner(Protocol):
@@ -77,7 +77,7 @@
     connections: "set[ClientConnection]"
 
     def can_serve(self) -> bool:
-        """Returns whether there are servers to send requests to."""
+        """Returns whether at least one cache server accepts attempts."""
 
     def has_capacity(self) -> bool:
         """Returns whether one more connection is within the limit."""
@@ -405,7 +405,7 @@
             slot.request = request if slot.answer is None else None
         except Exception:
             log.exception("failed to start a request")
-            slot.set_answer(resp.FAILED)
+            slot.fill(resp.FAILED)
 
     def _append_answer(self, answer: bytes) -> None:
         self._new_slot().answer = answer
--- a/applehub/node/discovery.py
+++ b/applehub/node/discovery.py
@@ -19,12 +19,12 @@
 
 
 class ListError(ValueError):
-    """The list, or an entry of it, is invalid."""
+    """The list, one of its entries or an address is invalid."""
 
 
 @dataclass(slots=True)
 class Target:
-    """An entry of the list, and the address at which this router connects to the server."""
+    """An entry of the server list, with the address at which this router connects to the server."""
 
     member: api.Member
     endpoint: Endpoint
@@ -40,7 +40,7 @@
 
 
 class Directory:
-    """This router's copy of the list, with its version."""
+    """This router's copy of the server list, with its version."""
 
     def __init__(
         self, names: Names, origin_kind: int, pools: Pools, notify: Callable[[api.Members], None]
--- a/applehub/node/driver.py
+++ b/applehub/node/driver.py
@@ -22,14 +22,14 @@
 from applehub.policy import Balancer
 
 NS_PER_S = 1_000_000_000
-ANSWER_MARGIN = 8 * NS_PER_MS  # part of a deadline reserved for sending the answer to the client
+ANSWER_MARGIN = 8 * NS_PER_MS  # time before a deadline that is reserved for sending the answer
 log = logging.getLogger("applehub")
 
 
 class Reply(Protocol):
     """The destination of the answer to a request."""
 
-    def set_answer(self, answer: bytes) -> None:
+    def fill(self, answer: bytes) -> None:
         """Sends the complete answer."""
 
     def begin_stream(self, stream: Stream) -> None:
@@ -82,7 +82,7 @@
         self.memory = MemoryBudget()
         self.start_watch: Callable[[], None] = lambda: None
         self.publish: Callable[[api.PublishGossip], None] = lambda _: None
-        # monotonic ns by which all requests must be answered; 0 until the router stops
+        # Monotonic time (ns) by which all requests must be answered; 0 until the router stops.
         self.answer_all_by = 0
         self._events: deque[api.Event] = deque()
         self._handling = False
@@ -97,7 +97,7 @@
         request_id = call.id.decode()
         if request_id in self.requests:
             self.figures.count_response(call.class_name, ResponseResult.ERRORS)
-            reply.set_answer(resp.error("this id is in use"))
+            reply.fill(resp.error("this id is in use"))
             return None
         request_class = self.balancer.settings.classes[call.class_index]
         answer_by = received_at + (
@@ -110,7 +110,7 @@
             log.debug("request %s rejected: %d ms left", request_id, (time_left + ANSWER_MARGIN) // NS_PER_MS)
             self.figures.count_response(call.class_name, ResponseResult.SHED)
             # No attempt was started, so the client may retry.
-            reply.set_answer(resp.busy(-(-self.balancer.client_retry_after // NS_PER_MS)))
+            reply.fill(resp.busy(-(-self.balancer.client_retry_after // NS_PER_MS)))
             return None
         request = self.requests[request_id] = PendingRequest(
             request_id, call, reply, answer_by - ANSWER_MARGIN
@@ -178,9 +178,9 @@
     def stop(self, seconds: float) -> None:
         """Fails every request that is still open after the given number of seconds."""
         self.answer_all_by = time.monotonic_ns() + int(seconds * NS_PER_S)
-        self.loop.call_later(seconds - ANSWER_MARGIN / NS_PER_S, self._fail_all)
+        self.loop.call_later(seconds - ANSWER_MARGIN / NS_PER_S, self._end_all)
 
-    def _fail_all(self) -> None:
+    def _end_all(self) -> None:
         for request in list(self.requests.values()):
             self._fail_overdue(request)
 
@@ -378,7 +378,7 @@
         self.figures.count_response(request.call.class_name, outcome)
         log.debug("request %s answered: %.16r", request.id, answer)
         self._close(request)
-        request.reply.set_answer(answer)
+        request.reply.fill(answer)
 
     @property
     def active(self) -> int:
--- a/applehub/node/http1.py
+++ b/applehub/node/http1.py
@@ -26,10 +26,10 @@
 
     host: value of the Host header.
     max_body: maximum length in bytes of a body that is buffered completely.
-    on_long_body: called with the length of a longer body; returns the function that receives its pieces, or
-    None to abort it.
-    may_buffer_long: called with the length so far of a longer body without a Content-Length; returns whether
-    it may be buffered completely.
+    on_long_body: called with the length in bytes of a longer body; returns the function that receives its
+    pieces, or None to abort the response.
+    may_buffer_long: called with the number of bytes received of a longer body without a Content-Length; returns
+    whether the body may be buffered completely.
     """
 
     __slots__ = ("body_sink", "connection", "host", "max_body", "may_buffer_long", "on_long_body", "response")
--- a/applehub/node/listener.py
+++ b/applehub/node/listener.py
@@ -133,7 +133,7 @@
             if client.transport is not None:
                 descriptor = client.transport.get_extra_info("socket").fileno()
                 clients[descriptor] = client
-                poll.register(descriptor, select.POLLRDHUP)  # errors are always reported
+                poll.register(descriptor, select.POLLRDHUP)  # the poll reports errors in any case
         ready: list[tuple[int, int]] = []
         with contextlib.suppress(OSError):  # poll(2) lacked memory; the next check retries it
             ready = poll.poll(0)
@@ -141,7 +141,7 @@
             clients[descriptor].peer_closed()
 
     def hand_over(self) -> None:
-        """Stops listening, since another process listens, and closes each connection after its next answer."""
+        """Stops listening, as another process listens, and closes each connection after its next answer."""
         self.close_after_answer = True
         if self._acceptor is not None:
             self._acceptor.close()
--- a/applehub/node/machine_time.py
+++ b/applehub/node/machine_time.py
@@ -9,7 +9,7 @@
     """Returns the kernel's identifier of the current boot.
 
     Monotonic times are comparable between processes with the same identifier. Returns an empty string if the
-    kernel does not provide one; then times of other processes can't be used.
+    kernel does not provide one; the times of other processes are then unusable.
     """
     try:
         descriptor = os.open(BOOT_ID_PATH, os.O_RDONLY)
--- a/applehub/node/operator_overrides.py
+++ b/applehub/node/operator_overrides.py
@@ -28,7 +28,7 @@
         send_event: Callable[[api.ServerOverride], None],
         shared_state: SharedState,
     ) -> None:
-        """send_event: passes an event to the policy. shared_state: holds the override file."""
+        """send_event: passes an event to the policy. shared_state: contains the override file."""
         self.directory, self.send_event, self.file = directory, send_event, shared_state.override_file
         self.overrides: dict[str, Override] = {}
         self._read_failed = False  # whether the last poll failed to read the file
@@ -48,12 +48,12 @@
     def poll(self) -> None:
         """Applies overrides that another process has written since the last call, and retries a failed sync.
 
-        Logs errors and raises none.
+        Logs errors and raises no exception.
         """
         try:
             self._refresh()
         except (OSError, OverrideFileError) as error:
-            if not self._read_failed:  # logs the first of consecutive failures only
+            if not self._read_failed:  # logs only the first of consecutive failures
                 log.error("reading operator overrides failed: %s", error)
             self._read_failed = True
         else:
@@ -102,7 +102,7 @@
         try:
             self.file.sync()
         except OSError as error:
-            if is_first_failure:  # logs the first of consecutive failures only
+            if is_first_failure:  # logs only the first of consecutive failures
                 log.error("syncing operator overrides failed, a power loss may undo them: %s", error)
             self._sync_retry_at = time.monotonic() + SYNC_RETRY_INTERVAL
             raise
--- a/applehub/node/override_file.py
+++ b/applehub/node/override_file.py
@@ -1,6 +1,6 @@
-"""The file that stores operator overrides, shared by the processes of one router on one machine.
+"""Stores operator overrides in files, which the processes of one router on one machine share.
 
-The overrides are stored in two JSON files of one folder:
+There are two JSON files in one folder:
 
 - `applehub-by-hand.json`, `{server: [out, at]}`: the overrides, synced before they are acknowledged. Older
   versions read and write only this file.
@@ -11,7 +11,7 @@
 An override without a valid monotonic time counts as accepted when this process first reads it. This is safe,
 because the server's slow start then starts at that time.
 
-A file that cannot be read is never replaced by one that lacks its overrides.
+An unreadable file is never replaced by a file without its overrides.
 """
 
 import contextlib
--- a/applehub/node/persisted_list.py
+++ b/applehub/node/persisted_list.py
@@ -18,7 +18,7 @@
 
 
 class PersistedList:
-    """The server list as last received, saved outside the event loop's thread."""
+    """The server list as last received; saved in a thread, so that the event loop is not blocked."""
 
     def __init__(self, folder: str) -> None:
         """folder: contains the stored list. Raises OSError if the folder cannot be created."""
--- a/applehub/node/pool.py
+++ b/applehub/node/pool.py
@@ -177,7 +177,7 @@
         """Ends the attempt. The connection is released first, so that the callback can reuse it."""
         exchange, self.exchange = self.exchange, None
         if reusable and not self.unsent:
-            self.resume()  # reading may be paused by the stream of a long value
+            self.resume()  # the stream of a long value may have paused reading
             self.pool.release(self)
         else:
             self.close()
@@ -263,7 +263,7 @@
         self.retired = False
 
     def start(self, exchange: Exchange) -> bool:
-        """Starts an attempt; returns False if no connection is reusable and none may be opened."""
+        """Starts an attempt; returns False if no connection can be reused and none may be opened."""
         connection = self._take_idle()
         if connection is not None:
             exchange.carrier = connection
--- a/applehub/node/shared_state.py
+++ b/applehub/node/shared_state.py
@@ -22,7 +22,7 @@
 
 
 class SharedState:
-    """The file of operator overrides, and a file in which each running process locks one byte."""
+    """The file of operator overrides, and a lock file in which each running process locks one byte."""
 
     def __init__(self, folder: str) -> None:
         """Marks this process as running. Raises OSError if the folder is not writable."""
@@ -42,7 +42,7 @@
                 FLOCK_FORMAT, fcntl.fcntl(self.lock_file, fcntl.F_GETLK, whole_file)
             )[0]
         except OSError as error:
-            if not self._query_failed:  # logs the first of consecutive failures only
+            if not self._query_failed:  # logs only the first of consecutive failures
                 log.warning("checking for another router process failed: %s", error)
             self._query_failed = True
         else:
--- a/applehub/node/stream.py
+++ b/applehub/node/stream.py
@@ -10,7 +10,7 @@
 
 
 def chunks_of(value: bytes | bytearray) -> Iterator[memoryview]:
-    """Returns views of the value, of at most CHUNK_SIZE bytes each; nothing is copied."""
+    """Yields views of the value, of at most CHUNK_SIZE bytes each, without copying it."""
     view = memoryview(value)
     return (view[start : start + CHUNK_SIZE] for start in range(0, len(value), CHUNK_SIZE))
 
--- a/applehub/node/watch.py
+++ b/applehub/node/watch.py
@@ -23,11 +23,11 @@
 
 
 class RejectedError(HttpError):
-    """Discovery answered and rejected the call."""
+    """Discovery rejected the call with status 503."""
 
 
 class Phase(StrEnum):
-    """The purpose of the next call to discovery."""
+    """The purpose of the calls to discovery."""
 
     WATCH = "watch"  # the list is up to date; a long poll waits for the next change
     CATCH_UP = "catch up"  # a call failed or is late; changes are requested without waiting
