--- a/applehub/node/accepting.py
+++ b/applehub/node/accepting.py
@@ -1,5 +1,4 @@
-"""Accepts connections from a listening socket: a bounded number per event loop tick, with retries when accept
-fails."""
+"""Accepts connections from a listening socket, a limited number per tick; retries after errors of accept."""
 
 import asyncio
 import errno
--- a/applehub/node/call_schedule.py
+++ b/applehub/node/call_schedule.py
@@ -3,7 +3,7 @@
 A change of the list must arrive within 6 s of the time at which discovery has it, or within 4 s of a reload
 that changed discovery's address. A call that is unanswered for too long is therefore followed by a second one
 on its own connection, as late as the observed response time and that deadline allow. The first call is not
-cancelled, because discovery handles calls in turn and a repeated call goes to the end of the queue.
+cancelled, because discovery handles calls in turn and a repeated call goes to the end of its queue.
 
 A call is an HTTP request for the list. It may be a long poll, which discovery holds until the list changes or
 the hold ends. A call on the connection of an answered call continues the watch and skips discovery's queue.
@@ -40,10 +40,10 @@
 # Seconds from an unanswered call to the next one after a rejected call, which shows that discovery's queue is
 # long.
 OVERLOAD_CALL_INTERVAL = 3.0
-# Upper bound in seconds of the random backoff after one failed call, doubled with each further one.
+# Upper bound in seconds of the random backoff after one failed call; it doubles with each further failure.
 INITIAL_BACKOFF = 0.25
 MAX_BACKOFF = 1.5  # upper bound in seconds of the backoff after any number of failed calls
-FULL_TOKEN = 1 - 1e-9  # tolerates the rounding of partial refills
+FULL_TOKEN = 1 - 1e-9  # tokens that count as one, to tolerate the rounding of partial refills
 
 
 class CallBudget:
--- a/applehub/node/configuration.py
+++ b/applehub/node/configuration.py
@@ -42,7 +42,7 @@
     """A validated configuration.
 
     listen: the address for clients.
-    discovery: the addresses of discovery, the service that provides the server list; the main one first.
+    discovery: the addresses of the discovery service, which provides the server list; the main one first.
     console: the address for operators; None if there is no console.
     inherited_descriptor: descriptor of a listening socket that the platform passes on; None if the router
         opens its own.
--- a/applehub/node/console.py
+++ b/applehub/node/console.py
@@ -75,7 +75,7 @@
 
     def __init__(self, commands: dict[str, Handler]) -> None:
         self.commands = commands
-        self.connections: dict[ConsoleConnection, None] = {}  # have sent no complete line; oldest first
+        self.connections: dict[ConsoleConnection, None] = {}  # oldest first; without a complete line
         self._acceptor: Acceptor | None = None
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
--- a/applehub/node/http1.py
+++ b/applehub/node/http1.py
@@ -28,8 +28,8 @@
     max_body: maximum length in bytes of a body that is buffered completely.
     on_long_body: called with the length in bytes of a longer body; returns the function that receives its
     pieces, or None to abort the response.
-    may_buffer_long: called with the number of bytes received of a longer body without a Content-Length; returns
-    whether the body may be buffered completely.
+    may_buffer_long: called with the number of received bytes of a longer body without a Content-Length;
+    returns whether the body may be buffered completely.
     """
 
     __slots__ = ("body_sink", "connection", "host", "max_body", "may_buffer_long", "on_long_body", "response")
--- a/applehub/node/router.py
+++ b/applehub/node/router.py
@@ -136,7 +136,7 @@
         return commands
 
     def health(self) -> str:
-        """Returns the answer to the command HEALTH. Raises CommandError if the process cannot serve clients."""
+        """Returns the answer to the HEALTH command. Raises CommandError if clients cannot be served."""
         if not self.clients.accepting or not self.directory.can_serve:
             raise CommandError("not ready")
         return "+OK"
--- a/applehub/node/saver.py
+++ b/applehub/node/saver.py
@@ -31,7 +31,7 @@
         return self.failures > 0
 
     def load(self) -> bytes | None:
-        """Returns the value saved last, None if there is none; logs each file that is unusable."""
+        """Returns the value that was saved last, None if there is none; logs each unusable file."""
         try:
             loaded = self.store.load()
         except OSError as error:
--- a/applehub/node/unread.py
+++ b/applehub/node/unread.py
@@ -14,7 +14,7 @@
 
 
 class UnreadInput:
-    """Unread input of one socket: data or the end of the stream, or only the end of the stream."""
+    """Detects unread input of one socket: data or the end of the stream, or only the end of the stream."""
 
     __slots__ = ("_poll",)
 
--- a/applehub/node/watch.py
+++ b/applehub/node/watch.py
@@ -17,7 +17,7 @@
 
 MAX_CALLS = 4  # calls in flight at once, each on its own connection
 CALL_BURST = 8  # burst size of the call budget; each further address adds one call
-CALLS_PER_SECOND = 1.0  # refill rate of the call budget
+CALLS_PER_SECOND = 1.0  # tokens per second that refill the call budget
 CALL_ERRORS = (OSError, HttpError, ListError, orjson.JSONDecodeError)
 log = logging.getLogger("applehub")
 
