--- a/applehub/node/listener.py
+++ b/applehub/node/listener.py
@@ -141,7 +141,7 @@
             clients[descriptor].peer_closed()
 
     def hand_over(self) -> None:
-        """Stops listening, as another process listens, and closes each connection after its next answer."""
+        """Stops listening, and closes each connection after its next answer; another process listens instead."""
         self.close_after_answer = True
         if self._acceptor is not None:
             self._acceptor.close()
--- a/applehub/node/override_file.py
+++ b/applehub/node/override_file.py
@@ -27,7 +27,8 @@
 
 from applehub.node.machine_time import boot_id
 
-ONLINE_RETENTION_NS = 600 * 1_000_000_000  # ns; longer than a server's slow start
+# Nanoseconds for which an ONLINE override stays in the file, so that every process can apply slow start.
+ONLINE_RETENTION_NS = 600 * 1_000_000_000
 NS_PER_MS = 1_000_000
 LOCK_TIMEOUT = 0.05  # seconds to wait for another process's lock; waiting blocks the event loop
 LOCK_RETRY_INTERVAL = 0.001  # seconds between two attempts to acquire the lock
--- a/applehub/node/persisted_list.py
+++ b/applehub/node/persisted_list.py
@@ -13,7 +13,7 @@
 from applehub.settings import Json
 
 FORMAT_VERSION = 1
-SAVE_INTERVAL = 1.0  # seconds; a rolling release changes the list many times a second
+SAVE_INTERVAL = 1.0  # minimum seconds between two saves; the list can change many times a second
 log = logging.getLogger("applehub")
 
 
--- a/applehub/node/start_times.py
+++ b/applehub/node/start_times.py
@@ -66,7 +66,7 @@
         return max(earliest, min(by_wall_clock, now.monotonic))
 
     def confirm(self, now: ClockReading) -> None:
-        """Records a response of discovery: starts that are listed for the first time afterwards are later."""
+        """Records a response of discovery: starts that are first listed by a later response are later."""
         self._confirmed = now.monotonic
 
     def forget_unlisted(self, listed: Container[str], count: int) -> None:
