--- a/applehub/node/listener.py
+++ b/applehub/node/listener.py
@@ -141,7 +141,7 @@
             clients[descriptor].peer_closed()
 
     def hand_over(self) -> None:
-        """Stops listening, and closes each connection after its next answer; another process listens instead."""
+        """Stops listening, and closes each connection after its next answer; another process accepts."""
         self.close_after_answer = True
         if self._acceptor is not None:
             self._acceptor.close()
