--- a/applehub/node/operator_overrides.py
+++ b/applehub/node/operator_overrides.py
@@ -1,8 +1,8 @@
 """Operator overrides: cache servers that operators take out of service, whatever the server list says.
 
-A command answered with `+OK` is in effect and survives a restart of the process and a power loss. One
-answered with `-ERR` had no effect, unless the answer says that it is in effect but a power loss may undo it;
-the sync to disk is then retried until it succeeds.
+A command answered with `+OK` is in effect and survives a restart of the process and a power loss. A command
+answered with `-ERR` had no effect, unless the answer states that it is in effect but a power loss may undo
+it; the sync to disk is then retried until it succeeds.
 """
 
 import logging
@@ -28,7 +28,7 @@
         send_event: Callable[[api.ServerOverride], None],
         shared_state: SharedState,
     ) -> None:
-        """send_event: passes an event to the policy. shared_state: holds the override file."""
+        """send_event: passes an event to the policy. shared_state: contains the override file."""
         self.directory, self.send_event, self.file = directory, send_event, shared_state.override_file
         self.overrides: dict[str, Override] = {}
         self._read_failed = False  # whether the last poll failed to read the file
@@ -39,21 +39,21 @@
 
         Raises CommandError if no cache server has this id, or if the override cannot be stored.
         """
-        return self._set(server, True)
+        return self._set_override(server, True)
 
     def online(self, server: str) -> str:
         """Returns a cache server to service; returns and raises as `offline` does."""
-        return self._set(server, False)
+        return self._set_override(server, False)
 
     def poll(self) -> None:
         """Applies overrides that another process has written since the last call, and retries a failed sync.
 
-        Logs errors and raises none.
+        Logs errors and raises no exception.
         """
         try:
             self._refresh()
         except (OSError, OverrideFileError) as error:
-            if not self._read_failed:  # logs the first of consecutive failures only
+            if not self._read_failed:  # logs only the first of consecutive failures
                 log.error("reading operator overrides failed: %s", error)
             self._read_failed = True
         else:
@@ -66,12 +66,13 @@
             log.info("operator overrides synced to disk again")
 
     def _refresh(self) -> None:
-        """Applies what is new in the file. Raises OSError, OverrideFileError."""
+        """Applies the overrides of a changed file. Raises OSError, OverrideFileError."""
         overrides = self.file.read_if_changed()
         if overrides is not None:
             self._apply(overrides)
 
-    def _set(self, server: str, offline: bool) -> str:
+    def _set_override(self, server: str, offline: bool) -> str:
+        """Sets the override of a server and syncs it; returns and raises as `offline` does."""
         is_damaged = False
         try:
             self._refresh()  # the other process may have just written an override for this server
@@ -101,7 +102,7 @@
         try:
             self.file.sync()
         except OSError as error:
-            if is_first_failure:  # logs the first of consecutive failures only
+            if is_first_failure:  # logs only the first of consecutive failures
                 log.error("syncing operator overrides failed, a power loss may undo them: %s", error)
             self._sync_retry_at = time.monotonic() + SYNC_RETRY_INTERVAL
             raise
@@ -116,8 +117,8 @@
                 server,
                 "taken out of service" if override.offline else "returned to service",
             )
-            # The policy may choose a server only while its connection pool is open. Closing the pool fails
-            # its attempts back to the policy, which must already know that the server is out of service.
+            # The policy may choose a server only while its connection pool is open. Closing the pool reports
+            # its attempts to the policy as failed, which by then must know that the server is out of service.
             if not override.offline:
                 self.directory.set_excluded(server, False)
             self.send_event(api.ServerOverride(server, override.offline, max(1, override.accepted_ns)))
--- a/applehub/node/unread.py
+++ b/applehub/node/unread.py
@@ -1,4 +1,4 @@
-"""Checks for input that the kernel has received on a socket and that was not read yet."""
+"""Checks a socket for input that the kernel has received and the process has not read."""
 
 import select
 from typing import Protocol
@@ -14,7 +14,7 @@
 
 
 class UnreadInput:
-    """Unread input of one socket: data or the end of the stream, or only the end of the stream."""
+    """Detects unread input of one socket: data or the end of the stream, or only the end of the stream."""
 
     __slots__ = ("_poll",)
 
