--- a/applehub/lab/__main__.py
+++ b/applehub/lab/__main__.py
@@ -70,7 +70,7 @@
 @report_errors
 def list_shipped() -> None:
     """Lists the shipped experiments."""
-    for file in sorted(SHIPPED_EXPERIMENTS.iterdir(), key=lambda one: one.name):
+    for file in sorted(SHIPPED_EXPERIMENTS.iterdir(), key=lambda file: file.name):
         if file.name.endswith(".toml"):
             raw = tomllib.loads(file.read_text(encoding="utf-8"))
             click.echo(f"{file.name.removesuffix('.toml'):20} {raw.get('about', '')}")
@@ -80,7 +80,7 @@
 @click.argument("file")
 @click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="Results file [NAME.jsonl].")
 @click.option("--jobs", type=click.IntRange(1), default=None, help="Parallel processes [all cores].")
-@click.option("--seeds", type=click.IntRange(1), default=None, help="Number of seeds, instead of the file's.")
+@click.option("--seeds", type=click.IntRange(1), default=None, help="Number of seeds; overrides the file.")
 @report_errors
 def run(file: str, out: Path | None, jobs: int | None, seeds: int | None) -> None:
     """Runs an experiment FILE (or a shipped one by name); resumes an interrupted run."""
@@ -127,7 +127,7 @@
 def _summarize(records: list[Json]) -> list[Json]:
     groups, rows = group_records(records), []
     for (point, policy), group in groups.items():
-        means = {name: mean_of(one["result"][name] for one in group) for name in MEASURES}
+        means = {name: mean_of(record["result"][name] for record in group) for name in MEASURES}
         rows.append(
             {
                 "point": point,
@@ -135,7 +135,10 @@
                 "seeds": len(group),
                 **{name: {"mean": mean.value, "half": mean.half} for name, mean in means.items()},
                 "worst_class": mean_of(
-                    min((one for one in record["result"]["classes"].values() if one is not None), default=1.0)
+                    min(
+                        (served for served in record["result"]["classes"].values() if served is not None),
+                        default=1.0,
+                    )
                     for record in group
                 ).value,
                 "between": relative_position(groups, point, policy),
@@ -167,7 +170,7 @@
 
 
 def _print_losses(records: list[Json]) -> None:
-    """Prints a table for each point, with policies as columns, causes by the first policy's loss."""
+    """Prints a table for each point, with a column per policy, sorted by the first policy's losses."""
     rows = _summarize(records)
     for point in dict.fromkeys(row["point"] for row in rows):
         point_rows = [row for row in rows if row["point"] == point]
@@ -182,10 +185,10 @@
         for cause in shown_causes:
             table.add_row(cause, *(f"{row['losses'].get(cause, 0.0):.4f}" for row in point_rows))
         others = [
-            sum(part for cause, part in row["losses"].items() if cause not in shown_causes)
+            sum(loss for cause, loss in row["losses"].items() if cause not in shown_causes)
             for row in point_rows
         ]
-        table.add_row("others", *(f"{part:.4f}" for part in others))
+        table.add_row("others", *(f"{loss:.4f}" for loss in others))
         _print_table(table)
 
 
@@ -215,7 +218,7 @@
 @click.argument("before", type=click.Path(path_type=Path))
 @click.argument("after", type=click.Path(path_type=Path))
 @click.option(
-    "--measure", "measures", multiple=True, help="Value by its dotted path [G, whole, worst_window]."
+    "--measure", "measures", multiple=True, help="Dotted path of a result value [G, whole, worst_window]."
 )
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 @report_errors
@@ -227,11 +230,11 @@
         for name in measures or MEASURES:
             figures = paired_means(first[key], second[key], name) if key in second else None
             if figures is not None:
-                one, other, difference = figures
+                before_mean, after_mean, difference = figures
                 rows.append(
                     {
                         "point": key[0], "policy": key[1], "measure": name, "pairs": difference.count,
-                        "before": one.value, "after": other.value,
+                        "before": before_mean.value, "after": after_mean.value,
                         "difference": difference.value, "half": difference.half,
                     }
                 )  # fmt: skip
@@ -270,21 +273,23 @@
         raise ResultsError(f"{request}: expected the id of a request, 16 hex digits") from None
     if point >= len(plan.points):
         raise ResultsError(f"--point {point}: expected a number under {len(plan.points)}")
-    world = build_simulation(
+    simulation = build_simulation(
         plan.points[point][1],
         policy or plan.experiment.policies[0],
         plan.experiment.seeds.first if seed is None else seed,
     )
-    world.traced_demand = number
-    world.run()
-    if not world.client_attempts:
-        raise ResultsError(f"{request}: no such request in this run, which has {world.account.requests}")
-    demand = world.client_attempts[0].demand
-    class_name = world.scenario.workload.classes[demand.cls].name
+    simulation.traced_demand = number
+    simulation.run()
+    if not simulation.client_attempts:
+        raise ResultsError(
+            f"{request}: expected a request of this run, which has {simulation.account.requests}"
+        )
+    demand = simulation.client_attempts[0].demand
+    class_name = simulation.scenario.workload.classes[demand.cls].name
     click.echo(
         f"{class_name} for {demand.key}, {demand.work / MILLI:.1f} ms of work, from zone {demand.zone}"
     )
-    for client_attempt in world.client_attempts:
+    for client_attempt in simulation.client_attempts:
         click.echo(f"try {client_attempt.id}, due {client_attempt.deadline / MILLI:.3f} ms")
         for at, text in client_attempt.events:
             click.echo(f"  {at / MILLI:12.3f} ms  {text}")
@@ -320,14 +325,14 @@
 )
 @report_errors
 def speed(seconds: float, sizes: tuple[FleetSize, ...]) -> None:
-    """Measures the simulated requests per second of CPU time on this machine, by fleet size."""
+    """Measures how many requests the simulation runs per second of CPU time, by fleet size."""
     table = Table("routers x servers", "requests", "CPU s", "requests/s", "µs an event", "simulated/real")
     for size in sizes:
         topology = {"routers": size.routers, "servers": size.servers}
         raw = {"name": "speed", "seconds": seconds, "topology": topology}
-        world = build_simulation(make_plan("--sizes", raw).points[0][1], "router", 1)
+        simulation = build_simulation(make_plan("--sizes", raw).points[0][1], "router", 1)
         started_at = time.process_time()
-        result = world.run()
+        result = simulation.run()
         cpu_s = time.process_time() - started_at
         table.add_row(
             str(size), str(result["requests"]), f"{cpu_s:.2f}", f"{result['requests'] / cpu_s:,.0f}",
@@ -346,16 +351,16 @@
 @report_errors
 def module_cost(requests: int, sizes: tuple[int, ...]) -> None:
     """Measures the decision module's CPU time for a request and its outcome, by fleet size."""
-    result = Table("servers", "requests", "µs a request")
+    output = Table("servers", "requests", "µs a request")
     for row in cost.table(requests, sizes):
-        result.add_row(str(row.servers), str(row.requests), f"{row.microseconds:.1f}")
-    _print_table(result)
+        output.add_row(str(row.servers), str(row.requests), f"{row.microseconds:.1f}")
+    _print_table(output)
 
 
 @main.command()
 @click.argument("policy", type=click.Choice(sorted(BASELINES)))
 def wire(policy: str) -> None:
-    """Serves a baseline POLICY over the simulator's protocol, as `sim` serves the product's module."""
+    """Serves a baseline POLICY over the simulator's protocol, like `sim` for the router's own policy."""
     sys.exit(wirehost.main(wirehost.Host(BASELINES[policy])))
 
 
--- a/applehub/lab/account.py
+++ b/applehub/lab/account.py
@@ -34,7 +34,7 @@
         self.causes: dict[str, float] = {}  # weight lost, by cause
         self.examples: dict[str, str] = {}  # id of the first request lost, by cause
         self.statuses: Counter[str] = Counter()  # number of attempts, by status and type of server
-        self.requests = self.client_attempts = self.attempts = 0
+        self.requests = self.client_attempt_count = self.attempts = 0
         self.handshakes = self.cross_zone_attempts = self.refused_connects = 0
         self.late_lost_weight = 0.0
         self.work = self.wasted = 0
@@ -132,7 +132,7 @@
             "examples": dict(sorted(self.examples.items())),
             "by_second": [_rounded(pair[1] / pair[0]) if pair[0] else 1.0 for pair in seconds],
             "requests": self.requests,
-            "tries": self.client_attempts,
+            "tries": self.client_attempt_count,
             "attempts": self.attempts,
             "statuses": dict(sorted(self.statuses.items())),
             "handshakes": self.handshakes,
--- a/applehub/lab/attempts.py
+++ b/applehub/lab/attempts.py
@@ -16,21 +16,21 @@
 
     index: int
     up: bool
-    asked: "dict[str, ClientAttempt]"
+    pending: "dict[str, ClientAttempt]"
     known: dict[str, api.Member]
-    told_away: dict[str, int]
+    drain_reported_at: dict[str, int]
     subscribed: bool
-    asked_at: int
+    watch_started_at: int
     max_attempts: int
 
-    def withdraw(self, asked: "ClientAttempt") -> None:
+    def withdraw(self, client_attempt: "ClientAttempt") -> None:
         """Handles a client that cancelled its attempt."""
 
     def answered(self, attempt: "Attempt", status: api.Status, note: int) -> None:
         """Handles a server's response to an attempt; note: 1 for a cache hit, 2 for a miss, else 0."""
 
-    def broken(self, attempt: "Attempt") -> None:
-        """Handles the end of the server's process while it held the attempt."""
+    def connection_broken(self, attempt: "Attempt") -> None:
+        """Handles the loss of an attempt's connection, as when the server's process ends."""
 
 
 @dataclass(slots=True, eq=False)
@@ -47,9 +47,9 @@
     attempts_made: int = 0
     # Attempts that a server may have executed, by number.
     possibly_executed: "dict[int, Attempt]" = field(default_factory=dict)
-    in_flight: "dict[int, Attempt]" = field(default_factory=dict)  # by number
+    in_flight: "dict[int, Attempt]" = field(default_factory=dict)  # attempts without a result, by number
     missed_at: list[CacheServer] = field(default_factory=list)  # servers that reported a cache miss
-    last_outcome: str = ""  # outcome of the last attempt, and the type of server
+    last_outcome: str = ""  # status of the last finished attempt and the type of its server
     events: list[tuple[int, str]] = field(default_factory=list)
 
 
@@ -57,15 +57,15 @@
 class Attempt:
     """One attempt of a router at a server."""
 
-    asked: ClientAttempt
+    client_attempt: ClientAttempt
     number: int
     router: "Router"
     server: Backend
-    sent: int  # time, ns
-    life: int  # incarnation of the router's process
-    incarnation: int  # of the server's process
+    sent_at: int  # ns
+    router_incarnation: int
+    server_incarnation: int
     opened: bool = False  # uses a new connection
-    connection_counted: bool = False  # the server counts its connection
+    connection_counted: bool = False  # the server counts the connection as open
     written: bool = False
-    ended: bool = False  # nothing waits for its result any more
+    ended: bool = False  # the router no longer waits for the result
     hit: bool = False
--- a/applehub/lab/clients.py
+++ b/applehub/lab/clients.py
@@ -40,7 +40,8 @@
         self.net, self.account, self.rules, self.record_attempt = net, account, rules, record_attempt
         self.routers_by_zone = routers_by_zone
         self.routers = sorted(
-            (one for candidates in routers_by_zone for one in candidates), key=lambda one: one.index
+            (router for candidates in routers_by_zone for router in candidates),
+            key=lambda router: router.index,
         )
         self.spec = scenario.clients
         self.random_stream, self.router_random = random_stream("clients"), random_stream("front")
@@ -74,14 +75,16 @@
         self._start_attempt(demand)
 
     def _choose_router(self, zone: int) -> RouterHost | None:
-        """Returns a random router of the client's zone, or of any zone where that zone has none available.
+        """Returns a random router of the client's zone, or of any zone if that zone has none available.
 
-        Returns None where all routers are down.
+        Returns None if all routers are down.
         """
         candidates = self.routers_by_zone[zone]
         if self.down_routers or not candidates:
-            candidates = [one for one in candidates if one.index not in self.down_routers]
-            candidates = candidates or [one for one in self.routers if one.index not in self.down_routers]
+            candidates = [router for router in candidates if router.index not in self.down_routers]
+            candidates = candidates or [
+                router for router in self.routers if router.index not in self.down_routers
+            ]
         return candidates[self.router_random.below(len(candidates))] if candidates else None
 
     def _start_attempt(self, demand: Demand) -> None:
@@ -92,13 +95,13 @@
             demand.created_at + spec.deadline,
         )
         router = self._choose_router(demand.zone)
-        demand.client_attempts += 1
-        self.account.client_attempts += 1
+        demand.client_attempt_count += 1
+        self.account.client_attempt_count += 1
         if router is None:
             self._retry(demand, "unreachable", 0)
             return
         client_attempt = ClientAttempt(
-            client_attempt_id(demand), demand, router, deadline, demand.client_attempts > 1
+            client_attempt_id(demand), demand, router, deadline, demand.client_attempt_count > 1
         )
         self.record_attempt(client_attempt)
         self.clock.after(self.net.client_delay, router.receive, client_attempt)
@@ -153,7 +156,7 @@
     def _retry(self, demand: Demand, cause: str, retry_after: int) -> None:
         """Schedules a retry after a backoff, or counts the request as lost.
 
-        A retry is allowed where the last attempt was not executed, the class is safe to repeat, or its
+        A retry is allowed if the last attempt was not executed, the class is idempotent, or the request's
         idempotency key is still valid.
         """
         spec, now = self.classes[demand.cls], self.clock.now
@@ -162,7 +165,7 @@
         backoff = int(
             self.spec.backoff_ms
             * MILLI
-            * (1 << (demand.client_attempts - 1))
+            * (1 << (demand.client_attempt_count - 1))
             * self.random_stream.between(0.5, 1.5)
         )
         if retry_after and self.random_stream.uniform() < self.spec.honour:
@@ -170,7 +173,7 @@
         allowed = not_executed or spec.effect is api.Effect.SAFE or within_window
         if (
             not allowed
-            or demand.client_attempts > self.spec.retries
+            or demand.client_attempt_count > self.spec.retries
             or now + backoff >= demand.created_at + spec.deadline
         ):
             self.account.record_lost(demand, cause)
@@ -182,7 +185,7 @@
             self._start_attempt(demand)
 
     def schedule_health_update(self, router: RouterHost) -> None:
-        """Lets the front-end detect that a router is down after a delay, or that it is back at once."""
+        """Makes the front-end detect a stopped router after a delay, or a started router immediately."""
         if router.accepting:
             self.down_routers.discard(router.index)
         else:
--- a/applehub/lab/clock.py
+++ b/applehub/lab/clock.py
@@ -19,7 +19,7 @@
         self._sequence = 0
 
     def at(self, time: int, callback: Callable[[Any], None], argument: Any = None) -> None:
-        """Schedules a callback at a time, in ns; one in the past runs at the current time."""
+        """Schedules a callback at a time, in ns; a time in the past means the current time."""
         self._sequence += 1
         heappush(self._heap, (time, self._sequence, callback, argument))
 
--- a/applehub/lab/compare.py
+++ b/applehub/lab/compare.py
@@ -30,14 +30,14 @@
     mean = math.fsum(samples) / count
     if count < 2:
         return Mean(mean, None, count)
-    deviation = math.sqrt(math.fsum((one - mean) ** 2 for one in samples) / (count - 1))
+    deviation = math.sqrt(math.fsum((sample - mean) ** 2 for sample in samples) / (count - 1))
     return Mean(
         mean, float(stats.t.ppf((1 + CONFIDENCE) / 2, count - 1)) * deviation / math.sqrt(count), count
     )
 
 
 def measure(result: Json, path: str) -> float | None:
-    """Returns a value of a result by its dotted path, such as `G` or `losses.late`; None if it is absent.
+    """Returns the value at a dotted path of a result, such as `G` or `losses.late`, or None if it is absent.
 
     Losses, statuses and rule counts that are not listed are 0.
     """
@@ -52,13 +52,16 @@
 def point_name(point: Json) -> str:
     def text(value: Any) -> str:
         return (
-            " ".join(f"{name}={one}" for name, one in value.items())
+            " ".join(f"{name}={setting}" for name, setting in value.items())
             if isinstance(value, dict)
             else str(value)
         )
 
     return (
-        ", ".join(text(one) if isinstance(one, dict) else f"{key}={one}" for key, one in point.items()) or "-"
+        ", ".join(
+            text(value) if isinstance(value, dict) else f"{key}={value}" for key, value in point.items()
+        )
+        or "-"
     )
 
 
@@ -76,9 +79,10 @@
 
 def mean_losses(records: list[Json]) -> dict[str, float]:
     """Returns the mean weight lost over all runs, by cause; a cause that a run does not list counts as 0."""
-    causes = sorted({cause for one in records for cause in one["result"]["losses"]})
+    causes = sorted({cause for record in records for cause in record["result"]["losses"]})
     return {
-        cause: mean_of(one["result"]["losses"].get(cause, 0.0) for one in records).value for cause in causes
+        cause: mean_of(record["result"]["losses"].get(cause, 0.0) for record in records).value
+        for cause in causes
     }
 
 
@@ -91,11 +95,11 @@
 
 
 def paired_means(before: list[Json], after: list[Json], path: str) -> tuple[Mean, Mean, Mean] | None:
-    """Returns the means before and after, and of the difference, over the seeds in both; None without any."""
-    seeds = {one["seed"]: measure(one["result"], path) for one in before}
+    """Returns the means before, after and of the difference, over the common seeds, or None without any."""
+    values_before = {record["seed"]: measure(record["result"], path) for record in before}
     pairs = []
-    for one in after:
-        first, second = seeds.get(one["seed"]), measure(one["result"], path)
+    for record in after:
+        first, second = values_before.get(record["seed"]), measure(record["result"], path)
         if first is not None and second is not None:
             pairs.append((first, second))
     if not pairs:
@@ -110,7 +114,7 @@
 def relative_position(groups: dict[tuple[str, str], list[Json]], point: str, policy: str) -> float | None:
     """Returns where a policy's G lies between the `random` (0) and the `oracle` (1) policy.
 
-    None if a record of either is missing.
+    Returns None if a record of the policy, `random` or `oracle` is missing.
     """
     names = {policy, "random", "oracle"}
     if any((point, name) not in groups for name in names):
--- a/applehub/lab/cost.py
+++ b/applehub/lab/cost.py
@@ -12,8 +12,8 @@
 from applehub.settings import read_settings
 
 IN_FLIGHT = 8  # requests in flight
-KEYS = 4000
-RESPONSE_TIME = 40 * MILLI
+KEYS = 4000  # distinct keys requested
+RESPONSE_TIME = 40 * MILLI  # ns; simulated time of an attempt
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
 
 
 def measure(servers: int, count: int) -> Cost:
-    """Measures `count` reads that hit the cache, on a warm fleet of equal servers; times the module alone."""
+    """Measures `count` reads that hit the cache, on a warm fleet of equal servers, without any I/O."""
     settings, random = read_settings(router_settings(Scenario())), RandomStream(1, "cost")
     balancer, now = Balancer(settings, 1), 0
     members = [api.Member(f"s-{number:08x}", kind=number % 2) for number in range(servers)]
--- a/applehub/lab/demand.py
+++ b/applehub/lab/demand.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-MAX_CLIENT_ATTEMPTS = 11  # for one demand, at most ten retries included
+MAX_CLIENT_ATTEMPTS = 11  # maximum per demand: the first attempt and ten retries
 
 
 @dataclass(slots=True, eq=False)
@@ -17,18 +17,18 @@
     work: int
     created_at: int
     weight: float
-    client_attempts: int = 0
+    client_attempt_count: int = 0
     finished: bool = False
 
 
 def client_attempt_id(demand: Demand) -> str:
-    """Returns the id of the latest client attempt; it is unique and encodes the demand's number."""
-    return f"{demand.number * MAX_CLIENT_ATTEMPTS + demand.client_attempts:016x}"
+    """Returns the unique id of the latest client attempt, which encodes the demand's number."""
+    return f"{demand.number * MAX_CLIENT_ATTEMPTS + demand.client_attempt_count:016x}"
 
 
 def demand_number(attempt_id: str) -> int:
     """Returns the number of the demand that a client attempt's id belongs to.
 
-    Raises ValueError where the text is not an id.
+    Raises ValueError if the text is not an id.
     """
     return int(attempt_id, 16) // MAX_CLIENT_ATTEMPTS
--- a/applehub/lab/discovery.py
+++ b/applehub/lab/discovery.py
@@ -21,15 +21,15 @@
 
 
 class Registry:
-    """The versioned endpoint list. Calls are answered in order; changes reach watches after a delay."""
+    """The versioned endpoint list: answers calls in order, and sends changes to watches after a delay."""
 
     def __init__(self, clock: Clock, spec: Discovery, random_stream: RandomStream) -> None:
         self.clock, self.spec, self.random_stream = clock, spec, random_stream
         self.entries: dict[str, api.Member] = {}
-        self.changes: list[api.Member] = []  # index: version before the change
-        self.listed: dict[str, tuple[int, api.State]] = {}  # by server: time and state of its last change
+        self.changes: list[api.Member] = []  # the change at index n led to version n + 1
+        self.listed: dict[str, tuple[int, api.State]] = {}  # time and state of the last change, by server id
         self.subscribers: dict[int, Subscriber] = {}
-        self.free_at = 0  # when the calls accepted so far are answered
+        self.free_at = 0  # time at which the last accepted call is answered, ns
         self.slowdown, self.down = 1.0, False
         self.calls = self.failed = 0
 
@@ -39,8 +39,8 @@
 
     def update(self, entry: api.Member) -> None:
         """Applies an entry to the list and schedules notifications of the subscribers."""
-        known = self.entries.get(entry.server)
-        if known is not None and (known.state, known.since) == (entry.state, entry.since):
+        current = self.entries.get(entry.server)
+        if current is not None and (current.state, current.since) == (entry.state, entry.since):
             return
         if entry.state is api.State.GONE:
             self.entries.pop(entry.server, None)
@@ -64,13 +64,13 @@
     def subscribe(self, router_index: int, version: int, notify: Listener) -> None:
         """Starts a watch: answers, in order of the calls, with the changes since `version`.
 
-        The call fails where discovery is down or the wait would exceed the timeout.
+        The call fails if discovery is down or the wait would exceed the timeout.
         """
         self.calls += 1
         self.subscribers[router_index] = subscriber = Subscriber(notify, version)
         now = self.clock.now
-        lines = len(self.changes) - version
-        cost = SECOND / self.spec.calls_per_s + lines * SECOND / self.spec.lines_per_s
+        change_count = len(self.changes) - version
+        cost = SECOND / self.spec.calls_per_s + change_count * SECOND / self.spec.lines_per_s
         timeout = int(self.spec.timeout_ms * MILLI)
         starts_at = max(now, self.free_at)
         if self.down or starts_at - now > timeout:
--- a/applehub/lab/faults.py
+++ b/applehub/lab/faults.py
@@ -1,4 +1,4 @@
-"""Schedules the faults of a scenario. Bursts, hot keys and other faults of the workload are drawn with it."""
+"""Schedules the faults of a scenario. Faults of the workload, such as bursts, are part of the workload."""
 
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import replace
@@ -20,9 +20,9 @@
 
 
 def _sample(population: Iterable[T], fraction: float, random_stream: RandomStream) -> Iterator[T]:
-    """Draws a fraction of a population without replacement: none for 0, otherwise at least one.
+    """Draws a fraction of a population without replacement: no member for 0, otherwise at least one.
 
-    Members are drawn lazily, so that the caller may draw other numbers in between.
+    Members are drawn lazily, so that the caller may draw other numbers between them.
     """
     remaining = list(population)
     count = min(len(remaining), max(1, round(fraction * len(remaining)))) if fraction else 0
@@ -35,7 +35,7 @@
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation, self.clock = simulation, simulation.clock
-        planners: dict[type, Callable[[Any, RandomStream], None]] = {
+        schedulers: dict[type, Callable[[Any, RandomStream], None]] = {
             spec.NoisyNeighbour: self._schedule_neighbours,
             spec.Shrink: self._schedule_drains,
             spec.ServerFault: self._schedule_server_fault,
@@ -49,14 +49,14 @@
             spec.DiscoveryFault: self._schedule_discovery_fault,
         }
         for number, fault in enumerate(simulation.scenario.faults):
-            plan = planners.get(type(fault))
-            if plan is not None:
-                plan(fault, simulation.random_stream(f"fault {number} struck"))
+            schedule = schedulers.get(type(fault))
+            if schedule is not None:
+                schedule(fault, simulation.random_stream(f"fault {number} struck"))
 
-    def _schedule_switch(self, at: float, length: float, switch: Callable[[bool], None]) -> None:
-        """Calls `switch` with True at `at` and with False `length` seconds later."""
-        self.clock.at(_ns(at), lambda _: switch(True))
-        self.clock.at(_ns(at + length), lambda _: switch(False))
+    def _schedule_switch(self, start: float, duration: float, switch: Callable[[bool], None]) -> None:
+        """Calls `switch` with True at `start` and with False `duration` seconds later."""
+        self.clock.at(_ns(start), lambda _: switch(True))
+        self.clock.at(_ns(start + duration), lambda _: switch(False))
 
     def _sample_servers(self, fraction: float, random_stream: RandomStream) -> list[CacheServer]:
         """Draws a fraction of the initial servers."""
@@ -67,10 +67,10 @@
     def _schedule_neighbours(self, fault: spec.NoisyNeighbour, random_stream: RandomStream) -> None:
         end = _ns(fault.at_s + fault.for_s)
         for server in self._sample_servers(fault.part, random_stream):
-            step, at, on = _ns(fault.period_s * random_stream.between(0.5, 1.5)), _ns(fault.at_s), True
-            while at < end:
-                self.clock.at(at, self._set_stolen_cores, (server, fault.takes if on else 0.0))
-                at, on = at + step, not on
+            step, time, active = _ns(fault.period_s * random_stream.between(0.5, 1.5)), _ns(fault.at_s), True
+            while time < end:
+                self.clock.at(time, self._set_stolen_cores, (server, fault.takes if active else 0.0))
+                time, active = time + step, not active
             self.clock.at(end, self._set_stolen_cores, (server, 0.0))
 
     def _set_stolen_cores(self, argument: tuple[CacheServer, float]) -> None:
@@ -83,15 +83,15 @@
             self.clock.at(_ns(fault.at_s + fault.for_s), self._set_server_fault, (server, fault, False))
 
     def _set_server_fault(self, argument: tuple[CacheServer, spec.ServerFault, bool]) -> None:
-        server, fault, on = argument
+        server, fault, active = argument
         if fault.kind == "slow":
-            server.slowdown = min(0.99, fault.size) if on else 0.0
+            server.slowdown = min(0.99, fault.size) if active else 0.0
             server.reschedule()
         elif fault.kind == "failing":
-            server.error_rate = fault.size if on else server.spec.error_share
+            server.error_rate = fault.size if active else server.spec.error_share
         else:
-            server.unresponsive = on
-            if not on:
+            server.unresponsive = active
+            if not active:
                 self._break_connections(server)
 
     def _break_connections(self, server: CacheServer) -> None:
@@ -102,20 +102,20 @@
     def _schedule_drains(
         self, fault: spec.Shrink | spec.ServerReplacement, random_stream: RandomStream
     ) -> None:
-        """Drains and stops servers one by one; on a replacement, a new one starts as each begins to drain."""
-        leaving = self._sample_servers(fault.part, random_stream)
-        for number, server in enumerate(leaving):
-            at = fault.at_s + fault.for_s * number / len(leaving)
+        """Drains and stops servers in turn; a replacement also starts a new server at each drain."""
+        drained = self._sample_servers(fault.part, random_stream)
+        for number, server in enumerate(drained):
+            drain_at = fault.at_s + fault.for_s * number / len(drained)
             if isinstance(fault, spec.ServerReplacement):
-                self.clock.at(_ns(at), self._add_server, server)
-            self.clock.at(_ns(at), self._drain, server)
-            self.clock.at(_ns(at + fault.drain_s), self._stop_server, server)
+                self.clock.at(_ns(drain_at), self._add_server, server)
+            self.clock.at(_ns(drain_at), self._drain, server)
+            self.clock.at(_ns(drain_at + fault.drain_s), self._stop_server, server)
 
     def _drain(self, server: CacheServer) -> None:
         self.simulation.registry.update(replace(self.simulation.entry(server), state=api.State.DRAINING))
 
     def _stop_server(self, server: CacheServer) -> None:
-        """Stops a drained server; discovery is updated at once."""
+        """Stops a drained server and removes it from the list immediately."""
         self.simulation.stop_server(server)
         self.simulation.registry.update(replace(self.simulation.entry(server), state=api.State.GONE))
 
@@ -134,8 +134,8 @@
 
     def _crash_server(self, server: CacheServer) -> None:
         self.simulation.stop_server(server)
-        gone = replace(self.simulation.entry(server), state=api.State.GONE)
-        self.simulation.registry.schedule_update(gone, self.simulation.scenario.discovery.notice_s)
+        entry = replace(self.simulation.entry(server), state=api.State.GONE)
+        self.simulation.registry.schedule_update(entry, self.simulation.scenario.discovery.notice_s)
 
     def _restart_server(self, server: CacheServer) -> None:
         server.start()
@@ -177,12 +177,12 @@
 
     def _schedule_kills(self, fault: spec.KillRouters, random_stream: RandomStream) -> None:
         for router in _sample(self.simulation.routers, fault.part, random_stream):
-            down = (
+            down_s = (
                 fault.down_s * random_stream.between(0.5, 1.5)
                 + self.simulation.scenario.routers.start_ms / 1000
             )
             self.clock.at(_ns(fault.at_s), self._kill_router, router)
-            self.clock.at(_ns(fault.at_s + down), self._start_router, router)
+            self.clock.at(_ns(fault.at_s + down_s), self._start_router, router)
 
     def _kill_router(self, router: RouterHost) -> None:
         router.stop()
@@ -192,14 +192,14 @@
         routers = self.simulation.routers
         for router in routers:
             batch = router.index * fault.batches // len(routers)
-            at = fault.at_s + fault.for_s * batch / fault.batches
-            self.clock.at(_ns(at), self._restart_router, (router, fault.down_s))
+            restart_at = fault.at_s + fault.for_s * batch / fault.batches
+            self.clock.at(_ns(restart_at), self._restart_router, (router, fault.down_s))
 
     def _restart_router(self, argument: tuple[RouterHost, float]) -> None:
-        router, down = argument
+        router, down_s = argument
         self.simulation.clients.mark_down(router)
-        start = _ns(down + self.simulation.scenario.routers.start_ms / 1000)
-        router.drain(lambda one: self.clock.after(start, self._start_router, one))
+        start_delay = _ns(down_s + self.simulation.scenario.routers.start_ms / 1000)
+        router.drain(lambda stopped: self.clock.after(start_delay, self._start_router, stopped))
 
     def _start_router(self, router: RouterHost) -> None:
         self.simulation.start_router(router)
--- a/applehub/lab/gossip.py
+++ b/applehub/lab/gossip.py
@@ -23,27 +23,29 @@
     routers: int
     period_ms: float = 50.0
     loss: float = 0.0
-    near_ms: float = 0.3  # delay within a zone
-    far_ms: float = 8.0  # delay between zones
-    seconds: float = 10.0  # of steady state
+    near_ms: float = 0.3  # one-way delay within a zone
+    far_ms: float = 8.0  # one-way delay between zones
+    seconds: float = 10.0  # duration of the measured steady state
     cut_s: float = 0.0  # duration of a partition into two halves; 0: none
     kill: float = 0.0  # fraction of the routers that crash together
 
 
 @dataclass(slots=True)
 class Measurements:
-    """Measurements; rates are per router and second of the steady state. A time of -1 means a timeout."""
+    """Results of a simulation: rates per router and second in the steady state, and times (-1: timeout)."""
 
-    known_s: float = -1.0  # until all routers know all others
+    known_s: float = -1.0  # time until all routers know all others
     verdict_ms: list[float] = field(default_factory=list)  # propagation delays to each other router
-    ages_ms: dict[str, list[float]] = field(default_factory=dict)  # true ages of the records in use, by type
+    ages_ms: dict[str, list[float]] = field(
+        default_factory=dict
+    )  # ages of the records in use since their publication, by type
     bytes_out: float = 0.0
     datagrams: float = 0.0
     cpu_ms: float = 0.0
-    healed_s: float = -1.0  # until membership converged after the partition
-    buried_s: float = -1.0  # until the live routers consider exactly the crashed ones dead
+    healed_s: float = -1.0  # time until membership converges after the partition
+    buried_s: float = -1.0  # time until the live routers consider exactly the crashed routers dead
     missing: int = 0  # verdict changes that a router never received
-    records: int = 0  # most records in one store
+    records: int = 0  # maximum number of records in one store
 
 
 class GossipSimulation:
@@ -58,7 +60,7 @@
             GossipAgent(
                 Peer(incarnation, 0, PeerState.ALIVE, number.to_bytes(4), 1, name),
                 FLEET,
-                [one for one in names[:SEED_ROUTERS] if one != name],
+                [seed_name for seed_name in names[:SEED_ROUTERS] if seed_name != name],
                 int(incarnation),
                 self.period,
             )
@@ -68,9 +70,9 @@
         self.alive = [True] * plan.routers
         self.partitioned = False
         self.cpu_s, self.sampling_end = 0.0, 0
-        self.publication_times: dict[tuple[int, str, int], int] = {}  # by writer, type and version
-        self.verdict_times: dict[tuple[int, int], int] = {}  # publication time, by subject and writer
-        # Verdicts that each router has not received.
+        self.publication_times: dict[tuple[int, str, int], int] = {}  # ns, by writer, type and version
+        self.verdict_times: dict[tuple[int, int], int] = {}  # publication time (ns), by subject and writer
+        # Subjects and writers of the verdicts that each router has not received, by router number.
         self.missing_verdicts: list[set[tuple[int, int]]] = [set() for _ in names]
         self.measured = Measurements()
 
@@ -83,46 +85,46 @@
     def _tick(self, number: int) -> None:
         if self.alive[number]:
             started_at = time.process_time()
-            out = self.agents[number].tick(self.clock.now)
+            datagrams = self.agents[number].tick(self.clock.now)
             self.cpu_s += time.process_time() - started_at
-            self._send(number, out)
+            self._send(number, datagrams)
             self.clock.after(self.period, self._tick, number)
 
-    def _send(self, number: int, out: list[OutgoingDatagram]) -> None:
+    def _send(self, number: int, datagrams: list[OutgoingDatagram]) -> None:
         plan = self.plan
-        for to, data in out:
-            other = self.index_by_name[to.name if isinstance(to, Peer) else to]
-            cross_zone = self._zone(number) != self._zone(other)
+        for recipient, payload in datagrams:
+            receiver = self.index_by_name[recipient.name if isinstance(recipient, Peer) else recipient]
+            cross_zone = self._zone(number) != self._zone(receiver)
             if (self.partitioned and cross_zone) or (plan.loss and self.random.uniform() < plan.loss):
                 continue
             delay = (plan.far_ms if cross_zone else plan.near_ms) * (0.8 + 0.4 * self.random.uniform())
-            self.clock.after(int(delay * MILLI), self._receive, (other, data))
+            self.clock.after(int(delay * MILLI), self._receive, (receiver, payload))
 
     def _receive(self, args: tuple[int, bytes]) -> None:
-        number, data = args
+        number, payload = args
         if not self.alive[number]:
             return
         started_at = time.process_time()
         agent = self.agents[number]
-        out = agent.receive(self.clock.now, data)
+        datagrams = agent.receive(self.clock.now, payload)
         self.cpu_s += time.process_time() - started_at
-        found = [
+        received = [
             key for key in self.missing_verdicts[number] if RecordKey(Verdict, *key) in agent.store.records
         ]
-        for key in found:
+        for key in received:
             self.missing_verdicts[number].discard(key)
             self.measured.verdict_ms.append((self.clock.now - self.verdict_times[key]) / MILLI)
-        self._send(number, out)
+        self._send(number, datagrams)
 
     def _converged(self) -> bool:
         live_count = sum(self.alive)
         return all(
-            one.membership.member_count == live_count
-            for one, up in zip(self.agents, self.alive, strict=True) if up
+            agent.membership.member_count == live_count
+            for agent, up in zip(self.agents, self.alive, strict=True) if up
         )  # fmt: skip
 
     def _run_until_converged(self) -> float:
-        """Runs until each live router knows exactly the live ones; returns the time, s, or -1 on timeout."""
+        """Runs until each live router knows exactly the live routers; returns the time, s (-1: timeout)."""
         started_at = self.clock.now
         while not self._converged():
             if self.clock.now - started_at > CONVERGENCE_TIMEOUT:
@@ -133,10 +135,10 @@
     def _received_records(self, number: int) -> Iterator[Record]:
         """Returns the records that a router holds from other routers."""
         agent = self.agents[number]
-        return (one for key, one in agent.store.records.items() if key[2] != agent.member_id)
+        return (record for key, record in agent.store.records.items() if key[2] != agent.member_id)
 
     def _publish_records(self, number: int) -> None:
-        """Publishes the records of a router, every quarter of a second."""
+        """Publishes the records of a router, and schedules the next publication."""
         agent, now = self.agents[number], self.clock.now
         for (kind, subject), own in list(agent.published.items()):
             if kind is Verdict and own.body is not None:
@@ -156,22 +158,22 @@
         agent.publish(self.clock.now, Verdict(True, 3), subject)
         key = subject, agent.member_id
         self.verdict_times[key] = self.clock.now
-        for one, missing_verdicts in enumerate(self.missing_verdicts):
-            if one != number:
+        for receiver, missing_verdicts in enumerate(self.missing_verdicts):
+            if receiver != number:
                 missing_verdicts.add(key)
         self.clock.after(3 * SECOND, lambda _: agent.withdraw(Verdict, subject))
         if self.clock.now < self.sampling_end:
             self.clock.after(SECOND // 5, self._publish_verdict, count + 1)
 
     def _sample_ages(self, _: None) -> None:
-        """Samples the true ages of the records in use at a random router."""
+        """Samples the time since publication of the records that a random router uses."""
         number, now = self.random.below(len(self.agents)), self.clock.now
         store = self.agents[number].store
         self.measured.records = max(self.measured.records, len(store.records))
-        for one in self._received_records(number):
-            kind = type(one.body)
-            published_at = self.publication_times.get((one.writer, kind.__name__, one.version))
-            if published_at is not None and now - one.created_at <= RETENTION[kind].max_age:
+        for record in self._received_records(number):
+            kind = type(record.body)
+            published_at = self.publication_times.get((record.writer, kind.__name__, record.version))
+            if published_at is not None and now - record.created_at <= RETENTION[kind].max_age:
                 self.measured.ages_ms.setdefault(kind.__name__, []).append((now - published_at) / MILLI)
         if now < self.sampling_end:
             self.clock.after(SECOND // 20, self._sample_ages, None)
@@ -188,13 +190,13 @@
         self.sampling_end = self.clock.now + int(plan.seconds * SECOND)
         self.clock.after(0, self._sample_ages, None)
         self.clock.after(0, self._publish_verdict, 0)
-        self.cpu_s, sent = 0.0, [(one.bytes_sent, one.datagrams_sent) for one in self.agents]
+        self.cpu_s, sent = 0.0, [(agent.bytes_sent, agent.datagrams_sent) for agent in self.agents]
         self.clock.run(self.clock.now + int(plan.seconds * SECOND))
         router_seconds = plan.routers * plan.seconds
         measured.cpu_ms = self.cpu_s * 1000 / router_seconds
         pairs = list(zip(self.agents, sent, strict=True))
-        measured.bytes_out = sum(one.bytes_sent - before[0] for one, before in pairs) / router_seconds
-        measured.datagrams = sum(one.datagrams_sent - before[1] for one, before in pairs) / router_seconds
+        measured.bytes_out = sum(agent.bytes_sent - before[0] for agent, before in pairs) / router_seconds
+        measured.datagrams = sum(agent.datagrams_sent - before[1] for agent, before in pairs) / router_seconds
         settled_before = self.clock.now - RETENTION[Verdict].max_age
         measured.missing = sum(
             self.verdict_times[key] < settled_before for missing in self.missing_verdicts for key in missing
@@ -211,13 +213,13 @@
         return measured
 
 
-def _percentile(values: list[float], part: float) -> float | None:
+def _percentile(values: list[float], fraction: float) -> float | None:
     values = sorted(values)
-    return round(values[min(len(values) - 1, int(len(values) * part))], 1) if values else None
+    return round(values[min(len(values) - 1, int(len(values) * fraction))], 1) if values else None
 
 
 def figures(plan: GossipPlan, measured: Measurements) -> Json:
-    """Returns the measurements for a table or a file; pairs are the median and the 99th percentile."""
+    """Returns the measurements by name; each pair holds the median and the 99th percentile."""
     ages_by_type = sorted(measured.ages_ms.items())
     ages = {
         name.lower(): (_percentile(values, 0.5), _percentile(values, 0.99)) for name, values in ages_by_type
--- a/applehub/lab/gossip_command.py
+++ b/applehub/lab/gossip_command.py
@@ -30,16 +30,24 @@
     type=click.FloatRange(5, 5000),
     default=50,
     show_default=True,
-    help="Between health checks, ms.",
+    help="Interval between health checks, ms.",
 )
 @click.option(
-    "--seconds", type=click.FloatRange(1, 600), default=5, show_default=True, help="Of steady state."
+    "--seconds",
+    type=click.FloatRange(1, 600),
+    default=5,
+    show_default=True,
+    help="Duration of the steady state, s.",
 )
 @click.option(
     "--cut", type=click.FloatRange(0, 600), default=0, show_default=True, help="Duration of a partition, s."
 )
 @click.option(
-    "--kill", type=click.FloatRange(0, 0.99), default=0.0, show_default=True, help="Fraction killed."
+    "--kill",
+    type=click.FloatRange(0, 0.99),
+    default=0.0,
+    show_default=True,
+    help="Fraction of routers killed.",
 )
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="As JSON lines.")
@@ -55,7 +63,7 @@
     as_json: bool,
 ) -> None:
     """Measures the gossip between routers on a simulated network: membership convergence, propagation
-    delay of verdicts, age of records, cost for a router, and recovery from a partition or a mass crash."""
+    delay of verdicts, age of records, cost per router, and recovery from a partition or a mass crash."""
     results = []
     for count in sizes:
         plan = GossipPlan(count, period, loss, seconds=seconds, cut_s=cut, kill=kill)
@@ -65,8 +73,8 @@
     if not as_json:
         table = Table("", *(f"{count} routers" for count in sizes))
         for name, get_value in ROWS.items():
-            values = [get_value(one) for one in results]
-            table.add_row(name, *("-" if one in (None, -1) else _format_value(one) for one in values))
+            values = [get_value(result) for result in results]
+            table.add_row(name, *("-" if value in (None, -1) else _format_value(value) for value in values))
         Console().print(table, "Pairs: the median and the 99th percentile.")
 
 
@@ -75,14 +83,14 @@
 
 
 ROWS: dict[str, Callable[[Json], Any]] = {
-    "membership converged, s": lambda one: one["known_s"],
-    "verdict propagation, ms": lambda one: one["verdict_ms"],
-    "age of limits, ms": lambda one: one["ages_ms"].get("limit"),
-    "age of shares, ms": lambda one: one["ages_ms"].get("shares"),
-    "bytes a second": lambda one: one["bytes_s"],
-    "datagrams a second": lambda one: one["datagrams_s"],
-    "CPU, ms/s": lambda one: one["cpu_ms_s"],
-    "records stored": lambda one: one["records"],
-    "recovery after a partition, s": lambda one: one["healed_s"],
-    "crashed routers detected, s": lambda one: one["buried_s"],
+    "membership converged, s": lambda result: result["known_s"],
+    "verdict propagation, ms": lambda result: result["verdict_ms"],
+    "age of limits, ms": lambda result: result["ages_ms"].get("limit"),
+    "age of shares, ms": lambda result: result["ages_ms"].get("shares"),
+    "bytes a second": lambda result: result["bytes_s"],
+    "datagrams a second": lambda result: result["datagrams_s"],
+    "CPU, ms/s": lambda result: result["cpu_ms_s"],
+    "records stored": lambda result: result["records"],
+    "recovery after a partition, s": lambda result: result["healed_s"],
+    "crashed routers detected, s": lambda result: result["buried_s"],
 }
--- a/applehub/lab/live/bench.py
+++ b/applehub/lab/live/bench.py
@@ -23,9 +23,9 @@
 from applehub.node.resp import command
 from applehub.settings import Json
 
-READY_TIMEOUT = 20.0  # s
+READY_TIMEOUT = 20.0  # s; for the fake servers and the router to start
 MB = 1 << 20
-SAMPLE_INTERVAL = 0.2  # s between samples of the router's process
+SAMPLE_INTERVAL = 0.2  # s; interval between samples of the router's process
 
 
 class LiveError(RuntimeError):
@@ -33,7 +33,7 @@
 
 
 def settings(wait_ms: int, routers: int = 1) -> Json:
-    """Returns router settings: two classes, misses fetched from the origin, endpoint lists on request."""
+    """Returns router settings with two request classes, an origin, and endpoint lists on request."""
     deadline = wait_ms * MILLI
     classes = [
         {"name": "read", "aim": deadline // 2, "deadline": deadline, "effect": "safe"},
@@ -163,7 +163,7 @@
 
     @property
     def cache_addresses(self) -> list[tuple[str, int]]:
-        return [read_endpoint(one["endpoint"]) for one in self.targets if one["model"] == "cache"]
+        return [read_endpoint(entry["endpoint"]) for entry in self.targets if entry["model"] == "cache"]
 
     def counts(self) -> Counts:
         self.pipe.send("counts")
@@ -171,7 +171,7 @@
         return counts
 
     def replace(self, fraction: float, duration: float) -> None:
-        """Starts to replace this fraction of the cache servers over `duration` s; returns at once."""
+        """Requests, without waiting, the replacement of a fraction of the cache servers over `duration` s."""
         self.pipe.send((fraction, duration))
 
     def stop(self) -> int:
@@ -236,12 +236,12 @@
     through: LoadResult
     direct: LoadResult
     usage: ResourceUsage
-    cpu_before: float
+    cpu_before: float  # CPU time of the router before the load, s
     counts: Counts
 
     @property
     def cpu_us_per_request(self) -> float:
-        """CPU time of the router for a request."""
+        """CPU time of the router per request, in µs."""
         return (self.usage.cpu_s - self.cpu_before) / max(1, self.through.asked) * 1e6
 
     def as_json(self) -> Json:
@@ -279,8 +279,8 @@
         await asyncio.sleep(SAMPLE_INTERVAL)
 
 
-async def through(deployment: Deployment, load: LoadSpec) -> LoadResult:
-    """Runs the load through the router and samples its process meanwhile."""
+async def run_through_router(deployment: Deployment, load: LoadSpec) -> LoadResult:
+    """Runs the load through the router, and samples the router's process during the run."""
     sampler = asyncio.create_task(_sample_periodically(deployment))
     try:
         return await LoadGenerator(load, [deployment.listen]).run()
@@ -294,6 +294,6 @@
     direct_load = replace(load, seconds=min(load.seconds, 3.0), write_part=0.0, seed=load.seed + 1)
     direct = await LoadGenerator(direct_load, deployment.cache_addresses).run()
     cpu_before, counts_before = deployment.router.sample().cpu_s, deployment.counts()
-    result, counts = await through(deployment, load), deployment.counts()
+    result, counts = await run_through_router(deployment, load), deployment.counts()
     counts_added = {name: getattr(counts, name) - getattr(counts_before, name) for name in Counts.__slots__}
     return LoadTestReport(result, direct, deployment.router.sample(), cpu_before, Counts(**counts_added))
--- a/applehub/lab/live/client.py
+++ b/applehub/lab/live/client.py
@@ -1,7 +1,7 @@
 """An open-loop load generator.
 
-Requests are sent on a random schedule, independently of the answers, and latency is measured from the
-scheduled time, so that a stall of the router counts against every request that was due meanwhile.
+Requests are sent on a random schedule, independently of the answers. Latency is measured from the scheduled
+time, so that a stall of the router adds to the latency of every request that was due during the stall.
 """
 
 import asyncio
@@ -26,16 +26,16 @@
     rate: float  # mean requests/s
     seconds: float
     keys: int
-    write_part: float  # fraction of the requests
+    write_part: float  # fraction of the requests that are writes
     value: int  # bytes of a written value
-    wait_ms: int  # timeout of the client
-    connections: int  # maximum number
+    wait_ms: int  # timeout of a request at the client
+    connections: int  # maximum number of open connections
     seed: int
 
 
 @dataclass(slots=True)
 class LoadResult:
-    """Results of a load; latencies in µs from the scheduled time of a request."""
+    """Results of a load; latencies are in µs and start at the scheduled time of a request."""
 
     asked: int = 0
     served: int = 0
@@ -115,7 +115,7 @@
 
 
 class LoadGenerator:
-    """Runs a load against one or more addresses, which take connections in turn."""
+    """Runs a load against one or more addresses, to which it opens connections in turn."""
 
     def __init__(self, load: LoadSpec, addresses: list[tuple[str, int]]) -> None:
         self.load, self.addresses = load, addresses
@@ -182,12 +182,12 @@
             self.idle.remove(connection)
 
     def request_done(self, connection: _Connection, due: float, answer: object) -> None:
-        """Records the answer of a request; None: it timed out, or its connection broke."""
+        """Records the answer to a request; None means a timeout or a broken connection."""
         if answer is None:
             self.result.unanswered += 1
             return
         self.result.latencies.record_value(max(1, int((self.loop.time() - due) * 1e6)))
-        if isinstance(answer, bytes | list):  # cache servers answer with a list, also for a miss
+        if isinstance(answer, bytes | list):  # cache servers answer hits and misses with a list
             self.result.served += 1
         elif isinstance(answer, hiredis.ReplyError) and str(answer).startswith("BUSY"):
             self.result.refused += 1
--- a/applehub/lab/live/commands.py
+++ b/applehub/lab/live/commands.py
@@ -21,7 +21,7 @@
 from applehub.lab.live.fake_servers import Plan
 from applehub.node.resp import command
 
-MAX_REQUESTS = 2_000_000  # requests of one load test
+MAX_REQUESTS = 2_000_000  # maximum number of requests of one load test
 COUNT_NAMES = ("asked", "served", "refused", "failed", "unanswered")
 DEMO_COMMANDS = (
     ("PING", command(b"PING")),
@@ -40,10 +40,14 @@
 @click.option("--seconds", type=click.FloatRange(0.5, 3600), default=10.0)
 @click.option("--caches", type=click.IntRange(1), default=4, help="Number of fake cache servers.")
 @click.option("--keys", type=click.IntRange(1), default=5000)
-@click.option("--writes", type=click.FloatRange(0, 1), default=0.04, help="Fraction of the requests.")
+@click.option(
+    "--writes", type=click.FloatRange(0, 1), default=0.04, help="Fraction of requests that are writes."
+)
 @click.option("--value", type=click.IntRange(0, 65536), default=512, help="Size of a value, bytes.")
 @click.option("--wait-ms", type=click.IntRange(10, 60_000), default=1000, help="Timeout of the client.")
-@click.option("--connections", type=click.IntRange(1, 300), default=200, help="Maximum of the client.")
+@click.option(
+    "--connections", type=click.IntRange(1, 300), default=200, help="Maximum number of client connections."
+)
 @click.option("--seed", type=click.IntRange(0), default=1)
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 @report_errors
@@ -116,9 +120,10 @@
     for description, command_bytes in DEMO_COMMANDS:
         answer = await send_command(deployment.listen, command_bytes)
         click.echo(f"  {description}: {answer[:24]!r}{'...' if len(answer) > 24 else ''}")
-    seen = deployment.counts()
+    counts = deployment.counts()
     click.echo(
-        f"  behind it: {seen.misses} miss, {seen.hits} hit, {seen.reads} origin read, {seen.writes} write"
+        f"  behind it: {counts.misses} miss, {counts.hits} hit, "
+        f"{counts.reads} origin read, {counts.writes} write"
     )
     show(await run_load_test(deployment, LoadSpec(200, seconds, 500, 0.04, 64, 1000, 50, 1)))
     metrics = await read_metrics(deployment)
--- a/applehub/lab/live/fake_servers.py
+++ b/applehub/lab/live/fake_servers.py
@@ -21,10 +21,10 @@
 
 from applehub.node.resp import bulk
 
-MAX_KEYS = 50_000  # maximum keys of a cache server, and misses not yet fetched from the origin
-QUEUE_FACTOR = 3  # queue limit of a cache server, relative to its concurrency; it answers BUSY beyond
-DRAIN_TIME = 1.0  # s from state Terminating to Gone
-LISTEN_AFTER_GONE = 1.0  # s for which a server still listens in state Gone
+MAX_KEYS = 50_000  # limit of the keys of a cache server, and of the recorded misses
+QUEUE_FACTOR = 3  # queue limit of a cache server, relative to its concurrency; further requests get BUSY
+DRAIN_TIME = 1.0  # s; time from state Terminating to state Gone
+LISTEN_AFTER_GONE = 1.0  # s; time for which a server still listens in state Gone
 Entry = dict[str, Any]  # entry of the endpoint list, as in the answers of discovery
 
 
@@ -52,10 +52,10 @@
     misses: int = 0
     reads: int = 0
     writes: int = 0
-    lists: int = 0  # requests to discovery
+    lists: int = 0  # requests that discovery received
     list_bytes: int = 0  # bytes of bodies sent by discovery
     busy: int = 0  # requests rejected by a cache server whose queue was full
-    connections: int = 0  # accepted by cache servers
+    connections: int = 0  # connections that cache servers accepted
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,7 +94,7 @@
     plan: Plan
     counts: Counts = field(default_factory=Counts)
     stores: dict[str, CacheState] = field(default_factory=dict)
-    missed: dict[bytes, str] = field(default_factory=dict)  # cache server that missed, by request id
+    missed: dict[bytes, str] = field(default_factory=dict)  # id of the server that missed, by request id
     servers: dict[str, asyncio.Server] = field(default_factory=dict)
     listed: dict[str, Entry] = field(default_factory=dict)
     rev: int = 1
@@ -179,7 +179,8 @@
     async def origin(self, request: h11.Request, body: bytes) -> Reply:
         """Handles a request to the origin.
 
-        A read also stores the key at the cache server that missed; a write removes it from all of them.
+        A read also stores the key at the cache server that missed it; a write removes the key from all cache
+        servers.
         """
         key = request.target[1:]
         if request.method == b"PUT":
@@ -199,11 +200,14 @@
         self.counts.lists += 1
         query = parse_qs(urlsplit(request.target.decode()).query)
         if "from" in query:
-            known, timeout = int(query["from"][0]), min(60.0, int(query.get("hold_ms", ["0"])[0]) / 1000)
-            if known >= self.rev:
+            known_version, timeout = (
+                int(query["from"][0]),
+                min(60.0, int(query.get("hold_ms", ["0"])[0]) / 1000),
+            )
+            if known_version >= self.rev:
                 with suppress(TimeoutError):
                     await asyncio.wait_for(self.changed.wait(), timeout)
-            latest = {entry["uid"]: entry for entry in self.changes[max(0, known - 1) :]}
+            latest = {entry["uid"]: entry for entry in self.changes[max(0, known_version - 1) :]}
             answer = orjson.dumps({"rev": self.rev, "all": False, "targets": list(latest.values())})
         else:
             answer = orjson.dumps({"rev": self.rev, "all": True, "targets": self.targets()})
--- a/applehub/lab/live/wide.py
+++ b/applehub/lab/live/wide.py
@@ -1,7 +1,7 @@
 """Compares the resource usage of one router with N and 16 N cache servers under the same traffic.
 
-The total capacity of the cache servers is the same at both sizes: with fewer servers, each
-serves more requests at a time.
+The total capacity of the cache servers is the same at both sizes: the fewer servers there are, the more
+concurrent requests each of them serves.
 """
 
 import asyncio
@@ -14,15 +14,15 @@
 from rich.table import Table
 
 from applehub.lab.command_errors import report_errors
-from applehub.lab.live.bench import Deployment, deploy, through, wait_until_ready
+from applehub.lab.live.bench import Deployment, deploy, run_through_router, wait_until_ready
 from applehub.lab.live.client import LoadResult, LoadSpec
 from applehub.lab.live.fake_servers import Counts, Plan
 from applehub.settings import Json
 
-SIZE_RATIO = 16  # ratio of the numbers of cache servers
-REPLACED_FRACTION = 0.6  # fraction of the cache servers
+SIZE_RATIO = 16  # number of cache servers at the wide size, relative to the usual size
+REPLACED_FRACTION = 0.6  # fraction of the cache servers that are replaced
 REPLACEMENT_TIME = 7.0  # s; duration of the replacement
-REPLACEMENT_START = 0.3  # fraction of the test before the first server is replaced
+REPLACEMENT_START = 0.3  # fraction of the load's duration before the first replacement
 CASES = ("calm", "replaced")
 SIZES = ("usual", "wide")
 BYTES_PER_KB = 1000
@@ -30,13 +30,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricLimit:
-    """One line of the operators' table: the limit of a metric, derived from its value at the usual size."""
+    """One row of the table of limits: derives a metric's limit from its value at the usual size."""
 
     label: str
     unit: str
     factor: float  # applied to the value at the usual size
     constant: float = 0.0
-    per_thousand_servers: float = 0.0  # added for every complete thousand of cache servers
+    per_thousand_servers: float = 0.0  # added for each full thousand of cache servers
     at_least: bool = False  # the limit is a lower bound; else an upper bound
 
     def limit(self, usual: float, servers: int) -> float:
@@ -50,7 +50,8 @@
 CPU_LIMIT = MetricLimit("CPU seconds", "s", 1.4, 0.02, 0.12)
 METRIC_LIMITS = {
     "cpu_s": CPU_LIMIT,
-    # Not in the table: excludes the CPU time of the start, which does not depend on the number of servers.
+    # Not in the documented table: excludes the CPU time of the start, which is independent of the number of
+    # servers.
     "cpu_ready_s": MetricLimit(
         "CPU seconds once ready",
         CPU_LIMIT.unit,
@@ -86,7 +87,7 @@
 
 
 def check_limits(usual: RunResult, wide: RunResult, servers: int) -> list[Json]:
-    """Returns each line of the table: both values, the limit, and whether it holds."""
+    """Returns for each metric its values at both sizes, its limit, and whether the limit holds."""
     return [
         {
             "line": name,
@@ -108,7 +109,7 @@
             load.seconds * REPLACEMENT_START, deployment.replace, REPLACED_FRACTION, duration
         )
     load_result, counts, usage = (
-        await through(deployment, load),
+        await run_through_router(deployment, load),
         deployment.counts(),
         deployment.router.sample(),
     )
@@ -136,7 +137,7 @@
 @click.command()
 @click.option("--caches", type=click.IntRange(1, 1000), default=200, help="Cache servers at the usual size.")
 @click.option("--rate", type=click.FloatRange(1, 5000), default=40.0, help="Mean requests per second.")
-@click.option("--seconds", type=click.FloatRange(1, 60), default=20.0, help="Of each load test.")
+@click.option("--seconds", type=click.FloatRange(1, 60), default=20.0, help="Duration of each load test, s.")
 @click.option("--keys", type=click.IntRange(1), default=6000)
 @click.option("--routers", type=click.IntRange(1), default=200, help="Fleet size in the router's settings.")
 @click.option("--work-ms", type=click.FloatRange(0, 1000), default=4.0, help="Service time of a request.")
@@ -158,17 +159,19 @@
             click.echo(f"{case}, {servers} cache servers, {seconds:.0f} s ...", err=True)
             runs[size] = run_once(servers, caches * SIZE_RATIO, work_ms, load, case == "replaced", routers)
         lines = check_limits(runs["usual"], runs["wide"], caches * SIZE_RATIO)
-        results[case] = {"lines": lines, **{size: one.as_json() for size, one in runs.items()}}
+        results[case] = {"lines": lines, **{size: run.as_json() for size, run in runs.items()}}
     if as_json:
         click.echo(orjson.dumps(results, option=orjson.OPT_INDENT_2).decode())
     else:
         for case, result in results.items():
             show(case, result, (caches, caches * SIZE_RATIO))
-    sys.exit(0 if all(line["holds"] for one in results.values() for line in one["lines"]) else 1)
+    sys.exit(
+        0 if all(line["holds"] for case_result in results.values() for line in case_result["lines"]) else 1
+    )
 
 
 def show(case: str, results: Json, sizes: tuple[int, int]) -> None:
-    """Prints the table of one case, at both sizes."""
+    """Prints the results of one case at both sizes as a table."""
     console = Console(width=None if sys.stdout.isatty() else 110)
     table = Table("", *(f"{size} cache servers" for size in sizes), "limit", "holds", title=case)
     for line in results["lines"]:
--- a/applehub/lab/origin.py
+++ b/applehub/lab/origin.py
@@ -31,12 +31,12 @@
         super().__init__(clock, cores, speed, cores, max(1, int(rate * spec.queue_s)))
         self.choke, self.choke_at = spec.choke, cores * 4.0
         self.id, self.spec, self.random_stream = name, spec, random_stream
-        self.coalesced: dict[str, list[Job]] = {}  # by key: reads that wait for one in progress
+        self.coalesced: dict[str, list[Job]] = {}  # reads that wait for an earlier read of their key, by key
         self.reads = self.writes = self.rejected = 0
 
     def receive(self, attempt: Job) -> None:
         """Processes an attempt whose last byte has arrived."""
-        demand = attempt.asked.demand
+        demand = attempt.client_attempt.demand
         if demand.write:
             self.writes += 1
         else:
@@ -54,8 +54,8 @@
             self.coalesced[demand.key] = []
 
     def job_done(self, job: Job) -> None:
-        demand = job.asked.demand
+        demand = job.client_attempt.demand
         coalesced_jobs = [] if demand.write else self.coalesced.pop(demand.key, [])
         failed = self.spec.error_share and self.random_stream.uniform() < self.spec.error_share
-        for one in [job, *coalesced_jobs]:
-            one.router.answered(one, api.Status.ERROR if failed else api.Status.OK, 0)
+        for finished_job in [job, *coalesced_jobs]:
+            finished_job.router.answered(finished_job, api.Status.ERROR if failed else api.Status.OK, 0)
--- a/applehub/lab/peering.py
+++ b/applehub/lab/peering.py
@@ -22,7 +22,7 @@
 
     index: int
     zone: int
-    life: int
+    incarnation: int
     up: bool
     known: dict[str, api.Member]
 
@@ -39,7 +39,7 @@
     def __init__(
         self, clock: Clock, config: spec.Peers, kinds: list[str], net: EmulatedNetwork, random: RandomStream
     ) -> None:
-        """kinds: names of all machine types of servers, in the order of their indexes."""
+        """kinds: names of all machine types of servers, by index."""
         self.clock, self.config, self.net, self.random = clock, config, net, random
         self.kinds = {name: number for number, name in enumerate(kinds)}
         self.period = int(config.period_ms * MILLI)
@@ -50,62 +50,64 @@
         self.datagrams = self.bytes = 0
 
     def register(self, routers: Iterable[GossipRouter]) -> None:
-        """Registers all routers, before any starts, and draws the ones that report false data."""
-        self.routers = {f"n{one.index}": one for one in routers}
+        """Registers all routers before any of them starts, and draws which of them report false data."""
+        self.routers = {f"n{router.index}": router for router in routers}
         if self.config.liars:
             self.faulty = {
-                one.index for one in self.routers.values() if self.random.uniform() < self.config.liars
+                router.index for router in self.routers.values() if self.random.uniform() < self.config.liars
             }
 
     def start(self, router: GossipRouter) -> None:
         """Starts the agent of a router process, with a new random incarnation."""
-        name, incarnation = f"n{router.index}", int(self.random.uniform() * (1 << 53)) + 1
-        own_peer = Peer(incarnation, 0, PeerState.ALIVE, router.index.to_bytes(4), 1, name)
-        seed_names = [one for one in self.routers if one != name]
+        name, agent_incarnation = f"n{router.index}", int(self.random.uniform() * (1 << 53)) + 1
+        own_peer = Peer(agent_incarnation, 0, PeerState.ALIVE, router.index.to_bytes(4), 1, name)
+        seed_names = [other_name for other_name in self.routers if other_name != name]
         self.adapters[router.index] = PolicyAdapter(
-            GossipAgent(own_peer, FLEET, seed_names, incarnation, self.period)
+            GossipAgent(own_peer, FLEET, seed_names, agent_incarnation, self.period)
+        )
+        self.clock.after(
+            int(self.random.uniform() * self.period), self._tick, (router, router.incarnation, 0)
         )
-        self.clock.after(int(self.random.uniform() * self.period), self._tick, (router, router.life, 0))
 
     def _tick(self, args: tuple[GossipRouter, int, int]) -> None:
-        router, life, count = args
-        if router.life != life or not router.up:
+        router, incarnation, count = args
+        if router.incarnation != incarnation or not router.up:
             return
         adapter, now = self.adapters[router.index], self.clock.now
         self._send(router, adapter.agent.tick(now))
         if count % SUMMARY_PERIODS == 0:
-            fleet = adapter.gossip_summary(now, router.known, self.kinds)
+            summary = adapter.gossip_summary(now, router.known, self.kinds)
             if not self.config.shares:
-                fleet.range_fractions.clear()
+                summary.range_fractions.clear()
             if not self.config.verdicts:
-                fleet.failure_reports.clear()
-            router.deliver(fleet, self.cost)
-        self.clock.after(self.period, self._tick, (router, life, count + 1))
+                summary.failure_reports.clear()
+            router.deliver(summary, self.cost)
+        self.clock.after(self.period, self._tick, (router, incarnation, count + 1))
 
-    def publish(self, router: GossipRouter, tell: api.PublishGossip) -> None:
+    def publish(self, router: GossipRouter, gossip: api.PublishGossip) -> None:
         """Publishes the gossip of a router's decision module, replaced by false data for a faulty router."""
         if router.index in self.faulty:
             shares, failing = (
-                dict.fromkeys(tell.range_fractions, MIN_RANGE_FRACTION),
+                dict.fromkeys(gossip.range_fractions, MIN_RANGE_FRACTION),
                 dict.fromkeys(router.known, 9),
             )
-            tell = api.PublishGossip(1e6, 1e6, shares, failing, [])
-        self.adapters[router.index].publish(self.clock.now, tell, self.kinds)
+            gossip = api.PublishGossip(1e6, 1e6, shares, failing, [])
+        self.adapters[router.index].publish(self.clock.now, gossip, self.kinds)
 
-    def _send(self, router: GossipRouter, out: list[OutgoingDatagram]) -> None:
-        for to, data in out:
-            other = self.routers[to.name if isinstance(to, Peer) else to]
+    def _send(self, router: GossipRouter, datagrams: list[OutgoingDatagram]) -> None:
+        for recipient, payload in datagrams:
+            receiver = self.routers[recipient.name if isinstance(recipient, Peer) else recipient]
             self.datagrams += 1
-            self.bytes += len(data)
+            self.bytes += len(payload)
             router.work(self.cost)
             lost = self.config.loss > 0 and self.random.uniform() < self.config.loss
-            if lost or self.net.is_partitioned(router.zone, other.zone):
+            if lost or self.net.is_partitioned(router.zone, receiver.zone):
                 continue
-            delay_ns = self.net.delay(router.zone, other.zone)
-            self.clock.after(delay_ns, self._receive, (other, data))
+            delay_ns = self.net.delay(router.zone, receiver.zone)
+            self.clock.after(delay_ns, self._receive, (receiver, payload))
 
     def _receive(self, args: tuple[GossipRouter, bytes]) -> None:
-        router, data = args
+        router, payload = args
         if router.up:
             router.work(self.cost)
-            self._send(router, self.adapters[router.index].agent.receive(self.clock.now, data))
+            self._send(router, self.adapters[router.index].agent.receive(self.clock.now, payload))
--- a/applehub/lab/plots.py
+++ b/applehub/lab/plots.py
@@ -19,17 +19,17 @@
     """Returns the mean over seeds by second, as a moving average, up to the end of the shortest run."""
     curves = [record["result"]["by_second"] for record in group]
     length = min(map(len, curves))
-    mean = [sum(curve[at] for curve in curves) / len(curves) for at in range(length)]
+    mean = [sum(curve[second] for curve in curves) / len(curves) for second in range(length)]
     return [
-        sum(mean[max(0, at - SMOOTHING_WINDOW // 2) : at + SMOOTHING_WINDOW // 2 + 1])
-        / len(mean[max(0, at - SMOOTHING_WINDOW // 2) : at + SMOOTHING_WINDOW // 2 + 1])
-        for at in range(length)
+        sum(mean[max(0, second - SMOOTHING_WINDOW // 2) : second + SMOOTHING_WINDOW // 2 + 1])
+        / len(mean[max(0, second - SMOOTHING_WINDOW // 2) : second + SMOOTHING_WINDOW // 2 + 1])
+        for second in range(length)
     ]
 
 
 def _losses(group: list[Json]) -> dict[str, float]:
     losses = mean_losses(group)
-    large = {cause: part for cause, part in losses.items() if part >= MIN_SHOWN_LOSS}
+    large = {cause: loss for cause, loss in losses.items() if loss >= MIN_SHOWN_LOSS}
     remainder = sum(losses.values()) - sum(large.values())
     return {**large, "others": remainder} if remainder else large
 
@@ -48,7 +48,9 @@
     causes = sorted({cause for group in groups.values() for cause in _losses(group)} - {"others"})
     colours = {cause: plt.get_cmap("tab20")(number % 20) for number, cause in enumerate([*causes, "others"])}
     for point, (left, right) in zip(points, rows, strict=True):
-        groups_by_policy = {policy: group for (at, policy), group in groups.items() if at == point}
+        groups_by_policy = {
+            policy: group for (group_point, policy), group in groups.items() if group_point == point
+        }
         _draw_curves(left, groups_by_policy, point)
         _draw_losses(right, groups_by_policy, colours)
     figure.savefig(path, dpi=100)
@@ -65,7 +67,11 @@
 
 def _draw_losses(axes: Any, groups_by_policy: dict[str, list[Json]], colours: dict[str, Any]) -> None:
     losses = {policy: _losses(group) for policy, group in groups_by_policy.items()}
-    causes = list(dict.fromkeys(cause for parts in losses.values() for cause in parts if cause != "others"))
+    causes = list(
+        dict.fromkeys(
+            cause for policy_losses in losses.values() for cause in policy_losses if cause != "others"
+        )
+    )
     causes.sort(key=lambda cause: -next(iter(losses.values())).get(cause, 0.0))
     left_edges = dict.fromkeys(groups_by_policy, 0.0)
     for cause in [*causes, "others"]:
--- a/applehub/lab/policies.py
+++ b/applehub/lab/policies.py
@@ -14,9 +14,10 @@
 from applehub.policy import Balancer
 from applehub.wirehost import DecisionModule
 
-POINTS_PER_SERVER = 64  # on the hash ring
+POINTS_PER_SERVER = 64  # points of each server on the hash ring
 LOAD_BOUND = 1.25  # limit of a server's attempts in flight, relative to the mean
 DISCOVERY_RETRY_DELAY = 1_000_000_000  # ns
+# Results after which the request was certainly not executed.
 NOT_EXECUTED = frozenset((api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.MOOT, api.Status.MISS))
 
 
@@ -32,7 +33,7 @@
 
 
 class BaselinePolicy:
-    """Base of the baselines: sends reads to a chosen cache server, goes to the origin after a miss, and
+    """Base of the baselines: sends reads to a chosen cache server, then to the origin after a miss, and
     retries after a failure."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
@@ -81,11 +82,13 @@
                 self.members.pop(entry.server, None)
             else:
                 self.members[entry.server] = entry
-        ready_servers = [one for one in self.members.values() if one.state is api.State.READY]
+        ready_members = [member for member in self.members.values() if member.state is api.State.READY]
         self.ready_servers = sorted(
-            one.server for one in ready_servers if one.kind != self.settings.origin_kind
+            member.server for member in ready_members if member.kind != self.settings.origin_kind
+        )
+        self.origin = next(
+            (member.server for member in ready_members if member.kind == self.settings.origin_kind), ""
         )
-        self.origin = next((one.server for one in ready_servers if one.kind == self.settings.origin_kind), "")
         self.list_changed()
         return [api.Watch()] if event.kind is api.ListKind.CACHED and self.settings.list_on_request else []
 
@@ -135,14 +138,14 @@
     def choose(self, pending: PendingRequest) -> str | None:
         if not self.ready_servers:
             return None
-        one, other = (
+        first, second = (
             self.ready_servers[int(self.random.random() * len(self.ready_servers))] for _ in range(2)
         )
-        return one if self.in_flight.get(one, 0) <= self.in_flight.get(other, 0) else other
+        return first if self.in_flight.get(first, 0) <= self.in_flight.get(second, 0) else second
 
 
 class BoundedHash(BaselinePolicy):
-    """Consistent hashing with bounded loads: skips servers with too many attempts in flight from here."""
+    """Consistent hashing with bounded loads: skips servers with too many of this router's attempts."""
 
     def list_changed(self) -> None:
         ring = sorted(
@@ -176,7 +179,7 @@
 
 class Oracle(BaselinePolicy):
     """Chooses by the true state: the fastest server that stores the key, otherwise the fastest of the key's
-    candidates, which then miss. Rejects requests that cannot meet their latency objective."""
+    candidates, which miss. Rejects requests that cannot meet their latency objective."""
 
     def __init__(self, settings: api.Settings, seed: int, system_state: SystemState) -> None:
         super().__init__(settings, seed)
@@ -193,13 +196,17 @@
         key, work = pending.request.key or "", self.system_state.mean_work
         time_limit = self.settings.classes[pending.request.cls].latency_objective * 0.9
         expected_time, name = self._fastest(
-            [one for one in self.ready_servers if key in self.system_state.server(one).stored_keys],
+            [
+                server_id
+                for server_id in self.ready_servers
+                if key in self.system_state.server(server_id).stored_keys
+            ],
             pending,
             work,
         )
         if expected_time < time_limit:
             return name
-        candidates = sorted(self.ready_servers, key=lambda one: crc32(f"{one}{key}".encode()))[:4]
+        candidates = sorted(self.ready_servers, key=lambda server_id: crc32(f"{server_id}{key}".encode()))[:4]
         expected_time, name = self._fastest(candidates, pending, work)
         if (
             expected_time >= time_limit
@@ -215,11 +222,12 @@
         return min(times, default=(float("inf"), ""))
 
 
+# Baselines that use only what a router can observe.
 BASELINES: dict[str, type[BaselinePolicy]] = {
     "random": RandomChoice,
     "two-choices": TwoChoices,
     "bounded-hash": BoundedHash,
-}  # baselines that use only what a router can observe
+}
 
 
 def policy_factory(name: str, system_state: SystemState) -> Callable[[api.Settings, int], DecisionModule]:
--- a/applehub/lab/powerloss.py
+++ b/applehub/lab/powerloss.py
@@ -1,7 +1,8 @@
 """Enumerates the states that a power loss may leave of a directory, and checks that a store opens from each.
 
 Unsynced data may survive in the forms that `possible_contents` lists. Each rename, creation or
-removal whose directory was not synced may survive or be lost, independently of the others. Synced data stays.
+removal that was not synced with the directory may survive or be lost, independently of the others. Synced
+data stays.
 """
 
 import itertools
@@ -10,7 +11,7 @@
 
 from applehub.durable.store import LoadResult, Store, StoreError
 
-SECTOR = 512
+SECTOR = 512  # bytes that a disk writes atomically
 Names = dict[str, int]  # directory entries: inode number by file name
 
 
@@ -24,26 +25,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """An unsynced change of the directory: names with their inode number, None for a removed name."""
+    """An unsynced change of the directory: names with their inode numbers (None: the name is removed)."""
 
     changes: tuple[tuple[str, int | None], ...]
 
 
 class RecordedDisk:
-    """A directory in memory that tracks which of its content was synced."""
+    """A directory in memory that tracks which content and which names were synced."""
 
     def __init__(self) -> None:
         self.inodes: list[Inode] = []
-        self.names: Names = {}  # as the process sees them
-        self.synced: Names = {}
-        self.pending: list[Entry] = []
+        self.names: Names = {}  # directory entries as the process sees them
+        self.synced: Names = {}  # directory entries that were synced
+        self.pending: list[Entry] = []  # unsynced changes of the directory
         self.locked: set[str] = set()
         self.failing_operation: str = ""  # operation that fails with ENOSPC
         self.on_operation: Callable[[], None] = lambda: None  # called after each operation
 
-    def _check_failure(self, what: str) -> None:
-        if self.failing_operation == what:
-            raise OSError(28, f"{what} failed")
+    def _check_failure(self, operation: str) -> None:
+        if self.failing_operation == operation:
+            raise OSError(28, f"{operation} failed")
 
     def read(self, name: str) -> bytes | None:
         self._check_failure("read")
@@ -134,14 +135,14 @@
     content, nothing or zeros; and the new content with one sector old or zero. A synced file is unchanged.
     """
     old, new = inode.synced, inode.current
-    seen = {old, new}
+    contents = {old, new}
     if old != new:
-        for at in range(0, len(new) + SECTOR, SECTOR):
-            blank = b"\0" * len(new[at : at + SECTOR])
-            before, after = new[:at], new[at + SECTOR :]
-            seen |= {before + old[at:], before, before.ljust(len(new), b"\0"), before + blank + after}
-            seen.add(before + (old[at : at + SECTOR] + blank)[: len(blank)] + after)
-    yield from sorted(seen)
+        for offset in range(0, len(new) + SECTOR, SECTOR):
+            blank = b"\0" * len(new[offset : offset + SECTOR])
+            before, after = new[:offset], new[offset + SECTOR :]
+            contents |= {before + old[offset:], before, before.ljust(len(new), b"\0"), before + blank + after}
+            contents.add(before + (old[offset : offset + SECTOR] + blank)[: len(blank)] + after)
+    yield from sorted(contents)
 
 
 @dataclass(slots=True)
@@ -151,17 +152,17 @@
     state_count: int = 0
     failures: list[str] = field(default_factory=list)
 
-    def expect(self, correct: bool, what: str) -> None:
+    def expect(self, correct: bool, failure: str) -> None:
         self.state_count += 1
         if not correct and len(self.failures) < 5:
-            self.failures.append(what)
+            self.failures.append(failure)
 
 
 def search(values: list[bytes], make: Callable[[RecordedDisk], Store], flip_step: int = 1) -> SearchResult:
     """Saves the values in order and opens the store from every state that a power loss may leave.
 
-    After each save it also opens the store with each `flip_step`-th bit flipped: the store has to return the
-    last value, or the one before together with the files that it skipped.
+    Also opens the store after each save with each `flip_step`-th bit flipped: the store has to return the
+    last value, or the previous value and the names of the files that it skipped.
     """
     result, disk = SearchResult(), RecordedDisk()
     store = make(disk)
@@ -198,14 +199,14 @@
 
 
 def _open_and_save(store: Store, result: SearchResult) -> LoadResult:
-    """Opens the store and saves a value, which has to work from any state."""
+    """Opens the store and saves a value; both have to succeed in any state."""
     try:
         loaded = store.open()
         store.save(b"next")
         after = store.load().value
         result.expect(after == b"next", f"a value saved after opening reads back as {after!r:.40}")
-    except Exception as problem:  # any exception is a failed start
-        result.expect(False, f"opening the store failed: {problem!r}")
+    except Exception as error:  # any exception means that a process could not start
+        result.expect(False, f"opening the store failed: {error!r}")
         return LoadResult()
     return loaded
 
--- a/applehub/lab/routers.py
+++ b/applehub/lab/routers.py
@@ -18,8 +18,8 @@
 from applehub.policy import Balancer
 from applehub.wirehost import DecisionModule
 
-MAX_STORES_PER_MISS = 2  # cache servers that store the origin's answer to one request
-TERMINATION_GRACE = 700 * MILLI  # ns past the longest deadline
+MAX_STORES_PER_MISS = 2  # maximum number of cache servers that store the origin's answer to one request
+TERMINATION_GRACE = 700 * MILLI  # ns; added to the longest deadline for a graceful shutdown
 
 
 @dataclass(slots=True)
@@ -35,9 +35,8 @@
     rules: Rules
     account: Account
     longest_deadline: int
-    answered: Callable[
-        [ClientAttempt, str, int, int], None
-    ]  # client attempt, outcome, retry-after, delay in ns
+    # Called with a client attempt, its outcome, the retry-after and the network delay, both in ns.
+    answered: Callable[[ClientAttempt, str, int, int], None]
     log: Callable[["RouterHost", str], None]
     on_overload: Callable[[CacheServer], None]
     peering: Peering | None  # None: no gossip
@@ -48,17 +47,17 @@
 
     def __init__(self, context: RouterContext, index: int, zone: int) -> None:
         self.context, self.clock, self.index, self.zone = context, context.clock, index, zone
-        self.life = 0
+        self.incarnation = 0
         self.up = self.accepting = False
-        self.busy_until = 0  # when its processor has finished the work accepted so far
+        self.busy_until = 0  # time at which the processor finishes the accepted work, ns
         self.cpu_time = 0
-        self.asked: dict[str, ClientAttempt] = {}
-        # By server: start of the idle time, incarnation of the server.
+        self.pending: dict[str, ClientAttempt] = {}
+        # Idle connections by server id, each with the start of its idle time and the server's incarnation.
         self.idle_connections: dict[str, deque[tuple[int, int]]] = {}
         self.known: dict[str, api.Member] = {}
         self.list_version = 0
-        self.told_away: dict[str, int] = {}  # by server: when the list reported it draining or gone
-        self.asked_at = 0  # when it last started a watch
+        self.drain_reported_at: dict[str, int] = {}  # first report as draining or gone, by id
+        self.watch_started_at = 0  # start of the latest watch, ns
         self.subscribed = False
         self.max_attempts = context.spec.max_attempts
         costs = context.spec
@@ -66,41 +65,42 @@
         self.timer_cost, self.list_entry_cost = int(costs.alarm_us * 1000), int(costs.member_us * 1000)
         self.idle_timeout = int(costs.idle_s * SECOND)
         self.save_interval = int(costs.keeps_s * SECOND)
-        self.saved_statistics: tuple[int, api.SavedStatistics] | None = None  # with the time of saving
+        self.saved_statistics: tuple[int, api.SavedStatistics] | None = None  # with the time of the save, ns
         self.decider: DecisionModule
 
     # Process lifetime
 
     def start(self, make_policy: Callable[[int], DecisionModule]) -> None:
-        """Starts a process with the cached list and the saved statistics, if any."""
-        self.life += 1
+        """Starts a router process with the cached list and the saved statistics, if any."""
+        self.incarnation += 1
         self.up = self.accepting = True
         self.busy_until = self.clock.now
-        self.subscribed, self.asked_at = False, self.clock.now
+        self.subscribed, self.watch_started_at = False, self.clock.now
         self.max_attempts = self.context.spec.max_attempts
-        self.decider = make_policy(self.life)
+        self.decider = make_policy(self.incarnation)
         self._receive_list(api.Members(api.ListKind.CACHED, list(self.known.values())), self.list_version)
         if self.saved_statistics is not None:
-            at, statistics = self.saved_statistics
+            saved_at, statistics = self.saved_statistics
             self.deliver(
-                replace(statistics, age=self.clock.now - at), self.list_entry_cost * len(statistics.servers)
+                replace(statistics, age=self.clock.now - saved_at),
+                self.list_entry_cost * len(statistics.servers),
             )
         if self.save_interval and isinstance(self.decider, Balancer):
-            self.clock.after(self.save_interval, self._save_statistics, self.life)
+            self.clock.after(self.save_interval, self._save_statistics, self.incarnation)
         if self.context.peering is not None:
             self.context.peering.start(self)
 
-    def _save_statistics(self, life: int) -> None:
-        if self.life == life and isinstance(self.decider, Balancer):
+    def _save_statistics(self, incarnation: int) -> None:
+        if self.incarnation == incarnation and isinstance(self.decider, Balancer):
             self.saved_statistics = self.clock.now, self.decider.statistics()
-            self.clock.after(self.save_interval, self._save_statistics, life)
+            self.clock.after(self.save_interval, self._save_statistics, incarnation)
 
     def stop(self) -> None:
-        """Ends the process at once, as SIGKILL does; its clients see their connections break."""
+        """Ends the process at once, as SIGKILL does, and breaks the connections of its clients."""
         self.up = self.accepting = False
-        self.life += 1
+        self.incarnation += 1
         self.context.registry.unsubscribe(self.index)
-        for client_attempt in list(self.asked.values()):
+        for client_attempt in list(self.pending.values()):
             for attempt in client_attempt.in_flight.values():
                 attempt.ended = True
                 self._release_connection(attempt)
@@ -108,11 +108,11 @@
                 client_attempt.answered_at = self.clock.now
                 self._record_event(client_attempt, "router stopped")
                 self.context.answered(client_attempt, "unreachable", 0, self.context.net.client_delay)
-        self.asked.clear()
+        self.pending.clear()
         for name, idle_connections in self.idle_connections.items():
             server = self.context.servers_by_id[name]
-            for _, incarnation in idle_connections:
-                self._close_connection(server, incarnation)
+            for _, server_incarnation in idle_connections:
+                self._close_connection(server, server_incarnation)
         self.idle_connections.clear()
 
     def drain(self, on_stopped: Callable[["RouterHost"], None]) -> None:
@@ -120,14 +120,14 @@
         grace period has passed."""
         self.accepting = False
         self._check_drained(
-            (self.clock.now + self.context.longest_deadline + TERMINATION_GRACE, self.life, on_stopped)
+            (self.clock.now + self.context.longest_deadline + TERMINATION_GRACE, self.incarnation, on_stopped)
         )
 
     def _check_drained(self, argument: tuple[int, int, Callable[["RouterHost"], None]]) -> None:
-        deadline, life, on_stopped = argument
-        if self.life != life:
+        deadline, incarnation, on_stopped = argument
+        if self.incarnation != incarnation:
             return
-        if self.asked and self.clock.now < deadline:
+        if self.pending and self.clock.now < deadline:
             self.clock.after(20 * MILLI, self._check_drained, argument)
             return
         self.stop()
@@ -141,18 +141,18 @@
         self.busy_until = starts_at + cost
         self.cpu_time += cost
         if starts_at == self.clock.now:
-            self._handle((self.life, event))
+            self._handle((self.incarnation, event))
         else:
-            self.clock.at(starts_at, self._handle, (self.life, event))
+            self.clock.at(starts_at, self._handle, (self.incarnation, event))
 
     def work(self, cost: int) -> None:
-        """Adds work to the processor, in ns."""
+        """Occupies the processor for `cost` ns."""
         self.busy_until = max(self.clock.now, self.busy_until) + cost
         self.cpu_time += cost
 
     def _handle(self, argument: tuple[int, api.Event]) -> None:
-        life, event = argument
-        if life != self.life or not self.up:
+        incarnation, event = argument
+        if incarnation != self.incarnation or not self.up:
             return
         if type(event) is api.RequestCancelled and not self._cancel(event.id):
             return
@@ -165,7 +165,7 @@
                 case api.Fail():
                     self._finish(action.id, "failed", 0)
                 case api.SetTimer():
-                    self.clock.after(action.delay, self._fire_timer, (self.life, action.token))
+                    self.clock.after(action.delay, self._fire_timer, (self.incarnation, action.token))
                 case api.Watch():
                     self._subscribe()
                 case api.Log():
@@ -175,15 +175,15 @@
                     self.context.peering.publish(self, action)
 
     def _fire_timer(self, argument: tuple[int, str]) -> None:
-        if argument[0] == self.life:
+        if argument[0] == self.incarnation:
             self.deliver(api.TimerFired(argument[1]), self.timer_cost)
 
     def _subscribe(self) -> None:
-        self.asked_at = self.clock.now
-        life = self.life
+        self.watch_started_at = self.clock.now
+        incarnation = self.incarnation
 
         def on_list(event: api.Members, version: int) -> None:
-            if self.life == life:
+            if self.incarnation == incarnation:
                 self.subscribed = event.kind is not api.ListKind.FAILED
                 self._receive_list(event, version)
 
@@ -198,9 +198,9 @@
         self.list_version = version
         for entry in event.entries:
             if entry.state is api.State.READY:
-                self.told_away.pop(entry.server, None)
+                self.drain_reported_at.pop(entry.server, None)
             else:
-                self.told_away.setdefault(entry.server, self.clock.now)
+                self.drain_reported_at.setdefault(entry.server, self.clock.now)
             if entry.state is api.State.GONE:
                 self.known.pop(entry.server, None)
                 self._close_idle_to(entry.server)
@@ -210,8 +210,8 @@
 
     def _close_idle_to(self, name: str) -> None:
         server = self.context.servers_by_id[name]
-        for _, incarnation in self.idle_connections.pop(name, ()):
-            self._close_connection(server, incarnation)
+        for _, server_incarnation in self.idle_connections.pop(name, ()):
+            self._close_connection(server, server_incarnation)
 
     # Requests
 
@@ -221,7 +221,7 @@
             self.context.answered(client_attempt, "unreachable", 0, self.context.net.client_delay)
             return
         demand = client_attempt.demand
-        self.asked[client_attempt.id] = client_attempt
+        self.pending[client_attempt.id] = client_attempt
         request = api.Request(
             client_attempt.id,
             demand.cls,
@@ -236,12 +236,12 @@
 
     def withdraw(self, client_attempt: ClientAttempt) -> None:
         """Reports to the decision module that the client has closed the request early."""
-        if self.up and client_attempt.answered_at < 0 and client_attempt.id in self.asked:
+        if self.up and client_attempt.answered_at < 0 and client_attempt.id in self.pending:
             self.deliver(api.RequestCancelled(client_attempt.id), self.timer_cost)
 
-    def _cancel(self, name: str) -> bool:
-        """Ends a cancelled request once its router handles the event; returns whether it was still open."""
-        client_attempt = self.asked.get(name)
+    def _cancel(self, client_attempt_id: str) -> bool:
+        """Ends a cancelled request when the router handles the event; returns whether it was unanswered."""
+        client_attempt = self.pending.get(client_attempt_id)
         if client_attempt is None or client_attempt.answered_at >= 0:
             return False
         client_attempt.answered_at = self.clock.now
@@ -249,8 +249,8 @@
         self._release_if_finished(client_attempt)
         return True
 
-    def _finish(self, name: str, outcome: str, retry_after: int) -> None:
-        client_attempt = self.asked.get(name)
+    def _finish(self, client_attempt_id: str, outcome: str, retry_after: int) -> None:
+        client_attempt = self.pending.get(client_attempt_id)
         if client_attempt is None or client_attempt.answered_at >= 0:
             return
         if outcome == "refused":
@@ -263,27 +263,27 @@
         self._release_if_finished(client_attempt)
 
     def _backlog(self) -> int:
-        """Returns how long its processor is busy with earlier work, in ns."""
+        """Returns the time until the processor is free, in ns."""
         return max(0, self.busy_until - self.clock.now)
 
     def _release_if_finished(self, client_attempt: ClientAttempt) -> None:
         if client_attempt.answered_at >= 0 and not client_attempt.in_flight:
-            self.asked.pop(client_attempt.id, None)
+            self.pending.pop(client_attempt.id, None)
 
     # Attempts
 
     def _send(self, action: api.Send) -> None:
         now, client_attempt, server = (
             self.clock.now,
-            self.asked.get(action.id),
+            self.pending.get(action.id),
             self.context.servers_by_id[action.server],
         )
         if client_attempt is None:
             self.context.rules.record_unknown_request(action, self)
             return
         number, client_attempt.attempts_made = client_attempt.attempts_made, client_attempt.attempts_made + 1
-        incarnation = server.incarnation if isinstance(server, CacheServer) else 0
-        attempt = Attempt(client_attempt, number, self, server, now, self.life, incarnation)
+        server_incarnation = server.incarnation if isinstance(server, CacheServer) else 0
+        attempt = Attempt(client_attempt, number, self, server, now, self.incarnation, server_incarnation)
         time_left = client_attempt.deadline - now
         timeout = min(action.timeout, time_left) if action.timeout > 0 else time_left
         if not self.context.rules.check_attempt(attempt) or timeout <= 0:
@@ -321,16 +321,16 @@
     def _reuse_connection(self, attempt: Attempt) -> bool:
         idle_connections = self.idle_connections.get(attempt.server.id)
         while idle_connections:
-            since, incarnation = idle_connections.pop()
+            since, server_incarnation = idle_connections.pop()
             if self.clock.now - since < self.idle_timeout:
-                attempt.incarnation = incarnation
+                attempt.server_incarnation = server_incarnation
                 attempt.connection_counted = True
                 return True
-            self._close_connection(attempt.server, incarnation)
+            self._close_connection(attempt.server, server_incarnation)
         return False
 
     def _connected(self, attempt: Attempt) -> None:
-        """Completes the handshake, or fails where the server is down or its connection table is full."""
+        """Completes the handshake, or fails if the server is down or its connection table is full."""
         server = attempt.server
         assert isinstance(server, CacheServer)
         full = server.connections >= server.spec.connections_per_core * server.cores
@@ -339,7 +339,7 @@
         if not server.up or server.overloaded or full:
             self._connect_failed(attempt)
             return
-        attempt.incarnation = server.incarnation
+        attempt.server_incarnation = server.incarnation
         attempt.connection_counted = True
         server.connections += 1
         self.clock.after(self.context.net.delay(self.zone, server.zone), self._reach_server, attempt)
@@ -361,7 +361,7 @@
             return
         if net.is_partitioned(self.zone, server.zone) or server.unresponsive:
             return
-        if not server.up or server.overloaded or server.incarnation != attempt.incarnation:
+        if not server.up or server.overloaded or server.incarnation != attempt.server_incarnation:
             self.clock.after(net.delay(self.zone, server.zone), self._reset, attempt)
             return
         informed = self.context.rules.knows_latest_start(self, server)
@@ -369,18 +369,18 @@
             self.context.on_overload(server)
 
     def _reset(self, attempt: Attempt) -> None:
-        if not attempt.ended and attempt.life == self.life:
+        if not attempt.ended and attempt.router_incarnation == self.incarnation:
             self._end_attempt(attempt, api.Status.RESET, 0, None)
 
-    def broken(self, attempt: Attempt) -> None:
-        """Reports the end of the server's process to a waiting attempt, after the network delay."""
+    def connection_broken(self, attempt: Attempt) -> None:
+        """Ends an attempt with a connection reset, after the network delay."""
         server = attempt.server
         assert isinstance(server, CacheServer)
         self.clock.after(self.context.net.delay(self.zone, server.zone), self._reset, attempt)
 
     def answered(self, attempt: Attempt, status: api.Status, note: int) -> None:
         """Sends a server's answer back over the network, which may lose it or reset the connection."""
-        server, net, demand = attempt.server, self.context.net, attempt.asked.demand
+        server, net, demand = attempt.server, self.context.net, attempt.client_attempt.demand
         if isinstance(server, OriginServer):
             if status is api.Status.OK:
                 self._update_caches(attempt)
@@ -391,14 +391,14 @@
         if net.is_partitioned(self.zone, server.zone) or server.unresponsive or net.drops_answer():
             return
         if net.resets_connection():
-            self.broken(attempt)
+            self.connection_broken(attempt)
             return
         delay = net.delay(self.zone, server.zone)
         self.clock.after(delay, self._receive_answer, (attempt, status, note, server.load()))
 
     def _update_caches(self, attempt: Attempt) -> None:
-        """Invalidates the cached copies of a written key; stores a read, if still wanted, where it missed."""
-        client_attempt, demand = attempt.asked, attempt.asked.demand
+        """Invalidates the copies of a written key, or stores a read key at the servers that missed it."""
+        client_attempt, demand = attempt.client_attempt, attempt.client_attempt.demand
         if demand.write:
             for server in self.context.servers:
                 server.stored_keys.pop(demand.key, None)
@@ -409,24 +409,29 @@
 
     def _receive_answer(self, argument: tuple[Attempt, api.Status, int, api.LoadReport | None]) -> None:
         attempt, status, note, load = argument
-        if attempt.ended or attempt.life != self.life:
+        if attempt.ended or attempt.router_incarnation != self.incarnation:
             return
         self._end_attempt(attempt, status, note, load)
 
     def _timed_out(self, attempt: Attempt) -> None:
-        if not attempt.ended and attempt.life == self.life:
+        if not attempt.ended and attempt.router_incarnation == self.incarnation:
             self._end_attempt(attempt, api.Status.TIMEOUT if attempt.written else api.Status.MOOT, 0, None)
 
     def _end_attempt(
         self, attempt: Attempt, status: api.Status, note: int, load: api.LoadReport | None
     ) -> None:
-        client_attempt, server, now = attempt.asked, attempt.server, self.clock.now
+        client_attempt, server, now = attempt.client_attempt, attempt.server, self.clock.now
         attempt.ended = True
-        broken = status in (api.Status.RESET, api.Status.TIMEOUT, api.Status.CONNECT_FAILED, api.Status.MOOT)
-        if broken:
+        must_close = status in (
+            api.Status.RESET,
+            api.Status.TIMEOUT,
+            api.Status.CONNECT_FAILED,
+            api.Status.MOOT,
+        )
+        if must_close:
             self._release_connection(attempt)
         elif attempt.connection_counted:
-            self.idle_connections.setdefault(server.id, deque()).append((now, attempt.incarnation))
+            self.idle_connections.setdefault(server.id, deque()).append((now, attempt.server_incarnation))
         client_attempt.in_flight.pop(attempt.number, None)
         if status in (api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.MOOT, api.Status.MISS):
             client_attempt.possibly_executed.pop(attempt.number, None)
@@ -443,7 +448,7 @@
             server.id,
             status,
             client_attempt.answered_at >= 0,
-            now - attempt.sent,
+            now - attempt.sent_at,
             note,
             load,
         )
@@ -457,10 +462,14 @@
     def _release_connection(self, attempt: Attempt) -> None:
         if attempt.connection_counted:
             attempt.connection_counted = False
-            self._close_connection(attempt.server, attempt.incarnation)
-
-    def _close_connection(self, server: Backend, incarnation: int) -> None:
-        if isinstance(server, CacheServer) and server.incarnation == incarnation and server.connections:
+            self._close_connection(attempt.server, attempt.server_incarnation)
+
+    def _close_connection(self, server: Backend, server_incarnation: int) -> None:
+        if (
+            isinstance(server, CacheServer)
+            and server.incarnation == server_incarnation
+            and server.connections
+        ):
             server.connections -= 1
 
     def close_idle_connections(self) -> None:
--- a/applehub/lab/rules.py
+++ b/applehub/lab/rules.py
@@ -1,6 +1,6 @@
 """Rule checks that run in every simulation.
 
-A violation holds the request, the server, the time and the events that preceded it.
+Each violation is recorded with its request, its server, its time and the preceding events.
 """
 
 from dataclasses import asdict, dataclass, field
@@ -14,7 +14,7 @@
 from applehub.settings import Json
 
 MAX_RECORDED = 20  # violations recorded in full; later ones are only counted
-INFORMED_FRACTION = 2 / 3  # least fraction of an overload, sent by informed routers, that breaks the rule
+INFORMED_FRACTION = 2 / 3  # minimum share of an overload from routers informed of the start, for a violation
 
 
 @dataclass(slots=True)
@@ -30,7 +30,7 @@
 
 
 def _event_lines(events: "list[tuple[int, str]]") -> list[str]:
-    return [f"{at / MILLI:.3f} ms {text}" for at, text in events[-8:]]
+    return [f"{time / MILLI:.3f} ms {text}" for time, text in events[-8:]]
 
 
 class Rules:
@@ -53,7 +53,7 @@
         self.counts: dict[str, int] = {}
 
     def report(self) -> Json:
-        return {"counts": self.counts, "first": [asdict(one) for one in self.violations]}
+        return {"counts": self.counts, "first": [asdict(violation) for violation in self.violations]}
 
     def record_violation(
         self, rule: str, client_attempt: ClientAttempt | None, server: str, what: str
@@ -76,11 +76,11 @@
         self.record_violation("one answer", None, action.server, what)
 
     def check_answered(self, client_attempt: ClientAttempt) -> None:
-        """Checks that the router answered; called when the deadline plus its slack has passed."""
+        """Checks that the router answered; called when the deadline and the answer slack have passed."""
         if (
             client_attempt.answered_at < 0
             and client_attempt.router.up
-            and client_attempt.id in client_attempt.router.asked
+            and client_attempt.id in client_attempt.router.pending
         ):
             self.record_violation("one answer", client_attempt, "", "no final answer by the deadline")
 
@@ -88,7 +88,7 @@
 
     def check_attempt(self, attempt: Attempt) -> bool:
         """Checks an attempt before it is sent; returns whether it may be sent."""
-        client_attempt, router = attempt.asked, attempt.router
+        client_attempt, router = attempt.client_attempt, attempt.router
         if client_attempt.answered_at >= 0:
             self.record_violation(
                 "one answer", client_attempt, attempt.server.id, "sent after its final answer"
@@ -113,7 +113,7 @@
         spec = self.classes[client_attempt.demand.cls]
         if spec.effect is api.Effect.SAFE:
             return
-        first_sent = min(one.sent for one in client_attempt.possibly_executed.values())
+        first_sent = min(attempt.sent_at for attempt in client_attempt.possibly_executed.values())
         if spec.effect is api.Effect.UNSAFE:
             self.record_violation(
                 "no second effect", client_attempt, server, "a non-idempotent request was sent again"
@@ -127,7 +127,7 @@
             )
 
     def check_rejection(self, client_attempt: ClientAttempt) -> None:
-        """Checks a rejection, which tells the client that a retry has no duplicate effect."""
+        """Checks that a rejected request was not executed, because clients retry rejected requests."""
         if (
             client_attempt.possibly_executed
             and self.classes[client_attempt.demand.cls].effect is api.Effect.UNSAFE
@@ -140,17 +140,17 @@
             )
 
     def drain_notified_at(self, router: Router, server: str) -> int:
-        """Returns when the router was or should have been notified that a server drains or is gone; 0: never.
+        """Returns when the router knew, or should have known, that a server is draining or gone; 0: not yet.
 
-        A router without a watch should know a change once `max_poll_interval` has passed since its last poll.
+        A router without a watch should know a change `max_poll_interval` after the start of its last watch.
         """
-        now, notified_at = self.clock.now, router.told_away.get(server, 0)
-        if notified_at or router.subscribed or now - router.asked_at <= self.max_poll_interval:
+        now, notified_at = self.clock.now, router.drain_reported_at.get(server, 0)
+        if notified_at or router.subscribed or now - router.watch_started_at <= self.max_poll_interval:
             return notified_at
         listed = self.registry.listed.get(server)
         if listed is None or listed[1] is api.State.READY:
             return 0
-        presumed_at = max(listed[0], router.asked_at) + self.max_poll_interval
+        presumed_at = max(listed[0], router.watch_started_at) + self.max_poll_interval
         return presumed_at if presumed_at <= now else 0
 
     # Servers that warm up
@@ -165,7 +165,7 @@
     def record_overload(self, server: CacheServer) -> None:
         """Records the overload of a server that warms up.
 
-        The rule is broken if informed routers sent most of the load.
+        The rule is broken if routers informed of the start sent at least INFORMED_FRACTION of the load.
         """
         server.events.append((self.clock.now, "crashed from overload"))
         if server.informed_fraction >= INFORMED_FRACTION:
--- a/applehub/lab/runner.py
+++ b/applehub/lab/runner.py
@@ -21,7 +21,7 @@
 from applehub.lab.spec import Experiment, Scenario, parse_experiment
 from applehub.settings import Json
 
-EXTRA_SOURCES = ("interface.py", "settings.py")  # in addition to lab, policy and peers
+EXTRA_SOURCES = ("interface.py", "settings.py")  # hashed in addition to the folders lab, policy and peers
 
 
 class ResultsError(ValueError):
@@ -49,7 +49,7 @@
     def tasks(self) -> list[Task]:
         seeds = range(self.experiment.seeds.first, self.experiment.seeds.first + self.experiment.seeds.count)
         combinations = itertools.product(range(len(self.points)), self.experiment.policies, seeds)
-        return [Task(*one) for one in combinations]
+        return [Task(*combination) for combination in combinations]
 
     @property
     def header(self) -> Json:
@@ -104,7 +104,7 @@
 
 
 def count_completed(path: Path, plan: Plan) -> int:
-    """Returns the number of runs that the file holds; raises ResultsError for another experiment's file."""
+    """Returns the number of runs in the file; raises ResultsError for the file of another experiment."""
     lines = _complete_lines(path)
     if not lines:
         return 0
@@ -122,9 +122,9 @@
 
 
 def run_plan(plan: Plan, path: Path, processes: int, on_record: Callable[[int, Json], None]) -> int:
-    """Runs what the file lacks, appends each record and reports it; returns the number of runs made.
+    """Runs the tasks that the file lacks and appends their records; returns the number of runs made.
 
-    on_record: called with the position of each run in the plan, from 1, and its record.
+    on_record: called after each run with its position in the plan, from 1, and its record.
     """
     completed = count_completed(path, plan)
     task_inputs = [(task, *plan.points[task.point]) for task in plan.tasks[completed:]]
@@ -150,10 +150,10 @@
     try:
         lines = path.read_bytes().split(b"\n")[:-1]
         header, *records = map(orjson.loads, lines)
-    except OSError as problem:
-        raise ResultsError(f"{path}: {problem.strerror or problem}") from None
-    except (ValueError, TypeError) as problem:
-        raise ResultsError(f"{path}: expected a results file of `lab run`: {problem}") from None
+    except OSError as error:
+        raise ResultsError(f"{path}: {error.strerror or error}") from None
+    except (ValueError, TypeError) as error:
+        raise ResultsError(f"{path}: expected a results file of `lab run`: {error}") from None
     keys: set[Any] = {"point", "policy", "seed", "result"}
     if "experiment" not in header or not all(keys <= set(record) for record in records):
         raise ResultsError(f"{path}: expected a results file of `lab run`, a header and records")
--- a/applehub/lab/servers.py
+++ b/applehub/lab/servers.py
@@ -11,10 +11,10 @@
 from applehub.lab.spec import Kind, Servers
 from applehub.lab.streams import RandomStream
 
-STARTED_BEFORE_RUN = -(1 << 62)  # start time of the servers that are warm when the simulation begins
+STARTED_BEFORE_RUN = -(1 << 62)  # start time of the servers that are warm at the start of the simulation
 OVERLOAD_DEVIATIONS = 3  # standard deviations above its budget at which a warming server fails
 RANDOM_DEVIATIONS = 2  # standard deviations above the budget that are attributed to random arrivals
-MAX_EVENTS = 8  # most recent events stored for each server
+MAX_EVENTS = 8  # maximum number of recent events stored for each server
 
 
 class JobListener(Protocol):
@@ -23,8 +23,8 @@
     def answered(self, attempt: Any, status: api.Status, note: int) -> None:
         """Called when the server answers the attempt."""
 
-    def broken(self, attempt: Any) -> None:
-        """Called when the server's process ends before it has answered."""
+    def connection_broken(self, attempt: Any) -> None:
+        """Called when the server's process ends before the answer."""
 
 
 class ClientAttempt(Protocol):
@@ -39,15 +39,15 @@
     """An attempt, as a server sees it."""
 
     hit: bool
-    opened: bool  # on a new connection
-    ended: bool  # the router no longer waits for it
+    opened: bool  # the attempt uses a new connection
+    ended: bool  # the router no longer waits for the result
 
     @property
     def router(self) -> JobListener:
         """Receives the outcome."""
 
     @property
-    def asked(self) -> ClientAttempt:
+    def client_attempt(self) -> ClientAttempt:
         """The client attempt."""
 
 
@@ -65,6 +65,7 @@
 
     def __init__(self, clock: Clock, cores: float, speed: float, slots: int, max_queue: int) -> None:
         self.clock, self.cores, self.speed, self.slots, self.max_queue = clock, cores, speed, slots, max_queue
+        # Congestion: jobs slow down once their number exceeds `choke_at`; see `choke` in `spec.Servers`.
         self.choke, self.choke_at = 0.0, 1.0
         self.queue: deque[tuple[Any, int]] = deque()
         self._jobs: list[tuple[float, int, Any]] = []
@@ -83,7 +84,7 @@
         return self.cores
 
     def submit(self, job: Any, work: int) -> bool:
-        """Starts or queues a job with its work, in ns on a core of speed 1; returns False if it is full."""
+        """Starts or queues a job; returns False if the queue is full. work: in ns on a core of speed 1."""
         if len(self._jobs) < self.slots:
             self._advance()
             self._start_job(job, work)
@@ -192,16 +193,17 @@
         self.errors_since_report = 0
         self.hits = self.misses = 0
         self.events: deque[tuple[int, str]] = deque(maxlen=MAX_EVENTS)
-        # Work received while warming up: time, work, sent by an informed router.
+        # Attempts received while warming up: time (ns), work (ns), whether the router knew of the start.
         self.warmup_arrivals: deque[tuple[int, int, bool]] = deque()
         self.overload_factor, self.overload_window = 0.0, 1
-        # The window closest to its bound: requests sent and budget, both in requests of mean work.
+        # Window with the highest load relative to its bound: requests received and budget, in requests of
+        # mean work.
         self.peak_load = (0.0, 0.0)
 
     # Speed
 
     def warmup_fraction(self) -> float:
-        """Returns its current capacity as a fraction of the capacity when warm."""
+        """Returns the current capacity of the server as a fraction of its warm capacity."""
         age = self.clock.now - self.started_at
         return (
             1.0
@@ -250,7 +252,7 @@
 
         informed: the router was notified of this server's start.
         """
-        demand = attempt.asked.demand
+        demand = attempt.client_attempt.demand
         work = demand.work + (self.handshake_work if attempt.opened else 0)
         if self.started_at > STARTED_BEFORE_RUN and self._is_overloaded(work, informed):
             return True
@@ -274,7 +276,7 @@
         return False
 
     def store(self, key: str) -> None:
-        """Stores an object; evicts the least recently used one where the cache is full."""
+        """Stores an object, and evicts the least recently used object if the cache is full."""
         self.stored_keys.pop(key, None)
         self.stored_keys[key] = None
         if len(self.stored_keys) > self.max_keys:
@@ -295,28 +297,28 @@
         self.warmup_arrivals.append((now, work, informed))
         while self.warmup_arrivals[0][0] < now - self.overload_window:
             self.warmup_arrivals.popleft()
-        sent = sum(entry[1] for entry in self.warmup_arrivals)
+        received_work = sum(entry[1] for entry in self.warmup_arrivals)
         budget = self.overload_factor * self.capacity * self.overload_window
-        requests, allowed = sent / self.mean_work, budget / self.mean_work
+        requests, allowed = received_work / self.mean_work, budget / self.mean_work
         if requests / request_bound(allowed) > self.peak_load[0] / request_bound(self.peak_load[1]):
             self.peak_load = requests, allowed
         return requests > request_bound(allowed, OVERLOAD_DEVIATIONS)
 
     @property
     def informed_fraction(self) -> float:
-        """Fraction of the work in the overload window that came from routers notified of the start."""
-        sent = sum(entry[1] for entry in self.warmup_arrivals)
-        return sum(entry[1] for entry in self.warmup_arrivals if entry[2]) / max(1, sent)
+        """Fraction of the work in the overload window that routers notified of the start sent."""
+        received_work = sum(entry[1] for entry in self.warmup_arrivals)
+        return sum(entry[1] for entry in self.warmup_arrivals if entry[2]) / max(1, received_work)
 
     def load(self) -> api.LoadReport | None:
-        """Returns the load report that an answer carries; it is refreshed periodically and includes noise."""
+        """Returns the load report for an answer, which is updated once per period and includes noise."""
         now = self.clock.now
         if now >= self.next_report_at:
             period = self.spec.report_ms / 1000
-            since = max(0.1, (now - self.next_report_at) / SECOND + period)
+            elapsed_s = max(0.1, (now - self.next_report_at) / SECOND + period)
             noise = 1 + self.spec.report_noise * (2 * self.random_stream.uniform() - 1)
             self.load_report = api.LoadReport(
-                queue=len(self.queue) * noise, eps=self.errors_since_report / since * noise
+                queue=len(self.queue) * noise, eps=self.errors_since_report / elapsed_s * noise
             )
             self.errors_since_report = 0
             self.next_report_at = now + int(period * SECOND)
--- a/applehub/lab/simulation.py
+++ b/applehub/lab/simulation.py
@@ -27,7 +27,7 @@
 from applehub.wirehost import DecisionModule
 
 IDLE_CHECK_INTERVAL = SECOND
-MAX_LOGS = 200
+MAX_LOGS = 200  # log lines stored for one run
 
 
 class Simulation:
@@ -45,11 +45,13 @@
         self.server_random = self.random_stream("servers")
         self.servers_by_id: dict[str, Backend] = {}
         self.servers: list[CacheServer] = []
-        self.all_servers: list[CacheServer] = []  # including those that were replaced
+        self.all_servers: list[CacheServer] = []  # including replaced servers
         self.origin = self._make_origin()
         self._make_servers()
         classes = self.settings.classes
-        self.account = Account(scenario, [one.latency_objective for one in classes], self.clock)
+        self.account = Account(
+            scenario, [request_class.latency_objective for request_class in classes], self.clock
+        )
         self.rules = Rules(scenario.rules, classes, self.clock, self.servers_by_id, self.registry)
         self.make_policy = policy_factory(policy, self)
         self.peering = self._make_peering()
@@ -72,7 +74,7 @@
         )  # fmt: skip
         self.traced_demand = -1  # number of the demand whose client attempts are recorded; -1: none
         self.client_attempts: list[ClientAttempt] = []
-        self.logs: list[tuple[int, int, str]] = []
+        self.logs: list[tuple[int, int, str]] = []  # time (ns), index of the router, text
 
     def random_stream(self, name: str) -> RandomStream:
         """Returns an independent stream of random numbers for a named component."""
@@ -83,19 +85,25 @@
         if not self.scenario.peers.on or self.policy != "router":
             return None
         self.settings.peers = True
-        kinds = [one.name for one in self.scenario.topology.kinds]
+        kinds = [kind.name for kind in self.scenario.topology.kinds]
         return Peering(self.clock, self.scenario.peers, kinds, self.net, self.random_stream("peers"))
 
     # Servers
 
     def _make_origin(self) -> OriginServer:
         spec, classes = self.scenario.origin, self.scenario.workload.classes
-        total = sum(one.share for one in classes)
-        writes = base_rate(self.scenario) * sum(one.share for one in classes if one.write) / total
+        total_share = sum(request_class.share for request_class in classes)
+        writes = (
+            base_rate(self.scenario)
+            * sum(request_class.share for request_class in classes if request_class.write)
+            / total_share
+        )
         missed_reads = self.workload.read_rate * (1 - self.scenario.workload.keys.pooled_hits)
         rate = spec.capacity_rps or spec.headroom * (missed_reads + writes)
-        aim = min(one.latency_objective for one in self.settings.classes)
-        origin = OriginServer(self.clock, "origin", spec, rate, aim, self.random_stream("origin"))
+        shortest_objective = min(request_class.latency_objective for request_class in self.settings.classes)
+        origin = OriginServer(
+            self.clock, "origin", spec, rate, shortest_objective, self.random_stream("origin")
+        )
         self.servers_by_id["origin"] = origin
         return origin
 
@@ -128,8 +136,8 @@
             self.server_random,
         )
         rules = self.scenario.rules
-        pooled = self.workload.pooled_key_count * self.scenario.servers.memory
-        server.max_keys = max(16, int(pooled / self.scenario.topology.servers))
+        fleet_keys = self.workload.pooled_key_count * self.scenario.servers.memory
+        server.max_keys = max(16, int(fleet_keys / self.scenario.topology.servers))
         server.mean_work = int(self.mean_work)
         server.overload_factor, server.overload_window = rules.tip_multiple, int(rules.fall_s * SECOND)
         self.servers_by_id[name] = server
@@ -138,8 +146,8 @@
         return server
 
     def _prefill_caches(self) -> None:
-        """Fills the caches before the run: with each server's own keys, or with the most popular keys
-        under policies without key affinity."""
+        """Fills the caches before the run with the keys of each server, or with the most popular keys under
+        policies without key affinity."""
         max_keys = self.servers[0].max_keys
         if self.policy in ("random", "two-choices"):
             for server in self.servers:
@@ -163,14 +171,14 @@
     def _owner_by_range(names: list[str]) -> Callable[[int, str], str]:
         """Returns a lookup of a key's owner in the router's own key ranges.
 
-        The decision module is not asked, because each request would change its statistics.
+        The decision module is not queried, because each request would change its statistics.
         """
         ranges = KeyRanges(1)
         ranges.assign(0, names)
         return lambda _, key: ranges.locate(key, 0)[2]
 
     def _owner_by_policy(self, names: list[str]) -> Callable[[int, str], str]:
-        """Returns a lookup that asks the policy for a key's server while no attempt is in flight."""
+        """Returns a lookup of the server that the policy chooses for a key while no attempt is in flight."""
         decider = self.make_policy(self.settings, 0)
         entries = [self.entry(server) for server in self.servers] + [self._origin_entry()]
         decider.handle(0, api.Members(api.ListKind.CACHED, entries))
@@ -203,7 +211,7 @@
         """Ends the server's process and resets the attempts that it had in progress."""
         for attempt in server.stop():
             if not attempt.ended:
-                attempt.router.broken(attempt)
+                attempt.router.connection_broken(attempt)
 
     def _answered(self, client_attempt: ClientAttempt, outcome: str, retry_after: int, delay: int) -> None:
         self.clients.answered(client_attempt, outcome, retry_after, delay)
@@ -218,11 +226,11 @@
 
     def start_router(self, router: RouterHost) -> None:
         """Starts a router process, seeded by the router's index and incarnation."""
-        rules = replace(self.settings)
+        settings = replace(self.settings)
 
-        def make_policy(life: int) -> DecisionModule:
-            seed = int(generator(self.seed, f"router {router.index} life {life}").integers(1 << 62))
-            return self.make_policy(rules, seed)
+        def make_policy(incarnation: int) -> DecisionModule:
+            seed = int(generator(self.seed, f"router {router.index} life {incarnation}").integers(1 << 62))
+            return self.make_policy(settings, seed)
 
         router.start(make_policy)
 
@@ -255,10 +263,13 @@
         self.clock.after(IDLE_CHECK_INTERVAL, self._close_idle_connections)
         end = int(self.scenario.seconds * SECOND) + self.longest_deadline + SECOND
         events_run = self.clock.run(end)
-        cpu = sorted(router.cpu_time for router in self.routers)
-        result = self.account.result(cpu, self.origin, self.registry, self.all_servers)
+        cpu_times = sorted(router.cpu_time for router in self.routers)
+        result = self.account.result(cpu_times, self.origin, self.registry, self.all_servers)
         if self.peering is not None:
-            seconds = self.scenario.seconds * len(self.routers)
-            datagrams, carried = self.peering.datagrams / seconds, self.peering.bytes / seconds
-            result["peers"] = {"datagrams_s": round(datagrams, 1), "bytes_s": round(carried)}
+            router_seconds = self.scenario.seconds * len(self.routers)
+            datagram_rate, byte_rate = (
+                self.peering.datagrams / router_seconds,
+                self.peering.bytes / router_seconds,
+            )
+            result["peers"] = {"datagrams_s": round(datagram_rate, 1), "bytes_s": round(byte_rate)}
         return {**result, "rules": self.rules.report(), "events": events_run}
--- a/applehub/lab/sizes.py
+++ b/applehub/lab/sizes.py
@@ -35,22 +35,22 @@
         if isinstance(value, tuple):  # click passes an already converted default through convert again
             return value
         try:
-            return tuple(self.parse(one) for one in value.split(","))
+            return tuple(self.parse(item) for item in value.split(","))
         except ValueError:
             option = param.opts[0] if param is not None else self.name
             raise click.UsageError(f"{option}: expected {self.expected}, got {value!r}", ctx) from None
 
 
-def counts(least: int, most: int, example: str) -> SizesType[int]:
-    """Returns the type of a list of integers from `least` to `most`."""
+def counts(minimum: int, maximum: int, example: str) -> SizesType[int]:
+    """Returns the type of a list of integers from `minimum` to `maximum`."""
 
     def parse(text: str) -> int:
         count = int(text)
-        if not least <= count <= most:
+        if not minimum <= count <= maximum:
             raise ValueError(text)
         return count
 
-    return SizesType(parse, f"numbers from {least} to {most}, as in {example}")
+    return SizesType(parse, f"numbers from {minimum} to {maximum}, as in {example}")
 
 
 def fleet_sizes(example: str) -> SizesType[FleetSize]:
--- a/applehub/lab/spec.py
+++ b/applehub/lab/spec.py
@@ -21,7 +21,7 @@
 
 
 class SpecError(ValueError):
-    """An experiment file is invalid; each line names the file, the key and the expected value."""
+    """Raised for an invalid experiment file; each line names the file, the key and the expected value."""
 
 
 class Kind(Table):
@@ -31,11 +31,11 @@
     share: Positive
     cores: Count
     speed: Positive
-    speed_cv: Share = 0.14
+    speed_cv: Share = 0.14  # coefficient of variation of the speed among servers
     slots_per_core: Positive = 4
     queue_per_core: Positive = 2.5
-    cold_from: Annotated[float, Field(gt=0, le=1)] = 0.2
-    cold_s: Positive = 18
+    cold_from: Annotated[float, Field(gt=0, le=1)] = 0.2  # capacity after a start, relative to warm
+    cold_s: Positive = 18  # duration of the warm-up
 
 
 class Topology(Table):
@@ -55,16 +55,16 @@
 class Servers(Table):
     """Settings that all cache servers share."""
 
-    memory: Positive = 1.3  # of all servers, relative to the keys that one pooled cache stores
-    choke: NonNegative = 0  # relative slowdown per multiple of choke_at by which the jobs exceed it
+    memory: Positive = 1.3  # keys that all servers store, relative to one pooled cache
+    choke: NonNegative = 0  # congestion: relative slowdown per choke_at jobs above choke_at
     choke_at: Positive = 8  # jobs per core
     miss_work: Share = 0.1  # work of a miss, as a fraction of the request's work
-    drops_abandoned: bool = False  # queued requests are dropped once the router has given up
+    drops_abandoned: bool = False  # drop queued requests that the router no longer waits for
     error_share: Share = 0.0003
     report_ms: Positive = 860  # interval between updates of the load report
     report_noise: Share = 0.03
     connections_per_core: Count = 750
-    handshake_ms: NonNegative = 1.7  # server work
+    handshake_ms: NonNegative = 1.7  # server work per handshake
     handshake_rtts: NonNegative = 2.5
     idle_s: Positive = 10
     full_tax: Share = 0.09  # fraction of capacity that a full connection table costs
@@ -97,10 +97,10 @@
 
     notice_s: NonNegative = 3  # delay until a stopped server is reported
     add_s: NonNegative = 1.4  # delay until a started server is reported
-    calls_per_s: Positive = 40  # capacity; calls are answered in order
-    lines_per_s: Positive = 4000
-    timeout_ms: Positive = 2000  # longest wait of a call
-    spread_ms: NonNegative = 65  # mean delay of a change on its way to a watch
+    calls_per_s: Positive = 40  # capacity for calls, which are answered in order
+    lines_per_s: Positive = 4000  # capacity for list entries
+    timeout_ms: Positive = 2000  # maximum queueing time of a call
+    spread_ms: NonNegative = 65  # mean delay from a change to its arrival at a watch
 
 
 class RequestClass(Table):
@@ -125,16 +125,16 @@
     skew: Positive = 1.0
     offset: NonNegative = 3
     pooled_hits: Annotated[float, Field(gt=0, lt=1)] = 0.9  # hit ratio of one pooled cache
-    drift_per_s: NonNegative = 0.0005  # fraction of the keys that are replaced per second
+    drift_per_s: NonNegative = 0.0005  # fraction of the keys replaced per second
 
 
 class Workload(Table):
-    """Open-loop arrivals."""
+    """Open-loop request arrivals; the rate follows a sine wave around its mean."""
 
     load: Positive = 0.5  # relative to the capacity of all warm servers
-    zone_skew: Share = 0.3
-    wave: Share = 0.1
-    wave_s: Positive = 20
+    zone_skew: Share = 0.3  # maximum relative deviation of a zone's traffic from an even split
+    wave: Share = 0.1  # amplitude, relative to the mean rate
+    wave_s: Positive = 20  # period
     keys: Keys = Keys()
     classes: Annotated[list[RequestClass], Field(min_length=1)] = [
         RequestClass(name="consulta", share=0.962, work_ms=37, aim_ms=300, deadline_ms=600, worth=3),
@@ -153,10 +153,11 @@
     """Client behaviour: timeouts, retries and early disconnects."""
 
     retries: Annotated[int, Field(ge=0, le=10)] = 2
+    # Range of the timeout of a client attempt, as fractions of the deadline of the class.
     try_share: Annotated[list[Share], Field(min_length=2, max_length=2)] = [0.5, 0.8]
-    backoff_ms: NonNegative = 50  # doubled with each retry
-    leave_early: Share = 0.01
-    honour: Share = 0.9  # fraction of clients that observe a retry-after
+    backoff_ms: NonNegative = 50  # mean backoff before the first retry; doubles with each retry
+    leave_early: Share = 0.01  # fraction of client attempts that the client cancels
+    honour: Share = 0.9  # fraction of retries that respect the retry-after
     notice_s: NonNegative = 2  # mean delay until the front-end excludes a dead router
 
 
@@ -164,12 +165,12 @@
     """Processing costs and limits of a router."""
 
     request_us: NonNegative = 450  # processor time per request
-    attempt_us: NonNegative = 300
-    alarm_us: NonNegative = 40
-    member_us: NonNegative = 25  # per entry of a list
-    start_ms: NonNegative = 300
+    attempt_us: NonNegative = 300  # processor time per attempt
+    alarm_us: NonNegative = 40  # processor time per timer
+    member_us: NonNegative = 25  # processor time per entry of a list
+    start_ms: NonNegative = 300  # duration of a start
     max_attempts: Annotated[int, Field(ge=1, le=16)] = 4
-    idle_s: Positive = 5
+    idle_s: Positive = 5  # idle timeout of connections to servers
     retry_after_ms: NonNegative = 0  # 0: clients get no retry-after
     keeps_s: NonNegative = 0  # interval between saves of the statistics that survive restarts; 0: never
 
@@ -178,8 +179,8 @@
     """Gossip between routers over the emulated network."""
 
     on: bool = False
-    period_ms: Positive = 100  # between health checks of a router
-    loss: Share = 0  # of datagrams
+    period_ms: Positive = 100  # interval between health checks of a router
+    loss: Share = 0  # fraction of datagrams lost
     datagram_us: NonNegative = 100  # processor time per datagram sent or received
     shares: bool = True  # the decision module receives the gossiped range fractions
     verdicts: bool = True  # the decision module receives the gossiped failure reports
@@ -187,19 +188,20 @@
 
 
 class Rules(Table):
-    """Limits of the checked rules; they are also configured on the routers."""
+    """Limits of the checked rules, which the routers also receive as settings."""
 
     answer_slack_ms: NonNegative = 20
     drain_grace_ms: NonNegative = 500
-    cold_from: Annotated[float, Field(gt=0, le=1)] = 0.12
-    ramp_s: Positive = 24
-    tip_multiple: Positive = 2.5
-    fall_s: Positive = 2
-    ask_within_s: Positive = 10
+    cold_from: Annotated[float, Field(gt=0, le=1)] = 0.12  # capacity after a start, relative to warm
+    ramp_s: Positive = 24  # duration of the slow start
+    tip_multiple: Positive = 2.5  # load that overloads a warming server, relative to its capacity
+    fall_s: Positive = 2  # window over which this load is measured
+    ask_within_s: Positive = 10  # maximum interval between polls of the endpoint list
 
 
 class Goal(Table):
-    """Weights of a scenario's score; each price is multiplied by its rate and subtracted."""
+    """Weights of a scenario's score: the fractions of weight served count as gains, `cross_zone`, `waste`,
+    `late_fail` and `handshake` as penalties."""
 
     whole: Share = 0.55
     worst_window: Share = 0.1
@@ -222,7 +224,7 @@
 
 
 class Ramp(Table):
-    """Changes the request rate linearly to a multiple, which then stays."""
+    """Changes the request rate linearly to a multiple, and keeps it there."""
 
     kind: Literal["ramp"]
     at_s: NonNegative
@@ -266,7 +268,7 @@
     at_s: NonNegative
     for_s: Positive
     part: Share = 0.3
-    takes: Annotated[float, Field(ge=0, lt=1)] = 0.55
+    takes: Annotated[float, Field(ge=0, lt=1)] = 0.55  # fraction of a server's cores
     period_s: Positive = 3
 
 
@@ -275,7 +277,7 @@
 
     kind: Literal["shrink"]
     at_s: NonNegative
-    for_s: Positive = 16  # from the first drain to the last
+    for_s: Positive = 16  # time from the first drain to the last
     part: Share = 0.4
     drain_s: Positive = 4
 
@@ -374,7 +376,7 @@
 
 
 class Seeds(Table):
-    """The range of seeds to run."""
+    """Range of seeds to run."""
 
     first: Annotated[int, Field(ge=0)] = 1
     count: Annotated[int, Field(ge=1, le=10_000)] = 1
--- a/applehub/lab/throttle_analysis.py
+++ b/applehub/lab/throttle_analysis.py
@@ -20,14 +20,14 @@
 from applehub.policy.throttle import Throttle
 
 BATCHES = 20  # batches of a run; the spread of their means gives the confidence interval
-RATE = 100.0  # tokens a second
-LOADS = (0.5, 0.8, 1.0, 1.2, 2.0)
-CAPACITIES = ((10, 0), (10, 5), (10, 8), (20, 0), (20, 10))  # C_J + C_T, C_J
+RATE = 100.0  # tokens per second
+LOADS = (0.5, 0.8, 1.0, 1.2, 2.0)  # job arrivals per token
+CAPACITIES = ((10, 0), (10, 5), (10, 8), (20, 0), (20, 10))  # (C_J + C_T, C_J): total and job buffer
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One row of the table; throughput is relative to r, blocked to the jobs offered."""
+    """One row of the table; throughput is relative to r, and blocked is a fraction of the jobs offered."""
 
     total: int
     buffer: int
@@ -82,7 +82,7 @@
 
 
 def table(count: int, seed: int) -> Iterator[Row]:
-    """Yields all rows, each from `count` jobs."""
+    """Yields a row for each capacity and load, simulated with `count` jobs."""
     for total, buffer in CAPACITIES:
         for load in LOADS:
             throughput, blocked = simulate(total, buffer, load, count, seed)
--- a/applehub/lab/warmup_load.py
+++ b/applehub/lab/warmup_load.py
@@ -19,7 +19,7 @@
 
 JOIN = {"kind": "join", "at_s": 8, "for_s": 7, "part": 0.6}
 BURST = {"kind": "burst", "at_s": 12, "for_s": 10, "factor": 1.5}
-SCENARIOS: dict[str, list[Json]] = {  # fault schedules under which routers may exceed the bound
+SCENARIOS: dict[str, list[Json]] = {  # fault schedules that may cause an overload
     "join": [JOIN],
     "burst": [JOIN, BURST],
     "uneven": [
@@ -37,14 +37,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PeakWindow:
-    """The window of one warming server with the highest load, in requests of mean work."""
+    """The window of one warming server with the highest load relative to its bound, in requests of mean
+    work."""
 
     sent: float
     budget: float
 
     @property
     def ratio(self) -> float:
-        """The load relative to the bound; the rule is exceeded over 1."""
+        """The load relative to the bound; a value over 1 exceeds the bound."""
         return self.sent / request_bound(self.budget)
 
 
@@ -55,9 +56,9 @@
         "name": "cold", "seconds": 34, "topology": {"routers": routers, "servers": servers},
         "workload": {"load": load}, "faults": SCENARIOS[scenario],
     }  # fmt: skip
-    world = build_simulation(parse_experiment(scenario, raw)[1][0][1], "router", seed)
-    world.run()
-    return [PeakWindow(*server.peak_load) for server in world.all_servers if server.peak_load[1] > 0]
+    simulation = build_simulation(parse_experiment(scenario, raw)[1][0][1], "router", seed)
+    simulation.run()
+    return [PeakWindow(*server.peak_load) for server in simulation.all_servers if server.peak_load[1] > 0]
 
 
 def _tasks(sizes: Sequence[int], seeds: range, load: float) -> Iterator[tuple[str, int, int, float]]:
@@ -95,19 +96,19 @@
     """Measures the load that warming servers receive from all routers, per server in its peak window, against
     the bound N + 2 sqrt(N) + 2. Exits with code 1 if a server received more."""
     results = table(sizes, range(first, first + seeds), load, jobs or os.cpu_count() or 1)
-    shown = Table(
+    output = Table(
         "scenario", "routers", "cold servers", "peak / bound, median", "p99", "max", "sent, N", "over"
     )
     total_exceeded = 0
     for (scenario, size), windows in results.items():
-        ratios = sorted(one.ratio for one in windows)
-        peak = max(windows, key=lambda one: one.ratio)
+        ratios = sorted(window.ratio for window in windows)
+        peak = max(windows, key=lambda window: window.ratio)
         exceeded = sum(ratio > 1 for ratio in ratios)
         total_exceeded += exceeded
-        shown.add_row(
+        output.add_row(
             scenario, str(size), str(len(ratios)), f"{ratios[len(ratios) // 2]:.2f}",
             f"{ratios[len(ratios) * 99 // 100]:.2f}", f"{ratios[-1]:.2f}",
             f"{peak.sent:.1f}, {peak.budget:.1f}", str(exceeded),
         )  # fmt: skip
-    Console(width=110).print(shown)
+    Console(width=110).print(output)
     raise SystemExit(1 if total_exceeded else 0)
--- a/applehub/lab/workload.py
+++ b/applehub/lab/workload.py
@@ -9,7 +9,7 @@
 from applehub.lab.spec import Burst, HotKey, Keys, Ramp, Scan, Scenario, Shift, Shrink
 from applehub.lab.streams import generator
 
-RATE_STEP_S = 0.02  # step of the rate curve
+RATE_STEP_S = 0.02  # time step of the rate curve
 FIRST_HOT_KEY, FIRST_ONE_OFF_KEY = 1 << 40, 1 << 41  # above all other key numbers
 Floats = NDArray[np.float64]
 Ints = NDArray[np.int64]
@@ -26,7 +26,7 @@
     work: list[int]
     keys_by_popularity: list[str]  # initial keys, most popular first
     read_rate: float
-    pooled_key_count: int  # popular keys that one pooled cache stores to reach its hit ratio
+    pooled_key_count: int  # most popular keys that one pooled cache needs for its hit ratio
 
 
 def fleet_capacity(scenario: Scenario) -> float:
@@ -39,42 +39,44 @@
 def base_rate(scenario: Scenario) -> float:
     """Returns the request rate without faults, in requests per second."""
     classes = scenario.workload.classes
-    total = sum(one.share for one in classes)
-    work = sum(one.share / total * one.work_ms / 1000 for one in classes)
+    total = sum(request_class.share for request_class in classes)
+    work = sum(request_class.share / total * request_class.work_ms / 1000 for request_class in classes)
     return scenario.workload.load * fleet_capacity(scenario) / work
 
 
-def _trapezoid(at: Floats, begin: float, length: float, edge: float) -> Floats:
-    """Returns a trapezoid that rises from 0 to 1 and falls back within `length`, with edges of `edge`."""
+def _trapezoid(times: Floats, begin: float, length: float, edge: float) -> Floats:
+    """Returns a trapezoid that rises from 0 to 1 and falls to 0 within `length`, with edges of `edge`."""
     points = [begin, begin + edge, max(begin + edge, begin + length - edge), begin + length + 1e-9]
-    return np.interp(at, points, [0, 1, 1, 0])
+    return np.interp(times, points, [0, 1, 1, 0])
 
 
-def rate_curve(scenario: Scenario, at: Floats) -> Floats:
+def rate_curve(scenario: Scenario, times: Floats) -> Floats:
     """Returns the request rate at these times (s), in requests per second."""
     load = scenario.workload
-    rates = base_rate(scenario) * (1 + load.wave * np.sin(2 * np.pi * at / load.wave_s))
+    rates = base_rate(scenario) * (1 + load.wave * np.sin(2 * np.pi * times / load.wave_s))
     for fault in scenario.faults:
         if isinstance(fault, Burst):
-            rates = rates * (1 + (fault.factor - 1) * _trapezoid(at, fault.at_s, fault.for_s, fault.edge_s))
+            rates = rates * (
+                1 + (fault.factor - 1) * _trapezoid(times, fault.at_s, fault.for_s, fault.edge_s)
+            )
         elif isinstance(fault, Ramp):
-            rates = rates * np.interp(at, [fault.at_s, fault.at_s + fault.for_s], [1, fault.factor])
+            rates = rates * np.interp(times, [fault.at_s, fault.at_s + fault.for_s], [1, fault.factor])
         elif isinstance(fault, Shrink):
             end = fault.at_s + fault.for_s
-            rates = rates * np.interp(at, [fault.at_s - 2, end - 2], [1, 1 - fault.part])
+            rates = rates * np.interp(times, [fault.at_s - 2, end - 2], [1, 1 - fault.part])
     return np.maximum(rates, 0)
 
 
 def _draw_arrivals(scenario: Scenario, seed: int) -> Floats:
     """Draws the arrival times (s) of an inhomogeneous Poisson process, by inverting its cumulative rate."""
     random_generator = generator(seed, "arrivals")
-    at = np.arange(0, scenario.seconds + RATE_STEP_S, RATE_STEP_S)
-    rates = rate_curve(scenario, at)
+    curve_times = np.arange(0, scenario.seconds + RATE_STEP_S, RATE_STEP_S)
+    rates = rate_curve(scenario, curve_times)
     cumulative_rate = np.concatenate(([0.0], np.cumsum((rates[1:] + rates[:-1]) / 2 * RATE_STEP_S)))
     positions = (
         np.sort(random_generator.random(random_generator.poisson(cumulative_rate[-1]))) * cumulative_rate[-1]
     )
-    times: Floats = np.interp(positions, cumulative_rate, at)
+    times: Floats = np.interp(positions, cumulative_rate, curve_times)
     return times[times < scenario.seconds]
 
 
@@ -142,9 +144,9 @@
     """Draws lognormal work with each class's mean and coefficient of variation."""
     normals = generator(seed, "work").standard_normal(len(classes))
     work = np.zeros(len(classes))
-    for number, one in enumerate(scenario.workload.classes):
-        sigma = np.sqrt(np.log1p(one.work_cv**2))
-        drawn = one.work_ms * 1e6 * np.exp(sigma * normals - sigma**2 / 2)
+    for number, request_class in enumerate(scenario.workload.classes):
+        sigma = np.sqrt(np.log1p(request_class.work_cv**2))
+        drawn = request_class.work_ms * 1e6 * np.exp(sigma * normals - sigma**2 / 2)
         work = np.where(classes == number, drawn, work)
     return np.maximum(work, 1000).astype(np.int64)
 
@@ -152,12 +154,12 @@
 def draw_workload(scenario: Scenario, seed: int) -> Workload:
     """Draws all requests of a scenario."""
     times = _draw_arrivals(scenario, seed)
-    shares = np.array([one.share for one in scenario.workload.classes])
+    shares = np.array([request_class.share for request_class in scenario.workload.classes])
     drawn = generator(seed, "classes").random(len(times))
     classes = np.searchsorted(np.cumsum(shares) / shares.sum(), drawn).astype(np.int64)
     classes = np.minimum(classes, len(shares) - 1)
     numbers, popularity, count = _draw_keys(scenario, seed, times)
-    reads = sum(one.share for one in scenario.workload.classes if not one.write) / shares.sum()
+    read_share = sum(spec.share for spec in scenario.workload.classes if not spec.write) / shares.sum()
     pooled_key_count = int(np.searchsorted(popularity, scenario.workload.keys.pooled_hits)) + 1
     return Workload(
         (times * SECOND).astype(np.int64).tolist(),
@@ -166,6 +168,6 @@
         _format_keys(numbers),
         _draw_work(scenario, seed, classes).tolist(),
         _format_keys(np.arange(count)),  # the first generation of each rank
-        base_rate(scenario) * reads,
+        base_rate(scenario) * read_share,
         pooled_key_count,
     )
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -13,12 +13,12 @@
 from applehub.lab.servers import request_bound
 from applehub.policy.rates import TokenBucket
 
-FLEET_RATE, SERVERS = 100.0, 4  # requests/s of the whole fleet; number of cache servers
+FLEET_RATE, SERVERS = 100.0, 4  # requests/s of all routers; number of cache servers
 STEP = SECOND // 10
 
 
 class Fleet:
-    """Routers that share the traffic evenly, and one server that starts to warm up."""
+    """Routers that share the traffic evenly, and a cache server that starts to warm up."""
 
     def __init__(self, count: int) -> None:
         options = settings(router_count=count, slow_start_capacity=0.2, overload_window=SECOND)
@@ -29,29 +29,29 @@
             router.deliver(update)
 
     def step(self, demand: int) -> int:
-        """Advances by STEP with `demand` requests for the server at each router; returns the number sent."""
+        """Advances by STEP, offers each router `demand` requests for the server; returns the number sent."""
         self.now += STEP
         sent = 0
         for router in self.routers:
-            turn, roster = router.balancer.context, router.balancer.server_table
-            turn.now = self.now
-            roster.request_rate.add(self.now, FLEET_RATE / len(self.routers) * STEP / SECOND)
+            context, server_table = router.balancer.context, router.balancer.server_table
+            context.now = self.now
+            server_table.request_rate.add(self.now, FLEET_RATE / len(self.routers) * STEP / SECOND)
             for _ in range(demand):
-                sent += router.balancer.placement._take_warmup_token(roster.servers["c1"], SERVERS)
+                sent += router.balancer.placement._take_warmup_token(server_table.servers["c1"], SERVERS)
         return sent
 
     def budget(self) -> float:
-        """Returns the budget of a server with the mean request rate, in the rule's window."""
+        """Returns the request budget of the warming server within the overload window."""
         options = self.routers[0].balancer.settings
         age = (self.now - START) / options.slow_start_time
-        warmth = min(1.0, options.slow_start_capacity + (1 - options.slow_start_capacity) * age)
-        return options.overload_factor * FLEET_RATE / SERVERS * warmth * options.overload_window / SECOND
+        capacity = min(1.0, options.slow_start_capacity + (1 - options.slow_start_capacity) * age)
+        return options.overload_factor * FLEET_RATE / SERVERS * capacity * options.overload_window / SECOND
 
 
 @pytest.mark.parametrize("count", [5, 20, 30, 200])
 @pytest.mark.parametrize("idle_time", [0.5, 2.0, 6.0])
 def test_simultaneous_burst_of_all_routers_stays_within_the_budget(count: int, idle_time: float) -> None:
-    """Prevents an overload by routers that spend their saved tokens in the same window."""
+    """Guards against an overload by routers that spend their saved tokens in the same window."""
     fleet = Fleet(count)
     for _ in range(int(idle_time * SECOND / STEP)):
         fleet.step(0)
@@ -77,7 +77,7 @@
     for _ in range(20):
         fleet.step(4)
     sent = 0
-    for group in range(10):  # restarts a tenth of the routers in each step of one window
+    for group in range(10):  # a tenth of the routers restarts in each step of one window
         for index in range(group * 3, group * 3 + 3):
             restarted = Router(fleet.routers[index].balancer.settings, seed=100 + index)
             restarted.now = fleet.now
@@ -99,16 +99,16 @@
 def test_bucket_below_one_token_grants_with_proportional_probability(
     capacity: float, random_value: Callable[[], float], granted: bool
 ) -> None:
-    bank = TokenBucket(0.0)
-    assert bank.take(10 * SECOND, 1.0, capacity, random_value()) is granted
-    assert bank.tokens == (0.0 if capacity < 1 else capacity - 1)
-    assert not bank.take(10 * SECOND, 1.0, capacity, random_value())
+    bucket = TokenBucket(0.0)
+    assert bucket.take(10 * SECOND, 1.0, capacity, random_value()) is granted
+    assert bucket.tokens == (0.0 if capacity < 1 else capacity - 1)
+    assert not bucket.take(10 * SECOND, 1.0, capacity, random_value())
 
 
 def test_cold_command_measures_the_load_against_the_bound() -> None:
-    done = CliRunner().invoke(main, ["cold", "--sizes", "2", "--seeds", "1", "--jobs", "2"])
-    assert done.exit_code in (0, 1) and all(scenario in done.output for scenario in warmup_load.SCENARIOS)
+    result = CliRunner().invoke(main, ["cold", "--sizes", "2", "--seeds", "1", "--jobs", "2"])
+    assert result.exit_code in (0, 1) and all(scenario in result.output for scenario in warmup_load.SCENARIOS)
     windows = warmup_load.simulate("join", 2, 1, 0.6)
-    assert windows and all(0 < one.ratio < 2 and one.budget > 0 for one in windows)
+    assert windows and all(0 < window.ratio < 2 and window.budget > 0 for window in windows)
     invalid = CliRunner().invoke(main, ["cold", "--sizes", "many"])
     assert invalid.exit_code == 2 and "--sizes: expected numbers from 1 to 400" in invalid.output
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -37,7 +37,7 @@
 
 
 def test_results_are_reproducible_and_resumable(tmp_path: Path) -> None:
-    """Results depend neither on the hash seed nor on the number of processes, nor on an interrupted run."""
+    """Results depend on neither the hash seed, the number of processes nor an interruption of the run."""
     contents = []
     for hash_seed, jobs in (("1", "1"), ("2", "3")):
         out = tmp_path / f"{hash_seed}.jsonl"
@@ -53,14 +53,14 @@
     assert partial.read_bytes() == contents[0]
     records = read_results(partial)[1]
     means = {
-        name: mean_of(one["result"]["G"] for one in records if one["policy"] == name).value
+        name: mean_of(record["result"]["G"] for record in records if record["policy"] == name).value
         for name in ("random", "router", "oracle")
     }
     assert means["random"] < means["router"] < means["oracle"]
-    assert not any(one["result"]["rules"]["counts"] for one in records if one["policy"] == "router")
+    assert not any(record["result"]["rules"]["counts"] for record in records if record["policy"] == "router")
     assert run_command("run", str(TINY), "--seeds", "1", "--out", str(partial))[0] == 2  # another experiment
-    for shown in (["show"], ["show", "--losses"], ["show", "--json"]):
-        assert "random" in run_command(*shown, str(partial))[1]
+    for arguments in (["show"], ["show", "--losses"], ["show", "--json"]):
+        assert "random" in run_command(*arguments, str(partial))[1]
     assert "no" in run_command("compare", str(partial), str(partial))[1]
     picture = tmp_path / "tiny.png"
     assert run_command("plot", str(partial), "--out", str(picture))[0] == 0
@@ -85,8 +85,8 @@
         with_faults.work,
         with_faults.classes,
     )
-    affected = sum(one != other for one, other in zip(baseline.keys, with_faults.keys, strict=True))
-    assert 0.1 < affected / len(with_faults.keys) < 0.4  # half of the requests during half of the scenario
+    affected = sum(key != other_key for key, other_key in zip(baseline.keys, with_faults.keys, strict=True))
+    assert 0.1 < affected / len(with_faults.keys) < 0.4  # half of the requests during half of the run
 
 
 @pytest.mark.parametrize(
@@ -114,9 +114,11 @@
 ) -> None:
     topology = {**RAW["topology"], "routers": 4}
     fault = {"kind": "kill_routers", "at_s": 1, "part": fraction}
-    simulated = build_simulation(scenario_of(topology=topology, faults=[fault]), "router", 1)
-    simulated.run()
-    assert sum(router.life > 1 for router in simulated.routers) == killed  # a stop and a start each add one
+    kill_simulation = build_simulation(scenario_of(topology=topology, faults=[fault]), "router", 1)
+    kill_simulation.run()
+    assert (
+        sum(router.incarnation > 1 for router in kill_simulation.routers) == killed
+    )  # a stop and a start each add one
 
 
 @pytest.mark.parametrize(
@@ -161,7 +163,7 @@
 
     def choose(self, pending: policies.PendingRequest) -> str | None:
         if self.fault == "cold servers":  # sends everything to the most recently started server
-            newest = max(self.members.values(), key=lambda one: one.since)
+            newest = max(self.members.values(), key=lambda member: member.since)
             return newest.server if newest.since else self.ready_servers[0]
         if self.fault == "drains" and self.first_servers:
             return self.random.choice(self.first_servers)
@@ -219,9 +221,9 @@
 
 
 def test_run_and_sim_do_not_import_the_emulator() -> None:
-    """Its imports would add processor time to the start of every router."""
+    """The emulator's imports would add CPU time to the start of every router."""
     code = "import sys, applehub.__main__, applehub.wirehost; print(*sys.modules)"
-    printed = subprocess.run([sys.executable, "-c", code], check=True, capture_output=True, text=True)
-    loaded = {name.partition(".")[0] for name in printed.stdout.split()}
+    completed = subprocess.run([sys.executable, "-c", code], check=True, capture_output=True, text=True)
+    loaded = {name.partition(".")[0] for name in completed.stdout.split()}
     assert not loaded & {"numpy", "scipy", "pydantic", "click", "rich", "matplotlib", "hdrh", "psutil"}
-    assert "applehub.lab" not in printed.stdout
+    assert "applehub.lab" not in completed.stdout
--- a/tests/test_wide.py
+++ b/tests/test_wide.py
@@ -71,7 +71,7 @@
     reader, writer = await asyncio.open_connection(host, int(port))
     parser = hiredis.Reader()
     answers: list[Any] = []
-    writer.writelines([command(*one) for one in requests])
+    writer.writelines([command(*request) for request in requests])
     async with asyncio.timeout(ANSWER_TIMEOUT):
         while len(answers) < len(requests) and (data := await reader.read(1 << 16)):
             parser.feed(data)
@@ -81,11 +81,11 @@
     return answers
 
 
-async def _poll_list(fleet: Fleet, known: int) -> dict[str, Any]:
-    """Returns the answer to a long poll for changes since a version."""
+async def _poll_list(fleet: Fleet, known_version: int) -> dict[str, Any]:
+    """Returns discovery's answer to a long poll for changes since a version."""
     host, port = fleet.discovery.rsplit(":", 1)
     reader, writer = await asyncio.open_connection(host, int(port))
-    writer.write(b"GET /api/targets?from=%d&hold_ms=20000 HTTP/1.1\r\nHost: d\r\n\r\n" % known)
+    writer.write(b"GET /api/targets?from=%d&hold_ms=20000 HTTP/1.1\r\nHost: d\r\n\r\n" % known_version)
     async with asyncio.timeout(ANSWER_TIMEOUT):
         head = await reader.readuntil(b"\r\n\r\n")
         length = next(line for line in head.split(b"\r\n") if line.lower().startswith(b"content-length"))
@@ -99,7 +99,7 @@
     fleet = Fleet(Plan(5, 8))
     await fleet.start()
     watching = asyncio.create_task(_poll_list(fleet, fleet.rev))
-    known = {one["uid"]: one for one in fleet.targets()}
+    known = {entry["uid"]: entry for entry in fleet.targets()}
     old, new = ([server_id(kind, number) for number in range(5)] for kind in ("cache", "new"))
     fleet.stores[old[4]].put(b"k")
     await fleet.replace(0.6, 0.02)
@@ -109,15 +109,15 @@
     while set(known) != {*old[3:], *new[:3], "origin"}:
         update = await _poll_list(fleet, rev)
         rev = update["rev"]
-        for one in update["targets"]:
-            known[one["uid"]] = one
-            if one["state"] == "Gone":
-                del known[one["uid"]]
-    assert all((one["boot_ms"] > 0) == (name in new) for name, one in known.items())
+        for entry in update["targets"]:
+            known[entry["uid"]] = entry
+            if entry["state"] == "Gone":
+                del known[entry["uid"]]
+    assert all((entry["boot_ms"] > 0) == (name in new) for name, entry in known.items())
     assert rev == fleet.rev == 10 and fleet.counts.list_bytes > 0
-    for name, word in ((old[4], b"hit"), (new[0], b"miss")):
-        ((_, note, _),) = await _send_commands(known[name]["endpoint"], (b"C.GET", b"k", b"i", b"c=read"))
-        assert note == word
+    for name, expected_outcome in ((old[4], b"hit"), (new[0], b"miss")):
+        ((_, outcome, _),) = await _send_commands(known[name]["endpoint"], (b"C.GET", b"k", b"i", b"c=read"))
+        assert outcome == expected_outcome
 
 
 async def test_fake_server_limits_concurrency_and_answers_busy_when_its_queue_is_full() -> None:
@@ -125,10 +125,10 @@
     await fleet.start()
     requests = [(b"C.GET", b"k", b"i%d" % number, b"c=read") for number in range(10)]
     answers = await _send_commands(fleet.targets()[0]["endpoint"], *requests)
-    busy = [one for one in answers if isinstance(one, hiredis.ReplyError)]
+    busy = [answer for answer in answers if isinstance(answer, hiredis.ReplyError)]
     assert len(answers) == 10 and len(busy) == fleet.counts.busy == 2  # two in service, six in the queue
     assert str(busy[0]).startswith("BUSY backlog=6")
-    assert [one[2].split(b",")[0] for one in answers if one not in busy][-1] == b"backlog=0"
+    assert [answer[2].split(b",")[0] for answer in answers if answer not in busy][-1] == b"backlog=0"
 
 
 @pytest.mark.parametrize("case", ["calm", "replaced"])
@@ -139,13 +139,20 @@
     result_json = orjson.loads(result.stdout)[case]
     assert result.exit_code == (0 if all(line["holds"] for line in result_json["lines"]) else 1)
     usual, wide = result_json["usual"], result_json["wide"]
-    for one in (usual, wide):
-        requests = dict(one["requests"])
+    for size_result in (usual, wide):
+        requests = dict(size_result["requests"])
         asked = requests.pop("asked")
         assert sum(requests.values()) == asked == usual["requests"]["asked"] > 0
-        assert one["served"] == pytest.approx(requests["served"] / asked, abs=1e-4) and one["served"] > 0.5
-        assert one["hits"] > 0 and one["reads"] > 0 and one["connections"] > 0
-        assert one["memory_mb"] > 1 and one["descriptors"] > 3 and one["cpu_s"] > one["cpu_ready_s"] > 0
+        assert (
+            size_result["served"] == pytest.approx(requests["served"] / asked, abs=1e-4)
+            and size_result["served"] > 0.5
+        )
+        assert size_result["hits"] > 0 and size_result["reads"] > 0 and size_result["connections"] > 0
+        assert (
+            size_result["memory_mb"] > 1
+            and size_result["descriptors"] > 3
+            and size_result["cpu_s"] > size_result["cpu_ready_s"] > 0
+        )
     if case == "replaced":  # the size of an entry is about 0.15 kB
         assert usual["list_kb"] > 0.1 and wide["list_kb"] > 0.1 * SIZE_RATIO
     else:
