--- a/applehub/lab/__main__.py
+++ b/applehub/lab/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the lab: python -m applehub.lab."""
+"""Command line of the emulator: python -m applehub.lab."""
 
 import os
 import sys
@@ -127,7 +127,7 @@
 def _summarize(records: list[Json]) -> list[Json]:
     groups, rows = group_records(records), []
     for (point, policy), group in groups.items():
-        means = {name: mean_of(record["result"][name] for record in group) for name in MEASURES}
+        means = {name: mean_of(group_record["result"][name] for group_record in group) for name in MEASURES}
         rows.append(
             {
                 "point": point,
@@ -272,7 +272,7 @@
     except ValueError:
         raise ResultsError(f"{request}: expected the id of a request, 16 hex digits") from None
     if point >= len(plan.points):
-        raise ResultsError(f"--point {point}: expected a number under {len(plan.points)}")
+        raise ResultsError(f"--point {point}: expected a number less than {len(plan.points)}")
     simulation = build_simulation(
         plan.points[point][1],
         policy or plan.experiment.policies[0],
@@ -282,7 +282,7 @@
     simulation.run()
     if not simulation.client_attempts:
         raise ResultsError(
-            f"{request}: expected a request of this run, which has {simulation.account.requests}"
+            f"{request}: expected the id of a request of this run; total requests: {simulation.account.requests}"
         )
     demand = simulation.client_attempts[0].demand
     class_name = simulation.scenario.workload.classes[demand.cls].name
--- a/applehub/lab/account.py
+++ b/applehub/lab/account.py
@@ -29,15 +29,15 @@
         """objectives: latency objective of each class, ns."""
         self.scenario, self.objectives, self.clock = scenario, objectives, clock
         classes = scenario.workload.classes
-        self.by_class = [[0.0, 0.0] for _ in classes]  # weight requested, weight served
-        self.by_second: list[list[float]] = []
+        self.by_class = [[0.0, 0.0] for _ in classes]  # weight requested and weight served
+        self.by_second: list[list[float]] = []  # as by_class, by second of the request
         self.causes: dict[str, float] = {}  # weight lost, by cause
         self.examples: dict[str, str] = {}  # id of the first request lost, by cause
         self.statuses: Counter[str] = Counter()  # number of attempts, by status and type of server
         self.requests = self.client_attempt_count = self.attempts = 0
         self.handshakes = self.cross_zone_attempts = self.refused_connects = 0
-        self.late_lost_weight = 0.0
-        self.work = self.wasted = 0
+        self.late_lost_weight = 0.0  # weight of requests lost after their latency objective
+        self.work = self.wasted = 0  # ns; wasted: work on attempts that had ended
         self.response_times: list[int] = []  # response times of the requests served, ns
 
     def record_request(self, demand: Demand) -> None:
@@ -91,7 +91,7 @@
     def result(
         self, cpu_times: list[int], origin: OriginServer, registry: Registry, servers: list[CacheServer]
     ) -> Json:
-        """Returns the result record of the run. cpu_times: of each router, ns, in ascending order."""
+        """Returns the result record of the run. cpu_times: CPU time of each router, ns, ascending."""
         goal, seconds = self.scenario.goal, self.by_second
         weight_requested = sum(pair[0] for pair in self.by_class)
         served_fraction = (
@@ -145,7 +145,8 @@
             },
             "discovery": {"calls": registry.calls, "failed": registry.failed},
             "hit_share": _rounded(
-                sum(one.hits for one in servers) / max(1, sum(one.hits + one.misses for one in servers))
+                sum(server.hits for server in servers)
+                / max(1, sum(server.hits + server.misses for server in servers))
             ),
             "ms": {
                 "p50": self._percentile_ms(times, 0.5),
--- a/applehub/lab/peering.py
+++ b/applehub/lab/peering.py
@@ -22,7 +22,7 @@
 
     index: int
     zone: int
-    incarnation: int
+    process_incarnation: int
     up: bool
     known: dict[str, api.Member]
 
@@ -66,12 +66,12 @@
             GossipAgent(own_peer, FLEET, seed_names, agent_incarnation, self.period)
         )
         self.clock.after(
-            int(self.random.uniform() * self.period), self._tick, (router, router.incarnation, 0)
+            int(self.random.uniform() * self.period), self._tick, (router, router.process_incarnation, 0)
         )
 
     def _tick(self, args: tuple[GossipRouter, int, int]) -> None:
         router, incarnation, count = args
-        if router.incarnation != incarnation or not router.up:
+        if router.process_incarnation != incarnation or not router.up:
             return
         adapter, now = self.adapters[router.index], self.clock.now
         self._send(router, adapter.agent.tick(now))
--- a/applehub/lab/powerloss.py
+++ b/applehub/lab/powerloss.py
@@ -174,7 +174,10 @@
         allowed = [acknowledged[-1], *in_progress]
         for state in disk.crash_states():
             loaded = _open_and_save(make(state), result)
-            result.expect(loaded.value in allowed, f"{_describe(loaded)}, not one of {len(allowed)} allowed")
+            result.expect(
+                loaded.value in allowed,
+                f"{_describe(loaded)} was loaded; expected one of {len(allowed)} values",
+            )
 
     disk.on_operation = check_states
     for value in values:
@@ -188,11 +191,11 @@
             correct = loaded.value in acknowledged[-2:] and (
                 loaded.value == value or loaded.skipped_files != []
             )
-            result.expect(correct, f"a flipped bit gave {_describe(loaded)}")
+            result.expect(correct, f"after a bit flip, the store loaded {_describe(loaded)}")
     second_store = make(disk)
     try:
         second_store.open()
-        result.expect(False, "two processes opened the store at once")
+        result.expect(False, "two processes opened the store at the same time")
     except StoreError:
         result.expect(True, "")
     return result
--- a/applehub/lab/routers.py
+++ b/applehub/lab/routers.py
@@ -47,7 +47,7 @@
 
     def __init__(self, context: RouterContext, index: int, zone: int) -> None:
         self.context, self.clock, self.index, self.zone = context, context.clock, index, zone
-        self.incarnation = 0
+        self.process_incarnation = 0
         self.up = self.accepting = False
         self.busy_until = 0  # time at which the processor finishes the accepted work, ns
         self.cpu_time = 0
@@ -72,12 +72,12 @@
 
     def start(self, make_policy: Callable[[int], DecisionModule]) -> None:
         """Starts a router process with the cached list and the saved statistics, if any."""
-        self.incarnation += 1
+        self.process_incarnation += 1
         self.up = self.accepting = True
         self.busy_until = self.clock.now
         self.subscribed, self.watch_started_at = False, self.clock.now
         self.max_attempts = self.context.spec.max_attempts
-        self.decider = make_policy(self.incarnation)
+        self.decider = make_policy(self.process_incarnation)
         self._receive_list(api.Members(api.ListKind.CACHED, list(self.known.values())), self.list_version)
         if self.saved_statistics is not None:
             saved_at, statistics = self.saved_statistics
@@ -86,19 +86,19 @@
                 self.list_entry_cost * len(statistics.servers),
             )
         if self.save_interval and isinstance(self.decider, Balancer):
-            self.clock.after(self.save_interval, self._save_statistics, self.incarnation)
+            self.clock.after(self.save_interval, self._save_statistics, self.process_incarnation)
         if self.context.peering is not None:
             self.context.peering.start(self)
 
     def _save_statistics(self, incarnation: int) -> None:
-        if self.incarnation == incarnation and isinstance(self.decider, Balancer):
+        if self.process_incarnation == incarnation and isinstance(self.decider, Balancer):
             self.saved_statistics = self.clock.now, self.decider.statistics()
             self.clock.after(self.save_interval, self._save_statistics, incarnation)
 
     def stop(self) -> None:
         """Ends the process at once, as SIGKILL does, and breaks the connections of its clients."""
         self.up = self.accepting = False
-        self.incarnation += 1
+        self.process_incarnation += 1
         self.context.registry.unsubscribe(self.index)
         for client_attempt in list(self.pending.values()):
             for attempt in client_attempt.in_flight.values():
@@ -120,12 +120,16 @@
         grace period has passed."""
         self.accepting = False
         self._check_drained(
-            (self.clock.now + self.context.longest_deadline + TERMINATION_GRACE, self.incarnation, on_stopped)
+            (
+                self.clock.now + self.context.longest_deadline + TERMINATION_GRACE,
+                self.process_incarnation,
+                on_stopped,
+            )
         )
 
     def _check_drained(self, argument: tuple[int, int, Callable[["RouterHost"], None]]) -> None:
         deadline, incarnation, on_stopped = argument
-        if self.incarnation != incarnation:
+        if self.process_incarnation != incarnation:
             return
         if self.pending and self.clock.now < deadline:
             self.clock.after(20 * MILLI, self._check_drained, argument)
@@ -141,9 +145,9 @@
         self.busy_until = starts_at + cost
         self.cpu_time += cost
         if starts_at == self.clock.now:
-            self._handle((self.incarnation, event))
+            self._handle((self.process_incarnation, event))
         else:
-            self.clock.at(starts_at, self._handle, (self.incarnation, event))
+            self.clock.at(starts_at, self._handle, (self.process_incarnation, event))
 
     def work(self, cost: int) -> None:
         """Occupies the processor for `cost` ns."""
@@ -152,7 +156,7 @@
 
     def _handle(self, argument: tuple[int, api.Event]) -> None:
         incarnation, event = argument
-        if incarnation != self.incarnation or not self.up:
+        if incarnation != self.process_incarnation or not self.up:
             return
         if type(event) is api.RequestCancelled and not self._cancel(event.id):
             return
@@ -165,7 +169,7 @@
                 case api.Fail():
                     self._finish(action.id, "failed", 0)
                 case api.SetTimer():
-                    self.clock.after(action.delay, self._fire_timer, (self.incarnation, action.token))
+                    self.clock.after(action.delay, self._fire_timer, (self.process_incarnation, action.token))
                 case api.Watch():
                     self._subscribe()
                 case api.Log():
@@ -175,15 +179,15 @@
                     self.context.peering.publish(self, action)
 
     def _fire_timer(self, argument: tuple[int, str]) -> None:
-        if argument[0] == self.incarnation:
+        if argument[0] == self.process_incarnation:
             self.deliver(api.TimerFired(argument[1]), self.timer_cost)
 
     def _subscribe(self) -> None:
         self.watch_started_at = self.clock.now
-        incarnation = self.incarnation
+        incarnation = self.process_incarnation
 
         def on_list(event: api.Members, version: int) -> None:
-            if self.incarnation == incarnation:
+            if self.process_incarnation == incarnation:
                 self.subscribed = event.kind is not api.ListKind.FAILED
                 self._receive_list(event, version)
 
@@ -283,7 +287,9 @@
             return
         number, client_attempt.attempts_made = client_attempt.attempts_made, client_attempt.attempts_made + 1
         server_incarnation = server.incarnation if isinstance(server, CacheServer) else 0
-        attempt = Attempt(client_attempt, number, self, server, now, self.incarnation, server_incarnation)
+        attempt = Attempt(
+            client_attempt, number, self, server, now, self.process_incarnation, server_incarnation
+        )
         time_left = client_attempt.deadline - now
         timeout = min(action.timeout, time_left) if action.timeout > 0 else time_left
         if not self.context.rules.check_attempt(attempt) or timeout <= 0:
@@ -369,7 +375,7 @@
             self.context.on_overload(server)
 
     def _reset(self, attempt: Attempt) -> None:
-        if not attempt.ended and attempt.router_incarnation == self.incarnation:
+        if not attempt.ended and attempt.router_incarnation == self.process_incarnation:
             self._end_attempt(attempt, api.Status.RESET, 0, None)
 
     def connection_broken(self, attempt: Attempt) -> None:
@@ -409,12 +415,12 @@
 
     def _receive_answer(self, argument: tuple[Attempt, api.Status, int, api.LoadReport | None]) -> None:
         attempt, status, note, load = argument
-        if attempt.ended or attempt.router_incarnation != self.incarnation:
+        if attempt.ended or attempt.router_incarnation != self.process_incarnation:
             return
         self._end_attempt(attempt, status, note, load)
 
     def _timed_out(self, attempt: Attempt) -> None:
-        if not attempt.ended and attempt.router_incarnation == self.incarnation:
+        if not attempt.ended and attempt.router_incarnation == self.process_incarnation:
             self._end_attempt(attempt, api.Status.TIMEOUT if attempt.written else api.Status.MOOT, 0, None)
 
     def _end_attempt(
--- a/applehub/lab/simulation.py
+++ b/applehub/lab/simulation.py
@@ -1,6 +1,6 @@
 """The simulation of one scenario: creates clients, routers, servers and services, and connects them.
 
-Faults are scheduled from outside by `applehub.lab.faults`.
+The module `applehub.lab.faults` schedules the faults.
 """
 
 from collections.abc import Callable
@@ -27,7 +27,7 @@
 from applehub.wirehost import DecisionModule
 
 IDLE_CHECK_INTERVAL = SECOND
-MAX_LOGS = 200  # log lines stored for one run
+MAX_LOGS = 200  # maximum number of log lines stored in one run
 
 
 class Simulation:
--- a/applehub/lab/spec.py
+++ b/applehub/lab/spec.py
@@ -32,8 +32,8 @@
     cores: Count
     speed: Positive
     speed_cv: Share = 0.14  # coefficient of variation of the speed among servers
-    slots_per_core: Positive = 4
-    queue_per_core: Positive = 2.5
+    slots_per_core: Positive = 4  # concurrent jobs per core
+    queue_per_core: Positive = 2.5  # queued jobs per core
     cold_from: Annotated[float, Field(gt=0, le=1)] = 0.2  # capacity after a start, relative to warm
     cold_s: Positive = 18  # duration of the warm-up
 
@@ -62,10 +62,10 @@
     drops_abandoned: bool = False  # drop queued requests that the router no longer waits for
     error_share: Share = 0.0003
     report_ms: Positive = 860  # interval between updates of the load report
-    report_noise: Share = 0.03
-    connections_per_core: Count = 750
+    report_noise: Share = 0.03  # maximum relative error of the load report
+    connections_per_core: Count = 750  # maximum number of connections per core
     handshake_ms: NonNegative = 1.7  # server work per handshake
-    handshake_rtts: NonNegative = 2.5
+    handshake_rtts: NonNegative = 2.5  # network round trips per handshake
     idle_s: Positive = 10
     full_tax: Share = 0.09  # fraction of capacity that a full connection table costs
 
@@ -73,11 +73,11 @@
 class Origin(Table):
     """The shared origin; its capacity derives from the reads that one pooled cache would miss."""
 
-    headroom: Positive = 2.6
+    headroom: Positive = 2.6  # capacity, relative to the writes and the misses of one pooled cache
     work_of_aim: Positive = 0.15  # mean work of a read, relative to the shortest latency objective
-    queue_s: Positive = 2
+    queue_s: Positive = 2  # queue limit, in seconds at full rate
     choke: NonNegative = 0.05
-    coalesce: bool = False
+    coalesce: bool = False  # concurrent reads of a key share one job
     error_share: Share = 0
     capacity_rps: NonNegative = 0  # 0: derived from headroom
 
@@ -88,7 +88,7 @@
     same_ms: NonNegative = 0.22
     cross_ms: NonNegative = 7.8
     client_ms: NonNegative = 0.7
-    jitter: Share = 0.2
+    jitter: Share = 0.2  # maximum relative deviation of a delay
     dial_timeout_ms: Positive = 120
 
 
@@ -109,19 +109,19 @@
     name: str
     share: Positive
     work_ms: Positive
-    work_cv: NonNegative = 0.45
-    aim_ms: Positive
+    work_cv: NonNegative = 0.45  # coefficient of variation of the work
+    aim_ms: Positive  # latency objective
     deadline_ms: Positive
-    worth: Positive = 1
+    worth: Positive = 1  # priority weight
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
-    window_ms: NonNegative = 2000
+    window_ms: NonNegative = 2000  # validity of an idempotency key
     write: bool = False
 
 
 class Keys(Table):
     """Requested keys, with Zipf popularity: p(rank) ~ 1 / (rank + offset) ** skew."""
 
-    per_server: Count = 2000
+    per_server: Count = 2000  # number of keys per server
     skew: Positive = 1.0
     offset: NonNegative = 3
     pooled_hits: Annotated[float, Field(gt=0, lt=1)] = 0.9  # hit ratio of one pooled cache
@@ -133,8 +133,8 @@
 
     load: Positive = 0.5  # relative to the capacity of all warm servers
     zone_skew: Share = 0.3  # maximum relative deviation of a zone's traffic from an even split
-    wave: Share = 0.1  # amplitude, relative to the mean rate
-    wave_s: Positive = 20  # period
+    wave: Share = 0.1  # amplitude of the wave, relative to the mean rate
+    wave_s: Positive = 20  # period of the wave
     keys: Keys = Keys()
     classes: Annotated[list[RequestClass], Field(min_length=1)] = [
         RequestClass(name="consulta", share=0.962, work_ms=37, aim_ms=300, deadline_ms=600, worth=3),
@@ -168,7 +168,7 @@
     attempt_us: NonNegative = 300  # processor time per attempt
     alarm_us: NonNegative = 40  # processor time per timer
     member_us: NonNegative = 25  # processor time per entry of a list
-    start_ms: NonNegative = 300  # duration of a start
+    start_ms: NonNegative = 300  # duration of a process start
     max_attempts: Annotated[int, Field(ge=1, le=16)] = 4
     idle_s: Positive = 5  # idle timeout of connections to servers
     retry_after_ms: NonNegative = 0  # 0: clients get no retry-after
--- a/applehub/lab/throttle_analysis.py
+++ b/applehub/lab/throttle_analysis.py
@@ -39,7 +39,7 @@
 
     @property
     def agrees(self) -> bool:
-        """Whether the blocking probability of the chain lies within the measured 95% interval."""
+        """True if the blocking probability of the chain lies within the measured 95% interval."""
         return abs(self.blocked.value - self.chain_blocked) <= (self.blocked.half or 0.0) + 1e-4
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -117,7 +117,7 @@
     kill_simulation = build_simulation(scenario_of(topology=topology, faults=[fault]), "router", 1)
     kill_simulation.run()
     assert (
-        sum(router.incarnation > 1 for router in kill_simulation.routers) == killed
+        sum(router.process_incarnation > 1 for router in kill_simulation.routers) == killed
     )  # a stop and a start each add one
 
 
