--- a/applehub/lab/__main__.py
+++ b/applehub/lab/__main__.py
@@ -282,7 +282,7 @@
     simulation.run()
     if not simulation.client_attempts:
         raise ResultsError(
-            f"{request}: expected the id of a request of this run; total requests: {simulation.account.requests}"
+            f"{request}: expected a request of this run; total requests: {simulation.account.requests}"
         )
     demand = simulation.client_attempts[0].demand
     class_name = simulation.scenario.workload.classes[demand.cls].name
--- a/applehub/lab/account.py
+++ b/applehub/lab/account.py
@@ -30,14 +30,16 @@
         self.scenario, self.objectives, self.clock = scenario, objectives, clock
         classes = scenario.workload.classes
         self.by_class = [[0.0, 0.0] for _ in classes]  # weight requested and weight served
-        self.by_second: list[list[float]] = []  # as by_class, by second of the request
+        self.by_second: list[list[float]] = []  # weight requested and weight served, by second of the request
         self.causes: dict[str, float] = {}  # weight lost, by cause
         self.examples: dict[str, str] = {}  # id of the first request lost, by cause
         self.statuses: Counter[str] = Counter()  # number of attempts, by status and type of server
         self.requests = self.client_attempt_count = self.attempts = 0
         self.handshakes = self.cross_zone_attempts = self.refused_connects = 0
         self.late_lost_weight = 0.0  # weight of requests lost after their latency objective
-        self.work = self.wasted = 0  # ns; wasted: work on attempts that had ended
+        self.work = self.wasted = (
+            0  # ns: work requested, and work on attempts that the router no longer awaited
+        )
         self.response_times: list[int] = []  # response times of the requests served, ns
 
     def record_request(self, demand: Demand) -> None:
--- a/applehub/lab/attempts.py
+++ b/applehub/lab/attempts.py
@@ -64,7 +64,7 @@
     sent_at: int  # ns
     router_incarnation: int
     server_incarnation: int
-    opened: bool = False  # uses a new connection
+    opened: bool = False  # the attempt uses a new connection
     connection_counted: bool = False  # the server counts the connection as open
     written: bool = False
     ended: bool = False  # the router no longer waits for the result
--- a/applehub/lab/clients.py
+++ b/applehub/lab/clients.py
@@ -45,7 +45,7 @@
         )
         self.spec = scenario.clients
         self.random_stream, self.router_random = random_stream("clients"), random_stream("front")
-        self.next_request = 0  # index in the workload
+        self.next_request = 0  # index of the next request in the workload
         self.down_routers: set[int] = set()  # indexes of routers that the front-end excludes
 
     def start(self) -> None:
--- a/applehub/lab/cost.py
+++ b/applehub/lab/cost.py
@@ -26,7 +26,7 @@
 
 
 def measure(servers: int, count: int) -> Cost:
-    """Measures `count` reads that hit the cache, on a warm fleet of equal servers, without any I/O."""
+    """Measures `count` reads that hit the cache, on a warm fleet of two machine types, without I/O."""
     settings, random = read_settings(router_settings(Scenario())), RandomStream(1, "cost")
     balancer, now = Balancer(settings, 1), 0
     members = [api.Member(f"s-{number:08x}", kind=number % 2) for number in range(servers)]
--- a/applehub/lab/gossip.py
+++ b/applehub/lab/gossip.py
@@ -36,9 +36,8 @@
 
     known_s: float = -1.0  # time until all routers know all others
     verdict_ms: list[float] = field(default_factory=list)  # propagation delays to each other router
-    ages_ms: dict[str, list[float]] = field(
-        default_factory=dict
-    )  # ages of the records in use since their publication, by type
+    # Ages of the records in use since their publication, by type.
+    ages_ms: dict[str, list[float]] = field(default_factory=dict)
     bytes_out: float = 0.0
     datagrams: float = 0.0
     cpu_ms: float = 0.0
--- a/applehub/lab/live/client.py
+++ b/applehub/lab/live/client.py
@@ -23,11 +23,11 @@
 class LoadSpec:
     """A load of reads and writes with Zipf-distributed keys."""
 
-    rate: float  # mean requests/s
+    rate: float  # mean number of requests per second
     seconds: float
     keys: int
     write_part: float  # fraction of the requests that are writes
-    value: int  # bytes of a written value
+    value: int  # size of a written value, bytes
     wait_ms: int  # timeout of a request at the client
     connections: int  # maximum number of open connections
     seed: int
--- a/applehub/lab/live/wide.py
+++ b/applehub/lab/live/wide.py
@@ -34,7 +34,7 @@
 
     label: str
     unit: str
-    factor: float  # applied to the value at the usual size
+    factor: float  # multiplies the value at the usual size
     constant: float = 0.0
     per_thousand_servers: float = 0.0  # added for each full thousand of cache servers
     at_least: bool = False  # the limit is a lower bound; else an upper bound
--- a/applehub/lab/network.py
+++ b/applehub/lab/network.py
@@ -15,9 +15,8 @@
         self.jitter = spec.jitter
         self.dial_timeout = int(spec.dial_timeout_ms * MILLI)
         self.partitioned_zones: set[int] = set()
-        self.loss_rate = self.reset_rate = (
-            0.0  # fractions of the answers that are lost, or replaced by a reset
-        )
+        # Fractions of the answers that are lost, and that are replaced by a connection reset.
+        self.loss_rate = self.reset_rate = 0.0
 
     def delay(self, first: int, second: int) -> int:
         """Draws the delay between two zones, with jitter."""
--- a/applehub/lab/origin.py
+++ b/applehub/lab/origin.py
@@ -25,7 +25,7 @@
         rate: Capacity, in reads and writes per second.
         shortest_objective: Shortest latency objective of all classes, in ns.
         """
-        self.read_work = spec.work_of_aim * shortest_objective  # mean, in ns at speed 1
+        self.read_work = spec.work_of_aim * shortest_objective  # mean work of a read, in ns at speed 1
         cores = max(1, round(rate * self.read_work / 1e9))
         speed = rate * self.read_work / 1e9 / cores
         super().__init__(clock, cores, speed, cores, max(1, int(rate * spec.queue_s)))
--- a/applehub/lab/plots.py
+++ b/applehub/lab/plots.py
@@ -11,7 +11,7 @@
 matplotlib.use("Agg")  # writes files without a display
 from matplotlib import pyplot as plt  # the backend has to be chosen before this import
 
-MIN_SHOWN_LOSS = 0.005  # fraction of the weight; smaller causes are summed
+MIN_SHOWN_LOSS = 0.005  # fraction of the weight; causes with smaller losses are summed
 SMOOTHING_WINDOW = 3  # s; width of the moving average
 
 
--- a/applehub/lab/servers.py
+++ b/applehub/lab/servers.py
@@ -12,7 +12,7 @@
 from applehub.lab.streams import RandomStream
 
 STARTED_BEFORE_RUN = -(1 << 62)  # start time of the servers that are warm at the start of the simulation
-OVERLOAD_DEVIATIONS = 3  # standard deviations above its budget at which a warming server fails
+OVERLOAD_DEVIATIONS = 3  # standard deviations above the budget at which a warming server fails
 RANDOM_DEVIATIONS = 2  # standard deviations above the budget that are attributed to random arrivals
 MAX_EVENTS = 8  # maximum number of recent events stored for each server
 
--- a/applehub/lab/spec.py
+++ b/applehub/lab/spec.py
@@ -57,7 +57,7 @@
 
     memory: Positive = 1.3  # keys that all servers store, relative to one pooled cache
     choke: NonNegative = 0  # congestion: relative slowdown per choke_at jobs above choke_at
-    choke_at: Positive = 8  # jobs per core
+    choke_at: Positive = 8  # jobs per core above which congestion starts
     miss_work: Share = 0.1  # work of a miss, as a fraction of the request's work
     drops_abandoned: bool = False  # drop queued requests that the router no longer waits for
     error_share: Share = 0.0003
@@ -67,7 +67,7 @@
     handshake_ms: NonNegative = 1.7  # server work per handshake
     handshake_rtts: NonNegative = 2.5  # network round trips per handshake
     idle_s: Positive = 10
-    full_tax: Share = 0.09  # fraction of capacity that a full connection table costs
+    full_tax: Share = 0.09  # fraction of capacity lost when the connection table is full
 
 
 class Origin(Table):
@@ -131,7 +131,7 @@
 class Workload(Table):
     """Open-loop request arrivals; the rate follows a sine wave around its mean."""
 
-    load: Positive = 0.5  # relative to the capacity of all warm servers
+    load: Positive = 0.5  # mean work requested, relative to the capacity of all warm servers
     zone_skew: Share = 0.3  # maximum relative deviation of a zone's traffic from an even split
     wave: Share = 0.1  # amplitude of the wave, relative to the mean rate
     wave_s: Positive = 20  # period of the wave
@@ -220,7 +220,7 @@
     at_s: NonNegative
     for_s: Positive
     factor: Positive
-    edge_s: Positive = 0.5  # duration of the rise and of the fall
+    edge_s: Positive = 0.5  # duration of the rise, and of the fall
 
 
 class Ramp(Table):
@@ -364,7 +364,7 @@
     kind: Literal["discovery"]
     at_s: NonNegative
     for_s: Positive
-    slower: Positive = 10  # factor on the time per call
+    slower: Positive = 10  # factor by which the time per call grows
     down: bool = False
 
 
--- a/applehub/lab/workload.py
+++ b/applehub/lab/workload.py
@@ -10,7 +10,7 @@
 from applehub.lab.streams import generator
 
 RATE_STEP_S = 0.02  # time step of the rate curve
-FIRST_HOT_KEY, FIRST_ONE_OFF_KEY = 1 << 40, 1 << 41  # above all other key numbers
+FIRST_HOT_KEY, FIRST_ONE_OFF_KEY = 1 << 40, 1 << 41  # greater than all other key numbers
 Floats = NDArray[np.float64]
 Ints = NDArray[np.int64]
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -116,9 +116,8 @@
     fault = {"kind": "kill_routers", "at_s": 1, "part": fraction}
     kill_simulation = build_simulation(scenario_of(topology=topology, faults=[fault]), "router", 1)
     kill_simulation.run()
-    assert (
-        sum(router.process_incarnation > 1 for router in kill_simulation.routers) == killed
-    )  # a stop and a start each add one
+    # A stop and a start each increment the incarnation.
+    assert sum(router.process_incarnation > 1 for router in kill_simulation.routers) == killed
 
 
 @pytest.mark.parametrize(
