--- a/applehub/lab/faults.py
+++ b/applehub/lab/faults.py
@@ -1,4 +1,4 @@
-"""Schedules the faults of a scenario. Faults of the workload, such as bursts, are part of the workload."""
+"""Schedules the faults of a scenario. The workload itself includes bursts and hot keys."""
 
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import replace
--- a/applehub/lab/rules.py
+++ b/applehub/lab/rules.py
@@ -127,7 +127,7 @@
             )
 
     def check_rejection(self, client_attempt: ClientAttempt) -> None:
-        """Checks that a rejected request was not executed, because clients retry rejected requests."""
+        """Checks that no non-idempotent request is rejected after a possible execution: clients may retry it."""
         if (
             client_attempt.possibly_executed
             and self.classes[client_attempt.demand.cls].effect is api.Effect.UNSAFE
--- a/applehub/lab/spec.py
+++ b/applehub/lab/spec.py
@@ -195,7 +195,7 @@
     cold_from: Annotated[float, Field(gt=0, le=1)] = 0.12  # capacity after a start, relative to warm
     ramp_s: Positive = 24  # duration of the slow start
     tip_multiple: Positive = 2.5  # load that overloads a warming server, relative to its capacity
-    fall_s: Positive = 2  # window over which this load is measured
+    fall_s: Positive = 2  # window over which the overload of a server is measured
     ask_within_s: Positive = 10  # maximum interval between polls of the endpoint list
 
 
