--- a/applehub/lab/rules.py
+++ b/applehub/lab/rules.py
@@ -127,7 +127,7 @@
             )
 
     def check_rejection(self, client_attempt: ClientAttempt) -> None:
-        """Checks that no non-idempotent request is rejected after a possible execution: clients may retry it."""
+        """Checks that a non-idempotent request is not rejected after a possible execution."""
         if (
             client_attempt.possibly_executed
             and self.classes[client_attempt.demand.cls].effect is api.Effect.UNSAFE
