--- a/applehub/interface.py
+++ b/applehub/interface.py
@@ -26,8 +26,8 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
-    MISS = "miss"
+    MOOT = "moot"  # ended before the server received any of it, e.g. because the connection broke
+    MISS = "miss"  # the cache server does not have the key
     # This machine could not start the attempt: it lacked descriptors, buffers, memory or local ports.
     LOCAL_FAILURE = "local_failure"
     # This machine has no route to the server's address: the fault is either the server's or the machine's.
@@ -62,7 +62,8 @@
     latency_objective: int
     deadline: int
     effect: Effect = Effect.SAFE
-    group: str = "all"  # servers that deduplicate by idempotency key: "all", or those of a "zone" or "cell"
+    # Servers that share their record of idempotency keys: "all", or those of a "zone" or "cell".
+    group: str = "all"
     idempotency_window: int = 0  # how long servers remember an idempotency key
     priority_weight: float = 1.0
     late_weight: float = 0.0  # fraction of priority_weight for an answer after the latency objective
@@ -83,17 +84,18 @@
     classes: list[RequestClass]
     router_count: int = 1
     tenants: list[Tenant] = field(default_factory=list)
-    cache_aside: bool = False  # after a miss the router itself fetches from the origin
+    # After a miss the router fetches from the origin; if False, the cache server does (cache-through mode).
+    cache_aside: bool = False
     origin_kind: int = -1
-    list_on_request: bool = False  # discovery sends the endpoint list only when it is polled
-    retry_after: bool = False  # rejected clients are told when to retry
+    list_on_request: bool = False  # discovery sends the endpoint list only in reply to a poll
+    retry_after: bool = False  # rejections carry the time after which to retry
     max_retry_after: int = 0
     max_attempts: int = 1
     connect_timeout: int = 250_000_000
-    max_poll_interval: int = 10_000_000_000  # between two polls of discovery
-    slow_start_capacity: float = 1.0  # fraction of its full capacity that a server has when it starts
-    slow_start_time: int = 0  # time until a started server has its full capacity
-    overload_factor: float = 1.0  # multiple of its capacity, over overload_window, that overloads a server
+    max_poll_interval: int = 10_000_000_000  # maximum time between two polls of discovery
+    slow_start_capacity: float = 1.0  # fraction of its full capacity that a server has at its start
+    slow_start_time: int = 0  # time from a server's start until it has its full capacity
+    overload_factor: float = 1.0  # multiple of a server's capacity that overloads it within overload_window
     overload_window: int = 1_000_000_000
     peers: bool = False  # the router exchanges gossip with other routers
 
@@ -107,7 +109,7 @@
     kind: int = 0
     zone: int = 0
     cell: int = 0
-    since: int = 0  # clock time of the latest start; 0: long ago
+    since: int = 0  # clock time of the server's latest start; 0: unknown
     weight: float = 1.0
 
 
@@ -130,7 +132,7 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """Replaces the settings; requests already in progress keep their class."""
+    """New settings, which replace the current ones; requests in progress keep the settings of their class."""
 
     settings: Settings
 
@@ -166,7 +168,7 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """A server's own load report, which may be late and inexact; negative values are unknown."""
+    """Load that a server reports of itself, possibly late or inexact; a negative value is unknown."""
 
     inflight: float = -1.0  # requests in flight
     queue: float = -1.0  # requests waiting
@@ -230,13 +232,13 @@
     router_count: int  # live processes, including this one
     # By kind: fraction of an equal key range that one server of the kind takes.
     range_fractions: dict[int, float] = field(default_factory=dict)
-    # By server: the number of routers for which it fails, and of those that report on it.
+    # By server: the number of routers that report it as failing, and the number that report on it at all.
     failure_reports: dict[str, tuple[int, int]] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class ServerStatistics:
-    """What a router has measured of one server."""
+    """Statistics of one server, as measured by one router."""
 
     latency: float  # moving average of response times, ns
     base_latency: float  # response time without queueing, ns
@@ -246,7 +248,7 @@
 
 @dataclass(slots=True)
 class SavedStatistics:
-    """Statistics that an earlier process of this router saved, and the time since then."""
+    """Statistics saved by an earlier process of this router, and their age."""
 
     age: int
     servers: dict[str, ServerStatistics]
@@ -276,7 +278,7 @@
     id: str
     server: str
     timeout: int = 0  # 0: until the client gives up
-    # Clock time from which the attempt must not start, since a retry could run a second time; 0: no limit.
+    # Clock time by which the attempt must start, since servers forget idempotency keys; 0: no limit.
     start_by: int = 0
 
 
@@ -317,13 +319,13 @@
 
 @dataclass(slots=True)
 class PublishGossip:
-    """Publishes what this router has observed itself to the other routers."""
+    """Publishes this router's own observations to the other routers."""
 
     throttle_rate: float  # tokens per second that the throttle allows; 0: no limit
-    spend_rate: float  # tokens per second that are spent
+    spend_rate: float  # tokens per second that this router spends
     range_fractions: dict[int, float]  # by kind: fraction of an equal key range that one server takes
     failing: dict[str, int]  # by failing server: the number of consecutive failures
-    healthy: list[str]  # servers that other routers report as failing and that answered this one recently
+    healthy: list[str]  # servers reported as failing by other routers that recently answered this one
 
 
 Action = Send | Reject | Fail | SetTimer | Watch | Log | PublishGossip
--- a/applehub/policy/__init__.py
+++ b/applehub/policy/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of one router. Settings, events and actions are defined in applehub/interface.py."""
+"""Decision module of a router. Settings, events and actions are defined in applehub/interface.py."""
 
 from applehub.policy.balancer import Balancer
 
--- a/applehub/policy/balancer.py
+++ b/applehub/policy/balancer.py
@@ -16,16 +16,17 @@
 from applehub.policy.tenants import Tenants
 from applehub.policy.throttle import Monitor, Throttle
 
-# The server did not process the attempt.
+# Statuses of attempts that the server did not process.
 NOT_EXECUTED = frozenset((api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.MOOT, api.Status.MISS))
-# The origin is overloaded for a write that it would answer later than this multiple of its latency objective.
+# A write is rejected if its predicted latency at the origin exceeds this multiple of its latency objective.
 WRITE_LATENCY_FACTOR = 2
-IDLE_LATENCY_FACTOR = 2  # the origin is idle up to this multiple of its base latency
-UNLIMITED_FACTOR = 1 << 20  # disables the limit relative to the base latency
+# The origin counts as idle while its predicted latency is at most this multiple of its base latency.
+IDLE_LATENCY_FACTOR = 2
+UNLIMITED_FACTOR = 1 << 20  # queueing factor that disables the limit relative to the base latency
 
 
 class Balancer:
-    """The decisions of one router."""
+    """Makes the decisions of one router."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.context = context = EventContext(settings, seed)
@@ -37,12 +38,12 @@
         self.hit_history, self.replicas = HitHistory(), Replicas(context, self.server_table)
         self.monitor = Monitor(context.shortest_objective // 2)
         self.gossip = Gossip(context, self.server_table, self.monitor)
-        # Likely misses in flight, by request and attempt: when each was sent, and when it counts as slow.
+        # Likely misses in flight, by request and attempt: send time, and time from which each counts as slow.
         self.misses_in_flight: dict[tuple[str, int], tuple[int, int]] = {}
         # Keys that are being read from the origin, and the jobs that wait for the result.
         self.fetch_waiters: dict[str, list[Job]] = {}
         self.failed_starts = FailedStarts(context, self._retry_start, self._stop_retrying)
-        self.release_at = 0
+        self.release_at = 0  # clock time of the next scheduled release of queued jobs
         self.handlers: dict[type, Callable[..., None]] = {
             api.Request: self._on_request,
             api.StreamOpened: self._on_stream_opened,
@@ -78,35 +79,35 @@
         return context.actions
 
     def _on_settings_changed(self, event: api.SettingsChanged) -> None:
-        """Applies new settings. Jobs keep their request class; statistics of servers and keys are kept."""
-        before, context = self.context.settings, self.context
+        """Applies new settings; jobs keep the settings of their class, servers and keys their statistics."""
+        previous, context = self.context.settings, self.context
         context.apply_settings(event.settings)
         self.monitor.period = context.shortest_objective // 2
         self.monitor.token_usage.set_time_constant(context.now, 8 * self.monitor.period)
-        if event.settings.tenants != before.tenants:
+        if event.settings.tenants != previous.tenants:
             self.tenants.reset()
         self.server_table.on_settings_changed()
 
     @property
     def client_retry_after(self) -> int:
-        """Time, in nanoseconds, after which a rejected client may retry; 0 if clients get no such time."""
+        """Time, in nanoseconds, after which a rejected client may retry; 0 if rejections carry none."""
         enabled, limit = self.context.settings.retry_after, self.context.settings.max_retry_after
         return min(self.context.shortest_objective, limit) if enabled else 0
 
     def _run_monitor(self, _: Job | None) -> None:
         # A slow read counts as unhealthy before it ends, so that an origin that hangs is detected.
-        for read, (sent, slow) in list(self.misses_in_flight.items()):
-            if slow > self.context.now:
+        for attempt, (sent_at, slow_at) in list(self.misses_in_flight.items()):
+            if slow_at > self.context.now:
                 break
-            del self.misses_in_flight[read]
-            self.monitor.record(False, sent)
+            del self.misses_in_flight[attempt]
+            self.monitor.record(False, sent_at)
         self._release_queued(None)  # adds the tokens due by now to the throttle's level
-        before = self.monitor.throttle
+        previous_throttle = self.monitor.throttle
         log_line = self.monitor.step(self.context.now, bool(self.misses_in_flight))
         if log_line:
             self.context.log(log_line)
-        if before is not None and self.monitor.throttle is None:
-            for job in list(before.queue.values()):
+        if previous_throttle is not None and self.monitor.throttle is None:
+            for job in list(previous_throttle.queue.values()):
                 self._dispatch(job)
         if self.context.settings.peers:
             self.context.actions.append(self.gossip.publish())
@@ -133,7 +134,7 @@
             self._dispatch(job)
 
     def _join_fetch(self, job: Job) -> bool:
-        """Waits for an origin read of the same key that is in flight; returns whether there is one.
+        """Lets a job wait for an origin read of its key that is in flight; returns whether there is one.
 
         Prevents many concurrent origin reads for one key.
         """
@@ -145,7 +146,7 @@
         return True
 
     def _finish_fetch(self, key: str, stored: bool) -> None:
-        """Completes an origin read: the waiting jobs get the key from the cache or fetch it themselves."""
+        """Ends an origin read: waiting jobs read the key from the cache if stored, else from the origin."""
         throttle = self.monitor.throttle
         waiting = self.fetch_waiters.pop(key, [])
         if stored and throttle is not None:
@@ -163,7 +164,7 @@
                 self._acquire_token(job)
 
     def _acquire_token(self, job: Job) -> None:
-        """Takes a token from the throttle, which each likely miss and each origin read needs."""
+        """Takes a token for a likely miss or an origin read, then dispatches, queues or rejects the job."""
         throttle = self.monitor.throttle
         if throttle is None:
             self._assign_token(job)
@@ -171,12 +172,12 @@
             return
         self._release_queued(None)
         wait = throttle.wait_time(1 - throttle.level)
-        verdict = (
+        has_token = (
             None
             if job.over_quota or self.context.now + wait > job.objective_deadline
             else throttle.offer(job)
         )
-        if verdict:
+        if has_token:
             self._assign_token(job)
             self._dispatch(job)
         elif job.request.id in throttle.queue:
@@ -200,7 +201,7 @@
         self._schedule_release(throttle)
 
     def _assign_token(self, job: Job) -> None:
-        """Records that a job has a token or needed none; it is kept until an attempt uses it."""
+        """Assigns a token, which the job keeps until an attempt uses it, and counts the token usage."""
         self.monitor.token_usage.add(self.context.now)
         job.has_token = True
 
@@ -212,8 +213,8 @@
             if job.at_origin
             else self._choose_cache(job) or self._choose_idle_origin(job)
         )
-        # An overloaded origin gets no more work, as cache servers do. The limit for reads is lower than that
-        # for writes, so that reads are shed first: only the origin can process a write.
+        # Requests to an overloaded origin are rejected. The limit is lower for reads than for writes, so that
+        # reads are shed first: only the origin can process a write.
         limit = job.spec.latency_objective * (WRITE_LATENCY_FACTOR if job.request.write else SLOW_FRACTION)
         overloaded = (
             job.at_origin and server and not server.has_capacity(self.context.now, limit, UNLIMITED_FACTOR, 0)
@@ -230,7 +231,7 @@
 
     def _choose_cache(self, job: Job) -> Server | None:
         server = self.placement.choose_server(job)
-        if server is None and job.unreachable:  # no other server is left, and the fault may be over
+        if server is None and job.unreachable:  # retries unreachable servers, since no other server is left
             job.clear_unreachable()
             server = self.placement.choose_server(job)
         return server
@@ -264,14 +265,16 @@
         return server.predicted_latency() > job.objective_deadline - self.context.now
 
     def _send_attempt(self, job: Job, server: Server) -> None:
-        key, read, now = job.request.key, job.at_origin and not job.request.write, self.context.now
-        left = job.request.deadline - now
+        key, is_read, now = job.request.key, job.at_origin and not job.request.write, self.context.now
+        time_left = job.request.deadline - now
         timeout = 0
         if job.spec.effect is not api.Effect.UNSAFE and not job.spec.stream:
-            # An origin read gets the whole deadline, since its result fills the cache for later requests. So
-            # do classes that value late answers, since a retry would add load to an overloaded server.
-            timeout = left if read or job.spec.late_weight else min(left, job.objective_deadline - now)
-        # A connect may take long; the retry must not start when the server has forgotten the idempotency key.
+            # An origin read may run until the client's deadline, since its result fills the cache. So may a
+            # class that values late answers, since a retry would add load to an overloaded server.
+            timeout = (
+                time_left if is_read or job.spec.late_weight else min(time_left, job.objective_deadline - now)
+            )
+        # Establishing a connection may outlast the time for which the server remembers the idempotency key.
         start_by = job.retry_window_end if job.may_have_run and job.spec.effect is api.Effect.KEYED else 0
         server.in_flight += 1
         server.previous_sent_at, server.last_sent_at = server.last_sent_at, now
@@ -279,19 +282,19 @@
         job.in_flight.add(job.attempts_made)
         job.attempts_made += 1
         job.tried.add(server.member.server)
-        if read or (job.likely_miss and not self.context.settings.cache_aside):
+        if is_read or (job.likely_miss and not self.context.settings.cache_aside):
             self.misses_in_flight[job.request.id, job.attempts_made - 1] = (
                 now,
                 now + int(job.spec.latency_objective * SLOW_FRACTION),
             )
         if key is not None and not self.context.settings.cache_aside:
             self.hit_history.remember(key, now)
-        elif key is not None and read and not job.detached:
+        elif key is not None and is_read and not job.detached:
             self.fetch_waiters.setdefault(key, [])
         self.context.actions.append(api.Send(job.request.id, server.member.server, max(timeout, 0), start_by))
 
     def _may_attempt(self, job: Job, server: Server) -> bool:
-        """Whether another attempt is allowed, given which earlier attempts may have been executed."""
+        """Whether an attempt is allowed, given the earlier attempts that may have been executed."""
         if (
             job.attempts_started >= self.context.settings.max_attempts
             or self.context.now >= job.request.deadline
@@ -301,25 +304,28 @@
             return True
         if job.spec.effect is api.Effect.UNSAFE or self.context.now >= job.retry_window_end:
             return False
-        group, to = job.spec.group, server.member
-        ran = [at.member for at, _ in job.may_have_run.values()]
-        same = [one.zone == to.zone if group == "zone" else one.cell == to.cell for one in ran]
-        return group == "all" or all(same)
+        group, target = job.spec.group, server.member
+        members = [attempted.member for attempted, _ in job.may_have_run.values()]
+        in_group = [
+            member.zone == target.zone if group == "zone" else member.cell == target.cell
+            for member in members
+        ]
+        return group == "all" or all(in_group)
 
     def _reject_or_fail(self, job: Job | None) -> None:
-        """Ends a job: rejects it if the client may safely retry, else reports a failure."""
+        """Ends a job: rejects it if the client may safely retry, otherwise fails it."""
         if job is None or job.in_flight or self.jobs.get(job.request.id) is not job:
             return
-        effect, name = job.spec.effect, job.request.id
+        effect, request_id = job.spec.effect, job.request.id
         deduplicated = effect is api.Effect.KEYED and job.spec.group == "all"
         if (
             effect is api.Effect.SAFE
             or not job.may_have_run
             or (deduplicated and self.context.now < job.retry_window_end)
         ):
-            self.context.actions.append(api.Reject(name, self.client_retry_after))
+            self.context.actions.append(api.Reject(request_id, self.client_retry_after))
         else:
-            self.context.actions.append(api.Fail(name))
+            self.context.actions.append(api.Fail(request_id))
         self._remove(job)
 
     def _remove(self, job: Job) -> None:
@@ -333,16 +339,16 @@
     def _on_cancelled(self, event: api.RequestCancelled) -> None:
         job = self.jobs.get(event.id)
         if job is not None:
-            reading = job.shares_origin_read and (job.in_flight or job.waiting_to_start)
+            is_reading = job.shares_origin_read and (job.in_flight or job.waiting_to_start)
             self._remove(job)
-            if reading:
+            if is_reading:
                 self._finish_fetch(job.request.key or "", False)  # a cancelled read is not cached
 
     def _on_stream_opened(self, event: api.StreamOpened) -> None:
-        """Releases the jobs that wait for the key, since the cache can serve it while the stream goes on."""
-        read = self.misses_in_flight.pop((event.id, event.attempt), None)
-        if read is not None:
-            self.monitor.record(self.context.now < read[1], read[0])
+        """Releases the jobs that wait for the key, since the cache can serve it before the stream ends."""
+        miss_times = self.misses_in_flight.pop((event.id, event.attempt), None)
+        if miss_times is not None:
+            self.monitor.record(self.context.now < miss_times[1], miss_times[0])
         if (job := self.jobs.get(event.id)) is None:
             return
         if job.shares_origin_read:
@@ -364,10 +370,12 @@
         event = event if status is event.status else replace(event, status=status)
         if server is not None:
             self.server_table.observe(server, event)
-        read = self.misses_in_flight.pop((event.id, event.attempt), None)
+        miss_times = self.misses_in_flight.pop((event.id, event.attempt), None)
         # Broken connections and cancelled attempts are no evidence of the origin's health.
-        if read is not None and event.status not in (*CONNECTION_BROKEN, api.Status.CANCELLED):
-            self.monitor.record(event.status is api.Status.OK and self.context.now < read[1], read[0])
+        if miss_times is not None and event.status not in (*CONNECTION_BROKEN, api.Status.CANCELLED):
+            self.monitor.record(
+                event.status is api.Status.OK and self.context.now < miss_times[1], miss_times[0]
+            )
         if job is None:
             return
         job.in_flight.discard(event.attempt)
@@ -406,12 +414,11 @@
         if status in NOT_EXECUTED:
             job.may_have_run.pop(event.attempt, None)
         if status in CONNECTION_BROKEN:
-            job.tried.discard(
-                event.server
-            )  # the server still has the key and may be tried over a new connection
-        # In cache-through mode an error of one cache server is probably the origin's; others are not tried.
-        late = self.context.now >= job.objective_deadline and not job.spec.late_weight
-        origin_error = (
+            # The server still has the key and may be tried again over a new connection.
+            job.tried.discard(event.server)
+        # In cache-through mode an error is probably the origin's, so other cache servers are not tried.
+        is_late = self.context.now >= job.objective_deadline and not job.spec.late_weight
+        is_origin_error = (
             status is api.Status.ERROR and not self.context.settings.cache_aside and not job.request.write
         )
         if status is api.Status.MISS and self.context.settings.cache_aside and not job.at_origin:
@@ -421,18 +428,17 @@
             if not self._join_fetch(job):
                 self._acquire_token(job)
         elif job.at_origin:
-            read = key is not None and not job.request.write
-            if read and status in CONNECTION_BROKEN and self.context.now < job.objective_deadline:
-                self._acquire_token(
-                    job
-                )  # the connection broke; the origin has neither failed nor rejected it
+            is_read = key is not None and not job.request.write
+            if is_read and status in CONNECTION_BROKEN and self.context.now < job.objective_deadline:
+                # Only the connection broke; the origin has neither failed nor rejected the read.
+                self._acquire_token(job)
             else:
                 self._on_origin_failure(job)
-            if key is not None and read and not job.in_flight and not job.detached:
+            if key is not None and is_read and not job.in_flight and not job.detached:
                 self._finish_fetch(key, False)
         elif (
-            origin_error
-            or late
+            is_origin_error
+            or is_late
             or (status is api.Status.FULL and (job.over_quota or job.attempts_started > 1))
         ):
             self._reject_or_fail(job)
@@ -440,13 +446,13 @@
             self._dispatch(job)
 
     def _on_origin_failure(self, job: Job) -> None:
-        """Rejects a read that the origin failed, to protect it; retries a write within its objective."""
+        """Rejects a read, to protect the failing origin; retries a write within its latency objective."""
         wait = (
             int((job.spec.latency_objective << job.attempts_started) * self.context.random.uniform(0.5, 1))
             // 32
         )
-        timely = job.request.write and self.context.now + wait < job.objective_deadline
-        if timely and self.server_table.origin and self._may_attempt(job, self.server_table.origin):
+        in_time = job.request.write and self.context.now + wait < job.objective_deadline
+        if in_time and self.server_table.origin and self._may_attempt(job, self.server_table.origin):
             self.context.call_later(wait, self._dispatch, job)
         else:
             self._reject_or_fail(job)
--- a/applehub/policy/event_context.py
+++ b/applehub/policy/event_context.py
@@ -1,4 +1,4 @@
-"""State that the parts of the policy share while they handle an event."""
+"""State and services that the modules of the policy share while they handle an event."""
 
 import heapq
 import random
@@ -40,7 +40,7 @@
         while self.scheduled_calls and self.scheduled_calls[0][0] <= self.now:
             _, _, call, job = heapq.heappop(self.scheduled_calls)
             call(job)
-        # A timer that is overdue or not set is set again, in case its event was lost.
+        # Sets a timer that is not set, or that is overdue because its event was lost.
         if self.scheduled_calls and (self.timer_at <= self.now or self.scheduled_calls[0][0] < self.timer_at):
             self.timer_at = self.scheduled_calls[0][0]
             self.actions.append(api.SetTimer(self.timer_at - self.now, str(self.timer_at)))
--- a/applehub/policy/failed_starts.py
+++ b/applehub/policy/failed_starts.py
@@ -1,7 +1,7 @@
 """Retries requests for which this machine could not start an attempt.
 
-They wait in one queue and are retried in small batches, so that the retries add little load to a machine that
-already lacks a resource.
+The requests wait in one queue and are retried in small batches, so that the retries add little load to a
+machine that already lacks a resource.
 """
 
 from collections import deque
@@ -12,10 +12,10 @@
 from applehub.policy.job import Job
 from applehub.policy.rates import SECOND
 
-MIN_DELAY = SECOND // 200
+MIN_DELAY = SECOND // 200  # between two batches
 MAX_DELAY = SECOND // 20
 MAX_BATCH_SIZE = 4
-MAX_FAILED_STARTS = 64  # of one request
+MAX_FAILED_STARTS = 64  # attempts of one request that fail to start before it ends
 LOG_INTERVAL = 10 * SECOND
 
 
@@ -27,12 +27,12 @@
     ) -> None:
         self.context, self.retry, self.give_up = context, retry, give_up
         self.queue: deque[Job] = deque()
-        self.delay, self.batch_size = MIN_DELAY, 1  # of the next batch
-        self.failed = self.is_scheduled = False
+        self.delay, self.batch_size = MIN_DELAY, 1  # delay (ns) before the next batch, and its size
+        self.has_failures = self.is_scheduled = False
         self.logged_at = -LOG_INTERVAL
 
     def add(self, job: Job, event: api.Outcome) -> None:
-        """Handles an attempt that was not started, which uses up neither a token nor an attempt.
+        """Handles an attempt that could not be started; the job keeps its token and its number of attempts.
 
         If there is no route to the server, another server is tried at once. If this machine lacks a resource,
         other servers would not help, so every second attempt goes to the same server.
@@ -43,20 +43,20 @@
         job.in_flight.discard(event.attempt)
         job.may_have_run.pop(event.attempt, None)
         job.not_started += 1
-        first, no_route = job.not_started == 1, event.status is api.Status.UNREACHABLE
-        if (job.not_started % 2 == 1) == no_route:
+        is_first, is_unreachable = job.not_started == 1, event.status is api.Status.UNREACHABLE
+        if (job.not_started % 2 == 1) == is_unreachable:
             job.unreachable.add(event.server)
         else:
             job.tried.discard(event.server)
             job.clear_unreachable()
-        until = job.request.deadline if job.spec.late_weight else job.objective_deadline
-        if first:
-            self.context.call_later(max(0, until - self.context.now), self._on_deadline, job)
-        if first and no_route and not job.at_origin:
+        retry_until = job.request.deadline if job.spec.late_weight else job.objective_deadline
+        if is_first:
+            self.context.call_later(max(0, retry_until - self.context.now), self._on_deadline, job)
+        if is_first and is_unreachable and not job.at_origin:
             self.retry(job)
             return
-        job.waiting_to_start = True  # the job keeps its token, and returns it if there is no further attempt
-        if job.not_started > MAX_FAILED_STARTS or self.context.now >= until:
+        job.waiting_to_start = True  # the job returns its token if no further attempt follows
+        if job.not_started > MAX_FAILED_STARTS or self.context.now >= retry_until:
             self.give_up(job)
         else:
             self._enqueue(job)
@@ -67,7 +67,7 @@
 
     def _enqueue(self, job: Job) -> None:
         self.queue.append(job)
-        self.failed = True
+        self.has_failures = True
         if not self.is_scheduled:
             self.delay, self.is_scheduled = MIN_DELAY, True
             self._schedule()
@@ -81,15 +81,15 @@
         While attempts fail, the batch size is one and the delay doubles; after a batch without a failure the
         batch size doubles.
         """
-        if self.failed:
+        if self.has_failures:
             self.delay, self.batch_size = min(2 * self.delay, MAX_DELAY), 1
         else:
             self.delay, self.batch_size = MIN_DELAY, min(2 * self.batch_size, MAX_BATCH_SIZE)
-        self.failed = False
+        self.has_failures = False
         retried = 0
         while self.queue and retried < self.batch_size:
             job = self.queue.popleft()
-            if job.waiting_to_start:  # the job has not ended meanwhile
+            if job.waiting_to_start:  # the job has not ended since it was queued
                 job.waiting_to_start = False
                 retried += 1
                 self.retry(job)
--- a/applehub/policy/gossip.py
+++ b/applehub/policy/gossip.py
@@ -7,13 +7,13 @@
 from applehub.policy.throttle import Monitor
 
 ADJUSTMENT = 1 / 4  # weight of a received range fraction in the moving average
-# Number of routers that must report a server as failing; a larger fleet needs more.
+# Number of routers that must report a server as failing before it is ejected; grows with the fleet.
 MIN_QUORUM, MAX_QUORUM = 3, 6
-QUORUM_FRACTION = 1 / 8  # of all routers
-MIN_AGREEMENT = 3 / 4  # fraction of the routers that report on a server
-MIN_TIMEOUTS = 1  # consecutive timeouts from which on a server is published as failing
-OWN_EVIDENCE_LIFETIME = 2 * SECOND  # for which an answer to this router outweighs gossip
-MAX_EJECTED_FRACTION = 1 / 4  # of the listed servers that may be ejected by gossip
+QUORUM_FRACTION = 1 / 8  # of all routers, within the limits above
+MIN_AGREEMENT = 3 / 4  # fraction of a server's reporters that must report it as failing
+MIN_TIMEOUTS = 1  # consecutive timeouts after which a server is published as failing
+OWN_EVIDENCE_LIFETIME = 2 * SECOND  # time for which an answer to this router outweighs gossip
+MAX_EJECTED_FRACTION = 1 / 4  # maximum fraction of the listed servers that gossip may eject
 
 
 class Gossip:
@@ -25,10 +25,10 @@
         self.reported_servers: list[str] = []
 
     def on_summary(self, event: api.GossipSummary) -> None:
-        """Applies gossip.
+        """Applies a summary of gossip.
 
-        Range fractions converge between routers, so that they agree on the server for a key; a router that
-        has just started takes over the received values.
+        Range fractions converge between routers, so that all choose the same server for a key; a router that
+        has just started adopts the received values.
         """
         for number, fraction in event.range_fractions.items():
             kind = self.server_table.kinds[number]
@@ -56,8 +56,8 @@
         reported = ((name, servers[name]) for name in self.reported_servers if name in servers)
         healthy = [
             name
-            for name, one in reported
-            if not one.failures and one.answered_at > self.context.now - OWN_EVIDENCE_LIFETIME
+            for name, server in reported
+            if not server.failures and server.answered_at > self.context.now - OWN_EVIDENCE_LIFETIME
         ]
         fractions = {number: kind.range_fraction for number, kind in self.server_table.kinds.items()}
         rate = throttle.rate if throttle is not None else 0.0
--- a/applehub/policy/job.py
+++ b/applehub/policy/job.py
@@ -6,7 +6,8 @@
 from applehub.policy.rates import SECOND
 from applehub.policy.servers import Server
 
-MAX_PAUSE = 15 * SECOND // 100  # of the process, between the decision to send and the write to the socket
+# Longest pause of the process between the decision to send an attempt and the write to the socket.
+MAX_PAUSE = 15 * SECOND // 100
 
 
 @dataclass(slots=True, eq=False)
@@ -20,21 +21,21 @@
     # The key was not hit recently or, in cache-through mode, not requested recently.
     likely_miss: bool = False
     skip_owners: int = 0  # number of range owners to skip, to spread a hot key
-    at_origin: bool = False  # goes to the origin: a write, or a read that missed
+    at_origin: bool = False  # whether to send to the origin: a write, or a read that missed
     detached: bool = False  # the result of its origin read does not affect the caches
     attempts_made: int = 0
     not_started: int = 0  # attempts that this machine could not start
-    unreachable: set[str] = field(default_factory=set)  # servers avoided because of such attempts
-    waiting_to_start: bool = False  # until this machine can start an attempt
-    has_token: bool = False  # has a token that no attempt has used yet
+    unreachable: set[str] = field(default_factory=set)  # servers to skip since no attempt could be started
+    waiting_to_start: bool = False  # queued until this machine can start an attempt
+    has_token: bool = False  # whether it has a token that no attempt has used yet
     # Attempts that may have been executed: server and send time, by attempt number.
     may_have_run: dict[int, tuple[Server, int]] = field(default_factory=dict)
-    in_flight: set[int] = field(default_factory=set)
-    tried: set[str] = field(default_factory=set)
+    in_flight: set[int] = field(default_factory=set)  # numbers of the attempts in flight
+    tried: set[str] = field(default_factory=set)  # servers that get no further attempt
 
     @property
     def attempts_started(self) -> int:
-        """Number of attempts without those that this machine could not start."""
+        """Number of attempts, not counting those that this machine could not start."""
         return self.attempts_made - self.not_started
 
     @property
@@ -46,13 +47,13 @@
         return min(sent for _, sent in self.may_have_run.values()) + self.spec.idempotency_window - MAX_PAUSE
 
     def clear_unreachable(self) -> None:
-        """Makes the servers at which this machine could not start an attempt available again."""
+        """Allows attempts again at the servers at which this machine could not start one."""
         self.tried -= self.unreachable
         self.unreachable.clear()
 
     @property
     def shares_origin_read(self) -> bool:
-        """Whether other jobs may wait for its origin read."""
+        """Whether other jobs may wait for this job's origin read."""
         return (
             self.at_origin and not self.detached and not self.request.write and self.request.key is not None
         )
--- a/applehub/policy/placement.py
+++ b/applehub/policy/placement.py
@@ -9,10 +9,10 @@
 from applehub.policy.server_table import ServerTable
 from applehub.policy.servers import SLOW_FRACTION, Server
 
-SLOW_FRACTION_OVER_QUOTA = 1 / 4  # as SLOW_FRACTION, for requests over quota, which are shed first
+SLOW_FRACTION_OVER_QUOTA = 1 / 4  # SLOW_FRACTION for requests over quota, which are shed first
 # A server is overloaded above this multiple of its base latency; the second value is for requests over quota.
 QUEUEING_FACTOR, QUEUEING_FACTOR_OVER_QUOTA = 4, 2
-MAX_WARMUP_TOKENS = 2  # of all processes of a router, for one warming server
+MAX_WARMUP_TOKENS = 2  # that all processes of a router may save for one warming server
 
 
 class Placement:
@@ -53,9 +53,9 @@
             # A server that has become the origin may still be the owner of keys of its earlier range.
             if name not in server_table.weights or not server.is_available(now):
                 continue
-            # A server with reduced capacity takes only the first part of its range; the rest goes to the next
-            # servers in the same way, and back to the first if none takes it. The range of a warming server
-            # grows by migration, so the fraction of its kind does not apply.
+            # A server with reduced capacity takes only the first part of its range. The next servers take the
+            # rest in the same way, and the first server takes it if none of them does. The range of a warming
+            # server grows by migration, so the fraction of its kind does not apply.
             warming = 0 < server.warming_since > now - slow_start_time
             fraction = (
                 server.range_fraction
@@ -68,11 +68,11 @@
                 continue
             if warming and not self._take_warmup_token(server, len(server_table.ranges.assignments[-1][1])):
                 continue
-            # Work overflows to one more server only and is then rejected, to limit the spread of overload.
+            # A request overflows to one other server only, to limit the spread of overload.
             if server.has_capacity(now, limit, queueing_factor, server_table.trial_interval(server)):
                 return server
-            # A server that is slow without load from this router is not counted, so that neighbours which
-            # fail together are skipped.
+            # A server that is slow without load from this router is not counted, so that adjacent servers
+            # that fail together are skipped.
             overloaded += server.latency <= limit * server.mean_in_flight
             if job.over_quota or overloaded == 2:
                 break
--- a/applehub/policy/rates.py
+++ b/applehub/policy/rates.py
@@ -38,7 +38,7 @@
         )
 
     def per_second(self, now: int) -> float:
-        """Returns the present rate, in events per second."""
+        """Returns the current rate, in events per second."""
         return (
             self.weighted_count
             * math.exp((self.updated_at - now) / self.time_constant)
--- a/applehub/policy/reachability.py
+++ b/applehub/policy/reachability.py
@@ -2,8 +2,9 @@
 
 An attempt with status `UNREACHABLE` found no route to its server. The fault may be the server's or this
 machine's. While the machine has no network, it cannot connect to any server. So a server counts as
-unreachable only after MIN_FAILURES consecutive such attempts, with a new connection to another server between
-each two of them. Answers from other servers are no evidence, since they may use older connections.
+unreachable only after MIN_FAILURES consecutive such attempts, if a new connection to another server was
+established between any two of them. Answers from other servers are no evidence, since they may use older
+connections.
 """
 
 from applehub import interface as api
@@ -11,13 +12,13 @@
 from applehub.policy.rates import SECOND
 from applehub.policy.servers import Server
 
-MIN_FAILURES = 3  # consecutive unreachable attempts
-FAILURE_LIFETIME = 10 * SECOND  # after which an unreachable attempt no longer counts
+MIN_FAILURES = 3  # consecutive unreachable attempts after which a server counts as unreachable
+FAILURE_LIFETIME = 10 * SECOND  # age at which an unreachable attempt no longer counts
 ANSWERED = frozenset((api.Status.OK, api.Status.MISS, api.Status.ERROR, api.Status.FULL))
 
 
 class Reachability:
-    """Evidence from attempts on which servers can be reached."""
+    """Decides from the outcomes of attempts which servers are unreachable."""
 
     def __init__(self, context: EventContext) -> None:
         self.context = context
--- a/applehub/policy/server_table.py
+++ b/applehub/policy/server_table.py
@@ -15,25 +15,25 @@
 
 ANSWERED = frozenset((api.Status.OK, api.Status.MISS, api.Status.FULL, api.Status.ERROR))
 MAX_DISCOVERY_BACKOFF = 3 * SECOND // 2
-STATISTICS_LIFETIME = 600 * SECOND  # after which saved statistics are ignored
+STATISTICS_LIFETIME = 600 * SECOND  # age at which saved statistics are ignored
 CONNECTION_BROKEN = frozenset((api.Status.RESET, api.Status.MOOT))
-MAX_BROKEN_ATTEMPTS = 4  # consecutive broken attempts before a server counts as unreachable
-FULL_UPDATE_RATIO = 16  # an update that changes more than one in this many servers is applied in full
+MAX_BROKEN_ATTEMPTS = 4  # consecutive broken attempts after which a server counts as unreachable
+FULL_UPDATE_RATIO = 16  # if more than one in this many servers changes, all ranges are recomputed
 
 
 class ServerTable:
-    """The listed servers: their state, operator overrides, warm-up, ejection and statistics."""
+    """Table of the listed servers: their state, operator overrides, warm-up, ejection and statistics."""
 
     def __init__(self, context: EventContext) -> None:
         self.context = context
         self.servers: dict[str, Server] = {}
-        self.excluded_names: set[str] = set()  # by operator override
-        self.included_since: dict[str, int] = {}  # when an operator override was removed
-        self.discovery_failures = 0  # consecutive
-        self.process_count = 1  # processes of this router
-        self.live_router_count = 0  # live processes of all routers, by gossip
+        self.excluded_names: set[str] = set()  # servers excluded by operator override
+        self.included_since: dict[str, int] = {}  # by server: time at which its operator override was removed
+        self.discovery_failures = 0  # consecutive failures of discovery
+        self.process_count = 1  # number of processes that run as this router
+        self.live_router_count = 0  # number of live processes of all routers, from gossip
         self.origin: Server | None = None
-        self.weights: dict[str, float] = {}  # of the ready cache servers
+        self.weights: dict[str, float] = {}  # listed weights of the ready cache servers
         self.weight_counts: Counter[float] = Counter()  # number of ready cache servers by weight
         self.mean_weight = 0.0
         self.ranges = KeyRanges(context.settings.slow_start_time)
@@ -43,7 +43,7 @@
         self.connect_failure_rate = 0.0  # fraction of recent new connections that were refused at once
 
     def on_settings_changed(self) -> None:
-        """Applies changed settings; statistics of servers are kept."""
+        """Applies changed settings; the servers keep their statistics."""
         self.ranges.period = max(1, self.context.settings.slow_start_time)
         self.request_rate.set_time_constant(self.context.now, 4 * self.context.shortest_objective)
         self._assign_ranges()
@@ -58,15 +58,15 @@
         )
 
     def on_members(self, event: api.Members) -> None:
-        """Applies an update of the endpoint list, or schedules a new request after a failed one."""
+        """Applies an update of the endpoint list, or schedules another poll after a failed one."""
         if event.kind is api.ListKind.FAILED:
-            # A list update takes effect within max_poll_interval even while discovery fails, so the backoff
-            # starts short and is capped.
-            longest = min(MAX_DISCOVERY_BACKOFF, self.context.settings.max_poll_interval) >> max(
+            # A list update must take effect within max_poll_interval even while discovery fails, so the
+            # backoff starts short and is capped.
+            max_wait = min(MAX_DISCOVERY_BACKOFF, self.context.settings.max_poll_interval) >> max(
                 0, 2 - self.discovery_failures
             )
             self.discovery_failures += 1
-            wait = longest * self.context.random.uniform(0.5, 1)
+            wait = max_wait * self.context.random.uniform(0.5, 1)
             self.context.log(f"list unavailable, asked again in {wait / 1e6:.0f} ms")
             self.context.call_later(int(wait), self._request_list)
             return
@@ -110,8 +110,8 @@
     def _assign_ranges(self, changed: set[str] | None = None) -> None:
         """Assigns key ranges to the ready cache servers.
 
-        changed: names of the servers that changed, None for all. A small change is applied incrementally, to
-        save processor time in a large fleet.
+        changed: names of the servers that changed, or None to recompute all ranges. A small change is applied
+        incrementally, to save processor time in a large fleet.
         """
         if changed is None or len(changed) * FULL_UPDATE_RATIO > len(self.servers):
             self.weights.clear()
@@ -123,32 +123,32 @@
         self.mean_weight = math.fsum(weight * count for weight, count in self.weight_counts.items()) / max(
             1, len(names)
         )
-        before = self.origin.member.server if self.origin is not None else ""
-        if changed is None or before in changed or any(map(self._is_origin, changed)):
-            name = next(filter(self._is_origin, self.servers), "")
-            self.origin = self.servers.get(name)
+        previous_origin = self.origin.member.server if self.origin is not None else ""
+        if changed is None or previous_origin in changed or any(map(self._is_origin, changed)):
+            origin_name = next(filter(self._is_origin, self.servers), "")
+            self.origin = self.servers.get(origin_name)
 
     def _update_names(self, changed: set[str]) -> list[str]:
         """Returns the sorted names of the ready cache servers after some have changed.
 
-        Earlier assignments are not modified, since keys may still use them.
+        Earlier lists of names are not modified, since keys may still be assigned by them.
         """
         names = self.ranges.assignments[-1][1]
         for name in sorted(changed):
-            before = name in self.weights
-            if self._update_weight(name) is not before:
+            was_ready = name in self.weights
+            if self._update_weight(name) is not was_ready:
                 names = names.copy() if names is self.ranges.assignments[-1][1] else names
                 index = bisect_left(names, name)
-                names[index : index + before] = [] if before else [name]
+                names[index : index + was_ready] = [] if was_ready else [name]
         return names
 
     def _update_weight(self, name: str) -> bool:
         """Updates the weight of a server; returns whether it is a ready cache server."""
-        before = self.weights.pop(name, None)
-        if before is not None:
-            self.weight_counts[before] -= 1
-            if not self.weight_counts[before]:
-                del self.weight_counts[before]
+        previous_weight = self.weights.pop(name, None)
+        if previous_weight is not None:
+            self.weight_counts[previous_weight] -= 1
+            if not self.weight_counts[previous_weight]:
+                del self.weight_counts[previous_weight]
         server = self.servers.get(name)
         if server is None or server.member.state is not api.State.READY or self._is_origin(name):
             return False
@@ -157,7 +157,7 @@
         return True
 
     def _is_origin(self, name: str) -> bool:
-        """Whether a server is ready to be the origin."""
+        """Whether a server is ready and of the origin kind."""
         settings, server = self.context.settings, self.servers.get(name)
         kind = settings.origin_kind if settings.cache_aside else -1
         return server is not None and server.member.kind == kind and server.member.state is api.State.READY
@@ -168,9 +168,9 @@
 
     def _update_member(self, entry: api.Member, cached: bool) -> None:
         if entry.state is api.State.GONE:
-            gone = self.servers.pop(entry.server, None)
-            if gone is not None:
-                gone.member, gone.listed_state = entry, entry.state
+            removed = self.servers.pop(entry.server, None)
+            if removed is not None:
+                removed.member, removed.listed_state = entry, entry.state
             return
         server = self.servers.get(entry.server)
         if server is None:
@@ -202,7 +202,7 @@
         self.context.actions.append(api.Watch())
 
     def warm_capacity(self, server: Server) -> float:
-        """Returns the fraction of its full capacity that a server has at least by now."""
+        """Returns the fraction of its full capacity that a server is assumed to have at this time."""
         age, initial = self.context.now - server.warming_since, self.context.settings.slow_start_capacity
         return min(1.0, initial + (1 - initial) * age / max(1, self.context.settings.slow_start_time))
 
@@ -219,9 +219,9 @@
         return self.kinds[server.member.kind]
 
     def _error_fraction(self, event: api.Outcome) -> float:
-        """Returns the fraction of a server's answers that are errors.
+        """Estimates the fraction of a server's answers that are errors.
 
-        It follows from this answer, or from the error rate in its load report and the mean request rate.
+        Uses the status of this answer, or the error rate in its load report and the mean request rate.
         """
         if event.status is api.Status.ERROR:
             return 1.0
@@ -232,9 +232,9 @@
         return min(1.0, event.load.eps / max(1.0, mean))
 
     def _is_failing(self, server: Server) -> bool:
-        """Whether a server fails most requests; a server that fails quickly would otherwise seem idle.
+        """Whether a server fails most requests; a server that fails fast seems idle by its latency alone.
 
-        In cache-through mode an error may be the origin's, and there is no alternative to the origin.
+        In cache-through mode errors may be the origin's. The origin itself has no alternative.
         """
         return self.context.settings.cache_aside and server is not self.origin and server.error_rate > 1 / 2
 
@@ -254,19 +254,21 @@
 
     def statistics(self) -> api.SavedStatistics:
         """Returns the statistics to save for the next process of this router."""
-        measured = [(name, one) for name, one in self.servers.items() if one.base_latency]
+        measured = [(name, server) for name, server in self.servers.items() if server.base_latency]
         return api.SavedStatistics(
             0,
             {
-                n: api.ServerStatistics(one.latency, one.base_latency, one.mean_in_flight, one.range_fraction)
-                for n, one in measured
+                name: api.ServerStatistics(
+                    server.latency, server.base_latency, server.mean_in_flight, server.range_fraction
+                )
+                for name, server in measured
             },
         )
 
     def on_saved_statistics(self, event: api.SavedStatistics) -> None:
         """Applies saved statistics, so that a new process starts with the capacity of each server.
 
-        Their weight decreases with age; those of a server that has restarted since are ignored.
+        The weight of the statistics decreases with age; those of servers restarted since are ignored.
         """
         weight, saved_at = 1 - event.age / STATISTICS_LIFETIME, self.context.now - event.age
         for name, saved in event.servers.items():
@@ -332,11 +334,11 @@
         ):
             self.connect_failure_rate += (refused - self.connect_failure_rate) * SMOOTHING
         server.accepted_connect = not refused
-        # A timeout shorter than the usual latency is no evidence: the request had little time left.
+        # A timeout shorter than the usual latency is no evidence against the server: little time was left.
         too_soon = status is api.Status.TIMEOUT and event.elapsed < server.latency
         if not too_soon:
             server.timeouts = server.timeouts + 1 if status is api.Status.TIMEOUT else 0
-        # A broken connection is no evidence of a failed process; a failed one refuses the next connection.
+        # A broken connection is no evidence of a failed process, which would refuse the next connection.
         server.broken_attempts = (
             server.broken_attempts + 1
             if status in CONNECTION_BROKEN
@@ -362,9 +364,8 @@
             was_down = server.refused_connects > 1 and now - server.ejected_since > SECOND
             server.failures, server.refused_connects, server.ejected_by_gossip = 0, 0, False
             if was_down and self.connect_failure_rate <= 1 / 2:
-                self._start_warmup(
-                    server, now
-                )  # the process restarted; the list may not have its start time yet
+                # The process restarted; the list may not have its start time yet.
+                self._start_warmup(server, now)
         if not too_soon:
             self._record_latency(server, event)
 
@@ -374,12 +375,12 @@
         full, missed = status is api.Status.FULL, status is api.Status.MISS
         # A quick rejection does not show that the server is fast.
         elapsed = context.shortest_objective if full else event.elapsed
-        # A missed trial counts as well: the keys of an overloaded server may have moved to others.
+        # A trial that ends in a miss counts, as the keys of an overloaded server may have moved to others.
         if full or status in (api.Status.OK, api.Status.TIMEOUT) or (missed and server.is_trial):
             server.record_latency(now, 2 * context.shortest_objective, elapsed, server.in_flight + 1, full)
             self.kind(server).update_base_latency(server)
         if full or missed or status in (api.Status.OK, api.Status.TIMEOUT):
-            # A slow answer also indicates load from other routers, of which this one may see little.
+            # A slow answer shows the load from all routers, to which this one may contribute little.
             slow = elapsed > context.shortest_objective // 2
             server.adjust_range(now, event.elapsed, slow)
             if (
--- a/applehub/policy/servers.py
+++ b/applehub/policy/servers.py
@@ -1,4 +1,4 @@
-"""Statistics of one router on single servers and on all servers of a kind."""
+"""Statistics that a router keeps of each server and of all servers of a kind."""
 
 from dataclasses import dataclass, field
 from heapq import heappop, heappush
@@ -6,7 +6,7 @@
 from applehub import interface as api
 from applehub.policy.rates import SECOND, SMOOTHING, TokenBucket, sample_weight
 
-SLOW_FRACTION = 3 / 4  # of the latency objective, above which an answer is slow and its server overloaded
+SLOW_FRACTION = 3 / 4  # of the latency objective; above it an answer is slow and its server overloaded
 NEAR_LIMIT_FACTOR = 2  # a server is near capacity from this multiple of its base latency
 MIN_HEAP_SIZE = 64
 KIND_REDUCTION = 1 / 16  # fraction by which a slow answer reduces the range fraction of a kind
@@ -14,18 +14,18 @@
 
 @dataclass(slots=True, eq=False)
 class Kind:
-    """Statistics of all servers of one kind; a router may have too few samples of a single server."""
+    """Statistics of all servers of one kind, since a router may have too few samples of a single server."""
 
     lowest_base_latency: float = 0.0  # lowest base latency of a server of the kind, ns
-    range_fraction: float = 1.0  # fraction of an equal range that one server takes
-    # Base latencies of all servers, with a sequence number as servers have no order. Outdated entries are
+    range_fraction: float = 1.0  # fraction of an equal range that a server of the kind takes
+    # Base latency, sequence number (as servers have no order), server and its kind. Outdated entries are
     # removed when they reach the top.
     heap: "list[tuple[float, int, Server, int]]" = field(default_factory=list)
     push_count: int = 0
-    max_heap_size: int = MIN_HEAP_SIZE  # above it, outdated entries are removed
+    max_heap_size: int = MIN_HEAP_SIZE  # heap size above which all outdated entries are removed
 
     def adjust_range(self, slow: bool) -> None:
-        """Adjusts the fraction as Server.adjust_range does, in smaller steps, as there are more answers."""
+        """Adjusts the range fraction like Server.adjust_range, in smaller steps, as it gets more answers."""
         self.range_fraction = (
             min(self.range_fraction + KIND_REDUCTION / 4, 1.0)
             if not slow
@@ -34,10 +34,7 @@
         self.range_fraction = max(self.range_fraction, SMOOTHING)
 
     def record_base_latency(self, server: "Server") -> None:
-        """Records a changed base latency of a server.
-
-        A heap gives the lowest one without a search of all servers.
-        """
+        """Records a changed base latency of a server in a heap, which avoids a search of all servers."""
         self.push_count += 1
         heappush(self.heap, (server.base_latency, self.push_count, server, server.member.kind))
         if len(self.heap) > self.max_heap_size:
@@ -46,7 +43,7 @@
             self.max_heap_size = 2 * len(self.heap) + MIN_HEAP_SIZE
 
     def update_base_latency(self, server: "Server") -> None:
-        """Updates the lowest base latency after that of a server has changed."""
+        """Updates the lowest base latency of the kind after the base latency of a server has changed."""
         self.record_base_latency(server)
         while not self._is_current(self.heap[0]):
             heappop(self.heap)
@@ -55,9 +52,9 @@
     @staticmethod
     def _is_current(entry: "tuple[float, int, Server, int]") -> bool:
         """Whether a heap entry is up to date: its server is listed, of this kind, and has this latency."""
-        base, _, server, kind = entry
+        base_latency, _, server, kind = entry
         return (
-            base == server.base_latency
+            base_latency == server.base_latency
             and server.member.kind == kind
             and server.listed_state is not api.State.GONE
         )
@@ -69,14 +66,14 @@
 
     member: api.Member  # as listed, but draining while an operator override excludes it
     latency: float  # moving average of response times, ns
-    base_latency: float = 0.0  # response time without queueing: lowest average, slowly rising, ns
-    measured_at: int = 0
+    base_latency: float = 0.0  # response time without queueing, ns: lowest average, which rises slowly
+    measured_at: int = 0  # clock time of the last response time measured
     mean_in_flight: float = 1.0  # moving average of this router's attempts in flight
     in_flight: int = 0
     last_sent_at: int = 0
     previous_sent_at: int = 0
     unreachable_count: int = 0  # consecutive unreachable attempts while other servers accepted connections
-    unreachable_at: int = 0
+    unreachable_at: int = 0  # clock time of the last of these attempts
     # Consecutive failures: refused connections, repeatedly broken attempts, errors of a failing server.
     failures: int = 0
     refused_connects: int = 0
@@ -85,34 +82,34 @@
     broken_attempts: int = 0  # consecutive attempts whose connection broke after sending
     ejected_since: int = 0
     ejected_until: int = 0
-    warmup_budget: TokenBucket = field(default_factory=TokenBucket)  # for requests while it warms up
-    range_fraction: float = 1.0  # fraction of its key range that it takes
+    warmup_budget: TokenBucket = field(default_factory=TokenBucket)  # tokens for requests during the warm-up
+    range_fraction: float = 1.0  # fraction of its key range that the server takes
     reduced_at: int = 0  # when range_fraction was last reduced
-    accepted_connect: bool = False  # whether it accepted this router's last connection
-    warming_since: int = 0  # 0: warm
+    accepted_connect: bool = False  # whether the server accepted this router's last connection
+    warming_since: int = 0  # clock time at which the warm-up started; 0: warm
     is_trial: bool = False  # whether the attempt in flight tests for recovery from overload
     load: api.LoadReport | None = None
     load_reported_at: int = 0
-    timeouts: int = 0  # consecutive
+    timeouts: int = 0  # consecutive timeouts
     ejected_by_gossip: bool = False
-    listed_state: api.State = api.State.READY
+    listed_state: api.State = api.State.READY  # without operator overrides
 
     def predicted_latency(self) -> float:
-        """Returns the expected response time of one more request, which grows with those in flight."""
+        """Returns the expected response time of one more request, which grows with the requests in flight."""
         return self.latency * (self.in_flight + 1) / self.mean_in_flight
 
     def reported_latency(self, now: int) -> float:
-        """Returns the same from the latest load report, which includes other routers' load; 0 if outdated."""
+        """Returns the latency that the last load report, over all routers, predicts; 0 if it is outdated."""
         load = self.load
         if load is None or now - self.load_reported_at > SECOND:
             return 0.0
-        busy = max(1.0, load.qps * load.latency_ms / 1000)  # busy cores, by Little's law
-        return load.latency_ms * 1e6 * (load.inflight + 1) / busy
+        busy_cores = max(1.0, load.qps * load.latency_ms / 1000)  # busy cores, by Little's law
+        return load.latency_ms * 1e6 * (load.inflight + 1) / busy_cores
 
     def has_capacity(self, now: int, limit: float, queueing_factor: int, trial_interval: float) -> bool:
         """Whether one more request would be answered within limit and queueing_factor times the base latency.
 
-        An overloaded server gets one trial per response time, at least trial_interval apart, to recover.
+        An overloaded server gets one trial request per response time, at least trial_interval apart.
         """
         own, reported = self.predicted_latency(), self.reported_latency(now)
         if own <= min(limit, queueing_factor * (self.base_latency or limit)) and (
@@ -128,7 +125,7 @@
         self, now: int, time_constant: int, elapsed: int, in_flight: int, full: bool = False
     ) -> None:
         """Adds a response time, in nanoseconds, to the moving averages."""
-        # A first answer that is slower than the initial value replaces it.
+        # A first answer that is slower than the initial estimate replaces the estimate.
         is_initial = not self.base_latency and elapsed > self.latency and not full
         weight = (
             1
@@ -153,9 +150,9 @@
     def is_near_limit(self) -> bool:
         """Whether the server is near its capacity.
 
-        It is if it was full or slow recently, or if one more answer is expected to take twice the base
-        latency. Under processor sharing, this is the latency at half utilization, so one key with a fair
-        share of its own could use the rest.
+        This holds after recent full or slow answers, or if one more answer is expected to take twice the
+        base latency. Under processor sharing this is the latency at half utilization, so that a single key
+        with a fair share of the requests could use the rest.
         """
         return (
             self.range_fraction < 1 or 0 < NEAR_LIMIT_FACTOR * self.base_latency <= self.predicted_latency()
@@ -169,6 +166,6 @@
         self.is_trial = self.is_trial and self.in_flight > 0
 
     def is_available(self, now: int) -> bool:
-        """Whether the server may be sent to; after a failure only one attempt at a time is allowed."""
+        """Whether the server may get an attempt; after a failure it gets only one attempt at a time."""
         may_retry = now >= self.ejected_until and not self.in_flight
         return self.member.state is api.State.READY and (not self.failures or may_retry)
--- a/applehub/policy/tenants.py
+++ b/applehub/policy/tenants.py
@@ -1,4 +1,4 @@
-"""Limits of tenants, scaled to one router's part of the traffic."""
+"""Quotas of tenants, scaled to one router's fraction of the traffic."""
 
 from applehub import interface as api
 from applehub.policy.event_context import EventContext
@@ -21,15 +21,17 @@
         self.token_buckets = [TokenBucket(now=self.context.now) for _ in self.context.settings.tenants]
 
     def is_over_quota(self, event: api.Request) -> bool:
-        """Whether a request exceeds its tenant's quota, scaled to this router's part of the traffic."""
-        quotas = self.context.settings.tenants
-        if event.tenant >= len(quotas) or len(quotas) < 2 or not quotas[event.tenant].quota:
+        """Whether a request exceeds its tenant's quota, scaled to this router's fraction of the traffic."""
+        tenants = self.context.settings.tenants
+        if event.tenant >= len(tenants) or len(tenants) < 2 or not tenants[event.tenant].quota:
             return False
         if not event.repeat:
             self.request_rates[event.tenant].add(self.context.now)
-        both = zip(self.request_rates, quotas, strict=True)
-        used = sorted(rate.per_second(self.context.now) / one.quota for rate, one in both if one.quota)
-        rate = quotas[event.tenant].quota * max(
-            1 / self.context.settings.router_count, used[(len(used) - 1) // 2]
+        rated_tenants = zip(self.request_rates, tenants, strict=True)
+        used_fractions = sorted(
+            rate.per_second(self.context.now) / tenant.quota for rate, tenant in rated_tenants if tenant.quota
+        )
+        rate = tenants[event.tenant].quota * max(
+            1 / self.context.settings.router_count, used_fractions[(len(used_fractions) - 1) // 2]
         )
         return not self.token_buckets[event.tenant].take(self.context.now, rate, max(MIN_CAPACITY, rate))
--- a/applehub/policy/throttle.py
+++ b/applehub/policy/throttle.py
@@ -5,17 +5,18 @@
 from applehub.policy.job import Job
 from applehub.policy.rates import SECOND, Rate
 
-# Berger: from C_J + C_T = 10 on, the throughput is almost independent of arrival rates above r.
+# Minimum total of bank and buffer. Berger: from C_J + C_T = 10 on, the throughput is almost independent of
+# arrival rates above r.
 MIN_CAPACITY = 10
 INITIAL_TOKENS = 2
 RATE_INCREASE = 1 / 4  # relative increase of r in a healthy period
-MIN_HEALTHY_PERIODS = 8  # with a full bank, before the throttle is turned off
-MIN_SAMPLES = 4  # likely misses that show whether the origin is healthy
-EXPECTED_SLOW_FRACTION = 1 / 16  # of likely misses, with a healthy origin
+MIN_HEALTHY_PERIODS = 8  # consecutive periods with a full bank after which the throttle is turned off
+MIN_SAMPLES = 4  # likely misses needed to judge whether the origin is healthy
+EXPECTED_SLOW_FRACTION = 1 / 16  # fraction of likely misses that are slow although the origin is healthy
 
 
 class Throttle:
-    """Berger's token bank and job buffer as one signed level: tokens above 0, waiting jobs below."""
+    """Berger's token bank and job buffer as one signed level: tokens above zero, waiting jobs below."""
 
     def __init__(self, now: int, rate: float, total: int) -> None:
         self.rate, self.refilled_at = rate, now
@@ -29,9 +30,9 @@
         if tokens < 1:
             return []
         self.refilled_at += math.ceil(tokens * SECOND / self.rate)
-        freed = list(self.queue)[:tokens] if self.level < 0 else []
+        released = list(self.queue)[:tokens] if self.level < 0 else []
         self.level = min(self.level + tokens, self.bank)  # tokens beyond a full bank are lost
-        return [self.queue.pop(name) for name in freed]
+        return [self.queue.pop(name) for name in released]
 
     def offer(self, job: Job) -> bool | None:
         """Returns True if the job got a token, None if it waits, False if it is rejected."""
@@ -52,17 +53,17 @@
         """Returns an unused token; it is lost if the bank is full or jobs wait."""
         self.level = min(self.level + 1, self.bank) if self.level >= 0 else self.level
 
-    def wait_time(self, place: int) -> int:
-        """Returns the time, in nanoseconds, until the job at this place in the buffer gets its token."""
-        return max(0, math.ceil(place * SECOND / self.rate))
+    def wait_time(self, position: int) -> int:
+        """Returns the time, in nanoseconds, until the job at this position in the buffer gets a token."""
+        return max(0, math.ceil(position * SECOND / self.rate))
 
-    def move_to_bank(self, places: int) -> None:
-        """Moves capacity from the buffer to the bank; waiting jobs keep their places."""
-        self.bank, self.buffer = self.bank + min(places, self.buffer), max(0, self.buffer - places)
+    def move_to_bank(self, slots: int) -> None:
+        """Moves capacity from the buffer to the bank; waiting jobs stay queued."""
+        self.bank, self.buffer = self.bank + min(slots, self.buffer), max(0, self.buffer - slots)
 
 
 class Monitor:
-    """Turns the throttle on and off and sets r by the results of likely misses."""
+    """Turns the throttle on and off and sets its rate r by the results of likely misses."""
 
     def __init__(self, period: int) -> None:
         self.period = period
@@ -72,7 +73,7 @@
         self.reduced_at, self.started_at = 0, -1
 
     def recent_rate(self, now: int) -> float:
-        """Returns the recent rate of likely misses, corrected for the short history after a start."""
+        """Returns the recent rate of likely misses, corrected for the short history after the start."""
         return self.token_usage.per_second(now) / -math.expm1(
             (self.started_at - now) / self.token_usage.time_constant
         )
@@ -94,13 +95,13 @@
         While the origin is overloaded, r is reduced in proportion to the unhealthy fraction, by at most half;
         otherwise it is raised.
         """
-        samples, silent = self.healthy_count + self.unhealthy_count, pending and not self.healthy_count
+        samples, is_hanging = self.healthy_count + self.unhealthy_count, pending and not self.healthy_count
         # The origin is overloaded if more misses are unhealthy than its usual slow fraction explains.
         overloaded = self.unhealthy_count > max(
             1.0, samples * EXPECTED_SLOW_FRACTION + 2 * math.sqrt(samples * EXPECTED_SLOW_FRACTION)
         )
         fraction = self.unhealthy_count / max(1, samples)
-        # A router with few misses keeps its counts until there are enough samples.
+        # With few misses, the counts are kept until there are enough samples.
         if overloaded or samples >= MIN_SAMPLES:
             self.healthy_count = self.unhealthy_count = 0
         throttle = self.throttle
@@ -119,7 +120,7 @@
             return ""
         # r is not raised while reads hang, since that would prolong an overload, nor beyond twice the usage,
         # since an unused r would not limit a burst.
-        if not silent and throttle.rate < 2 * self.recent_rate(now):
+        if not is_hanging and throttle.rate < 2 * self.recent_rate(now):
             throttle.rate += throttle.rate * RATE_INCREASE
         self.healthy_periods = self.healthy_periods + 1 if throttle.level >= throttle.bank else 0
         if self.healthy_periods < MIN_HEALTHY_PERIODS:
--- a/applehub/wirehost.py
+++ b/applehub/wirehost.py
@@ -118,7 +118,7 @@
 
 
 class Host:
-    """The routers of this process, by instance number.
+    """Holds the routers of this process by instance number and passes each event to its router.
 
     make: creates the decision module of a router from its settings and a seed.
     """
@@ -128,7 +128,7 @@
         self.routers: dict[int, DecisionModule] = {}
 
     def reply(self, line: bytes) -> bytes:
-        """Handles one batch and returns the line with the resulting actions. Raises InputError."""
+        """Handles the batch in a line and returns a line with the actions. Raises InputError."""
         try:
             batch = orjson.loads(line)
             now, messages = batch["clock"], batch["msgs"]
@@ -172,7 +172,7 @@
                 self.routers[i] = self.make(read_settings(info), seed)
             except SettingError as error:
                 self.routers.pop(i, None)
-                print(f"instance {i}: {error}", file=sys.stderr)
+                print(f"invalid settings for instance {i}: {error}", file=sys.stderr)
                 output.append({"t": "DIE", "i": i, "msg": str(error)})
         elif name == "DESTROY":
             self.routers.pop(i, None)
@@ -181,7 +181,7 @@
 
 
 def main(host: Host | None = None) -> int:
-    """Answers each line of standard input until it ends; returns the exit code."""
+    """Answers each line of standard input until its end and returns the exit code."""
     host, out = host or Host(), sys.stdout.buffer
     for number, line in enumerate(sys.stdin.buffer, 1):
         try:
