--- a/tests/popularity_trials.py
+++ b/tests/popularity_trials.py
@@ -7,8 +7,8 @@
 
 from applehub.policy.keys import Popularity
 
-KEYS, OFFSET = 20_000, 5  # of a Zipf-Mandelbrot distribution with exponent 1
-INITIAL_REQUESTS = 500  # first requests of a router, which are counted separately
+KEYS, OFFSET = 20_000, 5  # number of keys and offset of a Zipf-Mandelbrot distribution with exponent 1
+INITIAL_REQUESTS = 500  # number of first requests of a router, which are counted separately
 
 
 @dataclass(slots=True)
@@ -33,15 +33,15 @@
 
 
 def run_trial(servers: int, later_requests: int, seeds: range) -> tuple[DetectionCounts, DetectionCounts]:
-    """Returns the counts for the initial requests of routers with these seeds, and for the later ones."""
+    """Returns the counts of the initial and of the later requests, summed over routers with these seeds."""
     weights = [1 / (rank + 1 + OFFSET) for rank in range(KEYS)]
     limits = list(accumulate(weights))
     hot = {rank for rank in range(KEYS) if weights[rank] * servers >= limits[-1]}
     counts = DetectionCounts(), DetectionCounts()
     for seed in seeds:
-        draw, popularity = random.Random(seed), Popularity()
+        rng, popularity = random.Random(seed), Popularity()
         for number in range(INITIAL_REQUESTS + later_requests):
-            rank = bisect(limits, draw.random() * limits[-1])
+            rank = bisect(limits, rng.random() * limits[-1])
             detected = popularity.count_fair_shares(f"k{rank}", servers) > 0
             count = counts[number >= INITIAL_REQUESTS]
             count.requests += 1
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Test helpers: settings, server lists, and a router that is driven step by step."""
+"""Test helpers: settings, endpoint lists, and a router that a test drives event by event."""
 
 from applehub import interface as api
 from applehub.policy import Balancer
@@ -37,7 +37,7 @@
 
 
 class Router:
-    """A balancer with a simulated clock and timers."""
+    """Drives a balancer with a simulated clock and timers."""
 
     def __init__(
         self, options: api.Settings | None = None, members: list[api.Member] | None = None, seed: int = 7
@@ -110,7 +110,7 @@
         return first.server
 
     def crash_owner(self, key: str) -> api.Action:
-        """Crashes the owner of a key with an attempt in flight and returns that Send action."""
+        """Crashes the owner of a key during an attempt and returns the Send action of that attempt."""
         _, (first,) = self.send_request(key)
         name = self.candidates(key)[0].member.server
         (retry,) = self.finish_attempt(first, api.Status.RESET)
@@ -122,7 +122,7 @@
         return first
 
     def make_owner_fail(self, key: str) -> str:
-        """Fails all requests to the owner of a key until it is ejected, and returns its name."""
+        """Answers requests to the owner of a key with errors until the owner is ejected; returns its name."""
         name = self.candidates(key)[0].member.server
         for _ in range(100):
             if self.balancer.server_table.servers[name].failures:
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -20,8 +20,8 @@
     idempotent = next(spec for spec in configured["classes"] if spec["effect"] == "keyed")
     for key, strictest in (("group", "cell"), ("repeatWindow", 0), ("effect", api.Effect.UNSAFE)):
         idempotent.pop(key)
-        read = read_settings(configured).classes[configured["classes"].index(idempotent)]
-        assert getattr(read, "idempotency_window" if key == "repeatWindow" else key) == strictest
+        parsed = read_settings(configured).classes[configured["classes"].index(idempotent)]
+        assert getattr(parsed, "idempotency_window" if key == "repeatWindow" else key) == strictest
 
 
 @pytest.mark.parametrize("effect", ["", "Safe", "idempotent", 1])
@@ -32,7 +32,7 @@
         read_settings(configured)
 
 
-def class_of(effect: api.Effect, window: int) -> api.RequestClass:
+def class_with(effect: api.Effect, window: int) -> api.RequestClass:
     return api.RequestClass(SECOND, 2 * SECOND, effect, "all", window, late_weight=0.5)
 
 
@@ -43,7 +43,7 @@
 ) -> None:
     window = SECOND
     for cls, effect in enumerate(order):
-        router = Router(settings(classes=[class_of(one, window) for one in order]))
+        router = Router(settings(classes=[class_with(other, window) for other in order]))
         name, (first,) = router.send_request("k", cls, write)
         actions = router.finish_attempt(first, Status.RESET)
         if write and not actions:
@@ -58,34 +58,34 @@
 @pytest.mark.parametrize("write", [False, True])
 @pytest.mark.parametrize("window", [0, MILLI, 20 * MILLI, 300 * MILLI])
 def test_request_with_idempotency_key_is_not_retried_after_its_window(window: int, write: bool) -> None:
-    router = Router(settings(classes=[class_of(api.Effect.KEYED, window)]))
+    router = Router(settings(classes=[class_with(api.Effect.KEYED, window)]))
     _, (first,) = router.send_request("k", 0, write)
     sent = router.now
     router.advance(window)
     actions = router.finish_attempt(first, Status.RESET, elapsed=window or 1) + router.advance(SECOND)
-    assert not [one for one in actions if isinstance(one, api.Send)]
-    assert [type(one) for one in actions] == [api.Fail] and router.now >= sent + window
+    assert not [action for action in actions if isinstance(action, api.Send)]
+    assert [type(action) for action in actions] == [api.Fail] and router.now >= sent + window
 
 
 @pytest.mark.parametrize("window", [400 * MILLI, SECOND])
 def test_retry_with_idempotency_key_has_a_latest_start_time(window: int) -> None:
-    router = Router(settings(classes=[class_of(api.Effect.KEYED, window)]))
+    router = Router(settings(classes=[class_with(api.Effect.KEYED, window)]))
     _, (first,) = router.send_request("k")
     sent = router.now
     router.advance(window // 2)
     (retry,) = router.finish_attempt(first, Status.RESET)
     assert isinstance(first, api.Send) and isinstance(retry, api.Send)
     assert (first.start_by, retry.start_by) == (0, sent + window - MAX_PAUSE)
-    # The retry expires before it is written, so it did not run; no third attempt follows after the window.
+    # The retry expires before it is written, so it is not executed; no attempt may follow after the window.
     router.now = sent + window - MAX_PAUSE
     (end,) = router.finish_attempt(retry, Status.MOOT, 1)
     assert isinstance(end, api.Fail)
 
 
 def test_reloaded_class_applies_its_effect_to_new_requests_only() -> None:
-    router = Router(settings(classes=[class_of(api.Effect.SAFE, 0)]))
+    router = Router(settings(classes=[class_with(api.Effect.SAFE, 0)]))
     _, (first,) = router.send_request("k")
-    router.deliver(api.SettingsChanged(settings(classes=[class_of(api.Effect.UNSAFE, 0)])))
+    router.deliver(api.SettingsChanged(settings(classes=[class_with(api.Effect.UNSAFE, 0)])))
     (retry,) = router.finish_attempt(first, Status.RESET)  # the request arrived while its class was safe
     assert isinstance(retry, api.Send)
     _, (second,) = router.send_request("k2")
--- a/tests/test_failed_starts.py
+++ b/tests/test_failed_starts.py
@@ -1,4 +1,4 @@
-"""Attempts that fail on the router's host before they start: no server is blamed, and they are retried."""
+"""Attempts that fail on the router's host before they start: they are retried and blame no server."""
 
 from collections.abc import Iterator
 
@@ -147,13 +147,14 @@
     host = FailingHost(router, status)
     for n in range(400):
         host.fail(router.send_request(f"k{n}")[1])
-    first = len(host.attempts)
-    assert first <= 800  # one each, and if the server is unreachable one more at another
+    first_attempts = len(host.attempts)
+    # One attempt per request, and a second at another server if the first server is unreachable.
+    assert first_attempts <= 800
     started_at = router.now
     host.fail_for(500 * MILLI)
-    retried_at = [at for at, _ in host.attempts[first:]]
-    assert len(retried_at) <= 25  # 400 requests together, within half a second
-    assert max(sum(at <= other < at + 20 * MILLI for other in retried_at) for at in retried_at) <= 4
+    retried_at = [sent_at for sent_at, _ in host.attempts[first_attempts:]]
+    assert len(retried_at) <= 25  # retries of all 400 requests within half a second
+    assert max(sum(start <= time < start + 20 * MILLI for time in retried_at) for start in retried_at) <= 4
     assert not host.responses and started_at
     # The host has recovered: all requests are served soon, but not in one burst.
     served: list[tuple[int, str]] = []
@@ -164,8 +165,8 @@
             router.finish_attempt(send, Status.OK, host.next_attempt(send), MILLI)
     assert len({name for _, name in served}) == 400
     assert served[0][0] - recovered_at <= 51 * MILLI and served[-1][0] - recovered_at <= 500 * MILLI
-    sent_times = [at for at, _ in served]
-    assert max(sent_times.count(at) for at in sent_times) <= 4
+    served_at = [sent_at for sent_at, _ in served]
+    assert max(served_at.count(sent_at) for sent_at in served_at) <= 4
 
 
 def test_local_failure_spends_no_throttle_token() -> None:
@@ -175,13 +176,13 @@
     assert throttle is not None
     host = FailingHost(router, Status.LOCAL_FAILURE)
     router.advance(SECOND)
-    before, spent = throttle.level, router.balancer.monitor.token_usage.per_second(router.now)
-    assert before > 0
+    level_before, spent = throttle.level, router.balancer.monitor.token_usage.per_second(router.now)
+    assert level_before > 0
     name, actions = router.send_request("fresh")
     host.fail(actions)
-    assert throttle.level == before - 1  # the waiting request reserves one token
+    assert throttle.level == level_before - 1  # the waiting request holds one token
     router.deliver(api.RequestCancelled(name))
-    assert throttle.level == before
+    assert throttle.level == level_before
     assert router.balancer.monitor.token_usage.per_second(router.now) == pytest.approx(spent)
     assert router.balancer.monitor.unhealthy_count == 0 and not router.balancer.misses_in_flight
 
@@ -192,7 +193,7 @@
     warming = server_named(router, "c1")
     for n in range(2000):
         router.advance(2 * MILLI)
-        before = warming.last_sent_at
+        last_sent_before = warming.last_sent_at
         name, actions = router.send_request(f"k{n}")
         (send,) = sends(actions)
         if send.server == "c1":
@@ -203,7 +204,7 @@
     tokens = warming.warmup_budget.tokens
     router.finish_attempt(send, Status.LOCAL_FAILURE, 0, 0)
     assert name and warming.warmup_budget.tokens == tokens + 1
-    assert warming.last_sent_at == before and not warming.is_trial and not warming.in_flight
+    assert warming.last_sent_at == last_sent_before and not warming.is_trial and not warming.in_flight
 
 
 def test_request_that_joined_a_fetch_that_never_started_is_sent_itself() -> None:
@@ -214,7 +215,7 @@
     host.last_attempt["r1"] = 0
     _, join_actions = router.send_request("k")
     for send in sends(join_actions):
-        assert not router.finish_attempt(send, Status.MISS)  # it joins the fetch in flight
+        assert not router.finish_attempt(send, Status.MISS)  # the request joins the fetch in flight
         host.last_attempt[send.id] = 0
     host.fail([read])
     router.deliver(api.RequestCancelled("r1"))
--- a/tests/test_fault_scenarios.py
+++ b/tests/test_fault_scenarios.py
@@ -1,4 +1,4 @@
-"""Faults of clients, servers and discovery, played over real sockets."""
+"""Faults of clients, servers and discovery, injected over real sockets."""
 
 import asyncio
 import os
@@ -23,7 +23,7 @@
 from applehub.node import resp
 from applehub.node.clients import MAX_PIPELINED_COMMANDS
 
-INCOMPLETE_COMMAND_TIMEOUT = 3.0  # s, until the error or close of a command that stays incomplete
+INCOMPLETE_COMMAND_TIMEOUT = 3.0  # s, until an incomplete command gets an error or its connection is closed
 ANSWER_TOLERANCE = 0.5  # s, allowed past a request's deadline until its final answer
 INFO = b"c=read,t=acme,d=3000"
 
@@ -123,7 +123,7 @@
 def test_complete_commands_past_the_pipeline_limit_do_not_time_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Commands past the limit wait, complete, for as long as the servers take."""
+    """Complete commands past the limit wait until the servers answer the commands before them."""
 
     async def test() -> None:
         count = MAX_PIPELINED_COMMANDS + 3
@@ -202,7 +202,7 @@
     async def test() -> None:
         body = b"x" * (1 << 20)
         async with router(lambda request, writer: MISS, origin=lambda request, writer: None) as bench:
-            bench.driver.memory.limit = 4 << 20  # three quarters are available to long values
+            bench.driver.memory.limit = 4 << 20  # three quarters of it are available to long values
             callers = [await bench.caller() for _ in range(4)]
             for index, caller in enumerate(callers):
                 caller.get(key=b"k%d" % index, name=b"i%d" % index, info=INFO)
@@ -227,7 +227,7 @@
 def test_dropped_requests_with_short_deadlines_do_not_mark_the_server_as_failed(
     monkeypatch: pytest.MonkeyPatch, deadline_ms: int, at_origin: bool
 ) -> None:
-    """Each is answered by its deadline, and the server gets the requests that follow."""
+    """Each request is answered by its deadline, and the server gets the requests that follow."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -253,7 +253,7 @@
             for number in range(10):
                 caller.get(key=b"then%d" % number, name=b"then%d" % number, info=INFO)
                 assert await caller.answer() == (b"far" if at_origin else b"v")
-            # Reads are throttled for a while after the only origin has stopped answering.
+            # Reads are throttled for some time after the only origin stopped answering.
             assert at_origin or (loop.time() - started <= 0.5 and not bench.origin.received)
 
     run_in_virtual_time(monkeypatch, test)
@@ -271,7 +271,7 @@
     return resp.command(b"C.SET", b"k", name, b"c=put,t=acme,d=3000", b"value")
 
 
-# Faults of idle connections; new connections work. None: the server fails them at the next request.
+# Faults of idle connections; new connections work. None: the connections fail at the next request.
 CONNECTION_FAULTS: dict[str, Callable[[Any], Any] | None] = {
     "closed": lambda writer: writer.close(),
     "reset": reset_connection,
@@ -298,9 +298,11 @@
 
 @pytest.mark.parametrize("idle_s", [0.5, 9.0, 55.0])
 @pytest.mark.parametrize("fault", CONNECTION_FAULTS)
-@pytest.mark.parametrize("ask", [read_command, unsafe_read, write_command], ids=["read", "once", "put"])
+@pytest.mark.parametrize(
+    "make_command", [read_command, unsafe_read, write_command], ids=["read", "once", "put"]
+)
 def test_requests_are_answered_after_idle_connections_fail(
-    monkeypatch: pytest.MonkeyPatch, ask: Callable[[bytes], bytes], fault: str, idle_s: float
+    monkeypatch: pytest.MonkeyPatch, make_command: Callable[[bytes], bytes], fault: str, idle_s: float
 ) -> None:
     """Each request is answered in time, and an unsafe one that may have been executed is not retried."""
 
@@ -312,11 +314,11 @@
             for good in (hit(), http(200, b"far"))
         )
         async with router(cache_answer, origin=origin_answer) as bench:
-            server = bench.origin if ask is write_command else bench.cache
+            server = bench.origin if make_command is write_command else bench.cache
             callers = [await bench.caller() for _ in range(4)]
             for round_index in range(3):  # opens several connections to the server
                 for index, warm_up in enumerate(callers):
-                    warm_up.writer.write(ask(b"w%d-%d" % (round_index, index)))
+                    warm_up.writer.write(make_command(b"w%d-%d" % (round_index, index)))
                 for warm_up in callers:
                     assert await warm_up.answer() in (b"v", b"far")
             await asyncio.sleep(idle_s)
@@ -327,14 +329,16 @@
                 (CONNECTION_FAULTS[fault] or old_connections.add)(writer)
             caller, count_before, started = await bench.caller(), len(server.received), loop.time()
             for number in range(3):
-                caller.writer.write(ask(b"i%d" % number))
+                caller.writer.write(make_command(b"i%d" % number))
                 answer = await caller.answer()
                 assert answer is not None and loop.time() - started <= 3.0 + ANSWER_TOLERANCE
-                if CONNECTION_FAULTS[fault] is not None:  # no request was executed on an old connection
+                if CONNECTION_FAULTS[fault] is not None:  # the old connections executed no request
                     assert answer in (b"v", b"far")
                 started = loop.time()
-            attempts = [got for got in server.received[count_before:] if b"i0" in str(got).encode()]
-            assert len(attempts) == 1 if ask is unsafe_read else 1 <= len(attempts) <= 4
+            attempts = [
+                received for received in server.received[count_before:] if b"i0" in str(received).encode()
+            ]
+            assert len(attempts) == 1 if make_command is unsafe_read else 1 <= len(attempts) <= 4
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -353,9 +357,11 @@
 
 
 @pytest.mark.parametrize("fault", IMMEDIATE_FAILURES)
-@pytest.mark.parametrize("ask", [read_command, unsafe_read, write_command], ids=["read", "once", "put"])
+@pytest.mark.parametrize(
+    "make_command", [read_command, unsafe_read, write_command], ids=["read", "once", "put"]
+)
 def test_request_whose_attempts_all_fail_at_once_gets_one_answer(
-    monkeypatch: pytest.MonkeyPatch, ask: Callable[[bytes], bytes], fault: str
+    monkeypatch: pytest.MonkeyPatch, make_command: Callable[[bytes], bytes], fault: str
 ) -> None:
     """Attempts are bounded, and an unsafe request that may have been executed is not retried."""
 
@@ -372,7 +378,9 @@
             await extra_cache.start()
 
         def entries(cache: Cache, origin: Web) -> list[Any]:
-            caches = [entry(f"c{index}", each.address) for index, each in enumerate([cache, *extra_caches])]
+            caches = [
+                entry(f"c{index}", server.address) for index, server in enumerate([cache, *extra_caches])
+            ]
             return [*caches, entry("o", origin.address, model="origin")]
 
         loop = asyncio.get_running_loop()
@@ -380,16 +388,18 @@
             caller = await bench.caller()
             for number in range(50):
                 started = loop.time()
-                caller.writer.write(ask(b"i%d-" % number))
+                caller.writer.write(make_command(b"i%d-" % number))
                 assert str(await caller.answer()).split()[0] in ("ERR", "BUSY")
                 assert loop.time() - started <= 3.0 + ANSWER_TOLERANCE
-            all_got = [
-                str(got) for server in (bench.cache, *extra_caches, bench.origin) for got in server.received
+            all_received = [
+                str(received)
+                for server in (bench.cache, *extra_caches, bench.origin)
+                for received in server.received
             ]
             maybe_executed = fault != "refuses"
             for number in range(50):
-                attempts = sum(f"i{number}-" in got for got in all_got)
-                assert attempts <= (1 if ask is unsafe_read and maybe_executed else 4)
+                attempts = sum(f"i{number}-" in received for received in all_received)
+                assert attempts <= (1 if make_command is unsafe_read and maybe_executed else 4)
             await wait_until(lambda: not bench.driver.requests)
         for extra_cache in extra_caches:
             await extra_cache.stop()
@@ -401,13 +411,13 @@
 @pytest.mark.parametrize(
     "fault", [[SILENT, ANSWERING], [TRICKLING, ANSWERING], [SILENT, SILENT, ANSWERING]], ids=" then ".join
 )
-@pytest.mark.parametrize("must_ask", [False, True])
+@pytest.mark.parametrize("list_on_request", [False, True])
 def test_discovery_faults_after_a_long_idle_time_are_recovered_in_time(
-    monkeypatch: pytest.MonkeyPatch, fault: list[str], must_ask: bool, idle_s: float
+    monkeypatch: pytest.MonkeyPatch, fault: list[str], list_on_request: bool, idle_s: float
 ) -> None:
     async def test() -> None:
         service = FaultyDiscovery()
-        discovery_client = WatchHarness(must_ask, await service.start())
+        discovery_client = WatchHarness(list_on_request, await service.start())
         await asyncio.sleep(idle_s)
         service.behaviours, changed_at = list(fault), asyncio.get_running_loop().time()
         service.rev += 1
@@ -460,9 +470,9 @@
 
 @pytest.mark.parametrize("late", [0.0, 1.4, 3.0])
 @pytest.mark.parametrize("gap", [0.0, 0.05, 0.7])
-@pytest.mark.parametrize("must_ask", [False, True])
+@pytest.mark.parametrize("list_on_request", [False, True])
 def test_last_of_several_rapid_reconfigurations_wins_with_slow_discovery(
-    monkeypatch: pytest.MonkeyPatch, must_ask: bool, gap: float, late: float
+    monkeypatch: pytest.MonkeyPatch, list_on_request: bool, gap: float, late: float
 ) -> None:
     """All services but the last are silent, slow or respond with an error."""
 
@@ -473,7 +483,7 @@
         for service, fault in zip(faulty, ("silent", "trickling", "503"), strict=True):
             service.behaviours = [fault]
         addresses = [await service.start() for service in faulty]
-        async with routers(first, 1, must_ask) as (client,):
+        async with routers(first, 1, list_on_request) as (client,):
             await asyncio.sleep(10)
             for number in range(9):
                 client.watch.set_endpoints([addresses[number % 3]])
@@ -492,9 +502,9 @@
     run_in_virtual_time(monkeypatch, test)
 
 
-@pytest.mark.parametrize("must_ask", [False, True])
+@pytest.mark.parametrize("list_on_request", [False, True])
 def test_all_routers_get_the_list_after_moving_to_an_overloaded_discovery_service(
-    monkeypatch: pytest.MonkeyPatch, must_ask: bool
+    monkeypatch: pytest.MonkeyPatch, list_on_request: bool
 ) -> None:
     """16 routers move five times within a second; each service takes eight requests per second."""
 
@@ -502,7 +512,7 @@
         loop = asyncio.get_running_loop()
         services = [SlowDiscovery(rate=8.0) for _ in range(5)]
         addresses = [await service.start() for service in services]
-        async with routers(SlowDiscovery(), 16, must_ask) as clients:
+        async with routers(SlowDiscovery(), 16, list_on_request) as clients:
             await asyncio.sleep(10)
             for address in addresses:
                 await asyncio.sleep(0.2)
@@ -562,7 +572,7 @@
 def test_incomplete_command_behind_a_pending_one_times_out_from_its_start(
     monkeypatch: pytest.MonkeyPatch, sent: bytes, answered: float | None
 ) -> None:
-    """Its timeout must not start only after the commands before it are answered."""
+    """The timeout starts with the incomplete command, not when the commands before it are answered."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -587,7 +597,7 @@
 def test_timeouts_of_short_deadlines_do_not_make_servers_seem_overloaded(
     monkeypatch: pytest.MonkeyPatch, deadline_ms: int, dropped: bool
 ) -> None:
-    """A timeout that is due to a short deadline must not count as an answer time of the server."""
+    """A timeout because of a short deadline must not count as an answer time of the server."""
 
     async def test() -> None:
         loop, answer_time = asyncio.get_running_loop(), 0.03
@@ -602,7 +612,9 @@
             await extra_cache.start()
 
         def entries(cache: Cache, origin: Web) -> list[Any]:
-            caches = [entry(f"c{index}", each.address) for index, each in enumerate([cache, *extra_caches])]
+            caches = [
+                entry(f"c{index}", server.address) for index, server in enumerate([cache, *extra_caches])
+            ]
             return [*caches, entry("o", origin.address, model="origin")]
 
         async with router(cache_answer, entries=entries) as bench:
--- a/tests/test_hot_keys.py
+++ b/tests/test_hot_keys.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    ("servers", "seeds", "later", "false_at_first", "false_later", "found"),
+    ("servers", "seeds", "later_requests", "max_false_early", "max_false_late", "min_detected"),
     [
         (16, range(1, 21), 500, 0.001, 0.001, None),
         (300, range(1, 4), 20_000, 0.01, 0.015, 0.93),
@@ -23,15 +23,20 @@
     ],
 )
 def test_hot_key_detection_meets_its_error_bounds_at_any_number_of_servers(
-    servers: int, seeds: range, later: int, false_at_first: float, false_later: float, found: float | None
+    servers: int,
+    seeds: range,
+    later_requests: int,
+    max_false_early: float,
+    max_false_late: float,
+    min_detected: float | None,
 ) -> None:
-    early, late = run_trial(servers, later, seeds)
-    assert early.false_fraction <= false_at_first
-    assert late.false_fraction <= false_later
-    if found is None:
-        assert not early.hot and not late.hot  # no key gets a sixteenth of all requests
+    early, late = run_trial(servers, later_requests, seeds)
+    assert early.false_fraction <= max_false_early
+    assert late.false_fraction <= max_false_late
+    if min_detected is None:
+        assert not early.hot and not late.hot  # no key gets its fair share, a sixteenth of all requests
     else:
-        assert late.detected_fraction >= found
+        assert late.detected_fraction >= min_detected
 
 
 @pytest.mark.parametrize("servers", [16, 300, 1024, 3200])
@@ -59,7 +64,10 @@
 
 
 def request_hot_key(router: Router, elapsed: int, requests: int = 200) -> Counter[str]:
-    """Requests a hot key every second time, answered after `elapsed` ns; returns its requests per server."""
+    """Sends requests, half of them for one key that is answered after `elapsed` ns.
+
+    Returns the number of requests for that key at each server.
+    """
     requests_by_server: Counter[str] = Counter()
     for number in range(requests):
         key = f"k{number}" if number % 2 else "hot"
@@ -83,13 +91,13 @@
     assert sum(under_load.values()) == 100
 
 
-@pytest.mark.parametrize(("routers", "copied"), [(199, False), (200, True), (520, True)])
+@pytest.mark.parametrize(("routers", "replicated"), [(199, False), (200, True), (520, True)])
 def test_hot_key_on_idle_servers_is_replicated_when_routers_are_as_many_as_servers(
-    routers: int, copied: bool
+    routers: int, replicated: bool
 ) -> None:
     """Each replica serves all routers, so the fetch that fills it pays off sooner with more routers."""
     router = Router(settings(router_count=routers), fleet(200))
-    assert (len(request_hot_key(router, IDLE_LATENCY)) > 6) is copied
+    assert (len(request_hot_key(router, IDLE_LATENCY)) > 6) is replicated
 
 
 def test_replicas_double_once_per_answer_that_shows_load() -> None:
@@ -127,7 +135,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "near"),
+    ("change", "is_near"),
     [
         ({}, False),
         ({"latency": 19.0 * MILLI}, False),
@@ -137,9 +145,9 @@
         ({"base_latency": 0.0}, False),  # no answer observed yet
     ],
 )
-def test_server_is_near_its_limit_at_half_its_capacity(change: dict[str, float], near: bool) -> None:
+def test_server_is_near_its_limit_at_half_its_capacity(change: dict[str, float], is_near: bool) -> None:
     server = Router().balancer.server_table.servers["c0"]
     server.base_latency, server.latency = 10.0 * MILLI, 10.0 * MILLI
     for name, value in change.items():
         setattr(server, name, value)
-    assert server.is_near_limit() is near
+    assert server.is_near_limit() is is_near
--- a/tests/test_key_assignment.py
+++ b/tests/test_key_assignment.py
@@ -18,21 +18,24 @@
     def __init__(self) -> None:
         self.ranges = KeyRanges(10 * SECOND)
 
-    def check(self, now: int, roster: ServerTable) -> None:
-        current = roster.context.settings
+    def check(self, now: int, server_table: ServerTable) -> None:
+        current = server_table.context.settings
         origin = current.origin_kind if current.cache_aside else -1
-        ready = [server for server in roster.servers.values() if server.member.state is api.State.READY]
+        ready = [server for server in server_table.servers.values() if server.member.state is api.State.READY]
         caches = [server for server in ready if server.member.kind != origin]
         self.ranges.assign(now, sorted(server.member.server for server in caches))
         mean = sum(server.member.weight for server in caches) / max(1, len(caches))
         for server in caches:
-            assert roster.relative_weight(server) == pytest.approx(
+            assert server_table.relative_weight(server) == pytest.approx(
                 server.member.weight / mean if mean else 1.0, rel=1e-12
             )
-        assert roster.origin is next((server for server in ready if server.member.kind == origin), None)
-        assert roster.ranges.assignments == self.ranges.assignments
+        assert server_table.origin is next((server for server in ready if server.member.kind == origin), None)
+        assert server_table.ranges.assignments == self.ranges.assignments
         for number in range(20):
-            actual, expected = roster.ranges.locate(f"k{number}", now), self.ranges.locate(f"k{number}", now)
+            actual, expected = (
+                server_table.ranges.locate(f"k{number}", now),
+                self.ranges.locate(f"k{number}", now),
+            )
             assert actual[:3] == expected[:3] and list(actual[3]) == list(expected[3])
 
 
@@ -76,7 +79,7 @@
 
 
 class CountingDict(dict[str, Server]):
-    """Servers by name; counts the servers that are accessed."""
+    """Dictionary of servers by name that counts the servers accessed."""
 
     accesses = 0
 
@@ -101,8 +104,8 @@
 def test_change_of_one_entry_accesses_only_its_server(servers: int) -> None:
     """The cost of a list update must not grow with the number of servers."""
     router = Router(settings(router_count=servers), fleet(servers))
-    roster = router.balancer.server_table
-    roster.servers = servers_by_name = CountingDict(roster.servers)
+    server_table = router.balancer.server_table
+    server_table.servers = servers_by_name = CountingDict(server_table.servers)
     for entry in (
         api.Member("c3", api.State.DRAINING),
         api.Member("c3", api.State.GONE),
@@ -113,13 +116,13 @@
         router.now += MILLI
         router.deliver(api.Members(api.ListKind.DELTA, [entry]))
         assert servers_by_name.accesses <= 10
-    assigned = [names for _, names in roster.ranges.assignments]
+    assigned = [names for _, names in server_table.ranges.assignments]
     assert all(earlier is not later for earlier, later in pairwise(assigned))  # no list is mutated
     assert [len(names) for names in assigned if names] == [servers, servers - 1, servers]
 
 
-def lowest_base(router: Router, kind: int) -> float:
-    """Returns the lowest idle answer time, in ns, of the listed servers of a kind."""
+def scan_lowest_base_latency(router: Router, kind: int) -> float:
+    """Returns the lowest base latency, in ns, of the listed servers of a kind, by a scan of all servers."""
     servers = router.balancer.server_table.servers.values()
     return min(
         (server.base_latency for server in servers if server.base_latency and server.member.kind == kind),
@@ -129,10 +132,10 @@
 
 @pytest.mark.parametrize("servers", [2, 16, 200])
 def test_lowest_idle_latency_of_a_kind_covers_the_listed_servers(servers: int) -> None:
-    """Servers join, leave and change their kind; some have statistics of an earlier process."""
+    """Servers are added, removed and change their kind; some have statistics of an earlier process."""
     draw = random.Random(servers)
     router = Router(members=fleet(servers))
-    roster = router.balancer.server_table
+    server_table = router.balancer.server_table
     statistics = {
         f"c{number}": api.ServerStatistics(8.0 * MILLI, draw.uniform(4, 8) * MILLI, 1.0, 1.0)
         for number in range(3)
@@ -144,18 +147,18 @@
         for send in actions:
             if isinstance(send, api.Send):
                 router.finish_attempt(send, api.Status.OK, elapsed=int(draw.expovariate(0.1) * MILLI) + MILLI)
-                kind = roster.servers[send.server].member.kind
-                assert roster.kinds[kind].lowest_base_latency == lowest_base(router, kind)
+                kind = server_table.servers[send.server].member.kind
+                assert server_table.kinds[kind].lowest_base_latency == scan_lowest_base_latency(router, kind)
         if number % 5 == 0:
             router.deliver(api.Members(api.ListKind.DELTA, [random_entry(draw, servers)]))
-        assert all(len(kind.heap) <= 4 * servers + 128 for kind in roster.kinds.values())
+        assert all(len(kind.heap) <= 4 * servers + 128 for kind in server_table.kinds.values())
 
 
 def test_answer_accesses_only_its_own_server() -> None:
     """The cost of an answer must not grow with the number of servers."""
     router = Router(members=fleet(3200))
-    roster = router.balancer.server_table
-    roster.servers = servers_by_name = CountingDict(roster.servers)
+    server_table = router.balancer.server_table
+    server_table.servers = servers_by_name = CountingDict(server_table.servers)
     requests = 400
     for number in range(requests):
         _, (send,) = router.send_request(f"k{number % 7}")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "why"),
+    ("text", "error"),
     [
         ("\n".join([LISTED_LINE] * 4), "expected at most 3 lines, got 4"),
         (LISTED_LINE.replace("test_red", "test_gone"), "no such test: tests/test_x.py::test_gone"),
@@ -58,7 +58,7 @@
         ("tests/test_x.py | all of it | 26", "expected `file::test | cause | issue`"),
     ],
 )
-def test_invalid_list_fails_the_check(folder: Path, text: str, why: str) -> None:
+def test_invalid_list_fails_the_check(folder: Path, text: str, error: str) -> None:
     (folder / "KNOWN-RED.txt").write_text(text)
     result = run_script(folder, "check")
-    assert result.returncode == 1 and why in result.stderr and result.stdout == ""
+    assert result.returncode == 1 and error in result.stderr and result.stdout == ""
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -41,14 +41,14 @@
 def test_lower_layers_do_not_import_higher_layers() -> None:
     imports_of = imports_by_module()
     for level, layer in enumerate(LAYERS):
-        above = (
+        higher_layers = (
             tuple(LAYERS[level + 1 :])
             if layer != "applehub.settings"
             else ("applehub.node", "applehub.__main__")
         )
         for name in imports_of:
             if name == layer or name.startswith(layer + "."):
-                assert not [module for module in imports_of[name] if module.startswith(above)], name
+                assert not [module for module in imports_of[name] if module.startswith(higher_layers)], name
 
 
 def test_peers_and_durable_import_no_other_package() -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -22,8 +22,8 @@
 
 @pytest.fixture(autouse=True)
 def disable_hot_keys(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Disables hot key detection, which few requests would trigger; test_regressions.py covers it."""
-    monkeypatch.setattr(Popularity, "fills", lambda self, key, servers, proven=True: 0)
+    """Disables hot key detection, which these few requests would trigger; test_hot_keys.py covers it."""
+    monkeypatch.setattr(Popularity, "count_fair_shares", lambda self, key, servers, proven=True: 0)
 
 
 # Placement
@@ -37,7 +37,7 @@
     assert all(900 < owners.count(name) < 1100 for name in "abcd")
 
 
-def test_origin_draining_and_gone_servers_own_no_range() -> None:
+def test_origin_draining_and_removed_servers_own_no_range() -> None:
     members = fleet(4)
     members[1].state = api.State.DRAINING
     router = Router(members=members)
@@ -58,11 +58,11 @@
     before = {key: router.candidates(key)[0].member.server for key in keys}
     update = api.Members(api.ListKind.DELTA, [api.Member("b9", since=router.now)])
     migrated = []
-    for each in (router, restarted):
-        each.deliver(update)
+    for either_router in (router, restarted):
+        either_router.deliver(update)
     for _ in range(4):
-        for each in (router, restarted):
-            each.advance(10 * SECOND // 4)
+        for either_router in (router, restarted):
+            either_router.advance(10 * SECOND // 4)
         owners = {key: router.candidates(key)[0].member.server for key in keys}
         assert owners == {key: restarted.candidates(key)[0].member.server for key in keys}
         migrated.append(sum(owners[key] != before[key] for key in keys))
@@ -70,7 +70,7 @@
     assert all(abs(fraction - (n + 1) / 4) < 0.06 for n, fraction in enumerate(fractions))
 
 
-def test_key_whose_server_has_left_migrates_at_once() -> None:
+def test_key_of_a_removed_server_migrates_at_once() -> None:
     router = Router(members=fleet(9))
     keys = [f"k{n}" for n in range(200)]
     before = {key: router.candidates(key)[0].member.server for key in keys}
@@ -82,7 +82,7 @@
         router.finish_attempt(send, Status.OK)
 
 
-def test_lists_that_no_key_uses_are_forgotten() -> None:
+def test_lists_that_no_key_uses_are_dropped() -> None:
     ranges = KeyRanges(10 * SECOND)
     for n in range(500):
         ranges.assign(n * SECOND, [f"s{n}"])
@@ -92,24 +92,24 @@
     assert len(ranges.assignments) <= MAX_ASSIGNMENTS
 
 
-# Key memory
+# Hit history
 
 
-def test_key_memory_is_bounded_and_evicts_the_oldest_key() -> None:
-    memory = HitHistory()
+def test_hit_history_is_bounded_and_evicts_the_oldest_key() -> None:
+    history = HitHistory()
     for n in range(MAX_KEYS + 5):
-        memory.remember(str(n), n)
-    assert len(memory.last_used) == MAX_KEYS
-    assert memory.likely_miss("0", MAX_KEYS) and not memory.likely_miss(str(MAX_KEYS), MAX_KEYS)
+        history.remember(str(n), n)
+    assert len(history.last_used) == MAX_KEYS
+    assert history.likely_miss("0", MAX_KEYS) and not history.likely_miss(str(MAX_KEYS), MAX_KEYS)
 
 
 def test_age_at_which_hits_become_misses_is_observed() -> None:
-    memory = HitHistory()
+    history = HitHistory()
     for n in range(10):
-        memory.remember(str(n), 0)
-        memory.observe(str(n), 8 * SECOND, False)
-    memory.remember("k", 0)
-    assert memory.likely_miss("k", 8 * SECOND) and not memory.likely_miss("k", SECOND // 8)
+        history.remember(str(n), 0)
+        history.observe(str(n), 8 * SECOND, False)
+    history.remember("k", 0)
+    assert history.likely_miss("k", 8 * SECOND) and not history.likely_miss("k", SECOND // 8)
 
 
 # Throttle and origin monitor
@@ -189,14 +189,16 @@
 
 
 @pytest.mark.parametrize(
-    ("seen", "bad", "acts"), [(2, 2, True), (10, 2, False), (10, 3, True), (50, 6, False)]
+    ("samples", "failures", "starts"), [(2, 2, True), (10, 2, False), (10, 3, True), (50, 6, False)]
 )
-def test_throttle_starts_only_for_a_significant_number_of_failures(seen: int, bad: int, acts: bool) -> None:
+def test_throttle_starts_only_for_a_significant_number_of_failures(
+    samples: int, failures: int, starts: bool
+) -> None:
     monitor = Monitor(SECOND)
-    for n in range(seen):
-        monitor.record(n >= bad, START)
+    for n in range(samples):
+        monitor.record(n >= failures, START)
     monitor.step(START, False)
-    assert (monitor.throttle is not None) is acts
+    assert (monitor.throttle is not None) is starts
 
 
 def test_one_overload_reduces_the_throttle_rate_once() -> None:
@@ -409,8 +411,8 @@
 
 
 @pytest.mark.parametrize("routers", [1, 40])
-def test_cold_server_takes_over_its_range_evenly_with_any_number_of_routers(routers: int) -> None:
-    """An initial token at each router would overload a cold server in a large fleet."""
+def test_warming_server_takes_over_its_range_evenly_with_any_number_of_routers(routers: int) -> None:
+    """An initial token at each router would overload a warming server in a large fleet."""
     update = api.Members(api.ListKind.DELTA, [api.Member("c1", since=START)])
     all_routers = [Router(seed=n) for n in range(routers)]
     for router in all_routers:
@@ -429,7 +431,7 @@
 
 
 def test_first_tokens_of_a_warming_server_are_spread_over_the_routers() -> None:
-    """An initial token at each router would let a hot key overload a cold server."""
+    """An initial token at each router would let a hot key overload a warming server."""
     update = api.Members(api.ListKind.DELTA, [api.Member("c1", since=START)])
     all_routers = [Router(seed=n) for n in range(40)]
     first = 0
@@ -459,7 +461,7 @@
     assert fractions == pytest.approx([0.2, 0.6, 1.0, 1.0])
 
 
-def test_server_listed_with_a_newer_start_time_is_cold_again() -> None:
+def test_server_listed_with_a_newer_start_time_warms_up_again() -> None:
     router = Router()
     for _ in range(2):
         router.deliver(api.Members(api.ListKind.DELTA, [api.Member("c1", since=router.now - SECOND)]))
@@ -473,7 +475,7 @@
         router.finish_attempt(actions[0], Status.OK)
 
 
-def test_server_that_was_down_for_long_is_treated_as_cold() -> None:
+def test_server_that_was_down_for_long_warms_up_again() -> None:
     router = Router()
     first = router.crash_owner("k")
     router.advance(2 * SECOND)
@@ -484,8 +486,8 @@
     assert router.log[-1].endswith("answers again")
 
 
-@pytest.mark.parametrize(("routers", "most"), [(2, 2.0), (40, 16.0)])
-def test_trials_of_a_dead_server_by_all_routers_are_bounded(routers: int, most: float) -> None:
+@pytest.mark.parametrize(("routers", "max_backoff"), [(2, 2.0), (40, 16.0)])
+def test_trials_of_a_failed_server_by_all_routers_are_bounded(routers: int, max_backoff: float) -> None:
     """Trials of many routers together must not overload a server that has just restarted."""
     router = Router(settings(router_count=routers, slow_start_capacity=0.125))
     server = router.balancer.server_table.servers[router.cache_key("k")]
@@ -498,7 +500,7 @@
         router.finish_attempt(actions[0], Status.CONNECT_FAILED)
         backoffs.append((server.ejected_until - router.now) / SECOND)
     assert backoffs[0] <= 0.5, "a single refused connect has a short backoff"
-    assert all(most / 2 <= backoff <= 2 * most for backoff in backoffs[3:])
+    assert all(max_backoff / 2 <= backoff <= 2 * max_backoff for backoff in backoffs[3:])
 
 
 def test_reset_connection_does_not_mark_the_server_as_failed() -> None:
@@ -514,7 +516,7 @@
     assert not any("unreachable" in line for line in router.log)
 
 
-def test_server_that_resets_every_attempt_is_skipped_but_not_treated_as_cold() -> None:
+def test_server_that_resets_every_attempt_is_skipped_but_does_not_warm_up() -> None:
     router = Router()
     _, (send,) = router.send_request("k")
     name = sends([send])[0]
@@ -569,7 +571,7 @@
     assert not router.log
 
 
-def test_server_that_joins_without_a_start_time_is_treated_as_cold() -> None:
+def test_server_added_without_a_start_time_warms_up() -> None:
     router = Router()
     router.deliver(api.Members(api.ListKind.DELTA, [api.Member("c9")]))
     assert router.balancer.server_table.servers["c9"].warming_since == router.now
@@ -688,13 +690,13 @@
 def test_several_overloaded_neighbours_are_skipped() -> None:
     router = Router(members=fleet(6))
     owner, *rest = router.candidates("k")
-    for server in [owner, *rest[:2]]:  # slow, with a trial in flight at each
+    for server in [owner, *rest[:2]]:  # each is slow and has a trial in flight
         server.latency, server.base_latency, server.in_flight = 1.0 * SECOND, SECOND / 10, 1
     assert sends(router.send_request("k")[1]) == [rest[2].member.server]
 
 
 def test_trial_in_flight_stays_a_trial() -> None:
-    """Its answer has a weight of one half even if the server was checked again meanwhile."""
+    """The answer of a trial has a weight of one half even if has_capacity was called again before it."""
     server = Server(api.Member("c"), 4.0 * SECOND, base_latency=1.0 * SECOND)
     assert server.has_capacity(START, SECOND, 4, 0) and server.is_trial
     server.in_flight, server.last_sent_at = 1, START
@@ -704,7 +706,7 @@
 
 
 def test_answer_after_a_long_pause_has_more_weight() -> None:
-    """In a large fleet a router gets few answers of each server."""
+    """In a large fleet a router gets few answers from each server."""
     frequent, infrequent, unseen = (
         Server(api.Member("c"), 1.0 * SECOND, base, START) for base in (1e9, 1e9, 0.0)
     )
@@ -741,20 +743,20 @@
     assert sends([first])
 
 
-def test_early_alarm_does_not_stop_the_timers() -> None:
+def test_timer_that_fires_early_is_set_again() -> None:
     router = Router()
     _, (first,) = router.send_request("k")
-    router.finish_attempt(first, Status.MISS)  # its origin read is in flight
+    router.finish_attempt(first, Status.MISS)  # the origin read is in flight
     waiting, actions = router.send_request("k")  # joins that read
     assert actions == []
-    when, token = router.timers.pop()
-    router.now = when - 300
+    due_at, token = router.timers.pop()
+    router.now = due_at - 300
     router.deliver(api.TimerFired(token))
     answers = router.advance(SECOND)
     assert [answer.id for answer in answers if isinstance(answer, api.Reject)] == [waiting]
 
 
-def test_lost_alarm_is_requested_again() -> None:
+def test_lost_timer_is_set_again() -> None:
     router = Router()
     router.send_request("k")
     router.timers.clear()
@@ -772,7 +774,7 @@
     assert router.balancer.jobs == {}
 
 
-def test_started_stream_is_left_to_the_client() -> None:
+def test_started_stream_has_no_timeout_and_no_retry() -> None:
     spec = api.RequestClass(SECOND, 2 * SECOND, stream=True)
     router = Router(settings(classes=[spec]))
     name, (first,) = router.send_request("k")
@@ -790,7 +792,7 @@
     assert sends(actions)
 
 
-def test_read_through_mode_treats_an_unseen_key_as_a_likely_miss() -> None:
+def test_cache_through_mode_treats_an_unseen_key_as_a_likely_miss() -> None:
     router = Router(settings(cache_aside=False), fleet(4, origin=False))
     assert router.balancer.hit_history.likely_miss("k", router.now)
     _, (first,) = router.send_request("k")
@@ -825,7 +827,7 @@
 
 
 def test_list_is_requested_again_within_two_seconds_of_each_failure() -> None:
-    """With a longer backoff the router could learn of a draining server only after it has stopped."""
+    """With a longer backoff, a draining server could stop before the router notices that it drains."""
     router = Router(settings(list_on_request=True))
     for _ in range(8):
         router.deliver(api.Members(api.ListKind.FAILED, []))
@@ -835,7 +837,7 @@
 def test_retries_of_the_list_are_spread_over_the_routers() -> None:
     """All routers share one discovery service, so they must not retry at the same time."""
     all_routers = [Router(settings(list_on_request=True, router_count=40), seed=seed) for seed in range(40)]
-    # The first backoff is short, so that draining servers are noticed in time; it grows to 1.5 s.
+    # The first backoff is short, so that draining servers are noticed in time; later ones grow to 1.5 s.
     for max_backoff in (3 * SECOND // 8, 3 * SECOND // 4, *[3 * SECOND // 2] * 4):
         for router in all_routers:
             router.deliver(api.Members(api.ListKind.FAILED, []))
@@ -888,7 +890,7 @@
         name, (first,) = router.send_request(f"k{n}")
         (read,) = router.finish_attempt(first, Status.MISS)
         waiting, actions = router.send_request(f"k{n}")
-        assert actions == []  # it joins the read in flight
+        assert actions == []  # the request joins the read in flight
         actions = router.finish_attempt(read, Status.RESET, 1)
         assert sends(actions) == ["origin"]  # one retry for both requests
         (retry,) = actions
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -21,11 +21,11 @@
     popularity = Popularity()
     ranges = [popularity.count_fair_shares("hot" if n % 5 == 0 else f"k{n}", 20) for n in range(200)]
     assert ranges[1] == ranges[2] == 0
-    assert all(6 <= fills <= 8 for n, fills in enumerate(ranges[100:]) if n % 5 == 0)
-    assert max(fills for n, fills in enumerate(ranges) if n % 5) == 0
+    assert all(6 <= count <= 8 for n, count in enumerate(ranges[100:]) if n % 5 == 0)
+    assert max(count for n, count in enumerate(ranges) if n % 5) == 0
 
 
-def test_popularity_uses_bounded_memory_and_forgets() -> None:
+def test_popularity_uses_bounded_memory_and_forgets_idle_keys() -> None:
     popularity = Popularity()
     for _ in range(100):
         popularity.count_fair_shares("hot", 4)
@@ -55,7 +55,7 @@
     assert all(len(servers) == 1 for servers in servers_by_key.values())
 
 
-def test_slow_server_hands_the_end_of_its_range_to_the_next_server() -> None:
+def test_next_server_takes_the_end_of_a_slow_servers_range() -> None:
     """Trial requests of many routers together must not keep a slow server overloaded."""
     router = Router(members=fleet(4))
     keys = [f"k{n}" for n in range(400)]
@@ -82,7 +82,7 @@
 
 
 def test_warming_server_gets_no_overflow_of_other_servers() -> None:
-    """A cold server must not get spilled requests in addition to its own range."""
+    """A warming server must not get the overflow of other servers in addition to its own range."""
     router = Router(members=[*fleet(3), api.Member("c3", since=START - SECOND)])
     router.advance(7 * SECOND)
     sent_to_owner = 0
@@ -150,10 +150,10 @@
     """A server with a connection limit below the number of routers refuses further connections."""
     router = Router(members=fleet(20))
     reachable = {f"c{n}" for n in range(0, 20, 4)}
-    refusals: list[int] = []
+    refused_connects: list[int] = []
     for n in range(120):
         _, actions = router.send_request(f"k{n}")
-        refusals.append(0)
+        refused_connects.append(0)
         for attempt in range(4):
             (send,) = actions
             if not isinstance(send, api.Send):
@@ -161,14 +161,14 @@
             if send.server in reachable:
                 router.finish_attempt(send, api.Status.OK, attempt)
                 break
-            refusals[-1] += 1
+            refused_connects[-1] += 1
             actions = router.finish_attempt(send, api.Status.CONNECT_FAILED, attempt, MILLI)
         router.advance(SECOND // 2)
-    assert sum(refusals[:40]) >= 6
-    assert sum(refusals[40:]) == 0
+    assert sum(refused_connects[:40]) >= 6
+    assert sum(refused_connects[40:]) == 0
 
 
-def test_few_dead_servers_are_not_taken_for_exhausted_connection_limits() -> None:
+def test_few_failed_servers_are_not_mistaken_for_exhausted_connection_limits() -> None:
     router = Router(members=fleet(20))
     for n in range(200):
         _, (send,) = router.send_request(f"k{n}")
@@ -182,7 +182,7 @@
         router.advance(SECOND // 10)
 
 
-def test_clock_below_the_warm_up_time_marks_no_server_as_cold() -> None:
+def test_clock_below_the_slow_start_time_marks_no_server_as_warming() -> None:
     balancer = Balancer(settings(), 7)
     balancer.handle(0, api.Members(api.ListKind.CACHED, fleet()))
     actions = balancer.handle(SECOND, api.Request("r", 0, 3 * SECOND, "k"))
@@ -190,7 +190,7 @@
 
 
 def test_cache_server_relisted_as_origin_is_no_longer_a_cache() -> None:
-    """Covers a division by zero servers, and reads still sent to the former cache server."""
+    """Guards against a division by zero servers, and against reads sent to the former cache server."""
     for since in (START - SECOND, 0):
         router = Router(members=[api.Member("c0", since=since)])
         router.deliver(api.Members(api.ListKind.DELTA, [api.Member("c0", kind=ORIGIN_KIND, since=since)]))
@@ -199,7 +199,7 @@
 
 
 def test_sparse_origin_failures_accumulate_until_the_throttle_starts() -> None:
-    """In a large fleet a router sees fewer than two likely misses per period."""
+    """In a large fleet a router has fewer than two likely misses per period."""
     monitor = Monitor(SECOND // 2)
     monitor.started_at = 0
     for n in range(1, 9):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -30,14 +30,14 @@
     "local_failure",
     "unreachable",
 ]
-MAX_NOT_STARTED = 65  # attempts of one request
+MAX_NOT_STARTED = 65  # maximum number of attempts of one request that do not start
 
 
 @dataclass
 class TrackedRequest:
     """State of a request as the oracle tracks it."""
 
-    spec: api.RequestClass  # as of arrival; a reload does not change it
+    spec: api.RequestClass  # class settings at arrival; a reload does not change them
     deadline: int
     # Server, time sent, and outcome, which is empty while the attempt is in flight.
     attempts: list[tuple[str, int, str]] = field(default_factory=list)
@@ -49,7 +49,7 @@
 
     def __init__(self, seed: int, mode: str) -> None:
         self.rng = random.Random(seed)
-        self.outcomes = OUTCOMES  # drawn for failing attempts
+        self.outcomes = OUTCOMES  # outcomes of failing attempts, drawn at random
         self.coarse_timers = self.rng.random() < 0.5
         self.options = router_settings(
             cache_aside=mode != "through",
@@ -57,7 +57,7 @@
             tenants=[api.Tenant(5.0), api.Tenant(5.0)] if mode == "tenants" else [],
         )
         self.now = 100 * SECOND
-        self.alarms: list[tuple[int, str]] = []
+        self.timers: list[tuple[int, str]] = []
         self.pending_outcomes: list[tuple[int, str, int]] = []  # time, request ID, attempt index
         self.start()
 
@@ -66,7 +66,7 @@
         self.router = Balancer(self.options, self.rng.getrandbits(64))
         self.requests: dict[str, TrackedRequest] = {}
         self.pending_outcomes.clear()
-        self.alarms.clear()
+        self.timers.clear()
         self.removed_at: dict[str, int] = {}  # time at which each server was listed as draining or gone
         self.excluded_at: dict[str, int] = {}  # time at which an operator excluded each server
         self.members = {
@@ -82,9 +82,9 @@
                 self.check_answer(action)
             elif isinstance(action, api.SetTimer):
                 assert action.delay >= 0
-                # Timers are coarser than the clock: an alarm may fire slightly early, but never immediately.
+                # Timers are coarser than the clock: a timer may fire slightly early, but never immediately.
                 delay = action.delay // MICROSECOND * MICROSECOND if self.coarse_timers else action.delay
-                self.alarms.append((self.now + max(1, delay), action.token))
+                self.timers.append((self.now + max(1, delay), action.token))
 
     def check_send(self, action: api.Send) -> None:
         request = self.requests[action.id]
@@ -216,15 +216,15 @@
         assert all(request.ended for request in self.requests.values()), "rule 1: no final answer"
 
     def advance(self, end: int) -> None:
-        """Delivers outcomes and alarms up to `end` in time order, and checks each request's deadline."""
+        """Delivers outcomes and timer events up to `end` in time order, and checks the requests' deadlines."""
         while True:
             when, name, attempt = min(self.pending_outcomes, default=(end + 1, "", 0))
-            alarm, token = min(self.alarms, default=(end + 1, ""))
-            if min(when, alarm) > end:
+            fires_at, token = min(self.timers, default=(end + 1, ""))
+            if min(when, fires_at) > end:
                 break
-            self.now = min(when, alarm)
-            if alarm <= when:
-                self.alarms.remove((alarm, token))
+            self.now = min(when, fires_at)
+            if fires_at <= when:
+                self.timers.remove((fires_at, token))
                 self.deliver(api.TimerFired(token))
             else:
                 self.pending_outcomes.remove((when, name, attempt))
@@ -243,7 +243,7 @@
             self.deliver(api.RequestCancelled(name))
 
     def override_server(self) -> None:
-        """Excludes a server by operator override, possibly a second time, or restores one."""
+        """Excludes a server by operator override, possibly a second time, or includes one again."""
         name = self.rng.choice([*sorted(self.members), "c0"])
         if name == "origin":
             return
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -1,4 +1,4 @@
-"""Tests of the throttle with sequences worked out by hand."""
+"""Unit tests of the throttle against manually calculated sequences."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -27,8 +27,8 @@
     for n in range(4):
         throttle.offer(make_job(str(n)))
     assert throttle.refill(SECOND // 10 - 1) == []
-    assert [one.request.id for one in throttle.refill(SECOND // 10)] == ["2"]
-    assert [one.request.id for one in throttle.refill(SECOND // 5)] == ["3"]
+    assert [job.request.id for job in throttle.refill(SECOND // 10)] == ["2"]
+    assert [job.request.id for job in throttle.refill(SECOND // 5)] == ["3"]
     assert throttle.level == 0
 
 
@@ -49,11 +49,11 @@
     assert throttle.level == 6
 
 
-def test_removed_job_frees_its_place() -> None:
+def test_removed_job_frees_its_slot() -> None:
     throttle = Throttle(0, 10.0, MIN_CAPACITY)
     jobs = [make_job(str(n)) for n in range(4)]
-    for one in jobs:
-        throttle.offer(one)
+    for job in jobs:
+        throttle.offer(job)
     assert throttle.level == -2
     for _ in range(2):  # removing a job twice has no further effect
         throttle.remove(jobs[2])
@@ -64,7 +64,7 @@
 @settings(derandomize=True, max_examples=200)
 @given(gaps=st.lists(st.integers(0, 3 * SECOND // 10), max_size=80), split=st.integers(0, MIN_CAPACITY))
 def test_admission_depends_only_on_total_capacity(gaps: list[int], split: int) -> None:
-    """Berger's theorem 2: from equal initial levels, the same arrivals are blocked."""
+    """Berger's theorem 2: from equal initial levels, any split of the capacity blocks the same arrivals."""
     blocked = []
     for bank in (MIN_CAPACITY, split):
         throttle = Throttle(0, 10.0, MIN_CAPACITY)
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -1,4 +1,4 @@
-"""The remaining time sent with an attempt never exceeds what its client has left when it is written."""
+"""The remaining time sent with an attempt never exceeds the time that its client still waits."""
 
 import asyncio
 from typing import Any
@@ -7,7 +7,7 @@
 from peers import MISS, Bench, hit, http, router
 from virtual import run_in_virtual_time
 
-CLIENT_TIMEOUT_MS = 900  # time that the clients allow
+CLIENT_TIMEOUT_MS = 900  # time that the clients allow for a request
 
 
 def remaining_ms(info: bytes) -> int:
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -186,10 +186,10 @@
 
 
 def test_shared_process_returns_same_actions_as_separate_processes() -> None:
-    draw = random.Random(3)
+    rng = random.Random(3)
     script: list[list[Json]] = [[start_instance(i) for i in range(3)] + [server_list(i) for i in range(3)]]
     for n in range(60):
-        script.append([request(draw.randrange(3), f"r{n}", f"k{draw.randrange(9)}", (n + 2) * SECOND // 50)])
+        script.append([request(rng.randrange(3), f"r{n}", f"k{rng.randrange(9)}", (n + 2) * SECOND // 50)])
     combined: dict[int, list[Json]] = {i: [] for i in range(3)}
     separate: dict[int, list[Json]] = {i: [] for i in range(3)}
     shared = run_adapter([batch(SECOND + n * SECOND // 50, *messages) for n, messages in enumerate(script)])
@@ -197,9 +197,14 @@
         for action in output:
             combined[action["i"]].append(action)
     for i in range(3):
-        own = [[one for one in messages if one["i"] == i] for messages in script]
+        own_messages = [[message for message in messages if message["i"] == i] for messages in script]
         for output in parse_replies(
-            run_adapter([batch(SECOND + n * SECOND // 50, *ones) for n, ones in enumerate(own)])
+            run_adapter(
+                [
+                    batch(SECOND + n * SECOND // 50, *batch_messages)
+                    for n, batch_messages in enumerate(own_messages)
+                ]
+            )
         ):
             separate[i] += output
     assert combined == separate and all(combined.values())
