--- a/applehub/interface.py
+++ b/applehub/interface.py
@@ -67,7 +67,7 @@
     idempotency_window: int = 0  # how long servers remember an idempotency key
     priority_weight: float = 1.0
     late_weight: float = 0.0  # fraction of priority_weight for an answer after the latency objective
-    stream: bool = False
+    stream: bool = False  # responses are streamed, so attempts have no timeout
 
 
 @dataclass(slots=True)
@@ -86,7 +86,7 @@
     tenants: list[Tenant] = field(default_factory=list)
     # After a miss the router fetches from the origin; if False, the cache server does (cache-through mode).
     cache_aside: bool = False
-    origin_kind: int = -1
+    origin_kind: int = -1  # kind of the servers that are origins; -1: none
     list_on_request: bool = False  # discovery sends the endpoint list only in reply to a poll
     retry_after: bool = False  # rejections carry the time after which to retry
     max_retry_after: int = 0
@@ -180,7 +180,7 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """An attempt has ended."""
+    """Outcome of an attempt that has ended."""
 
     id: str
     attempt: int
--- a/applehub/policy/failed_starts.py
+++ b/applehub/policy/failed_starts.py
@@ -15,7 +15,7 @@
 MIN_DELAY = SECOND // 200  # between two batches
 MAX_DELAY = SECOND // 20
 MAX_BATCH_SIZE = 4
-MAX_FAILED_STARTS = 64  # attempts of one request that fail to start before it ends
+MAX_FAILED_STARTS = 64  # maximum number of failed starts of one request
 LOG_INTERVAL = 10 * SECOND
 
 
--- a/applehub/policy/gossip.py
+++ b/applehub/policy/gossip.py
@@ -22,7 +22,7 @@
     def __init__(self, context: EventContext, server_table: ServerTable, monitor: Monitor) -> None:
         self.context, self.server_table, self.monitor = context, server_table, monitor
         self.has_received = False  # whether any range fractions were received since the start
-        self.reported_servers: list[str] = []
+        self.reported_servers: list[str] = []  # servers with failure reports in the last summary
 
     def on_summary(self, event: api.GossipSummary) -> None:
         """Applies a summary of gossip.
@@ -56,8 +56,9 @@
         reported = ((name, servers[name]) for name in self.reported_servers if name in servers)
         healthy = [
             name
-            for name, server in reported
-            if not server.failures and server.answered_at > self.context.now - OWN_EVIDENCE_LIFETIME
+            for name, reported_server in reported
+            if not reported_server.failures
+            and reported_server.answered_at > self.context.now - OWN_EVIDENCE_LIFETIME
         ]
         fractions = {number: kind.range_fraction for number, kind in self.server_table.kinds.items()}
         rate = throttle.rate if throttle is not None else 0.0
--- a/applehub/policy/keys.py
+++ b/applehub/policy/keys.py
@@ -11,7 +11,7 @@
 MAX_ASSIGNMENTS = 32  # maximum number of server lists between which keys migrate at a time
 SAMPLES_PER_SERVER = 8  # requests counted per server before the counts are halved
 SMALL_FRACTION = 1 / 8  # fraction of a server's fair share up to which a key is not hot
-MIN_REQUESTS_PER_REPLICA = 2  # the first request misses at a new replica
+MIN_REQUESTS_PER_REPLICA = 2  # requests that justify a replica, since the first one misses
 UNKNOWN_AGE = 63  # age bucket of keys that are not in the history
 
 
--- a/applehub/policy/placement.py
+++ b/applehub/policy/placement.py
@@ -37,12 +37,12 @@
         candidates: Iterable[Server] = (
             server_table.servers[name] for name in names if name in server_table.servers
         )
-        skipped = list(islice(candidates, job.skip_owners))  # tried last
+        skipped = list(islice(candidates, job.skip_owners))  # range owners that are tried last
         candidates = chain(candidates, skipped)
         if server_table.connect_failure_rate > 1 / 2:
             # Prefers established connections while most new connections are refused.
             candidates = sorted(candidates, key=lambda server: not server.accepted_connect)
-        deferred: list[Server] = []
+        deferred: list[Server] = []  # servers whose reduced ranges do not contain the key
         for server in chain(candidates, deferred):
             name = server.member.server
             # A warming server serves only the keys of its own range that migrated to it since its start.
--- a/applehub/policy/replicas.py
+++ b/applehub/policy/replicas.py
@@ -13,8 +13,8 @@
 
     Each replica costs one fetch from the origin and then serves all routers. With at least as many routers as
     servers, the fetch pays off soon, and a single router sees too few requests to prove that a key is hot, so
-    the key's share of its requests decides. With fewer routers, two conditions apply: the counts must prove
-    that the key is hot (see Popularity), and its server must be near capacity.
+    the key's fraction of this router's requests decides. With fewer routers, two conditions apply: the counts
+    must prove that the key is hot (see Popularity), and its server must be near capacity.
     """
 
     def __init__(self, context: EventContext, server_table: ServerTable) -> None:
--- a/applehub/policy/server_table.py
+++ b/applehub/policy/server_table.py
@@ -258,10 +258,10 @@
         return api.SavedStatistics(
             0,
             {
-                name: api.ServerStatistics(
+                server_name: api.ServerStatistics(
                     server.latency, server.base_latency, server.mean_in_flight, server.range_fraction
                 )
-                for name, server in measured
+                for server_name, server in measured
             },
         )
 
--- a/applehub/policy/servers.py
+++ b/applehub/policy/servers.py
@@ -25,7 +25,7 @@
     max_heap_size: int = MIN_HEAP_SIZE  # heap size above which all outdated entries are removed
 
     def adjust_range(self, slow: bool) -> None:
-        """Adjusts the range fraction like Server.adjust_range, in smaller steps, as it gets more answers."""
+        """Adjusts the range fraction like Server.adjust_range, in smaller steps, as answers are frequent."""
         self.range_fraction = (
             min(self.range_fraction + KIND_REDUCTION / 4, 1.0)
             if not slow
--- a/applehub/policy/throttle.py
+++ b/applehub/policy/throttle.py
@@ -16,7 +16,10 @@
 
 
 class Throttle:
-    """Berger's token bank and job buffer as one signed level: tokens above zero, waiting jobs below."""
+    """Berger's token bank and job buffer as one signed level: tokens above zero, waiting jobs below.
+
+    total: capacity of bank and buffer together.
+    """
 
     def __init__(self, now: int, rate: float, total: int) -> None:
         self.rate, self.refilled_at = rate, now
--- a/tests/test_fault_scenarios.py
+++ b/tests/test_fault_scenarios.py
@@ -468,17 +468,17 @@
     run_in_virtual_time(monkeypatch, test)
 
 
-@pytest.mark.parametrize("late", [0.0, 1.4, 3.0])
-@pytest.mark.parametrize("gap", [0.0, 0.05, 0.7])
+@pytest.mark.parametrize("response_delay", [0.0, 1.4, 3.0])
+@pytest.mark.parametrize("interval", [0.0, 0.05, 0.7])
 @pytest.mark.parametrize("list_on_request", [False, True])
 def test_last_of_several_rapid_reconfigurations_wins_with_slow_discovery(
-    monkeypatch: pytest.MonkeyPatch, list_on_request: bool, gap: float, late: float
+    monkeypatch: pytest.MonkeyPatch, list_on_request: bool, interval: float, response_delay: float
 ) -> None:
     """All services but the last are silent, slow or respond with an error."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        first, last = SlowDiscovery(delay=late), SlowDiscovery(delay=late)
+        first, last = SlowDiscovery(delay=response_delay), SlowDiscovery(delay=response_delay)
         faulty = [FaultyDiscovery() for _ in range(3)]
         for service, fault in zip(faulty, ("silent", "trickling", "503"), strict=True):
             service.behaviours = [fault]
@@ -487,12 +487,12 @@
             await asyncio.sleep(10)
             for number in range(9):
                 client.watch.set_endpoints([addresses[number % 3]])
-                await asyncio.sleep(gap)
+                await asyncio.sleep(interval)
             last.rev = 7
             address = await last.start()
             client.watch.set_endpoints([address])
             moved_at = loop.time()
-            assert await client.wait_for_version(7) - moved_at <= max(RELOAD_DEADLINE, late + 1)
+            assert await client.wait_for_version(7) - moved_at <= max(RELOAD_DEADLINE, response_delay + 1)
             changed_at = last.change()
             assert await client.wait_for_version(8) - changed_at <= CHANGE_DEADLINE
         for service in faulty:
--- a/tests/test_parallel_run.py
+++ b/tests/test_parallel_run.py
@@ -75,7 +75,7 @@
 
 
 class FakeItem:
-    """The attributes of a collected test that the ordering reads."""
+    """Collected test with only the attributes that the ordering reads."""
 
     def __init__(self, name: str) -> None:
         self.name = self.originalname = name
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -16,7 +16,7 @@
 Status = api.Status
 
 
-def sends(actions: list[api.Action]) -> list[str]:
+def sent_to(actions: list[api.Action]) -> list[str]:
     return [action.server for action in actions if isinstance(action, api.Send)]
 
 
@@ -119,7 +119,7 @@
     router = Router()
     name = router.cache_key("k")
     _, actions = router.send_request("k")
-    assert sends(actions) == [name]
+    assert sent_to(actions) == [name]
     assert not router.balancer.hit_history.likely_miss("k", router.now)
 
 
@@ -136,7 +136,7 @@
     waiting = set(throttle.queue)
     assert waiting and len(waiting) <= throttle.buffer
     later = router.advance(SECOND)
-    assert sends(later), "new tokens release waiting requests"
+    assert sent_to(later), "new tokens release waiting requests"
     rejected = {action.id for action in at_once + later if isinstance(action, api.Reject)}
     sent = {action.id for action in at_once + later if isinstance(action, api.Send)}
     assert rejected | sent == set(requested) and not rejected & sent
@@ -153,7 +153,7 @@
     _, (first,) = router.send_request("x")
     level = throttle.level
     (second,) = router.finish_attempt(first, Status.MISS)
-    assert sends([second]) == ["origin"] and (level, throttle.level) == (2, 1)
+    assert sent_to([second]) == ["origin"] and (level, throttle.level) == (2, 1)
 
 
 def test_recently_hit_key_bypasses_the_throttle() -> None:
@@ -161,7 +161,7 @@
     name = router.cache_key("k")
     router.enable_throttle()
     _, actions = router.send_request("k")
-    assert sends(actions) == [name]
+    assert sent_to(actions) == [name]
 
 
 def test_throttle_stops_when_origin_reads_stay_healthy() -> None:
@@ -286,14 +286,14 @@
 
 
 def test_fast_full_responses_mark_a_server_as_overloaded() -> None:
-    """A request spills over once, to a server with idle capacity, or is rejected."""
+    """A request overflows once, to a server with idle capacity, or is rejected."""
     router = Router()
     owner = router.balancer.server_table.servers[router.cache_key("k")]
     for _ in range(12):
         owner.record_latency(router.now, SECOND, int(router.balancer.context.shortest_objective), 1)
     owner.in_flight, owner.last_sent_at = 1, router.now
     _, actions = router.send_request("k")
-    assert sends(actions) and sends(actions) != [owner.member.server]
+    assert sent_to(actions) and sent_to(actions) != [owner.member.server]
     for server in router.balancer.server_table.servers.values():
         server.latency, server.in_flight, server.last_sent_at = float(5 * SECOND), 1, router.now
     _, actions = router.send_request("k")
@@ -304,7 +304,7 @@
     router = Router()
     _, (first,) = router.send_request("k")
     (second,) = router.finish_attempt(first, Status.FULL)
-    assert sends([first]) != sends([second])
+    assert sent_to([first]) != sent_to([second])
     assert [type(action) for action in router.finish_attempt(second, Status.FULL, 1)] == [api.Reject]
 
 
@@ -328,12 +328,13 @@
     for _ in range(400):
         router.advance(50 * MILLI)
         for action in router.send_request("k")[1]:
-            if sends([action]) == [name]:
+            if sent_to([action]) == [name]:
                 trials += 1
                 router.finish_attempt(action, Status.FULL)
             else:
                 router.finish_attempt(action, Status.OK, elapsed=100 * MILLI)
-    min_interval = max(SECOND, routers * 100 * MILLI)  # a full response counts as the latency objective
+    # A full response counts as an answer after the latency objective.
+    min_interval = max(SECOND, routers * 100 * MILLI)
     assert 1 < trials <= 20 * SECOND / min_interval + 1
 
 
@@ -346,7 +347,7 @@
     """Returns the server of a key's first attempt; the client cancels before that attempt ends."""
     name, (send,) = router.send_request(key)
     router.deliver(api.RequestCancelled(name))
-    (server,) = sends([send])
+    (server,) = sent_to([send])
     status, elapsed = outcome_of(server)
     router.finish_attempt(send, status, elapsed=elapsed)
     return server
@@ -391,21 +392,21 @@
     router.cache_key("k")
     _, (send,) = router.send_request("k")
     router.finish_attempt(send, Status.OK, load=api.LoadReport(inflight=40, latency_ms=100, qps=10))
-    server = router.balancer.server_table.servers[sends([send])[0]]
+    server = router.balancer.server_table.servers[sent_to([send])[0]]
     assert server.reported_latency(router.now) == pytest.approx(4.1e9)
     assert server.reported_latency(router.now + 2 * SECOND) == 0
-    assert sends(router.send_request("k")[1]) != [server.member.server]
+    assert sent_to(router.send_request("k")[1]) != [server.member.server]
 
 
 def test_unreachable_server_is_skipped_then_gets_one_trial() -> None:
     router = Router()
     _, (first,) = router.send_request("k")
     (second,) = router.finish_attempt(first, Status.CONNECT_FAILED)
-    assert sends([second]) != sends([first])
-    name = sends([first])[0]
-    assert name not in [sends(router.send_request("k")[1])[0] for _ in range(5)]
+    assert sent_to([second]) != sent_to([first])
+    name = sent_to([first])[0]
+    assert name not in [sent_to(router.send_request("k")[1])[0] for _ in range(5)]
     router.advance(SECOND)
-    used = [sends(router.send_request("k")[1])[0] for _ in range(5)]
+    used = [sent_to(router.send_request("k")[1])[0] for _ in range(5)]
     assert used.count(name) == 1
     assert f"server {name} unreachable" in router.log
 
@@ -422,7 +423,7 @@
         router = all_routers[n % routers]
         router.advance(START + n * migration_time // 2000 - router.now)
         _, actions = router.send_request(f"k{n}")
-        sent.append(sends(actions) == ["c1"])
+        sent.append(sent_to(actions) == ["c1"])
         router.finish_attempt(actions[0], Status.OK)
     quarters = [sum(sent[n : n + 500]) for n in range(0, 2000, 500)]
     expected = [125 * (2 * n + 1) / 8 for n in range(4)]
@@ -471,7 +472,7 @@
     assert owned
     for key in owned:
         _, actions = router.send_request(key)
-        assert sends(actions) == ["c1"]
+        assert sent_to(actions) == ["c1"]
         router.finish_attempt(actions[0], Status.OK)
 
 
@@ -480,14 +481,14 @@
     first = router.crash_owner("k")
     router.advance(2 * SECOND)
     _, actions = router.send_request("k")
-    assert sends(actions) == sends([first])
+    assert sent_to(actions) == sent_to([first])
     router.finish_attempt(actions[0], Status.OK)
-    assert router.balancer.server_table.servers[sends([first])[0]].warming_since == router.now
+    assert router.balancer.server_table.servers[sent_to([first])[0]].warming_since == router.now
     assert router.log[-1].endswith("answers again")
 
 
-@pytest.mark.parametrize(("routers", "max_backoff"), [(2, 2.0), (40, 16.0)])
-def test_trials_of_a_failed_server_by_all_routers_are_bounded(routers: int, max_backoff: float) -> None:
+@pytest.mark.parametrize(("routers", "typical_backoff"), [(2, 2.0), (40, 16.0)])
+def test_trials_of_a_failed_server_by_all_routers_are_bounded(routers: int, typical_backoff: float) -> None:
     """Trials of many routers together must not overload a server that has just restarted."""
     router = Router(settings(router_count=routers, slow_start_capacity=0.125))
     server = router.balancer.server_table.servers[router.cache_key("k")]
@@ -496,22 +497,22 @@
     for _ in range(6):
         router.advance(max(0, server.ejected_until - router.now))
         _, actions = router.send_request("k")
-        assert sends(actions) == [server.member.server]
+        assert sent_to(actions) == [server.member.server]
         router.finish_attempt(actions[0], Status.CONNECT_FAILED)
         backoffs.append((server.ejected_until - router.now) / SECOND)
     assert backoffs[0] <= 0.5, "a single refused connect has a short backoff"
-    assert all(max_backoff / 2 <= backoff <= 2 * max_backoff for backoff in backoffs[3:])
+    assert all(typical_backoff / 2 <= backoff <= 2 * typical_backoff for backoff in backoffs[3:])
 
 
 def test_reset_connection_does_not_mark_the_server_as_failed() -> None:
     router = Router()
     _, (first,) = router.send_request("k")
     (retry,) = router.finish_attempt(first, Status.RESET)
-    assert sends([retry]) == sends([first])  # retried at the server that has the key
-    assert sends(router.send_request("k")[1]) == sends([first])
+    assert sent_to([retry]) == sent_to([first])  # retried at the server that has the key
+    assert sent_to(router.send_request("k")[1]) == sent_to([first])
     router.advance(2 * SECOND)
     router.finish_attempt(retry, Status.OK, 1)
-    server = router.balancer.server_table.servers[sends([first])[0]]
+    server = router.balancer.server_table.servers[sent_to([first])[0]]
     assert (server.warming_since, server.failures, server.broken_attempts) == (0, 0, 0)
     assert not any("unreachable" in line for line in router.log)
 
@@ -519,15 +520,15 @@
 def test_server_that_resets_every_attempt_is_skipped_but_does_not_warm_up() -> None:
     router = Router()
     _, (send,) = router.send_request("k")
-    name = sends([send])[0]
+    name = sent_to([send])[0]
     for attempt in range(3):
         (send,) = router.finish_attempt(send, Status.RESET, attempt)
-        assert sends([send]) == [name]
+        assert sent_to([send]) == [name]
     router.finish_attempt(send, Status.RESET, 3)
-    assert sends(router.send_request("k")[1]) != [name]
+    assert sent_to(router.send_request("k")[1]) != [name]
     router.advance(2 * SECOND)
     _, (trial,) = router.send_request("k")
-    assert sends([trial]) == [name]
+    assert sent_to([trial]) == [name]
     router.finish_attempt(trial, Status.OK)
     assert router.balancer.server_table.servers[name].warming_since == 0
     assert router.log[-1].endswith("answers again")
@@ -540,32 +541,32 @@
     for _ in range(2):
         router.advance(3 * SECOND)
         _, (send,) = router.send_request("k")
-        (name,) = sends([send])
+        (name,) = sent_to([send])
         router.finish_attempt(send, Status.ERROR)
     assert router.balancer.server_table.servers[name].failures
-    assert sends(router.send_request("k")[1]) != [name]
+    assert sent_to(router.send_request("k")[1]) != [name]
 
 
 def test_server_that_fails_most_requests_gets_one_trial_at_a_time() -> None:
     """A server with frequent fast errors must not keep its range."""
     router = Router()
     name = router.make_owner_fail("k")
-    assert [sends(router.send_request("k")[1]) for _ in range(3)].count([name]) == 0
+    assert [sent_to(router.send_request("k")[1]) for _ in range(3)].count([name]) == 0
     router.advance(2 * SECOND)
     trials = [action for _ in range(3) for action in router.send_request("k")[1]]
-    assert sends(trials).count(name) == 1
+    assert sent_to(trials).count(name) == 1
     (trial,) = [send for send in trials if isinstance(send, api.Send) and send.server == name]
     router.finish_attempt(trial, Status.OK)
     server = router.balancer.server_table.servers[name]
     assert (server.warming_since, server.failures) == (0, 0)
-    assert sends(router.send_request("k")[1]) == [name]
+    assert sent_to(router.send_request("k")[1]) == [name]
 
 
 def test_occasional_errors_do_not_eject_a_server() -> None:
     router = Router()
     for n in range(60):
         _, (send,) = router.send_request("k")
-        assert sends([send]) == [router.candidates("k")[0].member.server]
+        assert sent_to([send]) == [router.candidates("k")[0].member.server]
         for retry in router.finish_attempt(send, Status.OK if n % 4 else Status.ERROR):
             router.finish_attempt(retry, Status.OK, 1)
     assert not router.log
@@ -595,9 +596,9 @@
 def test_write_is_retried_at_the_origin_within_its_latency_objective() -> None:
     router = Router()
     _, (first,) = router.send_request(cls=2, write=True)
-    assert sends([first]) == ["origin"]
+    assert sent_to([first]) == ["origin"]
     assert router.finish_attempt(first, Status.FULL) == []
-    assert sends(router.advance(SECOND // 4)) == ["origin"]
+    assert sent_to(router.advance(SECOND // 4)) == ["origin"]
 
 
 def test_reads_do_not_keep_an_overloaded_origin_overloaded() -> None:
@@ -619,9 +620,10 @@
     _, (first,) = router.send_request("k")
     origin = router.balancer.server_table.origin
     assert origin is not None
-    origin.latency, origin.last_sent_at = 0.9 * SECOND, router.now  # above 3/4 of both latency objectives
+    # Above the limit for reads, 3/4 of the latency objective, and below the limit for writes.
+    origin.latency, origin.last_sent_at = 0.9 * SECOND, router.now
     assert [type(action) for action in router.finish_attempt(first, Status.MISS)] == [api.Reject]
-    assert sends(router.send_request(cls=1, write=True)[1]) == ["origin"]
+    assert sent_to(router.send_request(cls=1, write=True)[1]) == ["origin"]
 
 
 def test_writes_do_not_keep_an_overloaded_origin_overloaded() -> None:
@@ -632,7 +634,7 @@
     origin.latency, origin.last_sent_at = 3.0 * SECOND, router.now
     assert [type(action) for action in router.send_request(cls=2, write=True)[1]] == [api.Reject]
     router.advance(3 * SECOND)
-    assert sends(router.send_request(cls=2, write=True)[1]) == ["origin"]
+    assert sent_to(router.send_request(cls=2, write=True)[1]) == ["origin"]
 
 
 def test_unsafe_request_that_may_have_been_executed_fails_without_retry() -> None:
@@ -647,7 +649,7 @@
     _, (first,) = router.send_request(cls=1, write=True)
     router.advance(SECOND // 2)
     assert router.finish_attempt(first, Status.ERROR) == []
-    assert sends(router.advance(SECOND // 4)) == ["origin"]
+    assert sent_to(router.advance(SECOND // 4)) == ["origin"]
     router = Router(
         settings(classes=[api.RequestClass(SECOND, 4 * SECOND, api.Effect.KEYED, "all", SECOND // 4)])
     )
@@ -664,7 +666,7 @@
         for action in router.finish_attempt(first, Status.ERROR):
             if isinstance(action, api.Send):
                 first_member, second_member = (
-                    router.balancer.server_table.servers[name].member for name in sends([first, action])
+                    router.balancer.server_table.servers[name].member for name in sent_to([first, action])
                 )
                 assert getattr(first_member, same) == getattr(second_member, same)
             else:
@@ -692,7 +694,7 @@
     owner, *rest = router.candidates("k")
     for server in [owner, *rest[:2]]:  # each is slow and has a trial in flight
         server.latency, server.base_latency, server.in_flight = 1.0 * SECOND, SECOND / 10, 1
-    assert sends(router.send_request("k")[1]) == [rest[2].member.server]
+    assert sent_to(router.send_request("k")[1]) == [rest[2].member.server]
 
 
 def test_trial_in_flight_stays_a_trial() -> None:
@@ -723,7 +725,7 @@
     owner = router.candidates("k")[0]
     owner.latency, owner.base_latency = 4.0 * SECOND, SECOND / 10
     _, (trial,) = router.send_request("k")
-    assert sends([trial]) == [owner.member.server] and owner.is_trial
+    assert sent_to([trial]) == [owner.member.server] and owner.is_trial
     router.finish_attempt(trial, Status.MISS)
     assert owner.latency < 2.1 * SECOND
 
@@ -740,14 +742,14 @@
     name, (first,) = router.send_request("k")
     router.balancer._dispatch(router.balancer.jobs[name])
     assert router.deliver(api.TimerFired("any")) == [] and router.balancer.jobs[name].attempts_made == 1
-    assert sends([first])
+    assert sent_to([first])
 
 
 def test_timer_that_fires_early_is_set_again() -> None:
     router = Router()
     _, (first,) = router.send_request("k")
     router.finish_attempt(first, Status.MISS)  # the origin read is in flight
-    waiting, actions = router.send_request("k")  # joins that read
+    waiting, actions = router.send_request("k")  # the request joins that read
     assert actions == []
     due_at, token = router.timers.pop()
     router.now = due_at - 300
@@ -789,7 +791,7 @@
     router = Router()
     router.enable_throttle()
     _, actions = router.send_request(None)
-    assert sends(actions)
+    assert sent_to(actions)
 
 
 def test_cache_through_mode_treats_an_unseen_key_as_a_likely_miss() -> None:
@@ -866,7 +868,7 @@
     router.deliver(api.Members(api.ListKind.FAILED, []))
     for n in range(40):
         _, actions = router.send_request(f"k{n}")
-        assert name not in sends(actions)
+        assert name not in sent_to(actions)
         router.advance(SECOND // 10)
 
 
@@ -874,7 +876,7 @@
     router = Router(settings(list_on_request=True), [])
     actions = router.deliver(api.Members(api.ListKind.CACHED, fleet()))
     assert actions == [api.Watch()]
-    assert sends(router.send_request()[1])
+    assert sent_to(router.send_request()[1])
 
 
 def test_peer_messages_and_unexpected_health_checks_are_ignored() -> None:
@@ -892,7 +894,7 @@
         waiting, actions = router.send_request(f"k{n}")
         assert actions == []  # the request joins the read in flight
         actions = router.finish_attempt(read, Status.RESET, 1)
-        assert sends(actions) == ["origin"]  # one retry for both requests
+        assert sent_to(actions) == ["origin"]  # one retry for both requests
         (retry,) = actions
         assert isinstance(retry, api.Send) and retry.id == name
         assert [
@@ -907,10 +909,10 @@
     for cls, tenths, retried in ((0, 2, True), (0, 8, False), (1, 8, True)):
         router = Router(settings(classes=classes))
         _, (first,) = router.send_request("k", cls)
-        server = router.balancer.server_table.servers[sends([first])[0]]
+        server = router.balancer.server_table.servers[sent_to([first])[0]]
         server.latency = server.base_latency = 0.3 * SECOND  # below 3/4 of the latency objective
         router.now += tenths * SECOND // 10
-        assert bool(sends(router.finish_attempt(first, Status.RESET))) == retried
+        assert bool(sent_to(router.finish_attempt(first, Status.RESET))) == retried
 
 
 def router_with_overloaded_caches(**changes: object) -> Router:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -39,7 +39,7 @@
 
     spec: api.RequestClass  # class settings at arrival; a reload does not change them
     deadline: int
-    # Server, time sent, and outcome, which is empty while the attempt is in flight.
+    # Server, send time and outcome of each attempt; the outcome is empty while the attempt is in flight.
     attempts: list[tuple[str, int, str]] = field(default_factory=list)
     ended: bool = False
 
@@ -58,7 +58,7 @@
         )
         self.now = 100 * SECOND
         self.timers: list[tuple[int, str]] = []
-        self.pending_outcomes: list[tuple[int, str, int]] = []  # time, request ID, attempt index
+        self.pending_outcomes: list[tuple[int, str, int]] = []  # clock time, request ID, attempt number
         self.start()
 
     def start(self) -> None:
@@ -67,8 +67,8 @@
         self.requests: dict[str, TrackedRequest] = {}
         self.pending_outcomes.clear()
         self.timers.clear()
-        self.removed_at: dict[str, int] = {}  # time at which each server was listed as draining or gone
-        self.excluded_at: dict[str, int] = {}  # time at which an operator excluded each server
+        self.removed_at: dict[str, int] = {}  # by server: time at which it was listed as draining or gone
+        self.excluded_at: dict[str, int] = {}  # by server: time at which an operator excluded it
         self.members = {
             member.server: member for member in fleet(self.rng.choice([0, 1, 4, 7]), self.rng.random() < 0.9)
         }
@@ -216,7 +216,7 @@
         assert all(request.ended for request in self.requests.values()), "rule 1: no final answer"
 
     def advance(self, end: int) -> None:
-        """Delivers outcomes and timer events up to `end` in time order, and checks the requests' deadlines."""
+        """Delivers outcomes and timer events up to `end` in time order, and checks that deadlines are met."""
         while True:
             when, name, attempt = min(self.pending_outcomes, default=(end + 1, "", 0))
             fires_at, token = min(self.timers, default=(end + 1, ""))
