--- a/applehub/policy/gossip.py
+++ b/applehub/policy/gossip.py
@@ -9,7 +9,7 @@
 ADJUSTMENT = 1 / 4  # weight of a received range fraction in the moving average
 # Number of routers that must report a server as failing before it is ejected; grows with the fleet.
 MIN_QUORUM, MAX_QUORUM = 3, 6
-QUORUM_FRACTION = 1 / 8  # of all routers, within the limits above
+QUORUM_FRACTION = 1 / 8  # quorum as a fraction of all routers, within the limits above
 MIN_AGREEMENT = 3 / 4  # fraction of a server's reporters that must report it as failing
 MIN_TIMEOUTS = 1  # consecutive timeouts after which a server is published as failing
 OWN_EVIDENCE_LIFETIME = 2 * SECOND  # time for which an answer to this router outweighs gossip
--- a/applehub/policy/servers.py
+++ b/applehub/policy/servers.py
@@ -6,7 +6,9 @@
 from applehub import interface as api
 from applehub.policy.rates import SECOND, SMOOTHING, TokenBucket, sample_weight
 
-SLOW_FRACTION = 3 / 4  # of the latency objective; above it an answer is slow and its server overloaded
+SLOW_FRACTION = (
+    3 / 4
+)  # fraction of the latency objective above which an answer is slow and its server overloaded
 NEAR_LIMIT_FACTOR = 2  # a server is near capacity from this multiple of its base latency
 MIN_HEAP_SIZE = 64
 KIND_REDUCTION = 1 / 16  # fraction by which a slow answer reduces the range fraction of a kind
@@ -64,7 +66,7 @@
 class Server:
     """Status and statistics of one server."""
 
-    member: api.Member  # as listed, but draining while an operator override excludes it
+    member: api.Member  # list entry, with state DRAINING while an operator override excludes the server
     latency: float  # moving average of response times, ns
     base_latency: float = 0.0  # response time without queueing, ns: lowest average, which rises slowly
     measured_at: int = 0  # clock time of the last response time measured
@@ -84,7 +86,7 @@
     ejected_until: int = 0
     warmup_budget: TokenBucket = field(default_factory=TokenBucket)  # tokens for requests during the warm-up
     range_fraction: float = 1.0  # fraction of its key range that the server takes
-    reduced_at: int = 0  # when range_fraction was last reduced
+    reduced_at: int = 0  # clock time of the last reduction of range_fraction
     accepted_connect: bool = False  # whether the server accepted this router's last connection
     warming_since: int = 0  # clock time at which the warm-up started; 0: warm
     is_trial: bool = False  # whether the attempt in flight tests for recovery from overload
@@ -92,7 +94,7 @@
     load_reported_at: int = 0
     timeouts: int = 0  # consecutive timeouts
     ejected_by_gossip: bool = False
-    listed_state: api.State = api.State.READY  # without operator overrides
+    listed_state: api.State = api.State.READY  # state in the endpoint list, without operator overrides
 
     def predicted_latency(self) -> float:
         """Returns the expected response time of one more request, which grows with the requests in flight."""
--- a/tests/test_failed_starts.py
+++ b/tests/test_failed_starts.py
@@ -297,5 +297,5 @@
 
     assert not api.NOT_STARTED & set(wirehost.STATUS.values())
     balancer = Balancer(settings(), 1)
-    for status in Status:  # for an unlisted server and an unknown request
+    for status in Status:  # the server is not listed and the request is unknown
         assert balancer.handle(SECOND, api.Outcome("x", 0, "none", status, False, 0)) is not None
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -894,7 +894,7 @@
         waiting, actions = router.send_request(f"k{n}")
         assert actions == []  # the request joins the read in flight
         actions = router.finish_attempt(read, Status.RESET, 1)
-        assert sent_to(actions) == ["origin"]  # one retry for both requests
+        assert sent_to(actions) == ["origin"]  # a single retry serves both requests
         (retry,) = actions
         assert isinstance(retry, api.Send) and retry.id == name
         assert [
