--- a/tests/test_fault_scenarios.py
+++ b/tests/test_fault_scenarios.py
@@ -24,7 +24,7 @@
 from applehub.node.clients import MAX_PIPELINED_COMMANDS
 
 INCOMPLETE_COMMAND_TIMEOUT = 3.0  # s, until an incomplete command gets an error or its connection is closed
-ANSWER_TOLERANCE = 0.5  # s, allowed past a request's deadline until its final answer
+ANSWER_TOLERANCE = 0.5  # s, maximum delay of a final answer after the deadline of its request
 INFO = b"c=read,t=acme,d=3000"
 
 
--- a/tests/test_hot_keys.py
+++ b/tests/test_hot_keys.py
@@ -51,9 +51,8 @@
         detections[number * 20 // requests] += (
             popularity.count_fair_shares(f"k{rng.randrange(keys)}", servers) > 0
         )
-    assert (
-        max(detections.values()) <= 2 and sum(detections.values()) <= 5
-    )  # limits per twentieth of the requests, and in total
+    # Limits per twentieth of the requests, and in total.
+    assert max(detections.values()) <= 2 and sum(detections.values()) <= 5
 
 
 def test_request_counts_use_bounded_memory() -> None:
