--- a/applehub/policy/servers.py
+++ b/applehub/policy/servers.py
@@ -6,9 +6,8 @@
 from applehub import interface as api
 from applehub.policy.rates import SECOND, SMOOTHING, TokenBucket, sample_weight
 
-SLOW_FRACTION = (
-    3 / 4
-)  # fraction of the latency objective above which an answer is slow and its server overloaded
+# Fraction of the latency objective above which an answer is slow and its server overloaded.
+SLOW_FRACTION = 3 / 4
 NEAR_LIMIT_FACTOR = 2  # a server is near capacity from this multiple of its base latency
 MIN_HEAP_SIZE = 64
 KIND_REDUCTION = 1 / 16  # fraction by which a slow answer reduces the range fraction of a kind
