--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -16,14 +16,14 @@
 Status = api.Status
 
 
-def sends(actions: list[api.Action]) -> list[str]:
+def sent_to(actions: list[api.Action]) -> list[str]:
     return [action.server for action in actions if isinstance(action, api.Send)]
 
 
 @pytest.fixture(autouse=True)
 def disable_hot_keys(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Disables hot key detection, which few requests would trigger; test_regressions.py covers it."""
-    monkeypatch.setattr(Popularity, "fills", lambda self, key, servers, proven=True: 0)
+    """Disables hot key detection, which these few requests would trigger; test_hot_keys.py covers it."""
+    monkeypatch.setattr(Popularity, "count_fair_shares", lambda self, key, servers, proven=True: 0)
 
 
 # Placement
@@ -37,7 +37,7 @@
     assert all(900 < owners.count(name) < 1100 for name in "abcd")
 
 
-def test_origin_draining_and_gone_servers_own_no_range() -> None:
+def test_origin_draining_and_removed_servers_own_no_range() -> None:
     members = fleet(4)
     members[1].state = api.State.DRAINING
     router = Router(members=members)
@@ -58,11 +58,11 @@
     before = {key: router.candidates(key)[0].member.server for key in keys}
     update = api.Members(api.ListKind.DELTA, [api.Member("b9", since=router.now)])
     migrated = []
-    for each in (router, restarted):
-        each.deliver(update)
+    for either_router in (router, restarted):
+        either_router.deliver(update)
     for _ in range(4):
-        for each in (router, restarted):
-            each.advance(10 * SECOND // 4)
+        for either_router in (router, restarted):
+            either_router.advance(10 * SECOND // 4)
         owners = {key: router.candidates(key)[0].member.server for key in keys}
         assert owners == {key: restarted.candidates(key)[0].member.server for key in keys}
         migrated.append(sum(owners[key] != before[key] for key in keys))
@@ -70,7 +70,7 @@
     assert all(abs(fraction - (n + 1) / 4) < 0.06 for n, fraction in enumerate(fractions))
 
 
-def test_key_whose_server_has_left_migrates_at_once() -> None:
+def test_key_of_a_removed_server_migrates_at_once() -> None:
     router = Router(members=fleet(9))
     keys = [f"k{n}" for n in range(200)]
     before = {key: router.candidates(key)[0].member.server for key in keys}
@@ -82,7 +82,7 @@
         router.finish_attempt(send, Status.OK)
 
 
-def test_lists_that_no_key_uses_are_forgotten() -> None:
+def test_lists_that_no_key_uses_are_dropped() -> None:
     ranges = KeyRanges(10 * SECOND)
     for n in range(500):
         ranges.assign(n * SECOND, [f"s{n}"])
@@ -92,24 +92,24 @@
     assert len(ranges.assignments) <= MAX_ASSIGNMENTS
 
 
-# Key memory
+# Hit history
 
 
-def test_key_memory_is_bounded_and_evicts_the_oldest_key() -> None:
-    memory = HitHistory()
+def test_hit_history_is_bounded_and_evicts_the_oldest_key() -> None:
+    history = HitHistory()
     for n in range(MAX_KEYS + 5):
-        memory.remember(str(n), n)
-    assert len(memory.last_used) == MAX_KEYS
-    assert memory.likely_miss("0", MAX_KEYS) and not memory.likely_miss(str(MAX_KEYS), MAX_KEYS)
+        history.remember(str(n), n)
+    assert len(history.last_used) == MAX_KEYS
+    assert history.likely_miss("0", MAX_KEYS) and not history.likely_miss(str(MAX_KEYS), MAX_KEYS)
 
 
 def test_age_at_which_hits_become_misses_is_observed() -> None:
-    memory = HitHistory()
+    history = HitHistory()
     for n in range(10):
-        memory.remember(str(n), 0)
-        memory.observe(str(n), 8 * SECOND, False)
-    memory.remember("k", 0)
-    assert memory.likely_miss("k", 8 * SECOND) and not memory.likely_miss("k", SECOND // 8)
+        history.remember(str(n), 0)
+        history.observe(str(n), 8 * SECOND, False)
+    history.remember("k", 0)
+    assert history.likely_miss("k", 8 * SECOND) and not history.likely_miss("k", SECOND // 8)
 
 
 # Throttle and origin monitor
@@ -119,7 +119,7 @@
     router = Router()
     name = router.cache_key("k")
     _, actions = router.send_request("k")
-    assert sends(actions) == [name]
+    assert sent_to(actions) == [name]
     assert not router.balancer.hit_history.likely_miss("k", router.now)
 
 
@@ -136,7 +136,7 @@
     waiting = set(throttle.queue)
     assert waiting and len(waiting) <= throttle.buffer
     later = router.advance(SECOND)
-    assert sends(later), "new tokens release waiting requests"
+    assert sent_to(later), "new tokens release waiting requests"
     rejected = {action.id for action in at_once + later if isinstance(action, api.Reject)}
     sent = {action.id for action in at_once + later if isinstance(action, api.Send)}
     assert rejected | sent == set(requested) and not rejected & sent
@@ -153,7 +153,7 @@
     _, (first,) = router.send_request("x")
     level = throttle.level
     (second,) = router.finish_attempt(first, Status.MISS)
-    assert sends([second]) == ["origin"] and (level, throttle.level) == (2, 1)
+    assert sent_to([second]) == ["origin"] and (level, throttle.level) == (2, 1)
 
 
 def test_recently_hit_key_bypasses_the_throttle() -> None:
@@ -161,7 +161,7 @@
     name = router.cache_key("k")
     router.enable_throttle()
     _, actions = router.send_request("k")
-    assert sends(actions) == [name]
+    assert sent_to(actions) == [name]
 
 
 def test_throttle_stops_when_origin_reads_stay_healthy() -> None:
@@ -189,14 +189,16 @@
 
 
 @pytest.mark.parametrize(
-    ("seen", "bad", "acts"), [(2, 2, True), (10, 2, False), (10, 3, True), (50, 6, False)]
+    ("samples", "failures", "starts"), [(2, 2, True), (10, 2, False), (10, 3, True), (50, 6, False)]
 )
-def test_throttle_starts_only_for_a_significant_number_of_failures(seen: int, bad: int, acts: bool) -> None:
+def test_throttle_starts_only_for_a_significant_number_of_failures(
+    samples: int, failures: int, starts: bool
+) -> None:
     monitor = Monitor(SECOND)
-    for n in range(seen):
-        monitor.record(n >= bad, START)
+    for n in range(samples):
+        monitor.record(n >= failures, START)
     monitor.step(START, False)
-    assert (monitor.throttle is not None) is acts
+    assert (monitor.throttle is not None) is starts
 
 
 def test_one_overload_reduces_the_throttle_rate_once() -> None:
@@ -284,14 +286,14 @@
 
 
 def test_fast_full_responses_mark_a_server_as_overloaded() -> None:
-    """A request spills over once, to a server with idle capacity, or is rejected."""
+    """A request overflows once, to a server with idle capacity, or is rejected."""
     router = Router()
     owner = router.balancer.server_table.servers[router.cache_key("k")]
     for _ in range(12):
         owner.record_latency(router.now, SECOND, int(router.balancer.context.shortest_objective), 1)
     owner.in_flight, owner.last_sent_at = 1, router.now
     _, actions = router.send_request("k")
-    assert sends(actions) and sends(actions) != [owner.member.server]
+    assert sent_to(actions) and sent_to(actions) != [owner.member.server]
     for server in router.balancer.server_table.servers.values():
         server.latency, server.in_flight, server.last_sent_at = float(5 * SECOND), 1, router.now
     _, actions = router.send_request("k")
@@ -302,7 +304,7 @@
     router = Router()
     _, (first,) = router.send_request("k")
     (second,) = router.finish_attempt(first, Status.FULL)
-    assert sends([first]) != sends([second])
+    assert sent_to([first]) != sent_to([second])
     assert [type(action) for action in router.finish_attempt(second, Status.FULL, 1)] == [api.Reject]
 
 
@@ -326,12 +328,13 @@
     for _ in range(400):
         router.advance(50 * MILLI)
         for action in router.send_request("k")[1]:
-            if sends([action]) == [name]:
+            if sent_to([action]) == [name]:
                 trials += 1
                 router.finish_attempt(action, Status.FULL)
             else:
                 router.finish_attempt(action, Status.OK, elapsed=100 * MILLI)
-    min_interval = max(SECOND, routers * 100 * MILLI)  # a full response counts as the latency objective
+    # A full response counts as an answer after the latency objective.
+    min_interval = max(SECOND, routers * 100 * MILLI)
     assert 1 < trials <= 20 * SECOND / min_interval + 1
 
 
@@ -344,7 +347,7 @@
     """Returns the server of a key's first attempt; the client cancels before that attempt ends."""
     name, (send,) = router.send_request(key)
     router.deliver(api.RequestCancelled(name))
-    (server,) = sends([send])
+    (server,) = sent_to([send])
     status, elapsed = outcome_of(server)
     router.finish_attempt(send, status, elapsed=elapsed)
     return server
@@ -389,28 +392,28 @@
     router.cache_key("k")
     _, (send,) = router.send_request("k")
     router.finish_attempt(send, Status.OK, load=api.LoadReport(inflight=40, latency_ms=100, qps=10))
-    server = router.balancer.server_table.servers[sends([send])[0]]
+    server = router.balancer.server_table.servers[sent_to([send])[0]]
     assert server.reported_latency(router.now) == pytest.approx(4.1e9)
     assert server.reported_latency(router.now + 2 * SECOND) == 0
-    assert sends(router.send_request("k")[1]) != [server.member.server]
+    assert sent_to(router.send_request("k")[1]) != [server.member.server]
 
 
 def test_unreachable_server_is_skipped_then_gets_one_trial() -> None:
     router = Router()
     _, (first,) = router.send_request("k")
     (second,) = router.finish_attempt(first, Status.CONNECT_FAILED)
-    assert sends([second]) != sends([first])
-    name = sends([first])[0]
-    assert name not in [sends(router.send_request("k")[1])[0] for _ in range(5)]
+    assert sent_to([second]) != sent_to([first])
+    name = sent_to([first])[0]
+    assert name not in [sent_to(router.send_request("k")[1])[0] for _ in range(5)]
     router.advance(SECOND)
-    used = [sends(router.send_request("k")[1])[0] for _ in range(5)]
+    used = [sent_to(router.send_request("k")[1])[0] for _ in range(5)]
     assert used.count(name) == 1
     assert f"server {name} unreachable" in router.log
 
 
 @pytest.mark.parametrize("routers", [1, 40])
-def test_cold_server_takes_over_its_range_evenly_with_any_number_of_routers(routers: int) -> None:
-    """An initial token at each router would overload a cold server in a large fleet."""
+def test_warming_server_takes_over_its_range_evenly_with_any_number_of_routers(routers: int) -> None:
+    """An initial token at each router would overload a warming server in a large fleet."""
     update = api.Members(api.ListKind.DELTA, [api.Member("c1", since=START)])
     all_routers = [Router(seed=n) for n in range(routers)]
     for router in all_routers:
@@ -420,7 +423,7 @@
         router = all_routers[n % routers]
         router.advance(START + n * migration_time // 2000 - router.now)
         _, actions = router.send_request(f"k{n}")
-        sent.append(sends(actions) == ["c1"])
+        sent.append(sent_to(actions) == ["c1"])
         router.finish_attempt(actions[0], Status.OK)
     quarters = [sum(sent[n : n + 500]) for n in range(0, 2000, 500)]
     expected = [125 * (2 * n + 1) / 8 for n in range(4)]
@@ -429,7 +432,7 @@
 
 
 def test_first_tokens_of_a_warming_server_are_spread_over_the_routers() -> None:
-    """An initial token at each router would let a hot key overload a cold server."""
+    """An initial token at each router would let a hot key overload a warming server."""
     update = api.Members(api.ListKind.DELTA, [api.Member("c1", since=START)])
     all_routers = [Router(seed=n) for n in range(40)]
     first = 0
@@ -459,7 +462,7 @@
     assert fractions == pytest.approx([0.2, 0.6, 1.0, 1.0])
 
 
-def test_server_listed_with_a_newer_start_time_is_cold_again() -> None:
+def test_server_listed_with_a_newer_start_time_warms_up_again() -> None:
     router = Router()
     for _ in range(2):
         router.deliver(api.Members(api.ListKind.DELTA, [api.Member("c1", since=router.now - SECOND)]))
@@ -469,23 +472,23 @@
     assert owned
     for key in owned:
         _, actions = router.send_request(key)
-        assert sends(actions) == ["c1"]
+        assert sent_to(actions) == ["c1"]
         router.finish_attempt(actions[0], Status.OK)
 
 
-def test_server_that_was_down_for_long_is_treated_as_cold() -> None:
+def test_server_that_was_down_for_long_warms_up_again() -> None:
     router = Router()
     first = router.crash_owner("k")
     router.advance(2 * SECOND)
     _, actions = router.send_request("k")
-    assert sends(actions) == sends([first])
+    assert sent_to(actions) == sent_to([first])
     router.finish_attempt(actions[0], Status.OK)
-    assert router.balancer.server_table.servers[sends([first])[0]].warming_since == router.now
+    assert router.balancer.server_table.servers[sent_to([first])[0]].warming_since == router.now
     assert router.log[-1].endswith("answers again")
 
 
-@pytest.mark.parametrize(("routers", "most"), [(2, 2.0), (40, 16.0)])
-def test_trials_of_a_dead_server_by_all_routers_are_bounded(routers: int, most: float) -> None:
+@pytest.mark.parametrize(("routers", "typical_backoff"), [(2, 2.0), (40, 16.0)])
+def test_trials_of_a_failed_server_by_all_routers_are_bounded(routers: int, typical_backoff: float) -> None:
     """Trials of many routers together must not overload a server that has just restarted."""
     router = Router(settings(router_count=routers, slow_start_capacity=0.125))
     server = router.balancer.server_table.servers[router.cache_key("k")]
@@ -494,38 +497,38 @@
     for _ in range(6):
         router.advance(max(0, server.ejected_until - router.now))
         _, actions = router.send_request("k")
-        assert sends(actions) == [server.member.server]
+        assert sent_to(actions) == [server.member.server]
         router.finish_attempt(actions[0], Status.CONNECT_FAILED)
         backoffs.append((server.ejected_until - router.now) / SECOND)
     assert backoffs[0] <= 0.5, "a single refused connect has a short backoff"
-    assert all(most / 2 <= backoff <= 2 * most for backoff in backoffs[3:])
+    assert all(typical_backoff / 2 <= backoff <= 2 * typical_backoff for backoff in backoffs[3:])
 
 
 def test_reset_connection_does_not_mark_the_server_as_failed() -> None:
     router = Router()
     _, (first,) = router.send_request("k")
     (retry,) = router.finish_attempt(first, Status.RESET)
-    assert sends([retry]) == sends([first])  # retried at the server that has the key
-    assert sends(router.send_request("k")[1]) == sends([first])
+    assert sent_to([retry]) == sent_to([first])  # retried at the server that has the key
+    assert sent_to(router.send_request("k")[1]) == sent_to([first])
     router.advance(2 * SECOND)
     router.finish_attempt(retry, Status.OK, 1)
-    server = router.balancer.server_table.servers[sends([first])[0]]
+    server = router.balancer.server_table.servers[sent_to([first])[0]]
     assert (server.warming_since, server.failures, server.broken_attempts) == (0, 0, 0)
     assert not any("unreachable" in line for line in router.log)
 
 
-def test_server_that_resets_every_attempt_is_skipped_but_not_treated_as_cold() -> None:
+def test_server_that_resets_every_attempt_is_skipped_but_does_not_warm_up() -> None:
     router = Router()
     _, (send,) = router.send_request("k")
-    name = sends([send])[0]
+    name = sent_to([send])[0]
     for attempt in range(3):
         (send,) = router.finish_attempt(send, Status.RESET, attempt)
-        assert sends([send]) == [name]
+        assert sent_to([send]) == [name]
     router.finish_attempt(send, Status.RESET, 3)
-    assert sends(router.send_request("k")[1]) != [name]
+    assert sent_to(router.send_request("k")[1]) != [name]
     router.advance(2 * SECOND)
     _, (trial,) = router.send_request("k")
-    assert sends([trial]) == [name]
+    assert sent_to([trial]) == [name]
     router.finish_attempt(trial, Status.OK)
     assert router.balancer.server_table.servers[name].warming_since == 0
     assert router.log[-1].endswith("answers again")
@@ -538,38 +541,38 @@
     for _ in range(2):
         router.advance(3 * SECOND)
         _, (send,) = router.send_request("k")
-        (name,) = sends([send])
+        (name,) = sent_to([send])
         router.finish_attempt(send, Status.ERROR)
     assert router.balancer.server_table.servers[name].failures
-    assert sends(router.send_request("k")[1]) != [name]
+    assert sent_to(router.send_request("k")[1]) != [name]
 
 
 def test_server_that_fails_most_requests_gets_one_trial_at_a_time() -> None:
     """A server with frequent fast errors must not keep its range."""
     router = Router()
     name = router.make_owner_fail("k")
-    assert [sends(router.send_request("k")[1]) for _ in range(3)].count([name]) == 0
+    assert [sent_to(router.send_request("k")[1]) for _ in range(3)].count([name]) == 0
     router.advance(2 * SECOND)
     trials = [action for _ in range(3) for action in router.send_request("k")[1]]
-    assert sends(trials).count(name) == 1
+    assert sent_to(trials).count(name) == 1
     (trial,) = [send for send in trials if isinstance(send, api.Send) and send.server == name]
     router.finish_attempt(trial, Status.OK)
     server = router.balancer.server_table.servers[name]
     assert (server.warming_since, server.failures) == (0, 0)
-    assert sends(router.send_request("k")[1]) == [name]
+    assert sent_to(router.send_request("k")[1]) == [name]
 
 
 def test_occasional_errors_do_not_eject_a_server() -> None:
     router = Router()
     for n in range(60):
         _, (send,) = router.send_request("k")
-        assert sends([send]) == [router.candidates("k")[0].member.server]
+        assert sent_to([send]) == [router.candidates("k")[0].member.server]
         for retry in router.finish_attempt(send, Status.OK if n % 4 else Status.ERROR):
             router.finish_attempt(retry, Status.OK, 1)
     assert not router.log
 
 
-def test_server_that_joins_without_a_start_time_is_treated_as_cold() -> None:
+def test_server_added_without_a_start_time_warms_up() -> None:
     router = Router()
     router.deliver(api.Members(api.ListKind.DELTA, [api.Member("c9")]))
     assert router.balancer.server_table.servers["c9"].warming_since == router.now
@@ -593,9 +596,9 @@
 def test_write_is_retried_at_the_origin_within_its_latency_objective() -> None:
     router = Router()
     _, (first,) = router.send_request(cls=2, write=True)
-    assert sends([first]) == ["origin"]
+    assert sent_to([first]) == ["origin"]
     assert router.finish_attempt(first, Status.FULL) == []
-    assert sends(router.advance(SECOND // 4)) == ["origin"]
+    assert sent_to(router.advance(SECOND // 4)) == ["origin"]
 
 
 def test_reads_do_not_keep_an_overloaded_origin_overloaded() -> None:
@@ -617,9 +620,10 @@
     _, (first,) = router.send_request("k")
     origin = router.balancer.server_table.origin
     assert origin is not None
-    origin.latency, origin.last_sent_at = 0.9 * SECOND, router.now  # above 3/4 of both latency objectives
+    # Above the limit for reads, 3/4 of the latency objective, and below the limit for writes.
+    origin.latency, origin.last_sent_at = 0.9 * SECOND, router.now
     assert [type(action) for action in router.finish_attempt(first, Status.MISS)] == [api.Reject]
-    assert sends(router.send_request(cls=1, write=True)[1]) == ["origin"]
+    assert sent_to(router.send_request(cls=1, write=True)[1]) == ["origin"]
 
 
 def test_writes_do_not_keep_an_overloaded_origin_overloaded() -> None:
@@ -630,7 +634,7 @@
     origin.latency, origin.last_sent_at = 3.0 * SECOND, router.now
     assert [type(action) for action in router.send_request(cls=2, write=True)[1]] == [api.Reject]
     router.advance(3 * SECOND)
-    assert sends(router.send_request(cls=2, write=True)[1]) == ["origin"]
+    assert sent_to(router.send_request(cls=2, write=True)[1]) == ["origin"]
 
 
 def test_unsafe_request_that_may_have_been_executed_fails_without_retry() -> None:
@@ -645,7 +649,7 @@
     _, (first,) = router.send_request(cls=1, write=True)
     router.advance(SECOND // 2)
     assert router.finish_attempt(first, Status.ERROR) == []
-    assert sends(router.advance(SECOND // 4)) == ["origin"]
+    assert sent_to(router.advance(SECOND // 4)) == ["origin"]
     router = Router(
         settings(classes=[api.RequestClass(SECOND, 4 * SECOND, api.Effect.KEYED, "all", SECOND // 4)])
     )
@@ -662,7 +666,7 @@
         for action in router.finish_attempt(first, Status.ERROR):
             if isinstance(action, api.Send):
                 first_member, second_member = (
-                    router.balancer.server_table.servers[name].member for name in sends([first, action])
+                    router.balancer.server_table.servers[name].member for name in sent_to([first, action])
                 )
                 assert getattr(first_member, same) == getattr(second_member, same)
             else:
@@ -688,13 +692,13 @@
 def test_several_overloaded_neighbours_are_skipped() -> None:
     router = Router(members=fleet(6))
     owner, *rest = router.candidates("k")
-    for server in [owner, *rest[:2]]:  # slow, with a trial in flight at each
+    for server in [owner, *rest[:2]]:  # each is slow and has a trial in flight
         server.latency, server.base_latency, server.in_flight = 1.0 * SECOND, SECOND / 10, 1
-    assert sends(router.send_request("k")[1]) == [rest[2].member.server]
+    assert sent_to(router.send_request("k")[1]) == [rest[2].member.server]
 
 
 def test_trial_in_flight_stays_a_trial() -> None:
-    """Its answer has a weight of one half even if the server was checked again meanwhile."""
+    """The answer of a trial has a weight of one half even if has_capacity was called again before it."""
     server = Server(api.Member("c"), 4.0 * SECOND, base_latency=1.0 * SECOND)
     assert server.has_capacity(START, SECOND, 4, 0) and server.is_trial
     server.in_flight, server.last_sent_at = 1, START
@@ -704,7 +708,7 @@
 
 
 def test_answer_after_a_long_pause_has_more_weight() -> None:
-    """In a large fleet a router gets few answers of each server."""
+    """In a large fleet a router gets few answers from each server."""
     frequent, infrequent, unseen = (
         Server(api.Member("c"), 1.0 * SECOND, base, START) for base in (1e9, 1e9, 0.0)
     )
@@ -721,7 +725,7 @@
     owner = router.candidates("k")[0]
     owner.latency, owner.base_latency = 4.0 * SECOND, SECOND / 10
     _, (trial,) = router.send_request("k")
-    assert sends([trial]) == [owner.member.server] and owner.is_trial
+    assert sent_to([trial]) == [owner.member.server] and owner.is_trial
     router.finish_attempt(trial, Status.MISS)
     assert owner.latency < 2.1 * SECOND
 
@@ -738,23 +742,23 @@
     name, (first,) = router.send_request("k")
     router.balancer._dispatch(router.balancer.jobs[name])
     assert router.deliver(api.TimerFired("any")) == [] and router.balancer.jobs[name].attempts_made == 1
-    assert sends([first])
+    assert sent_to([first])
 
 
-def test_early_alarm_does_not_stop_the_timers() -> None:
+def test_timer_that_fires_early_is_set_again() -> None:
     router = Router()
     _, (first,) = router.send_request("k")
-    router.finish_attempt(first, Status.MISS)  # its origin read is in flight
-    waiting, actions = router.send_request("k")  # joins that read
+    router.finish_attempt(first, Status.MISS)  # the origin read is in flight
+    waiting, actions = router.send_request("k")  # the request joins that read
     assert actions == []
-    when, token = router.timers.pop()
-    router.now = when - 300
+    due_at, token = router.timers.pop()
+    router.now = due_at - 300
     router.deliver(api.TimerFired(token))
     answers = router.advance(SECOND)
     assert [answer.id for answer in answers if isinstance(answer, api.Reject)] == [waiting]
 
 
-def test_lost_alarm_is_requested_again() -> None:
+def test_lost_timer_is_set_again() -> None:
     router = Router()
     router.send_request("k")
     router.timers.clear()
@@ -772,7 +776,7 @@
     assert router.balancer.jobs == {}
 
 
-def test_started_stream_is_left_to_the_client() -> None:
+def test_started_stream_has_no_timeout_and_no_retry() -> None:
     spec = api.RequestClass(SECOND, 2 * SECOND, stream=True)
     router = Router(settings(classes=[spec]))
     name, (first,) = router.send_request("k")
@@ -787,10 +791,10 @@
     router = Router()
     router.enable_throttle()
     _, actions = router.send_request(None)
-    assert sends(actions)
+    assert sent_to(actions)
 
 
-def test_read_through_mode_treats_an_unseen_key_as_a_likely_miss() -> None:
+def test_cache_through_mode_treats_an_unseen_key_as_a_likely_miss() -> None:
     router = Router(settings(cache_aside=False), fleet(4, origin=False))
     assert router.balancer.hit_history.likely_miss("k", router.now)
     _, (first,) = router.send_request("k")
@@ -825,7 +829,7 @@
 
 
 def test_list_is_requested_again_within_two_seconds_of_each_failure() -> None:
-    """With a longer backoff the router could learn of a draining server only after it has stopped."""
+    """With a longer backoff, a draining server could stop before the router notices that it drains."""
     router = Router(settings(list_on_request=True))
     for _ in range(8):
         router.deliver(api.Members(api.ListKind.FAILED, []))
@@ -835,7 +839,7 @@
 def test_retries_of_the_list_are_spread_over_the_routers() -> None:
     """All routers share one discovery service, so they must not retry at the same time."""
     all_routers = [Router(settings(list_on_request=True, router_count=40), seed=seed) for seed in range(40)]
-    # The first backoff is short, so that draining servers are noticed in time; it grows to 1.5 s.
+    # The first backoff is short, so that draining servers are noticed in time; later ones grow to 1.5 s.
     for max_backoff in (3 * SECOND // 8, 3 * SECOND // 4, *[3 * SECOND // 2] * 4):
         for router in all_routers:
             router.deliver(api.Members(api.ListKind.FAILED, []))
@@ -864,7 +868,7 @@
     router.deliver(api.Members(api.ListKind.FAILED, []))
     for n in range(40):
         _, actions = router.send_request(f"k{n}")
-        assert name not in sends(actions)
+        assert name not in sent_to(actions)
         router.advance(SECOND // 10)
 
 
@@ -872,7 +876,7 @@
     router = Router(settings(list_on_request=True), [])
     actions = router.deliver(api.Members(api.ListKind.CACHED, fleet()))
     assert actions == [api.Watch()]
-    assert sends(router.send_request()[1])
+    assert sent_to(router.send_request()[1])
 
 
 def test_peer_messages_and_unexpected_health_checks_are_ignored() -> None:
@@ -888,9 +892,9 @@
         name, (first,) = router.send_request(f"k{n}")
         (read,) = router.finish_attempt(first, Status.MISS)
         waiting, actions = router.send_request(f"k{n}")
-        assert actions == []  # it joins the read in flight
+        assert actions == []  # the request joins the read in flight
         actions = router.finish_attempt(read, Status.RESET, 1)
-        assert sends(actions) == ["origin"]  # one retry for both requests
+        assert sent_to(actions) == ["origin"]  # a single retry serves both requests
         (retry,) = actions
         assert isinstance(retry, api.Send) and retry.id == name
         assert [
@@ -905,10 +909,10 @@
     for cls, tenths, retried in ((0, 2, True), (0, 8, False), (1, 8, True)):
         router = Router(settings(classes=classes))
         _, (first,) = router.send_request("k", cls)
-        server = router.balancer.server_table.servers[sends([first])[0]]
+        server = router.balancer.server_table.servers[sent_to([first])[0]]
         server.latency = server.base_latency = 0.3 * SECOND  # below 3/4 of the latency objective
         router.now += tenths * SECOND // 10
-        assert bool(sends(router.finish_attempt(first, Status.RESET))) == retried
+        assert bool(sent_to(router.finish_attempt(first, Status.RESET))) == retried
 
 
 def router_with_overloaded_caches(**changes: object) -> Router:
