--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -1,4 +1,4 @@
-"""Accepting connections continues after failures of accept, while the listener is open and while it closes.
+"""Connections are accepted again after failures of accept, while the listener is open and while it closes.
 
 Unless noted otherwise, the tests run in virtual time (see `virtual`).
 """
@@ -29,7 +29,7 @@
 MAX_RESUME_DELAY = 0.05  # seconds from the end of an outage within which accepting has to continue
 
 
-def accept_fails(port: int, error: str, **when: float | int | None) -> SystemCallFaults:
+def accept_faults(port: int, error: str, **when: float | int | None) -> SystemCallFaults:
     return SystemCallFaults(SystemCallFault("accept", error, local=f"*:{port}", **when))  # type: ignore[arg-type]
 
 
@@ -37,15 +37,15 @@
     return [record.getMessage() for record in caplog.records if record.levelno >= logging.WARNING]
 
 
-def queue_clients(stack: ExitStack, port: int, sent: list[bytes]) -> list[RawClient]:
-    """Returns clients whose connections and requests are in the kernel before the router polls."""
-    queued = []
-    for one in sent:
+def queue_clients(stack: ExitStack, port: int, requests: list[bytes]) -> list[RawClient]:
+    """Returns clients whose connections and requests are queued in the kernel before the router polls."""
+    clients = []
+    for request in requests:
         client = RawClient(port)
         stack.callback(client.sock.close)
-        client.sock.sendall(one)
-        queued.append(client)
-    return queued
+        client.sock.sendall(request)
+        clients.append(client)
+    return clients
 
 
 @pytest.mark.parametrize("error", RESOURCE_ERRORS)
@@ -55,12 +55,12 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         async with router() as bench:
-            with ExitStack() as stack, accept_fails(bench.port, error, for_s=OUTAGE_SECONDS) as faults:
+            with ExitStack() as stack, accept_faults(bench.port, error, for_s=OUTAGE_SECONDS) as faults:
                 clients = queue_clients(stack, bench.port, [PING] * 20)
-                started = loop.time()
-                for one in clients:
-                    assert await one.read() == PONG
-                assert loop.time() - started <= OUTAGE_SECONDS + MAX_RESUME_DELAY
+                started_at = loop.time()
+                for client in clients:
+                    assert await client.read() == PONG
+                assert loop.time() - started_at <= OUTAGE_SECONDS + MAX_RESUME_DELAY
                 assert 1 <= faults.count("accept", error) <= 1 + OUTAGE_SECONDS / accepting.RETRY_DELAY
         assert len(logged_warnings(caplog)) == 1 and error_text(error) in logged_warnings(caplog)[0]
 
@@ -77,7 +77,7 @@
     async def test() -> None:
         async with router() as bench:
             for outage in (1, 2):
-                with ExitStack() as stack, accept_fails(bench.port, "EMFILE", for_s=5.0):
+                with ExitStack() as stack, accept_faults(bench.port, "EMFILE", for_s=5.0):
                     (client,) = queue_clients(stack, bench.port, [PING])
                     assert await client.read() == PONG
                     assert len(logged_warnings(caplog)) == outage
@@ -94,12 +94,12 @@
 
     async def test() -> None:
         async with router() as bench:
-            with ExitStack() as stack, accept_fails(bench.port, "ENFILE") as faults:
+            with ExitStack() as stack, accept_faults(bench.port, "ENFILE") as faults:
                 queue_clients(stack, bench.port, [PING])
                 await wait_until(lambda: faults.count("accept"))
                 getattr(bench.clients, end)()
                 attempts = faults.count("accept")
-                stack.enter_context(socket.create_server(("127.0.0.1", 0)))  # reuses the descriptor
+                stack.enter_context(socket.create_server(("127.0.0.1", 0)))  # may reuse the descriptor number
                 await asyncio.sleep(3)
                 assert faults.count("accept") == attempts
         assert len(logged_warnings(caplog)) == 1
@@ -118,7 +118,7 @@
         polls.append(selector.poll_count)
         return asyncio.Protocol()
 
-    with ExitStack() as stack, accept_fails(listener.getsockname()[1], error, times=3) as faults:
+    with ExitStack() as stack, accept_faults(listener.getsockname()[1], error, times=3) as faults:
         queue_clients(stack, listener.getsockname()[1], [b""] * 5)
         acceptor = accepting.Acceptor(listener, make_protocol, 8)
         await wait_until(lambda: polls)
@@ -131,41 +131,41 @@
 
 def test_time_in_queue_during_outage_counts_against_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     """The listener is not polled during an outage, so the polls give no lower bound for arrival times."""
-    # The kernel's clock is not the virtual one.
+    # The kernel's clock does not follow virtual time.
     monkeypatch.setattr(arrivals, "ms_since_last_data", lambda sock: None)
 
     async def test() -> None:
         async with router(sockets=256) as bench:
-            with ExitStack() as stack, accept_fails(bench.port, "ENFILE", for_s=0.5):
+            with ExitStack() as stack, accept_faults(bench.port, "ENFILE", for_s=0.5):
                 requests = [get(b"first"), *[PING] * 20, get(b"last")]  # more than one tick accepts
-                for one in queue_clients(stack, bench.port, requests):
-                    await one.read()
+                for client in queue_clients(stack, bench.port, requests):
+                    await client.read()
             assert set(notified_deadlines(bench)) == {b"first", b"last"}
             assert all(
-                DEADLINE_MS - 500 - 60 <= time <= DEADLINE_MS - 500
-                for time in notified_deadlines(bench).values()
+                DEADLINE_MS - 500 - 60 <= deadline <= DEADLINE_MS - 500
+                for deadline in notified_deadlines(bench).values()
             )
 
     run_in_virtual_time(monkeypatch, test)
 
 
 def test_inherited_listener_stays_usable_after_outage_and_close(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The connections in its queue are accepted by another process after the close."""
+    """Connections queued at the listener are accepted by another process after the acceptor is closed."""
 
     async def test() -> None:
-        with socket.create_server(("127.0.0.1", 0)) as platform, ExitStack() as stack:
-            port = platform.getsockname()[1]
+        with socket.create_server(("127.0.0.1", 0)) as platform_listener, ExitStack() as stack:
+            port = platform_listener.getsockname()[1]
             acceptor = accepting.Acceptor(
-                platform.dup(), lambda earliest_arrival: asyncio.Protocol(), 8, inherited=True
+                platform_listener.dup(), lambda earliest_arrival: asyncio.Protocol(), 8, inherited=True
             )
-            with accept_fails(port, "EMFILE") as faults:
+            with accept_faults(port, "EMFILE") as faults:
                 queue_clients(stack, port, [b"waits"])
                 await wait_until(lambda: faults.count("accept"))
                 acceptor.close()
-            platform.setblocking(False)
-            sock, _ = platform.accept()
-            assert sock.recv(100) == b"waits"
-            sock.close()
+            platform_listener.setblocking(False)
+            accepted_sock, _ = platform_listener.accept()
+            assert accepted_sock.recv(100) == b"waits"
+            accepted_sock.close()
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -184,11 +184,13 @@
 ) -> None:
     async def test() -> None:
         async with router(lambda request, writer: hit(request[2])) as bench:
-            with ExitStack() as stack, accept_fails(bench.port, error, **when) as faults:
+            with ExitStack() as stack, accept_faults(bench.port, error, **when) as faults:
                 queued = queue_clients(stack, bench.port, [get(b"j%d" % n) for n in range(5)])
-                await shut_down_listener(bench)  # in the same tick
+                await shut_down_listener(bench)  # before the event loop accepts the clients
                 assert faults.count("accept", error) >= 1
-                assert [await one.read_all() for one in queued] == [b"$2\r\nj%d\r\n" % n for n in range(5)]
+                assert [await client.read_all() for client in queued] == [
+                    b"$2\r\nj%d\r\n" % n for n in range(5)
+                ]
             assert not bench.clients.accepting
 
     run_in_virtual_time(monkeypatch, test)
@@ -202,8 +204,8 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         async with router(lambda request, writer: None) as bench, raw_client(bench):
-            (last,) = bench.clients.connections
-            acceptor, transport = bench.clients._acceptor, last.transport
+            (last_connection,) = bench.clients.connections
+            acceptor, transport = bench.clients._acceptor, last_connection.transport
             assert acceptor is not None and transport is not None
             client = RawClient(bench.port)
             client.sock.sendall(get())
@@ -211,14 +213,14 @@
                 await asyncio.sleep(0)
             bench.clients.hand_over()
             transport.abort()
-            started = loop.time()
+            started_at = loop.time()
             await bench.clients.wait_empty(0.5)
-            assert loop.time() - started == 0.5 and bench.cache.received
+            assert loop.time() - started_at == 0.5 and bench.cache.received
             bench.cache.writers[0].write(hit())
             assert await client.read_all() == b"$1\r\nv\r\n"
             client.sock.close()
             await bench.clients.wait_empty(60)
-            assert loop.time() - started < 60
+            assert loop.time() - started_at < 60
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -229,7 +231,7 @@
             with ExitStack() as stack:
                 queued = queue_clients(stack, bench.port, [PING] * 60 + [get(b"last")])
                 await bench.clients.shut_down()
-                assert [await one.read_all() for one in queued] == [PONG] * 60 + [b"$4\r\nlast\r\n"]
+                assert [await client.read_all() for client in queued] == [PONG] * 60 + [b"$4\r\nlast\r\n"]
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -240,11 +242,11 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         async with router() as bench:
-            with ExitStack() as stack, accept_fails(bench.port, "EMFILE") as faults:
+            with ExitStack() as stack, accept_faults(bench.port, "EMFILE") as faults:
                 queue_clients(stack, bench.port, [PING])
-                started = loop.time()
+                started_at = loop.time()
                 await shut_down_listener(bench)
-                assert 1.0 - accepting.RETRY_DELAY <= loop.time() - started <= 1.0
+                assert 1.0 - accepting.RETRY_DELAY <= loop.time() - started_at <= 1.0
                 attempts = faults.count("accept")
                 await asyncio.sleep(3)
                 assert faults.count("accept") == attempts and not bench.clients.accepting
@@ -254,7 +256,7 @@
 
 
 async def test_program_accepts_queued_client_during_sigterm(tmp_path: Path) -> None:
-    """The outage starts with the first accept and is still on when SIGTERM arrives."""
+    """The outage starts with the first accept and has not ended when SIGTERM arrives."""
     outage = SystemCallFault("accept", "ENFILE", for_s=1.0)
     async with running_program(
         tmp_path, 1024, faults=[outage], known=listing(3, entry("c0", "127.0.0.1:1"))
@@ -279,14 +281,16 @@
 ) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        served = Console({"HEALTH": lambda _: "+OK"})
-        _, port = await served.listen("127.0.0.1", 0)
-        with ExitStack() as stack, accept_fails(port, error, for_s=OUTAGE_SECONDS) as faults:
+        server = Console({"HEALTH": lambda _: "+OK"})
+        _, port = await server.listen("127.0.0.1", 0)
+        with ExitStack() as stack, accept_faults(port, error, for_s=OUTAGE_SECONDS) as faults:
             callers = queue_clients(stack, port, [b"HEALTH\n"] * (console.MAX_CONNECTIONS + 4))
-            started = loop.time()
-            assert [await one.read_all() for one in callers] == [b"+OK\n"] * len(callers)
-            assert loop.time() - started <= OUTAGE_SECONDS + MAX_RESUME_DELAY and faults.count("accept") >= 1
-            served.close()
+            started_at = loop.time()
+            assert [await caller.read_all() for caller in callers] == [b"+OK\n"] * len(callers)
+            assert (
+                loop.time() - started_at <= OUTAGE_SECONDS + MAX_RESUME_DELAY and faults.count("accept") >= 1
+            )
+            server.close()
         assert len(logged_warnings(caplog)) <= 1
 
     run_in_virtual_time(monkeypatch, test)
--- a/tests/test_arrivals.py
+++ b/tests/test_arrivals.py
@@ -43,12 +43,12 @@
 
 
 def notified_deadline(info: bytes) -> int:
-    """Returns the value of `d`, in ms, in a list of names and values."""
+    """Returns the field `d`, the deadline in ms, of an info string such as `c=read,d=9000`."""
     return int(dict(one.split(b"=") for one in info.split(b","))[b"d"])
 
 
 def notified_deadlines(bench: Bench) -> dict[bytes, int]:
-    """Returns the deadline in ms of which the cache server was notified, by request id."""
+    """Returns the deadlines in ms of which the cache server was notified, by request id."""
     return {command[2]: notified_deadline(command[3]) for command in bench.cache.received}
 
 
@@ -62,9 +62,9 @@
         self.times[request[2]] = time.monotonic()
         return hit()
 
-    def min_deadline(self, name: bytes, since: float, short: int = 1) -> int:
-        """Returns the minimum notified deadline in ms of a request that counts from `since`."""
-        return DEADLINE_MS - int((self.times[name] - since) * 1000) - ANSWER_RESERVE_MS - short
+    def min_deadline(self, name: bytes, since: float, tolerance_ms: int = 1) -> int:
+        """Returns the minimum notified deadline in ms of a request whose deadline counts from `since`."""
+        return DEADLINE_MS - int((self.times[name] - since) * 1000) - ANSWER_RESERVE_MS - tolerance_ms
 
 
 def last_poll_time() -> float:
@@ -83,12 +83,12 @@
     loop.now += seconds
 
 
-class HeldAnswers:
-    """Servers that hold back their answers until `open` is called."""
+class DelayedAnswers:
+    """Servers that delay their answers until `release` is called."""
 
     def __init__(self) -> None:
-        self.held: list[tuple[asyncio.StreamWriter, bytes]] = []
-        self.holding = True
+        self.delayed: list[tuple[asyncio.StreamWriter, bytes]] = []
+        self.delaying = True
 
     def cache(self, request: Any, peer: asyncio.StreamWriter) -> bytes | None:
         return self._answer(peer, hit())
@@ -97,20 +97,20 @@
         return self._answer(peer, http(200, b"v"))
 
     def _answer(self, peer: asyncio.StreamWriter, answer: bytes) -> bytes | None:
-        if self.holding:
-            self.held.append((peer, answer))
-        return None if self.holding else answer
+        if self.delaying:
+            self.delayed.append((peer, answer))
+        return None if self.delaying else answer
 
-    def open(self) -> None:
-        self.holding = False
-        for peer, answer in self.held:
+    def release(self) -> None:
+        self.delaying = False
+        for peer, answer in self.delayed:
             peer.write(answer)
 
 
 async def wait_for_full_pipeline(bench: Bench) -> None:
     """Waits until the only client has the maximum number of commands in progress."""
-    (one,) = bench.clients.connections
-    await wait_until(lambda: len(one.slots) == clients.MAX_PIPELINED_COMMANDS)
+    (connection,) = bench.clients.connections
+    await wait_until(lambda: len(connection.slots) == clients.MAX_PIPELINED_COMMANDS)
 
 
 @contextlib.contextmanager
@@ -124,7 +124,7 @@
 
 @contextlib.asynccontextmanager
 async def connected_socket(bench: Bench) -> Any:
-    """Yields the same socket, once the router has accepted it and answered a command."""
+    """Yields a plain socket that the router has accepted and on which it has answered a command."""
     with raw_socket(bench) as sock:
         sock.sendall(resp.command(b"PING"))
         assert await receive(sock) == b"+PONG\r\n"
@@ -138,7 +138,7 @@
 
 @pytest.fixture(params=["reported", "unreported"])
 def kernel_time_known(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> bool:
-    """Whether the kernel reports when it last received data."""
+    """Returns whether the kernel reports when it last received data."""
     if request.param == "unreported":
         monkeypatch.setattr(arrivals, "ms_since_last_data", lambda sock: None)
     return bool(request.param == "reported")
@@ -146,7 +146,7 @@
 
 @pytest.fixture
 def kernel_time_unknown(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The kernel reports no times, since its clock is not the virtual one."""
+    """Disables the kernel's arrival times, since its clock does not follow virtual time."""
     monkeypatch.setattr(arrivals, "ms_since_last_data", lambda sock: None)
 
 
@@ -156,12 +156,12 @@
 async def test_unread_bytes_count_from_arrival_while_loop_is_stalled(kernel_time_known: bool) -> None:
     server = RecordingServer()
     async with router(server) as bench, connected_socket(bench) as client:
-        polled_at, sent = last_poll_time(), time.monotonic()
+        polled_at, sent_at = last_poll_time(), time.monotonic()
         client.sendall(get())
         time.sleep(STALL_SECONDS)
         assert await receive(client) == b"$1\r\nv\r\n"
         minimum = (
-            server.min_deadline(b"i1", sent, KERNEL_TIME_ERROR_MS)
+            server.min_deadline(b"i1", sent_at, KERNEL_TIME_ERROR_MS)
             if kernel_time_known
             else server.min_deadline(b"i1", polled_at)
         )
@@ -172,12 +172,12 @@
     server = RecordingServer()
     async with router(server) as bench, connected_socket(bench) as client:
         time.sleep(STALL_SECONDS / 2)
-        sent = time.monotonic()
+        sent_at = time.monotonic()
         client.sendall(get())
         time.sleep(STALL_SECONDS / 2)
         assert await receive(client) == b"$1\r\nv\r\n"
         assert (
-            server.min_deadline(b"i1", sent, KERNEL_TIME_ERROR_MS)
+            server.min_deadline(b"i1", sent_at, KERNEL_TIME_ERROR_MS)
             <= notified_deadlines(bench)[b"i1"]
             <= DEADLINE_MS - STALL_MS / 2
         )
@@ -190,7 +190,7 @@
         polled_at = last_poll_time()
         client.sendall(get(b"first"))
         time.sleep(STALL_SECONDS / 2)
-        sent = time.monotonic()
+        sent_at = time.monotonic()
         client.sendall(get(b"second"))
         time.sleep(STALL_SECONDS / 2)
         await wait_until(lambda: len(server.times) == 2)
@@ -200,7 +200,7 @@
             <= DEADLINE_MS - STALL_MS
         )
         assert (
-            server.min_deadline(b"second", sent, KERNEL_TIME_ERROR_MS)
+            server.min_deadline(b"second", sent_at, KERNEL_TIME_ERROR_MS)
             <= notified_deadlines(bench)[b"second"]
             <= DEADLINE_MS - STALL_MS / 2
         )
@@ -210,11 +210,11 @@
     server = RecordingServer()
     async with router(server) as bench, connected_socket(bench) as client:
         await asyncio.sleep(STALL_SECONDS)
-        sent = time.monotonic()
+        sent_at = time.monotonic()
         client.sendall(get())
         assert await receive(client) == b"$1\r\nv\r\n"
         assert (
-            server.min_deadline(b"i1", sent, KERNEL_TIME_ERROR_MS)
+            server.min_deadline(b"i1", sent_at, KERNEL_TIME_ERROR_MS)
             <= notified_deadlines(bench)[b"i1"]
             <= DEADLINE_MS
         )
@@ -241,19 +241,19 @@
 def test_commands_behind_full_pipeline_count_from_their_read(
     monkeypatch: pytest.MonkeyPatch, kernel_time_unknown: None
 ) -> None:
-    """They must not count from when they are processed."""
+    """Their deadlines must not count from the time at which the commands are processed."""
 
     async def test() -> None:
         count = clients.MAX_PIPELINED_COMMANDS + 8
-        held_answers = HeldAnswers()
+        delayed_answers = DelayedAnswers()
         async with (
-            router(held_answers.cache, held_answers.origin, sockets=256) as bench,
+            router(delayed_answers.cache, delayed_answers.origin, sockets=256) as bench,
             connected_socket(bench) as client,
         ):
             client.sendall(b"".join(get(b"i%d" % n, key=b"k%d" % n) for n in range(count)))
             await wait_for_full_pipeline(bench)
             stall_loop()
-            held_answers.open()
+            delayed_answers.release()
             await wait_until(lambda: not bench.driver.requests)
             deadlines = [
                 deadline
@@ -261,7 +261,8 @@
                 if int(name[1:]) >= clients.MAX_PIPELINED_COMMANDS
             ]
             assert deadlines and all(
-                DEADLINE_MS - STALL_MS - SLACK_MS <= one <= DEADLINE_MS - STALL_MS for one in deadlines
+                DEADLINE_MS - STALL_MS - SLACK_MS <= deadline_ms <= DEADLINE_MS - STALL_MS
+                for deadline_ms in deadlines
             )
 
     run_in_virtual_time(monkeypatch, test)
@@ -271,9 +272,9 @@
     monkeypatch: pytest.MonkeyPatch, kernel_time_unknown: None
 ) -> None:
     async def test() -> None:
-        held_answers = HeldAnswers()
+        delayed_answers = DelayedAnswers()
         async with (
-            router(held_answers.cache, held_answers.origin, sockets=256) as bench,
+            router(delayed_answers.cache, delayed_answers.origin, sockets=256) as bench,
             connected_socket(bench) as client,
         ):
             for n in range(clients.MAX_PIPELINED_COMMANDS):
@@ -281,7 +282,7 @@
             await wait_for_full_pipeline(bench)
             client.sendall(get(b"late"))
             await asyncio.sleep(STALL_SECONDS)
-            held_answers.open()
+            delayed_answers.release()
             await wait_until(lambda: b"late" in notified_deadlines(bench))
             assert (
                 DEADLINE_MS - STALL_MS - SLACK_MS
@@ -298,23 +299,23 @@
 
 
 async def test_kernel_reports_arrival_of_command_behind_paused_read() -> None:
-    held_answers, server = HeldAnswers(), RecordingServer()
+    delayed_answers, server = DelayedAnswers(), RecordingServer()
 
     def cache(request: Any, peer: asyncio.StreamWriter) -> bytes | None:
-        return server(request, peer) if request[2] == b"late" else held_answers.cache(request, peer)
+        return server(request, peer) if request[2] == b"late" else delayed_answers.cache(request, peer)
 
-    async with router(cache, held_answers.origin, sockets=256) as bench, connected_socket(bench) as client:
+    async with router(cache, delayed_answers.origin, sockets=256) as bench, connected_socket(bench) as client:
         for n in range(clients.MAX_PIPELINED_COMMANDS):
             client.sendall(get(b"i%d" % n, 5000, b"k%d" % n))
         await wait_for_full_pipeline(bench)
         await asyncio.sleep(STALL_SECONDS / 2)
-        sent = time.monotonic()
+        sent_at = time.monotonic()
         client.sendall(get(b"late"))
         await asyncio.sleep(STALL_SECONDS / 2)
-        held_answers.open()
+        delayed_answers.release()
         await wait_until(lambda: server.times)
         assert (
-            server.min_deadline(b"late", sent, KERNEL_TIME_ERROR_MS)
+            server.min_deadline(b"late", sent_at, KERNEL_TIME_ERROR_MS)
             <= notified_deadlines(bench)[b"late"]
             <= DEADLINE_MS - STALL_MS / 2
         )
@@ -324,14 +325,14 @@
     monkeypatch: pytest.MonkeyPatch, kernel_time_unknown: None
 ) -> None:
     async def test() -> None:
-        big = bytes(resp.MAX_LONG_VALUE)
+        big_value = bytes(resp.MAX_LONG_VALUE)
         async with (
-            router(lambda request, writer: hit(big if request[2] == b"big" else b"v")) as bench,
+            router(lambda request, writer: hit(big_value if request[2] == b"big" else b"v")) as bench,
             connected_socket(bench) as client,
         ):
             client.sendall(get(b"big", 9000))
-            (one,) = bench.clients.connections
-            await wait_until(lambda: one.write_paused)
+            (connection,) = bench.clients.connections
+            await wait_until(lambda: connection.write_paused)
             client.sendall(get(b"late"))
             await asyncio.sleep(STALL_SECONDS)
             while b"late" not in notified_deadlines(bench):
@@ -345,12 +346,12 @@
     run_in_virtual_time(monkeypatch, test)
 
 
-# The accept queue
+# Accept queue
 
 
 @pytest.mark.parametrize("count", [1, 60])
 async def test_time_in_accept_queue_counts_against_deadline(kernel_time_known: bool, count: int) -> None:
-    """With more clients than one tick accepts, all count from the same poll."""
+    """If there are more clients than one tick accepts, the deadlines of all count from the same poll."""
     server = RecordingServer()
     async with router(server, sockets=256) as bench, contextlib.AsyncExitStack() as stack:
         polled_at = last_poll_time()
@@ -359,11 +360,12 @@
         time.sleep(STALL_SECONDS)
         await wait_until(lambda: bench.cache.received and not bench.driver.requests)
         assert all(
-            one <= DEADLINE_MS - STALL_MS
-            for one in [*notified_deadlines(bench).values(), *origin_deadlines(bench)]
+            deadline_ms <= DEADLINE_MS - STALL_MS
+            for deadline_ms in [*notified_deadlines(bench).values(), *origin_deadlines(bench)]
         )
         assert all(
-            server.min_deadline(name, polled_at) <= one for name, one in notified_deadlines(bench).items()
+            server.min_deadline(name, polled_at) <= deadline_ms
+            for name, deadline_ms in notified_deadlines(bench).items()
         )
 
 
@@ -371,18 +373,20 @@
     """During an upgrade no process accepts for a while; only the kernel knows the arrival time."""
     server = RecordingServer()
     async with router(server) as bench:
-        platform = socket.create_server(("127.0.0.1", 0))
-        with socket.create_connection(platform.getsockname()) as client:
+        platform_listener = socket.create_server(("127.0.0.1", 0))
+        with socket.create_connection(platform_listener.getsockname()) as client:
             client.setblocking(False)
-            sent = time.monotonic()
+            sent_at = time.monotonic()
             client.sendall(get())
             time.sleep(STALL_SECONDS)
-            watched = time.monotonic()
+            listening_since = time.monotonic()
             successor = ClientListener(bench.driver, bench.clients.names, bench.clients.connection_limits)
-            await successor.listen("", 0, platform.detach())
+            await successor.listen("", 0, platform_listener.detach())
             assert await receive(client) == b"$1\r\nv\r\n"
             successor.close()
-            minimum = server.min_deadline(b"i1", sent if kernel_time_known else watched, KERNEL_TIME_ERROR_MS)
+            minimum = server.min_deadline(
+                b"i1", sent_at if kernel_time_known else listening_since, KERNEL_TIME_ERROR_MS
+            )
             assert (
                 minimum
                 <= notified_deadlines(bench)[b"i1"]
@@ -399,8 +403,8 @@
     async def test() -> None:
         async with router() as bench, connected_socket(bench) as client:
             data = get()
-            for at in range(0, len(data) - 1, 10):
-                client.sendall(data[at : min(at + 10, len(data) - 1)])
+            for offset in range(0, len(data) - 1, 10):
+                client.sendall(data[offset : min(offset + 10, len(data) - 1)])
                 await asyncio.sleep(0.15)
             client.sendall(data[-1:])
             assert await receive(client) == b"$1\r\nv\r\n"
@@ -417,14 +421,14 @@
         async with router(origin=lambda request, writer: http(200, b"receipt")) as bench:
             caller = await bench.caller()
             data, step = put(bytes(200_000)), 40_000
-            for at in range(0, len(data), step):
-                caller.writer.write(data[at : at + step])
+            for offset in range(0, len(data), step):
+                caller.writer.write(data[offset : offset + step])
                 await caller.writer.drain()
-                await asyncio.sleep(0.4 if at + step < len(data) else 0)
-                stall_loop(stall if at + step >= len(data) else 0)
+                await asyncio.sleep(0.4 if offset + step < len(data) else 0)
+                stall_loop(stall if offset + step >= len(data) else 0)
             assert await caller.answer() == b"receipt"
-            (one,) = origin_deadlines(bench)
-            assert DEADLINE_MS - stall * 1000 - SLACK_MS <= one <= DEADLINE_MS - stall * 1000
+            (deadline_ms,) = origin_deadlines(bench)
+            assert DEADLINE_MS - stall * 1000 - SLACK_MS <= deadline_ms <= DEADLINE_MS - stall * 1000
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -439,12 +443,12 @@
             router(origin=lambda request, writer: http(200, b"receipt")) as bench,
             connected_socket(bench) as client,
         ):
-            (one,) = bench.clients.connections
+            (connection,) = bench.clients.connections
             client.sendall(put(bytes(90_000)))
             stall_loop()
             await wait_until(lambda: bench.origin.received)
             assert origin_deadlines(bench) == [DEADLINE_MS - STALL_MS - 8]
-            assert not one.frames.buffer
+            assert not connection.frames.buffer
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -456,13 +460,15 @@
 def test_request_without_time_left_is_rejected_at_once(monkeypatch: pytest.MonkeyPatch, wait: int) -> None:
     async def test() -> None:
         async with router() as bench, connected_socket(bench) as client:
-            started, request_flow = time.monotonic(), bench.driver.balancer.server_table.request_rate
-            before = request_flow.per_second(time.monotonic_ns())
+            started_at, request_rate = time.monotonic(), bench.driver.balancer.server_table.request_rate
+            rate_before = request_rate.per_second(time.monotonic_ns())
             client.sendall(get(wait=wait))
             assert await receive(client) == BUSY
-            assert time.monotonic() == started
+            assert time.monotonic() == started_at
             assert not bench.cache.received and not bench.driver.requests
-            assert request_flow.per_second(time.monotonic_ns()) == before  # the balancer never received it
+            assert (
+                request_rate.per_second(time.monotonic_ns()) == rate_before
+            )  # the balancer did not receive the request
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -482,9 +488,9 @@
         async with router() as bench, connected_socket(bench) as client:
             client.sendall(get(wait=300))
             stall_loop()
-            started = time.monotonic()
+            started_at = time.monotonic()
             assert await receive(client) == BUSY
-            assert time.monotonic() == started
+            assert time.monotonic() == started_at
             assert not bench.cache.received and not bench.origin.received and not bench.driver.requests
 
     run_in_virtual_time(monkeypatch, test)
@@ -556,11 +562,11 @@
     async def test() -> None:
         connection_made = Connection.connection_made
 
-        def delayed(connection: Connection, transport: asyncio.BaseTransport) -> None:
+        def stall_and_connect(connection: Connection, transport: asyncio.BaseTransport) -> None:
             stall_loop(PAST_DEADLINE)
             connection_made(connection, transport)
 
-        monkeypatch.setattr(Connection, "connection_made", delayed)
+        monkeypatch.setattr(Connection, "connection_made", stall_and_connect)
         async with router() as bench, connected_socket(bench) as client:
             client.sendall(put(b"value") if write else get())
             assert (await receive(client)).startswith(b"-BUSY")
@@ -573,7 +579,7 @@
 def test_request_is_not_sent_if_socket_is_writable_only_after_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The socket may still be full of an earlier write whose answer came early."""
+    """The socket buffer may be full of an earlier write that was answered before it was read completely."""
 
     async def test() -> None:
         async with router(lambda request, writer: hit()) as bench, connected_socket(bench) as client:
@@ -596,7 +602,7 @@
 def test_origin_is_notified_of_time_left_when_socket_becomes_writable(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The deadline must not be that of the start of the attempt."""
+    """The origin must not be notified of the time that was left at the start of the attempt."""
 
     async def test() -> None:
         async with router(lambda request, writer: MISS) as bench, connected_socket(bench) as client:
@@ -651,34 +657,35 @@
     """Half of the requests have expired when they are read; some of the others are slow or rejected."""
     count = 300
 
-    def overloaded(request: Any, peer: asyncio.StreamWriter) -> bytes | None:
-        kind = int(request[2][1:]) % 20
-        if kind == 1:
+    def answer_by_variant(request: Any, peer: asyncio.StreamWriter) -> bytes | None:
+        variant = int(request[2][1:]) % 20
+        if variant == 1:
             return b"-BUSY\r\n"
-        if kind in (3, 5, 7):
+        if variant in (3, 5, 7):
             asyncio.get_running_loop().call_later(0.05, peer.write, hit())
             return None
         return hit()
 
-    def servers(cache: Cache, origin: Web) -> list[Json]:
+    def list_servers(cache: Cache, origin: Web) -> list[Json]:
         entries = [entry(f"c{n}", cache.address) for n in range(30)]
         return [*entries, entry("o", origin.address, model="origin")]
 
     async with (
-        router(overloaded, entries=servers, sockets=1024) as bench,
+        router(answer_by_variant, entries=list_servers, sockets=1024) as bench,
         contextlib.AsyncExitStack() as stack,
     ):
         client_sockets = [await stack.enter_async_context(connected_socket(bench)) for _ in range(count)]
-        for n, one in enumerate(client_sockets):
-            one.sendall(get(b"i%d" % n, 5000 if n % 2 else 300, b"k%d" % n))
+        for n, client_socket in enumerate(client_sockets):
+            client_socket.sendall(get(b"i%d" % n, 5000 if n % 2 else 300, b"k%d" % n))
         time.sleep(STALL_SECONDS)
-        answers = [await receive(one) for one in client_sockets]
+        answers = [await receive(client_socket) for client_socket in client_sockets]
         assert all(answer == BUSY for answer in answers[::2])
         assert all(answer.startswith((b"$", b"-BUSY")) for answer in answers[1::2])
         forwarded = [int(name[1:]) for name in notified_deadlines(bench)]
         assert forwarded and all(n % 2 for n in forwarded)
         assert all(
-            one <= 5000 - STALL_MS for one in [*notified_deadlines(bench).values(), *origin_deadlines(bench)]
+            client_socket <= 5000 - STALL_MS
+            for client_socket in [*notified_deadlines(bench).values(), *origin_deadlines(bench)]
         )
         assert not bench.driver.requests and bench.driver.memory.used == 0
 
@@ -691,11 +698,11 @@
 ) -> None:
     now = [1_000 * arrivals.MILLI]
     monkeypatch.setattr(time, "monotonic_ns", lambda: now[0])
-    ours, theirs = socket.socketpair()
-    with ours, theirs, arrivals.TimedSelector() as selector:
-        selector.register(ours, 1)
+    receiver, sender = socket.socketpair()
+    with receiver, sender, arrivals.TimedSelector() as selector:
+        selector.register(receiver, 1)
         assert not selector.select(0) and selector.polled_at == now[0]
-        theirs.send(b"x")
+        sender.send(b"x")
         now[0] += 40 * arrivals.MILLI
         assert selector.select(5.0) and (selector.poll_count, selector.earliest_arrival) == (
             2,
@@ -732,25 +739,25 @@
 
 async def test_kernel_reports_time_since_last_data() -> None:
     async with router() as bench:
-        started = time.monotonic()
+        started_at = time.monotonic()
         async with connected_socket(bench):
-            (one,) = bench.clients.connections
-            assert one.transport is not None
+            (connection,) = bench.clients.connections
+            assert connection.transport is not None
             time.sleep(0.2)
-            elapsed_ms = arrivals.ms_since_last_data(one.transport.get_extra_info("socket"))
-            maximum = (time.monotonic() - started) * 1000 + arrivals.TCP_INFO_RESOLUTION_MS
+            elapsed_ms = arrivals.ms_since_last_data(connection.transport.get_extra_info("socket"))
+            maximum = (time.monotonic() - started_at) * 1000 + arrivals.TCP_INFO_RESOLUTION_MS
             assert elapsed_ms is not None and 200 - arrivals.TCP_INFO_RESOLUTION_MS <= elapsed_ms <= maximum
 
 
 def test_kernel_time_is_not_used_for_bytes_followed_by_unread_bytes() -> None:
-    """It is the arrival time of the last byte received."""
+    """The kernel reports only the arrival time of the last byte received."""
     with (
         socket.create_server(("127.0.0.1", 0)) as listener,
         socket.create_connection(listener.getsockname()) as sender,
         listener.accept()[0] as receiver,
         arrivals.TimedSelector() as selector,
     ):
-        sent = time.monotonic_ns()
+        sent_at = time.monotonic_ns()
         sender.sendall(b"ab")
         assert receiver.recv(1) == b"a" and UnreadInput(receiver).pending()
         selector.polled_at = time.monotonic_ns()
@@ -761,22 +768,22 @@
         assert receiver.recv(1) == b"b" and not UnreadInput(receiver).pending()
         times.record_read(1, receiver)
         assert times.of_last_byte_before(1) == selector.earliest_arrival
-        assert times.of_last_byte_before(0) > sent - KERNEL_TIME_ERROR_MS * arrivals.MILLI
+        assert times.of_last_byte_before(0) > sent_at - KERNEL_TIME_ERROR_MS * arrivals.MILLI
 
 
 def test_input_during_wait_after_long_tick_counts_from_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Such input does not count from before the tick."""
+    """Input that arrives while the selector waits does not count from before the tick."""
     now = [1_000 * arrivals.MILLI]
     monkeypatch.setattr(time, "monotonic_ns", lambda: now[0])
-    ours, theirs = socket.socketpair()
-    with ours, theirs, arrivals.TimedSelector() as selector:
-        selector.register(ours, 1)
+    receiver, sender = socket.socketpair()
+    with receiver, sender, arrivals.TimedSelector() as selector:
+        selector.register(receiver, 1)
         selector.select(0)
         now[0] += 40 * arrivals.MILLI
-        sender = threading.Timer(0.05, theirs.send, [b"x"])
-        sender.start()
+        send_timer = threading.Timer(0.05, sender.send, [b"x"])
+        send_timer.start()
         assert selector.select(None) and selector.earliest_arrival == now[0]
-        sender.join()
+        send_timer.join()
 
 
 @pytest.mark.parametrize("count, remaining", [(2, False), (3, True), (4, True)])
@@ -785,22 +792,22 @@
     selector = arrivals.TimedSelector()
     queue = arrivals.AcceptQueueTimes(selector, inherited=False)
 
-    def advance(since: int) -> None:
-        selector.poll_count, selector.earliest_arrival = selector.poll_count + 1, since
+    def simulate_poll(arrival: int) -> None:
+        selector.poll_count, selector.earliest_arrival = selector.poll_count + 1, arrival
 
-    for since in (100, 200):
-        advance(since)
+    for arrival in (100, 200):
+        simulate_poll(arrival)
     assert {queue.earliest_arrival for _ in range(count)} == {200}
     if remaining:
         queue.mark_remaining()
-    advance(300)
+    simulate_poll(300)
     assert queue.earliest_arrival == (200 if remaining else 300)
-    advance(400)
+    simulate_poll(400)
     assert queue.earliest_arrival == 400
     selector.close()
 
 
-def test_clients_count_from_pause_while_listener_is_not_watched() -> None:
+def test_clients_count_from_pause_while_listener_is_not_polled() -> None:
     selector = arrivals.TimedSelector()
     queue = arrivals.AcceptQueueTimes(selector, inherited=False)
     for poll_count, earliest_arrival in enumerate((100, 200), 1):
@@ -829,8 +836,8 @@
 
 
 def test_other_event_loops_are_rejected() -> None:
-    async def ask() -> None:
+    async def get_selector() -> None:
         arrivals.running_selector()
 
     with pytest.raises(TypeError):
-        asyncio.run(ask())
+        asyncio.run(get_selector())
--- a/tests/test_broken_clients.py
+++ b/tests/test_broken_clients.py
@@ -25,7 +25,7 @@
 VALUE = b"v" * 5000
 
 
-def peer_of(client: RawClient) -> str:
+def client_address(client: RawClient) -> str:
     return f"127.0.0.1:{client.sock.getsockname()[1]}"
 
 
@@ -58,7 +58,7 @@
         ):
             client.sock.sendall(get(b"i1"))
             await wait_until(lambda: bench.cache.received)
-            with SystemCallFaults(SystemCallFault("recv", error, peer=peer_of(client))) as faults:
+            with SystemCallFaults(SystemCallFault("recv", error, peer=client_address(client))) as faults:
                 client.sock.sendall(get(b"i2"))
                 await wait_until(lambda: faults.count("recv", error))
                 await wait_until(lambda: not bench.driver.requests)
@@ -77,7 +77,7 @@
 def test_failed_write_disconnects_client(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, error: str, size: int
 ) -> None:
-    """asyncio logs a warning if writing goes on after a failed write."""
+    """asyncio logs a warning if a protocol keeps writing after a failed write."""
 
     async def test() -> None:
         async with (
@@ -85,7 +85,7 @@
             raw_client(bench) as other,
             raw_client(bench) as client,
         ):
-            with SystemCallFaults(SystemCallFault("send", error, peer=peer_of(client))) as faults:
+            with SystemCallFaults(SystemCallFault("send", error, peer=client_address(client))) as faults:
                 client.sock.sendall(b"".join([PING, *[get(b"i%d" % n) for n in range(20)], PING * 20]))
                 await wait_until(lambda: faults.count("send", error))
                 await wait_until(lambda: not bench.driver.requests and len(bench.clients.connections) == 1)
@@ -105,7 +105,9 @@
             client.sock.sendall(get(b"first"))
             assert await client.read() == b"$1\r\nv\r\n"
             await asyncio.sleep(1)  # the connection to the cache server is reusable
-            with SystemCallFaults(SystemCallFault("send", "ETIMEDOUT", peer=peer_of(client))) as faults:
+            with SystemCallFaults(
+                SystemCallFault("send", "ETIMEDOUT", peer=client_address(client))
+            ) as faults:
                 client.sock.sendall(PING * 40 + get(b"late"))
                 await wait_until(lambda: faults.count("send"))
                 await asyncio.sleep(1)
@@ -118,19 +120,19 @@
 def test_short_reads_and_writes_change_no_byte(monkeypatch: pytest.MonkeyPatch, short: int) -> None:
     async def test() -> None:
         async with router(lambda request, writer: hit(VALUE)) as bench, raw_client(bench) as client:
-            local = f"127.0.0.1:{bench.port}"
+            router_address = f"127.0.0.1:{bench.port}"
             faults = SystemCallFaults(
-                SystemCallFault("send", short=short, local=local),
-                SystemCallFault("recv", "EINTR", times=5, local=local),
-                SystemCallFault("recv", short=short, local=local),
+                SystemCallFault("send", short=short, local=router_address),
+                SystemCallFault("recv", "EINTR", times=5, local=router_address),
+                SystemCallFault("recv", short=short, local=router_address),
             )
             with faults:
                 client.sock.sendall(PING + get() + PING)
-                answers = PONG + b"$5000\r\n" + VALUE + b"\r\n" + PONG
-                got = b""
-                while len(got) < len(answers):
-                    got += await client.read()
-                assert got == answers
+                expected = PONG + b"$5000\r\n" + VALUE + b"\r\n" + PONG
+                received = b""
+                while len(received) < len(expected):
+                    received += await client.read()
+                assert received == expected
                 assert faults.count("send", "short") >= 5 and faults.count("recv", "EINTR") == 5
 
     run_in_virtual_time(monkeypatch, test)
@@ -154,19 +156,19 @@
 def test_resets_during_close_do_not_affect_other_clients(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Ending the stream fails on a connection whose reset was not read yet."""
+    """Shutting down the sending side fails on a connection whose reset was not read yet."""
 
     async def test() -> None:
         async with router(lambda request, writer: None) as bench, AsyncExitStack() as stack:
-            leaving = [await stack.enter_async_context(raw_client(bench)) for _ in range(8)]
-            staying = [await stack.enter_async_context(raw_client(bench)) for _ in range(8)]
+            resetting = [await stack.enter_async_context(raw_client(bench)) for _ in range(8)]
+            others = [await stack.enter_async_context(raw_client(bench)) for _ in range(8)]
             requesting = await stack.enter_async_context(raw_client(bench))
             requesting.sock.sendall(get())
             await wait_until(lambda: bench.cache.received)
-            for one in leaving:
-                reset_connection(one)
+            for client in resetting:
+                reset_connection(client)
             bench.clients.close()
-            assert [await one.read_all() for one in staying] == [b""] * 8
+            assert [await client.read_all() for client in others] == [b""] * 8
             bench.cache.writers[0].write(hit())
             assert await requesting.read_all() == b"$1\r\nv\r\n"
             await asyncio.wait_for(bench.clients.wait_empty(WAIT_TIMEOUT), WAIT_TIMEOUT)
@@ -176,11 +178,11 @@
     run_in_virtual_time(monkeypatch, test)
 
 
-@pytest.mark.parametrize("how", ["reset", "ENOTCONN"])
+@pytest.mark.parametrize("failure", ["reset", "ENOTCONN"])
 def test_new_client_is_served_when_closed_idle_connection_is_broken(
-    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, how: str
+    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, failure: str
 ) -> None:
-    """Ending the stream of the idle connection fails while the new connection is accepted."""
+    """Shutting down the sending side of the idle connection fails while a new one is accepted."""
 
     async def test() -> None:
         async with router(sockets=1) as bench, raw_client(bench) as idle:
@@ -188,16 +190,16 @@
             with ExitStack() as stack:
                 client = RawClient(bench.port)
                 stack.callback(client.sock.close)
-                if how == "reset":
+                if failure == "reset":
                     reset_connection(idle)
                 else:
-                    fault = SystemCallFault("shutdown", how, peer=peer_of(idle))
+                    fault = SystemCallFault("shutdown", failure, peer=client_address(idle))
                     faults = stack.enter_context(SystemCallFaults(fault))
                 client.sock.sendall(PING)
                 assert await client.read() == PONG
                 await wait_until(lambda: not bench.clients.lingering)
-                assert [one.sent_command for one in bench.clients.connections] == [True]
-                assert how == "reset" or faults.count("shutdown") == 1
+                assert [connection.sent_command for connection in bench.clients.connections] == [True]
+                assert failure == "reset" or faults.count("shutdown") == 1
         assert not logged_warnings(caplog)
 
     run_in_virtual_time(monkeypatch, test)
@@ -206,31 +208,31 @@
 def test_failed_disconnect_check_is_repeated(monkeypatch: pytest.MonkeyPatch) -> None:
     """A poll that fails for lack of memory must not stop the checks."""
 
-    class Poll:
+    class FailingPoll:
         """A poll object whose first poll fails."""
 
         def __init__(self) -> None:
-            self.real = select.poll()
+            self.real_poll = select.poll()
 
         def register(self, descriptor: int, events: int) -> None:
-            self.real.register(descriptor, events)
+            self.real_poll.register(descriptor, events)
 
         def poll(self, timeout: float) -> list[tuple[int, int]]:
-            failed.append(True)
-            if len(failed) == 1:
+            polls.append(True)
+            if len(polls) == 1:
                 raise OSError(errno.ENOMEM, "Cannot allocate memory")
-            return self.real.poll(timeout)
+            return self.real_poll.poll(timeout)
 
     async def test() -> None:
         async with router(lambda request, writer: None, sockets=256) as bench, raw_client(bench) as client:
             client.sock.sendall(b"".join(get(b"i%d" % n) for n in range(MAX_PIPELINED_COMMANDS + 1)))
-            await wait_until(lambda: failed)
+            await wait_until(lambda: polls)
             reset_connection(client)
             await wait_until(lambda: not bench.driver.requests)
-            assert len(failed) > 1
+            assert len(polls) > 1
 
-    failed: list[bool] = []
-    fake_select = SimpleNamespace(poll=Poll, POLLRDHUP=select.POLLRDHUP)
+    polls: list[bool] = []
+    fake_select = SimpleNamespace(poll=FailingPoll, POLLRDHUP=select.POLLRDHUP)
     monkeypatch.setattr(listener, "select", fake_select)
     run_in_virtual_time(monkeypatch, test)
 
@@ -251,21 +253,21 @@
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, error: str, call: str
 ) -> None:
     async def test() -> None:
-        served = Console({"HEALTH": lambda _: "+OK"})
-        _, port = await served.listen("127.0.0.1", 0)
+        server = Console({"HEALTH": lambda _: "+OK"})
+        _, port = await server.listen("127.0.0.1", 0)
         with ExitStack() as stack:
             first, second = RawClient(port), RawClient(port)
             stack.callback(first.sock.close)
             stack.callback(second.sock.close)
-            fault = SystemCallFault(call, error, peer=peer_of(first))  # type: ignore[arg-type]
+            fault = SystemCallFault(call, error, peer=client_address(first))  # type: ignore[arg-type]
             with SystemCallFaults(fault) as faults:
                 first.sock.sendall(b"HEALTH\n")
                 await wait_until(lambda: faults.count(call, error))  # type: ignore[arg-type]
                 second.sock.sendall(b"HEALTH\n")
                 assert await second.read_all() == b"+OK\n"
-                await wait_until(lambda: not served.connections)
+                await wait_until(lambda: not server.connections)
                 assert faults.count() == 1
-        served.close()
+        server.close()
         assert not logged_warnings(caplog)
 
     run_in_virtual_time(monkeypatch, test)
@@ -276,8 +278,8 @@
     monkeypatch: pytest.MonkeyPatch, short: int
 ) -> None:
     async def test() -> None:
-        served = Console({"HEALTH": lambda _: "+OK"})
-        _, port = await served.listen("127.0.0.1", 0)
+        server = Console({"HEALTH": lambda _: "+OK"})
+        _, port = await server.listen("127.0.0.1", 0)
         faults = [
             SystemCallFault("send", short=short, local=f"*:{port}"),
             SystemCallFault("recv", "EINTR", times=2, local=f"*:{port}"),
@@ -289,6 +291,6 @@
             assert await caller.read_all() == b"+OK\n"
             caller.sock.close()
             assert injected.count("send", "short") and injected.count("recv", "EINTR") == 2
-        served.close()
+        server.close()
 
     run_in_virtual_time(monkeypatch, test)
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -32,22 +32,22 @@
 
     async def read_all(self) -> bytes:
         """Reads until the end of the stream; raises ConnectionResetError after a reset."""
-        got = b""
+        received = b""
         while chunk := await self.read():
-            got += chunk
-        return got
+            received += chunk
+        return received
 
 
 @asynccontextmanager
 async def raw_client(bench: Bench) -> AsyncIterator[RawClient]:
-    """A client whose connection has been used and is idle."""
-    one = RawClient(bench.port)
+    """Yields a client whose connection has served a command and is idle."""
+    client = RawClient(bench.port)
     try:
-        one.sock.sendall(PING)
-        assert await one.read() == PONG
-        yield one
+        client.sock.sendall(PING)
+        assert await client.read() == PONG
+        yield client
     finally:
-        one.sock.close()
+        client.sock.close()
 
 
 CLOSE_ACTIONS: dict[str, Callable[[Bench], object]] = {
@@ -61,7 +61,7 @@
 def test_request_that_crosses_close_of_idle_connection_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch, sent: bytes, end: Callable[[Bench], object]
 ) -> None:
-    """A close with unread bytes would reset the connection."""
+    """Closing a socket with unread bytes would reset the connection."""
 
     async def test() -> None:
         async with router() as bench, raw_client(bench) as client:
@@ -69,7 +69,7 @@
             client.sock.sendall(sent)  # before the router polls its sockets again
             assert await client.read_all() == b""
             await asyncio.sleep(clients.LINGER_TIMEOUT / 2)
-            client.sock.sendall(sent)  # the router still reads
+            client.sock.sendall(sent)  # the router still reads from the connection
             await asyncio.sleep(3)
             assert not bench.cache.received and not bench.clients.lingering
             assert bench.driver.memory.used == 0
@@ -118,8 +118,8 @@
     async def test() -> None:
         async with router() as bench, raw_client(bench) as client:
             client.sock.sendall(GET[:20])
-            (one,) = bench.clients.connections
-            await wait_until(lambda: one.frames.buffer)
+            (connection,) = bench.clients.connections
+            await wait_until(lambda: connection.frames.buffer)
             bench.clients.close()
             client.sock.sendall(GET[20:])
             assert await client.read_all() == b"-BUSY\r\n"
@@ -138,12 +138,12 @@
     async def test() -> None:
         async with router(lambda request, writer: hit(request[2]), sockets=64) as bench, raw_client(bench):
             queued = [RawClient(bench.port) for _ in range(3)]
-            for at, one in enumerate(queued):
-                one.sock.sendall(sent.replace(b"i1", b"j%d" % at))
-            await bench.clients.shut_down()  # in the same tick
-            for at, one in enumerate(queued):
-                assert await one.read_all() == (b"$2\r\nj%d\r\n" % at if sent else b"")
-                one.sock.close()
+            for index, client in enumerate(queued):
+                client.sock.sendall(sent.replace(b"i1", b"j%d" % index))
+            await bench.clients.shut_down()  # before the event loop accepts the queued clients
+            for index, client in enumerate(queued):
+                assert await client.read_all() == (b"$2\r\nj%d\r\n" % index if sent else b"")
+                client.sock.close()
             await asyncio.wait_for(bench.clients.wait_empty(60), 60)
             assert not bench.clients.connections and len(bench.cache.received) == (3 if sent else 0)
 
@@ -192,8 +192,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        long = hit(bytes(200_000))
-        answers = {b"i1": hit(b"whole"), b"i2": long[:100_000]}
+        long_answer = hit(bytes(200_000))
+        answers = {b"i1": hit(b"whole"), b"i2": long_answer[:100_000]}
         async with router(lambda request, writer: answers[request[2]]) as bench, raw_client(bench) as client:
             client.sock.sendall(GET + GET.replace(b"i1", b"i2"))
             await wait_until(lambda: len(bench.cache.received) == 2)
@@ -201,8 +201,8 @@
             client.sock.sendall(GET.replace(b"i1", b"i3"))
             for writer in bench.cache.writers:
                 writer.transport.abort()
-            got = await client.read_all()
-            assert got.startswith(b"$5\r\nwhole\r\n$200000\r\n") and len(got) < 200_000
+            received = await client.read_all()
+            assert received.startswith(b"$5\r\nwhole\r\n$200000\r\n") and len(received) < 200_000
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -215,11 +215,11 @@
         async with router(lambda request, writer: hit(value)) as bench, raw_client(bench) as client:
             client.sock.sendall(GET + resp.command(b"QUIT"))
             await asyncio.sleep(1)
-            got = bytearray()
+            received = bytearray()
             while chunk := await client.read(1 << 18):
-                got += chunk
+                received += chunk
                 await asyncio.sleep(0.5)
-            assert len(got) == len(value) + len(b"$8388608\r\n\r\n+OK\r\n")
+            assert len(received) == len(value) + len(b"$8388608\r\n\r\n+OK\r\n")
             await asyncio.sleep(2 * clients.WRITE_STALL_TIMEOUT)  # the client keeps the connection open
             assert not bench.clients.lingering and bench.driver.memory.used == 0
 
@@ -296,9 +296,11 @@
 
     async def test() -> None:
         async with router(lambda request, writer: None, sockets=128) as bench, raw_client(bench) as client:
-            (one,) = bench.clients.connections
-            assert one.transport is not None
-            one.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 15)
+            (connection,) = bench.clients.connections
+            assert connection.transport is not None
+            connection.transport.get_extra_info("socket").setsockopt(
+                socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 15
+            )
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
             names = [b"j%d" % n for n in range(5)]
             client.sock.sendall(b"".join(GET.replace(b"i1", name) for name in names) + resp.command(b"QUIT"))
@@ -311,12 +313,12 @@
             ]:
                 writer.write(hit(bytes(60_000)))
                 await asyncio.sleep(0.1)
-            assert one.write_paused and one.phase is clients.Phase.LINGERING
-            got = bytearray()
+            assert connection.write_paused and connection.phase is clients.Phase.LINGERING
+            received = bytearray()
             while chunk := await client.read(1 << 14):
-                got += chunk
+                received += chunk
                 await asyncio.sleep(0.1)
-            assert got.endswith(b"+OK\r\n") and got.count(b"$60000\r\n") == len(names)
+            assert received.endswith(b"+OK\r\n") and received.count(b"$60000\r\n") == len(names)
             await asyncio.sleep(2 * clients.WRITE_STALL_TIMEOUT)
             assert not bench.clients.lingering and bench.driver.memory.used == 0
 
@@ -394,7 +396,7 @@
 
 
 @pytest.mark.parametrize(
-    ("head", "more", "from_origin"),
+    ("start", "repeated", "from_origin"),
     [
         *((*one, False) for one in ENDLESS_CACHE_ANSWERS.values()),
         *((*one, True) for one in ENDLESS_ORIGIN_ANSWERS.values()),
@@ -402,29 +404,29 @@
     ids=[*ENDLESS_CACHE_ANSWERS, *ENDLESS_ORIGIN_ANSWERS],
 )
 def test_endless_answer_is_bounded_in_time_and_memory(
-    monkeypatch: pytest.MonkeyPatch, head: bytes, more: bytes, from_origin: bool
+    monkeypatch: pytest.MonkeyPatch, start: bytes, repeated: bytes, from_origin: bool
 ) -> None:
     async def test() -> None:
-        async def endless(writer: asyncio.StreamWriter) -> None:
-            writer.write(head)
+        async def send_endlessly(writer: asyncio.StreamWriter) -> None:
+            writer.write(start)
             while not writer.transport.is_closing():
-                writer.write(more)
+                writer.write(repeated)
                 await asyncio.sleep(0.01)
 
-        def begin(request: object, writer: asyncio.StreamWriter) -> None:
-            tasks.append(asyncio.get_running_loop().create_task(endless(writer)))
+        def start_sending(request: object, writer: asyncio.StreamWriter) -> None:
+            tasks.append(asyncio.get_running_loop().create_task(send_endlessly(writer)))
 
         tasks: list[asyncio.Task[None]] = []
-        cache_answer = (lambda request, writer: MISS) if from_origin else begin
+        cache_answer = (lambda request, writer: MISS) if from_origin else start_sending
         async with router(
-            cache_answer, origin=begin if from_origin else lambda request, writer: http(503)
+            cache_answer, origin=start_sending if from_origin else lambda request, writer: http(503)
         ) as bench:
             caller = await bench.caller()
-            started = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             caller.get(info=b"c=read,t=acme,d=3000")
             answer = await caller.answer()
             assert str(answer).startswith("BUSY") or str(answer) == "ERR failed"
-            assert asyncio.get_running_loop().time() - started <= 3.0
+            assert asyncio.get_running_loop().time() - started_at <= 3.0
             await asyncio.sleep(1)
             assert all(task.done() for task in tasks) and len(tasks) <= 4
             assert not bench.driver.requests and bench.driver.memory.used == 0
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -14,44 +14,46 @@
 DETECTION_TIME = 0.1  # seconds after a disconnect from which on no attempt may start
 
 
-def disconnect(caller: Caller, how: str) -> None:
-    """Closes or resets a client's connection, or ends only its sending."""
+def disconnect(caller: Caller, ending: str) -> None:
+    """Closes or resets a client's connection, or shuts down only its sending side."""
     sock = caller.writer.transport.get_extra_info("socket")
-    if how == "resets":
+    if ending == "resets":
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-    elif how == "ends its sending":
+    elif ending == "ends its sending":
         sock.shutdown(socket.SHUT_WR)
         return
     caller.writer.transport.abort()
 
 
 async def check_nothing_starts(
-    bench: Bench, caller: Caller, how: str, then: Callable[[], Any] = lambda: None
+    bench: Bench, caller: Caller, ending: str, trigger: Callable[[], Any] = lambda: None
 ) -> None:
-    """Disconnects the client and checks that no attempt starts after DETECTION_TIME, whatever `then` does."""
-    disconnect(caller, how)
+    """Disconnects the client, waits, calls `trigger` and checks that no attempt starts any more."""
+    disconnect(caller, ending)
     await asyncio.sleep(DETECTION_TIME)
-    before = len(bench.cache.received) + len(bench.origin.received)
-    then()
+    attempts_before = len(bench.cache.received) + len(bench.origin.received)
+    trigger()
     await asyncio.sleep(2 * clients.WRITE_STALL_TIMEOUT)
-    assert len(bench.cache.received) + len(bench.origin.received) == before
+    assert len(bench.cache.received) + len(bench.origin.received) == attempts_before
     assert not bench.driver.requests and bench.driver.memory.used == 0 and not bench.driver.balancer.jobs
 
 
 def answer_all(bench: Bench, answer: bytes) -> Callable[[], None]:
-    def write() -> None:
+    def write_answer() -> None:
         for writer in bench.cache.writers:
             if not writer.transport.is_closing():
                 writer.write(answer)
 
-    return write
+    return write_answer
 
 
-DISCONNECTS = pytest.mark.parametrize("how", ["closes", "resets", "ends its sending"])
+DISCONNECTS = pytest.mark.parametrize("ending", ["closes", "resets", "ends its sending"])
 
 
 @DISCONNECTS
-def test_commands_behind_full_pipeline_are_not_processed(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+def test_commands_behind_full_pipeline_are_not_processed(
+    monkeypatch: pytest.MonkeyPatch, ending: str
+) -> None:
     """Reading is paused, so the end of the stream is not read."""
 
     async def test() -> None:
@@ -62,16 +64,16 @@
             await asyncio.sleep(0.01)
             (client,) = bench.clients.connections
             assert len(client.slots) == clients.MAX_PIPELINED_COMMANDS and client.frames.buffer
-            await check_nothing_starts(bench, caller, how, answer_all(bench, hit()))
+            await check_nothing_starts(bench, caller, ending, answer_all(bench, hit()))
 
     run_in_virtual_time(monkeypatch, test)
 
 
 @DISCONNECTS
 def test_miss_is_not_forwarded_when_client_leaves_behind_full_pipeline(
-    monkeypatch: pytest.MonkeyPatch, how: str
+    monkeypatch: pytest.MonkeyPatch, ending: str
 ) -> None:
-    """The end of the stream is behind unread input, so it has to be polled for."""
+    """The end of the stream follows unread input, so that only a poll of the socket detects it."""
 
     async def test() -> None:
         async with router(lambda request, writer: None, sockets=256) as bench:
@@ -81,14 +83,14 @@
             await asyncio.sleep(0.01)
             caller.get(name=b"unread")
             await asyncio.sleep(0.01)
-            await check_nothing_starts(bench, caller, how, answer_all(bench, MISS))
+            await check_nothing_starts(bench, caller, ending, answer_all(bench, MISS))
 
     run_in_virtual_time(monkeypatch, test)
 
 
 @DISCONNECTS
 def test_disconnect_of_client_that_reads_nothing_is_detected(
-    monkeypatch: pytest.MonkeyPatch, how: str
+    monkeypatch: pytest.MonkeyPatch, ending: str
 ) -> None:
     """Unread answers must not keep the connection and the requests behind them alive."""
 
@@ -105,35 +107,35 @@
             await asyncio.sleep(0.1)
             (client,) = bench.clients.connections
             assert client.write_paused
-            await check_nothing_starts(bench, caller, how, answer_all(bench, MISS))
+            await check_nothing_starts(bench, caller, ending, answer_all(bench, MISS))
 
     run_in_virtual_time(monkeypatch, test)
 
 
 @DISCONNECTS
-def test_disconnect_after_quit_is_detected(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+def test_disconnect_after_quit_is_detected(monkeypatch: pytest.MonkeyPatch, ending: str) -> None:
     async def test() -> None:
         async with router(lambda request, writer: None) as bench:
             caller = await bench.caller()
             caller.get()
             caller.send(b"QUIT")
             await asyncio.sleep(0.01)
-            await check_nothing_starts(bench, caller, how, answer_all(bench, MISS))
+            await check_nothing_starts(bench, caller, ending, answer_all(bench, MISS))
 
     run_in_virtual_time(monkeypatch, test)
 
 
 @DISCONNECTS
-def test_request_waiting_for_token_is_dropped(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+def test_request_waiting_for_token_is_dropped(monkeypatch: pytest.MonkeyPatch, ending: str) -> None:
     async def test() -> None:
         async with router(lambda request, writer: MISS, origin=lambda request, writer: http(503)) as bench:
-            first = await bench.caller()
+            first_caller = await bench.caller()
             balancer = bench.driver.balancer
             n = 0
             while balancer.monitor.throttle is None:
                 n += 1
-                first.get(b"k%d" % n, b"a%d" % n)
-                await first.answer()
+                first_caller.get(b"k%d" % n, b"a%d" % n)
+                await first_caller.answer()
                 await asyncio.sleep(0.5)
                 assert n < 40
             throttle = balancer.monitor.throttle
@@ -142,26 +144,28 @@
             caller.get(b"fresh", b"waits")
             await asyncio.sleep(0.01)
             assert "waits" in throttle.queue
-            await check_nothing_starts(bench, caller, how)
+            await check_nothing_starts(bench, caller, ending)
 
     run_in_virtual_time(monkeypatch, test)
 
 
 @DISCONNECTS
-def test_write_waiting_for_retry_is_dropped(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+def test_write_waiting_for_retry_is_dropped(monkeypatch: pytest.MonkeyPatch, ending: str) -> None:
     async def test() -> None:
         async with router(origin=lambda request, writer: http(503, b"", b"X-Rejected: 1\r\n")) as bench:
             caller = await bench.caller()
             caller.send(b"C.SET", b"k", b"w", b"c=put,t=acme,d=9000,k=1", b"value")
             await asyncio.sleep(0.05)
             assert len(bench.origin.received) == 1 and bench.driver.requests
-            await check_nothing_starts(bench, caller, how)
+            await check_nothing_starts(bench, caller, ending)
 
     run_in_virtual_time(monkeypatch, test)
 
 
 @DISCONNECTS
-def test_request_waiting_for_fetch_of_another_is_dropped(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+def test_request_waiting_for_fetch_of_another_is_dropped(
+    monkeypatch: pytest.MonkeyPatch, ending: str
+) -> None:
     async def test() -> None:
         async with router(lambda request, writer: MISS, origin=lambda request, writer: None) as bench:
             fetcher, caller = await bench.caller(), await bench.caller()
@@ -170,15 +174,14 @@
             caller.get(name=b"i2")
             await asyncio.sleep(0.01)
             assert len(bench.origin.received) == 1
-            disconnect(caller, how)
+            disconnect(caller, ending)
             await asyncio.sleep(DETECTION_TIME)
-            before = len(bench.cache.received)
-            bench.origin.writers[
-                0
-            ].transport.abort()  # the fetch fails and is retried for its own client only
+            attempts_before = len(bench.cache.received)
+            # The fetch fails and is retried only for the client that started it.
+            bench.origin.writers[0].transport.abort()
             await asyncio.sleep(8)
             requested = [one[2][b"x-call-id"] for one in bench.origin.received]
-            assert set(requested) == {b"i1"} and len(bench.cache.received) == before
+            assert set(requested) == {b"i1"} and len(bench.cache.received) == attempts_before
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -187,9 +190,9 @@
     async def test() -> None:
         async with router(lambda request, writer: None, sockets=256) as bench:
             callers = [await bench.caller() for _ in range(20)]
-            for at, caller in enumerate(callers):
+            for index, caller in enumerate(callers):
                 for n in range(40):
-                    caller.get(name=b"i%d-%d" % (at, n))
+                    caller.get(name=b"i%d-%d" % (index, n))
             await asyncio.sleep(0.01)
             for caller in callers[1:]:
                 disconnect(caller, "closes")
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Clients that use all of their descriptors do not affect discovery, servers and operators."""
+"""Clients that use all descriptors reserved for them do not block discovery, servers and operators."""
 
 import asyncio
 import contextlib
@@ -48,7 +48,8 @@
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, dict[str, tuple[str, int]], list[str]]]:
     """Runs the program with a limit on its descriptors; yields it, the addresses that it logs, and its log.
 
-    changes: changes to its configuration; `faults`: system calls that fail, recorded in the file `injected`.
+    changes: changes to its configuration; `faults` lists system calls that fail, which are recorded in the
+    file `injected`.
     """
     faults: list[SystemCallFault] = changes.pop("faults", [])
     launcher = "applehub.lab.fleet.system_call_faults " if faults else ""
@@ -61,24 +62,24 @@
     addresses: dict[str, tuple[str, int]] = {}
     lines: list[str] = []
 
-    async def read(stream: asyncio.StreamReader) -> None:
+    async def read_log(stream: asyncio.StreamReader) -> None:
         while line := (await stream.readline()).decode():
             lines.append(line)
-            for words in ("listening on", "operators call at"):
-                if words in line:
+            for phrase in ("listening on", "operators call at"):
+                if phrase in line:
                     host, _, port = line.rsplit(" ", 1)[1].strip().rpartition(":")
-                    addresses[words] = host, int(port)
+                    addresses[phrase] = host, int(port)
 
-    reading = asyncio.create_task(read(running.stderr))
+    log_task = asyncio.create_task(read_log(running.stderr))
     try:
-        wanted = 1 + ("console" in changes)
-        await wait_until(lambda: len(addresses) == wanted or running.returncode is not None)
+        expected_addresses = 1 + ("console" in changes)
+        await wait_until(lambda: len(addresses) == expected_addresses or running.returncode is not None)
         yield running, addresses, lines
     finally:
         with contextlib.suppress(ProcessLookupError):
             running.terminate()
         await asyncio.wait_for(running.wait(), WAIT_TIMEOUT)
-        await reading
+        await log_task
 
 
 async def connect_client(address: tuple[str, int]) -> Caller:
@@ -91,61 +92,69 @@
     """Discovery, servers and operators are reachable once discovery is up."""
     cache = Cache(lambda request, writer: hit())
     await cache.start()
-    unused = socket.create_server(("127.0.0.1", 0))  # its port is that of discovery, which is not up yet
-    port = unused.getsockname()[1]
-    unused.close()
+    reserved = socket.create_server(("127.0.0.1", 0))  # reserves the port on which discovery starts later
+    port = reserved.getsockname()[1]
+    reserved.close()
     known = listing(3, entry("c0", cache.address))
-    more = {"console": "127.0.0.1:0", "limits": {"sockets": 128}, "known": known}
+    changes = {"console": "127.0.0.1:0", "limits": {"sockets": 128}, "known": known}
     tmp = tmp_path / "tmp"
     tmp.mkdir()
-    async with running_program(tmp_path, 128, discovery=f"127.0.0.1:{port}", **more) as (running, at, lines):
-        idle = [await connect_client(at["listening on"]) for _ in range(300)]
-        for one in idle:
-            one.send(b"PING")
+    async with running_program(tmp_path, 128, discovery=f"127.0.0.1:{port}", **changes) as (
+        running,
+        addresses,
+        lines,
+    ):
+        idle = [await connect_client(addresses["listening on"]) for _ in range(300)]
+        for caller in idle:
+            caller.send(b"PING")
         rejected = 0
-        for one in idle:
+        for caller in idle:
             with contextlib.suppress(OSError):
-                rejected += await one.answer() != b"PONG"
+                rejected += await caller.answer() != b"PONG"
         assert rejected  # all connections were in use
-        used = psutil.Process(running.pid).num_fds()
-        assert used <= 128
+        descriptors_in_use = psutil.Process(running.pid).num_fds()
+        assert descriptors_in_use <= 128
         discovery_server = Web(lambda request, writer: http_list(9, entry("c0", cache.address)))
         discovery_server.server = await asyncio.start_server(discovery_server._serve, "127.0.0.1", port)
         await wait_until(lambda: discovery_server.received)
-        console = await connect_client(at["operators call at"])
+        console = await connect_client(addresses["operators call at"])
         console.writer.write(b"HEALTH\n")
         assert await asyncio.wait_for(console.reader.readline(), WAIT_TIMEOUT) == b"+OK\n"
-        served = next(one for one in idle if not one.reader.at_eof())
-        served.get()
-        assert await served.answer() == b"v"
+        open_caller = next(caller for caller in idle if not caller.reader.at_eof())
+        open_caller.get()
+        assert await open_caller.answer() == b"v"
         assert not [line for line in lines if "Too many open files" in line]
-        for one in [*idle, console]:
-            one.writer.transport.abort()
+        for caller in [*idle, console]:
+            caller.writer.transport.abort()
         await discovery_server.stop()
     await cache.stop()
 
 
 async def test_router_recovers_from_lack_of_descriptors_without_busy_loop(tmp_path: Path) -> None:
-    """The limit of the process is lower than configured: accept fails, and succeeds once some are free."""
+    """The process has fewer descriptors than configured; accept fails until some of them are closed."""
     known = listing(3, entry("c0", "127.0.0.1:1"))
-    web = Web(lambda request, writer: None if len(web.received) > 1 else http(503))
-    await web.start()
-    async with running_program(tmp_path, 40, discovery=web.address, known=known) as (running, at, lines):
+    discovery_server = Web(lambda request, writer: None if len(discovery_server.received) > 1 else http(503))
+    await discovery_server.start()
+    async with running_program(tmp_path, 40, discovery=discovery_server.address, known=known) as (
+        running,
+        addresses,
+        lines,
+    ):
         process = psutil.Process(running.pid)
-        many = [await connect_client(at["listening on"]) for _ in range(80)]
-        for one in many[:10]:
-            one.send(b"PING")
-            assert await one.answer() == b"PONG"
+        callers = [await connect_client(addresses["listening on"]) for _ in range(80)]
+        for caller in callers[:10]:
+            caller.send(b"PING")
+            assert await caller.answer() == b"PONG"
         await wait_until(lambda: [line for line in lines if "accept fails" in line])
-        before = sum(process.cpu_times()[:2])
+        cpu_before = sum(process.cpu_times()[:2])
         await asyncio.sleep(1.0)  # only the retries of accept are running
-        assert sum(process.cpu_times()[:2]) - before < 0.25
+        assert sum(process.cpu_times()[:2]) - cpu_before < 0.25
         assert len([line for line in lines if "accept" in line]) == 1
-        for one in many:
-            one.writer.transport.abort()
-        again = await connect_client(at["listening on"])
-        again.send(b"PING")
-        assert await again.answer() == b"PONG"
+        for caller in callers:
+            caller.writer.transport.abort()
+        new_caller = await connect_client(addresses["listening on"])
+        new_caller.send(b"PING")
+        assert await new_caller.answer() == b"PONG"
         assert running.returncode is None and os.getpid() != running.pid
-        again.writer.transport.abort()
-    await web.stop()
+        new_caller.writer.transport.abort()
+    await discovery_server.stop()
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -29,7 +29,7 @@
 STALL_SECONDS = 0.15
 MAX_EXCESS_SECONDS = 0.15  # by which a notified deadline may exceed the time that the client has left
 DEADLINE_MS = 900
-DETECTION_TIME = 0.1  # seconds after the client's close from which on no attempt may start
+DETECTION_TIME = 0.1  # seconds after a client's close from which on no attempt may start
 DRAIN_GRACE = 0.5  # seconds after a list update within which an attempt may still start
 
 
@@ -46,11 +46,12 @@
 class Stalls:
     """Stalls the process between encoding an attempt, which computes the notified deadline, and writing it.
 
-    at: attempts at which it stalls, counted from 1 over all servers. on_stall: called when a stall starts.
+    stalled_attempts: numbers of the attempts at which it stalls, counted from 1 over all servers.
+    on_stall: called when a stall starts.
     """
 
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, *at: int) -> None:
-        self.at, self.encoded = at, 0
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, *stalled_attempts: int) -> None:
+        self.stalled_attempts, self.encoded = stalled_attempts, 0
         self.on_stall: Callable[[], None] = lambda: None
         self.started: list[float] = []
         for connection_class in (CacheConnection, OriginConnection):
@@ -61,7 +62,7 @@
             chunks = encode(connection, exchange)
             first = next(chunks)
             self.encoded += 1
-            if self.encoded in self.at:
+            if self.encoded in self.stalled_attempts:
                 self.started.append(now())
                 self.on_stall()
                 stall_process()
@@ -80,12 +81,12 @@
             peer.answer = self._recording(peer.answer)
 
     def _recording(self, answer: Any) -> Any:
-        def recorded(request: Any, writer: asyncio.StreamWriter) -> bytes | None:
+        def record_and_answer(request: Any, writer: asyncio.StreamWriter) -> bytes | None:
             self.received.append((now(), request))
-            got: bytes | None = answer(request, writer)
-            return got
+            answered: bytes | None = answer(request, writer)
+            return answered
 
-        return recorded
+        return record_and_answer
 
 
 def notified_seconds(request: Any) -> float:
@@ -99,34 +100,34 @@
     run_in_virtual_time(monkeypatch, test)
 
 
-@pytest.mark.parametrize("at", [1, 2, 3])
+@pytest.mark.parametrize("stalled_attempt", [1, 2, 3])
 def test_notified_deadline_does_not_exceed_time_left_after_stall(
-    monkeypatch: pytest.MonkeyPatch, at: int
+    monkeypatch: pytest.MonkeyPatch, stalled_attempt: int
 ) -> None:
-    """Covers a first attempt, one on a reused connection, a fetch, and a retry after a disconnect."""
+    """Covers a first attempt, an attempt on a reused connection, a fetch, and a retry after a disconnect."""
 
     async def test() -> None:
-        stalls = Stalls(monkeypatch, at)
+        stalls = Stalls(monkeypatch, stalled_attempt)
         answers: list[Any] = [MISS, None, MISS]
 
         def answer(request: Any, writer: asyncio.StreamWriter) -> bytes | None:
             if answers[0] is None:
                 writer.transport.abort()
-            got: bytes | None = answers.pop(0)
-            return got
+            scripted: bytes | None = answers.pop(0)
+            return scripted
 
         async with router(answer) as bench:
             attempts = AttemptTimes(bench.cache, bench.origin)
             caller = await bench.caller()
             for n in range(2):
-                started = now()
-                first = len(attempts.received)
+                started_at = now()
+                first_index = len(attempts.received)
                 caller.get(name=b"i%d" % n, info=b"c=read,t=acme,d=%d" % DEADLINE_MS)
                 assert await caller.answer() == b"from origin"
-                for when, request in attempts.received[first:]:
+                for received_at, request in attempts.received[first_index:]:
                     assert (
                         notified_seconds(request)
-                        <= DEADLINE_MS / 1000 - (when - started) + MAX_EXCESS_SECONDS
+                        <= DEADLINE_MS / 1000 - (received_at - started_at) + MAX_EXCESS_SECONDS
                     )
                 await asyncio.sleep(0.05)
             assert stalls.started and len(attempts.received) >= 4
@@ -138,7 +139,7 @@
 def test_notified_deadline_is_bounded_for_stall_before_request_is_read(
     monkeypatch: pytest.MonkeyPatch, reused: bool
 ) -> None:
-    """The bytes wait in the kernel while the process stalls."""
+    """The request waits in the kernel while the process stalls."""
 
     async def test() -> None:
         async with router() as bench:
@@ -148,12 +149,15 @@
                 caller.get(name=b"i0")
                 assert await caller.answer() == b"v"
             await asyncio.sleep(0.05)
-            started = now()
+            started_at = now()
             caller.get(name=b"i1", info=b"c=read,t=acme,d=%d" % DEADLINE_MS)
             stall_process()
             assert await caller.answer() == b"v"
-            when, request = attempts.received[-1]
-            assert notified_seconds(request) <= DEADLINE_MS / 1000 - (when - started) + MAX_EXCESS_SECONDS
+            received_at, request = attempts.received[-1]
+            assert (
+                notified_seconds(request)
+                <= DEADLINE_MS / 1000 - (received_at - started_at) + MAX_EXCESS_SECONDS
+            )
 
     run(monkeypatch, test)
 
@@ -164,26 +168,28 @@
     async def test() -> None:
         start = Pool.start
 
-        def stalled(pool: Pool, exchange: Exchange) -> bool:
+        def stall_and_start(pool: Pool, exchange: Exchange) -> bool:
             stall_process()
             return start(pool, exchange)
 
-        monkeypatch.setattr(Pool, "start", stalled)
+        monkeypatch.setattr(Pool, "start", stall_and_start)
         async with router() as bench:
             attempts = AttemptTimes(bench.cache)
             caller = await bench.caller()
-            started = now()
+            started_at = now()
             caller.get(info=b"c=read,t=acme,d=%d" % DEADLINE_MS)
             assert await caller.answer() == b"v"
-            ((when, request),) = attempts.received
-            assert notified_seconds(request) <= DEADLINE_MS / 1000 - (when - started)
+            ((received_at, request),) = attempts.received
+            assert notified_seconds(request) <= DEADLINE_MS / 1000 - (received_at - started_at)
 
     run(monkeypatch, test)
 
 
 @pytest.mark.parametrize("reused", [False, True])
-@pytest.mark.parametrize("after", [0.3, 0.6, 0.8, 0.84, 0.86, 0.95, 0.99])
-def test_retry_starts_within_its_window(monkeypatch: pytest.MonkeyPatch, after: float, reused: bool) -> None:
+@pytest.mark.parametrize("failure_delay", [0.3, 0.6, 0.8, 0.84, 0.86, 0.95, 0.99])
+def test_retry_starts_within_its_window(
+    monkeypatch: pytest.MonkeyPatch, failure_delay: float, reused: bool
+) -> None:
     """The first attempt fails shortly before the window ends, and the process stalls before the retry.
 
     A retry after the window could be executed twice.
@@ -198,7 +204,7 @@
             if failed or request[0] == b"GET":
                 return http(200, b"receipt")
             failed = True
-            asyncio.get_running_loop().call_later(after, writer.transport.abort)
+            asyncio.get_running_loop().call_later(failure_delay, writer.transport.abort)
             return None
 
         async with router(lambda request, writer: MISS, fail_first) as bench:
@@ -217,47 +223,51 @@
             caller.send(b"C.SET", b"k", b"w1", b"c=put,t=acme,d=9000,k=1", b"value")
             answer = await caller.answer()
             assert answer == b"receipt" or str(answer) in ("ERR failed", "BUSY")
-            started = [when for when, _ in attempts.received]
-            assert started[-1] - started[0] < window
-            assert (answer == b"receipt") == (len(started) == 2)
-            assert len(started) == 2 or after > 0.3
-            assert len(started) == 1 or stalls.started
+            attempt_times = [received_at for received_at, _ in attempts.received]
+            assert attempt_times[-1] - attempt_times[0] < window
+            assert (answer == b"receipt") == (len(attempt_times) == 2)
+            assert len(attempt_times) == 2 or failure_delay > 0.3
+            assert len(attempt_times) == 1 or stalls.started
 
     run(monkeypatch, test)
 
 
-@pytest.mark.parametrize("place", ["first", "reused", "fetch", "retry", "write"])
+@pytest.mark.parametrize("stalled_at", ["first", "reused", "fetch", "retry", "write"])
 def test_no_attempt_starts_for_client_that_left_during_stall(
-    monkeypatch: pytest.MonkeyPatch, place: str
+    monkeypatch: pytest.MonkeyPatch, stalled_at: str
 ) -> None:
     """The client's close is not read yet when the stall ends."""
 
     async def test() -> None:
-        left = False
-        answer: dict[str, Any] = {"fetch": lambda request, writer: MISS, "retry": _abort_attempt}
-        async with router(answer.get(place, lambda request, writer: hit())) as bench:
+        disconnected = False
+        answers_by_place: dict[str, Any] = {"fetch": lambda request, writer: MISS, "retry": _abort_attempt}
+        async with router(answers_by_place.get(stalled_at, lambda request, writer: hit())) as bench:
             caller = await bench.caller()
-            if place == "reused":
+            if stalled_at == "reused":
                 caller.get(name=b"i0")
                 assert await caller.answer() == b"v"
                 await asyncio.sleep(0.05)
-            stalls = Stalls(monkeypatch, 2 if place in ("fetch", "retry") else 1)
+            stalls = Stalls(monkeypatch, 2 if stalled_at in ("fetch", "retry") else 1)
 
-            def leave() -> None:
-                nonlocal left
-                left = True
+            def disconnect() -> None:
+                nonlocal disconnected
+                disconnected = True
                 _close_now(caller)
 
-            stalls.on_stall = leave
+            stalls.on_stall = disconnect
             attempts = AttemptTimes(bench.cache, bench.origin)
-            if place == "write":
+            if stalled_at == "write":
                 caller.send(b"C.SET", b"k", b"i1", b"c=put,t=acme,d=9000,k=1", b"value")
             else:
                 caller.get()
             await asyncio.sleep(1.0)
-            assert left and not bench.driver.requests and not bench.driver.balancer.jobs
-            late = [when for when, _ in attempts.received if when - stalls.started[0] > DETECTION_TIME]
-            assert not late
+            assert disconnected and not bench.driver.requests and not bench.driver.balancer.jobs
+            late_attempts = [
+                received_at
+                for received_at, _ in attempts.received
+                if received_at - stalls.started[0] > DETECTION_TIME
+            ]
+            assert not late_attempts
             assert bench.driver.balancer.server_table.servers["c0"].in_flight == 0
             # Other clients are served.
             other = await bench.caller()
@@ -286,7 +296,7 @@
 def test_disconnect_of_paused_client_is_detected_after_stall(
     monkeypatch: pytest.MonkeyPatch, pipelined: bool
 ) -> None:
-    """The end of the stream is behind unread requests, or behind none."""
+    """The end of the stream follows unread requests or, if `pipelined` is false, no unread data."""
 
     async def test() -> None:
         async with router(lambda request, writer: None) as bench:
@@ -295,28 +305,28 @@
                 caller.get(b"k%d" % n, b"i%d" % n)
             await asyncio.sleep(0.02)
             attempts = AttemptTimes(bench.cache, bench.origin)
-            closed = now()
+            closed_at = now()
             _close_now(caller)
             stall_process()
             for writer in bench.cache.writers:
                 writer.write(hit())
             await asyncio.sleep(1.0)
-            assert all(when - closed <= DETECTION_TIME for when, _ in attempts.received)
+            assert all(received_at - closed_at <= DETECTION_TIME for received_at, _ in attempts.received)
             assert not bench.driver.balancer.jobs
 
     run(monkeypatch, test)
 
 
-@pytest.mark.parametrize("how", ["Terminating", "Gone"])
+@pytest.mark.parametrize("state", ["Terminating", "Gone"])
 @pytest.mark.parametrize("reused", [False, True])
 def test_no_attempt_starts_at_draining_server_after_grace_period(
-    monkeypatch: pytest.MonkeyPatch, how: str, reused: bool
+    monkeypatch: pytest.MonkeyPatch, state: str, reused: bool
 ) -> None:
-    """Discovery sends the update when the stall starts; only the stalled attempt is sent after it."""
+    """Discovery sends the update when the stall starts; only the stalled attempt is sent after the update."""
 
     async def test() -> None:
         async with router() as bench:
-            service = DrainingDiscovery(bench, how)
+            service = DrainingDiscovery(bench, state)
             watch = Watch([await service.start()], bench.directory, 1, False)
             watch.start()
             await asyncio.wait_for(service.call_event.wait(), 5)
@@ -334,10 +344,10 @@
                 answer = await caller.answer()
                 assert answer in (b"v", b"from origin") or str(answer).startswith("BUSY")
                 await asyncio.sleep(0.05)
-            (changed,) = stalls.started
-            started = [when - changed for when, _ in attempts.received]
-            assert started[0] == pytest.approx(STALL_SECONDS, abs=0.01)
-            assert max(started) <= STALL_SECONDS + 0.1 < DRAIN_GRACE
+            (changed_at,) = stalls.started
+            attempt_delays = [received_at - changed_at for received_at, _ in attempts.received]
+            assert attempt_delays[0] == pytest.approx(STALL_SECONDS, abs=0.01)
+            assert max(attempt_delays) <= STALL_SECONDS + 0.1 < DRAIN_GRACE
             watch.stop()
             service.server.close()
 
@@ -347,15 +357,15 @@
 class DrainingDiscovery(FaultyDiscovery):
     """Discovery with one server, which starts to drain."""
 
-    def __init__(self, bench: Bench, how: str) -> None:
+    def __init__(self, bench: Bench, final_state: str) -> None:
         super().__init__()
-        self.bench, self.to, self.rev = bench, how, 6
+        self.bench, self.final_state, self.rev = bench, final_state, 6
 
-    async def _answer(self, writer: asyncio.StreamWriter, how: str, since: int, hold: float) -> bool:
+    async def _answer(self, writer: asyncio.StreamWriter, behaviour: str, since: int, hold: float) -> bool:
         if since == self.rev:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.change_event.wait(), hold)
-        state = "Ready" if self.rev == 6 else self.to
+        state = "Ready" if self.rev == 6 else self.final_state
         targets = [
             entry("c0", self.bench.cache.address, state=state),
             entry("o", self.bench.origin.address, model="origin"),
@@ -370,17 +380,17 @@
     async def test() -> None:
         fill = Slot.fill
 
-        def stalled(slot: Slot, answer: bytes) -> None:
+        def stall_and_fill(slot: Slot, answer: bytes) -> None:
             stall_process()
             fill(slot, answer)
 
-        monkeypatch.setattr(Slot, "fill", stalled)
+        monkeypatch.setattr(Slot, "fill", stall_and_fill)
         async with router(lambda request, writer: None) as bench:
             caller = await bench.caller()
-            started = now()
+            started_at = now()
             caller.get(info=b"c=once,t=acme,d=%d" % DEADLINE_MS)
             assert str(await caller.answer()) == "ERR failed"
-            assert now() - started <= DEADLINE_MS / 1000 + 0.5
+            assert now() - started_at <= DEADLINE_MS / 1000 + 0.5
 
     run(monkeypatch, test)
 
@@ -389,21 +399,21 @@
     """The router reserves 0.3 s between the last answers and SIGKILL."""
 
     async def test() -> None:
-        end = Driver._end_all
+        end_all = Driver._end_all
 
-        def stalled(driver: Driver) -> None:
+        def stall_and_end(driver: Driver) -> None:
             stall_process()
-            end(driver)
+            end_all(driver)
 
-        monkeypatch.setattr(Driver, "_end_all", stalled)
+        monkeypatch.setattr(Driver, "_end_all", stall_and_end)
         async with router(lambda request, writer: None) as bench:
             caller = await bench.caller()
             caller.get(info=b"c=read,t=acme,d=9000")
             await asyncio.sleep(0.1)
-            killed = now() + 3.7
-            bench.driver.stop(killed - 0.3 - now())
+            killed_at = now() + 3.7
+            bench.driver.stop(killed_at - 0.3 - now())
             answer = await caller.answer()
-            assert isinstance(answer, Exception) and now() <= killed - 0.14
+            assert isinstance(answer, Exception) and now() <= killed_at - 0.14
 
     run(monkeypatch, test)
 
@@ -419,14 +429,14 @@
             caller = await bench.caller()
             caller.get(name=b"i0")
             assert await caller.answer() == b"v"
-            idle = now()
+            idle_since = now()
             Stalls(monkeypatch, 1)
             await asyncio.sleep(keepalive - 0.1)
             attempts = AttemptTimes(bench.cache)
             caller.get(name=b"i1")
             assert await caller.answer() == b"v"
-            ((when, _),) = attempts.received
-            assert when - idle < keepalive or len(bench.cache.writers) == 2
+            ((received_at, _),) = attempts.received
+            assert received_at - idle_since < keepalive or len(bench.cache.writers) == 2
 
     run(monkeypatch, test)
 
@@ -438,19 +448,26 @@
         async with router() as bench:
             service = DrainingDiscovery(bench, "Terminating")
             watch = Watch([await service.start()], bench.directory, 1, False)
-            take, taken_at = bench.directory.apply, []
+            apply, applied_at = bench.directory.apply, []
 
-            def stalled(*what: Any, **more: Any) -> None:
-                taken_at.append(now())
+            def apply_and_stall(*args: Any, **kwargs: Any) -> None:
+                applied_at.append(now())
                 stall_process()
-                take(*what, **more)
+                apply(*args, **kwargs)
 
-            monkeypatch.setattr(bench.directory, "apply", stalled)
+            monkeypatch.setattr(bench.directory, "apply", apply_and_stall)
             watch.start()
             await asyncio.sleep(3 * MAX_HOLD)
-            assert len(taken_at) >= 2
-            for when in taken_at:
-                assert min(request - when for request in service.call_times if request >= when) <= 0.2
+            assert len(applied_at) >= 2
+            for answered_at in applied_at:
+                assert (
+                    min(
+                        called_at - answered_at
+                        for called_at in service.call_times
+                        if called_at >= answered_at
+                    )
+                    <= 0.2
+                )
             watch.stop()
             service.server.close()
 
@@ -459,8 +476,8 @@
 
 def test_stall_uses_virtual_time(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        before, real = time.monotonic_ns(), time.perf_counter()
+        virtual_before, real_before = time.monotonic_ns(), time.perf_counter()
         stall_process(60.0)
-        assert time.monotonic_ns() - before >= 60e9 and time.perf_counter() - real < 30
+        assert time.monotonic_ns() - virtual_before >= 60e9 and time.perf_counter() - real_before < 30
 
     run(monkeypatch, test)
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -20,7 +20,7 @@
 
 
 @pytest.fixture(autouse=True)
-def no_quarantine(monkeypatch: pytest.MonkeyPatch) -> None:
+def no_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     """Makes connections reusable at once, since these tests count connections."""
     monkeypatch.setattr(pool, "MIN_IDLE_BEFORE_REUSE", 0.0)
 
@@ -54,10 +54,10 @@
         caller = await bench.caller()
         caller.get()
         await wait_until(lambda: bench.cache.received)
-        answer, line = hit(LONG), bench.cache.writers[0]
+        answer, server_writer = hit(LONG), bench.cache.writers[0]
         cuts = [*range(12), 13, 500, 501, 70_000, len(answer) - 20, len(answer) - 3, len(answer)]
         for start, end in itertools.pairwise(cuts):
-            line.write(answer[start:end])
+            server_writer.write(answer[start:end])
             await asyncio.sleep(0.002)
         assert await caller.answer() == LONG
 
@@ -69,13 +69,17 @@
         head = b"$%d\r\n" % len(LONG)
         assert await read_exactly(caller, len(head) + 90_000) == head + LONG[:90_000]
         assert bench.driver.active == 1 and not bench.driver.figures.responses
-        (held,) = bench.driver.requests.values()
+        (pending_request,) = bench.driver.requests.values()
         # The deadline no longer applies once the answer has started.
-        assert held.deadline_timer is not None and held.deadline_timer.cancelled()
-        assert held.attempt is not None and held.attempt.timer is not None and held.attempt.timer.cancelled()
+        assert pending_request.deadline_timer is not None and pending_request.deadline_timer.cancelled()
+        assert (
+            pending_request.attempt is not None
+            and pending_request.attempt.timer is not None
+            and pending_request.attempt.timer.cancelled()
+        )
         bench.cache.writers[0].write(hit(LONG)[100_000:])
-        rest = len(LONG) - 90_000
-        assert await read_exactly(caller, rest + 2) == LONG[90_000:] + b"\r\n"
+        remaining_size = len(LONG) - 90_000
+        assert await read_exactly(caller, remaining_size + 2) == LONG[90_000:] + b"\r\n"
         assert len(bench.cache.received) == 1
         await wait_until(lambda: not bench.driver.active)
 
@@ -117,13 +121,13 @@
         await wait_until(lambda: bench.driver.requests)
         (client,) = bench.clients.connections
         await wait_until(lambda: client.write_paused)
-        (line,) = bench.pools.pools["c0"].connections
-        await wait_until(lambda: line.transport is not None and not line.transport.is_reading())
+        (connection,) = bench.pools.pools["c0"].connections
+        await wait_until(lambda: connection.transport is not None and not connection.transport.is_reading())
         stream = client.slots[0].stream
         assert stream is not None and sum(map(len, stream.chunks)) <= CHUNK_SIZE
         caller.writer.transport.resume_reading()  # type: ignore[attr-defined]
         assert await caller.answer() == LONG * 8
-        await wait_until(lambda: line.transport is not None and line.transport.is_reading())
+        await wait_until(lambda: connection.transport is not None and connection.transport.is_reading())
         caller.get(name=b"i2")
         assert await caller.answer() == LONG * 8
 
@@ -161,20 +165,19 @@
 
 
 def test_time_of_long_answer_is_that_of_first_byte() -> None:
-    """The rest depends on how fast the client reads, and says nothing about the server or the origin."""
+    """The time of the other bytes depends on how fast the client reads, not on the server or the origin."""
     router = Router()
-    _, (first,) = router.send_request("k")
-    (second,) = router.finish_attempt(first, api.Status.MISS)
-    _, waits = router.send_request("k")
-    assert isinstance(second, api.Send) and not waits
-    (found,) = router.deliver(api.StreamOpened(second.id, 1, second.server))
-    assert (
-        isinstance(found, api.Send) and found.id != second.id
-    )  # the request that waited for the key continues at once
+    _, (cache_attempt,) = router.send_request("k")
+    (origin_attempt,) = router.finish_attempt(cache_attempt, api.Status.MISS)
+    _, actions = router.send_request("k")
+    assert isinstance(origin_attempt, api.Send) and not actions
+    # The request that waited for the fetch of the same key continues at once.
+    (next_attempt,) = router.deliver(api.StreamOpened(origin_attempt.id, 1, origin_attempt.server))
+    assert isinstance(next_attempt, api.Send) and next_attempt.id != origin_attempt.id
     router.advance(5 * SECOND)
     assert router.balancer.monitor.unhealthy_count == 0
-    router.deliver(api.Outcome(second.id, 1, second.server, api.Status.OK, True, 20 * MILLI))
-    assert second.id not in router.balancer.jobs
+    router.deliver(api.Outcome(origin_attempt.id, 1, origin_attempt.server, api.Status.OK, True, 20 * MILLI))
+    assert origin_attempt.id not in router.balancer.jobs
 
 
 @asynccontextmanager
@@ -186,14 +189,14 @@
         yield bench, caller
 
 
-@pytest.mark.parametrize("end", [lambda bench: bench.driver._end_all(), lambda bench: bench.clients.close()])
-async def test_started_answer_continues_after_stop(end: Callable[[Bench], Any]) -> None:
+@pytest.mark.parametrize("stop", [lambda bench: bench.driver._end_all(), lambda bench: bench.clients.close()])
+async def test_started_answer_continues_after_stop(stop: Callable[[Bench], Any]) -> None:
     async with router_in_mid_stream() as (bench, caller):
-        end(bench)
+        stop(bench)
         bench.cache.writers[0].write(hit(LONG)[200_000:])
-        head = len(b"$%d\r\n" % len(LONG))
-        rest = await read_exactly(caller, head + len(LONG) + 2 - 100_000)
-        assert rest == LONG[100_000 - head :] + b"\r\n"
+        header_size = len(b"$%d\r\n" % len(LONG))
+        rest = await read_exactly(caller, header_size + len(LONG) + 2 - 100_000)
+        assert rest == LONG[100_000 - header_size :] + b"\r\n"
 
 
 def write(value: bytes, name: bytes = b"w1", wait: int = 9000) -> bytes:
@@ -218,10 +221,10 @@
 async def test_long_write_may_arrive_in_chunks_of_any_size() -> None:
     async with router() as bench:
         caller = await bench.caller()
-        sent = write(LONG) + write(LONG[:70_000], b"w2")
-        cuts = [*range(60), 61, 900, 70_000, len(LONG), len(LONG) + 30, len(sent) - 1, len(sent)]
+        data = write(LONG) + write(LONG[:70_000], b"w2")
+        cuts = [*range(60), 61, 900, 70_000, len(LONG), len(LONG) + 30, len(data) - 1, len(data)]
         for start, end in itertools.pairwise(cuts):
-            caller.writer.write(sent[start:end])
+            caller.writer.write(data[start:end])
             await asyncio.sleep(0.002)
         assert [await caller.answer() for _ in range(2)] == [b"from origin"] * 2
         assert sorted(body for _, _, _, body in bench.origin.received) == [LONG[:70_000], LONG]
@@ -247,7 +250,7 @@
         caller.writer.write(write(LONG)[:100])
         await wait_until(lambda: bench.driver.memory.used >= len(LONG))
         other.writer.write(write(LONG, b"w2"))
-        assert str(await other.answer()) == "BUSY"  # a part of the budget is left to reads
+        assert str(await other.answer()) == "BUSY"  # part of the memory budget is reserved for reads
         other.get(name=b"i1")
         assert await other.answer() == b"v"
         caller.writer.transport.abort()
@@ -260,25 +263,25 @@
     monkeypatch.setattr(clients, "COMMAND_TIMEOUT", WAIT_TIMEOUT)
     async with router() as bench:
         caller = await bench.caller()
-        sent = write(LONG[:100_000])
-        caller.writer.write(sent[:50_000])
+        data = write(LONG[:100_000])
+        caller.writer.write(data[:50_000])
         await wait_until(lambda: bench.driver.memory.used > 100_000)
         (client,) = bench.clients.connections
         timer = client.command_timer
         assert timer is not None
-        caller.writer.write(sent[50_000:60_000])
+        caller.writer.write(data[50_000:60_000])
         await wait_until(timer.cancelled)
         assert client.command_timer is not None
-        caller.writer.write(sent[60_000:])
+        caller.writer.write(data[60_000:])
         assert await caller.answer() == b"from origin"
         monkeypatch.setattr(clients, "COMMAND_TIMEOUT", 0.05)
-        caller.writer.write(sent[:50_000])
+        caller.writer.write(data[:50_000])
         assert str(await caller.answer()) == "ERR Protocol error: no whole command in time"
         assert await caller.answer() is None
 
 
 @pytest.mark.parametrize(
-    "head",
+    "command_head",
     [
         b"*4\r\n$5\r\nC.SET\r\n$1\r\nk\r\n$2\r\nw1\r\n$70000\r\n",
         b"*5\r\n$5\r\nC.GET\r\n$1\r\nk\r\n$2\r\nw1\r\n$5\r\nc=put\r\n$70000\r\n",
@@ -286,10 +289,10 @@
         b"*5\r\n$5\r\nC.SET\r\n$1\r\nk\r\n$2\r\nw1\r\n$5\r\nc=put\r\n$%d\r\n" % (resp.MAX_LONG_VALUE + 1),
     ],
 )
-async def test_only_value_of_write_may_be_long(head: bytes) -> None:
+async def test_only_value_of_write_may_be_long(command_head: bytes) -> None:
     async with router() as bench:
         caller = await bench.caller()
-        caller.writer.write(head)
+        caller.writer.write(command_head)
         assert str(await caller.answer()).startswith("ERR Protocol error")
         assert await caller.answer() is None
 
@@ -306,19 +309,19 @@
 async def test_answer_before_end_of_request_closes_origin_connection() -> None:
     """Otherwise the rest of the request would precede the next request."""
 
-    async def early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def answer_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(http(503, b"", b"X-Rejected: 1\r\n"))
         await asyncio.sleep(WAIT_TIMEOUT)
 
     async with router() as bench:
-        server = await asyncio.start_server(early, "127.0.0.1", 0, limit=1024)
+        server = await asyncio.start_server(answer_early, "127.0.0.1", 0, limit=1024)
         pool = bench.pools.pools["o"]
         pool.endpoint = server.sockets[0].getsockname()[:2]
         call = Call(b"C.SET", b"k", b"i", b"c=put", bytes(32 << 20), 1, "put", 0, 9000, False)
         statuses: list[api.Status] = []
-        until = time.monotonic_ns() + 9 * SECOND
-        pool.start(Exchange(call, until, lambda ending: statuses.append(ending.status)))
+        deadline = time.monotonic_ns() + 9 * SECOND
+        pool.start(Exchange(call, deadline, lambda ending: statuses.append(ending.status)))
         await wait_until(lambda: statuses)
         assert statuses == [api.Status.FULL] and not pool.connections and bench.pools.attempts_written == 0
         server.close()
