--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Event loop of the tests, and their order when several workers run them in parallel.
+"""Event loop of the tests, and the order of the tests when several workers run them in parallel.
 
 With `-n`, the slowest tests start first. Tests that measure time, or that load all cores, run last and with
 no other test at the same time, since the load of other tests would change their results.
@@ -39,7 +39,7 @@
     "test_routers_apply_lists_on_the_real_clock",
     "test_all_read_requests_are_answered_before_sigkill_while_servers_hang",
 )
-# Accepts examples that are slow because the machine is busy, but not examples that hang.
+# Tolerates examples that are slow because the machine is busy, but not examples that hang.
 hypothesis.settings.register_profile("any machine", deadline=datetime.timedelta(seconds=10))
 hypothesis.settings.load_profile("any machine")
 
@@ -69,7 +69,7 @@
 
 @pytest.hookimpl(wrapper=True)
 def pytest_runtest_protocol(item: pytest.Item) -> Generator[None, object, object]:
-    """With parallel workers, tests hold a shared lock and exclusive tests an exclusive one."""
+    """With parallel workers, an exclusive test holds an exclusive lock, and each other test a shared lock."""
     if not hasattr(item.config, "workerinput"):
         return (yield)
     with Path(__file__).open() as lock:
--- a/tests/measure_sizes.py
+++ b/tests/measure_sizes.py
@@ -36,17 +36,17 @@
 MEMBERS = (65, 260, 520, 1024)
 REQUESTS = 5000
 LIST_UPDATES = 20
-LATER_REQUESTS = 60_000  # requests after a router's first requests
+LATER_REQUESTS = 60_000  # requests after the first ones, for the detection of hot keys
 TICKS = 100
 MEGABYTE, KILOBYTE = 1 << 20, 1 << 10
 Measurements = dict[str, float]
 
 
-def cpu_seconds(work: Callable[[], object]) -> float:
-    """Returns the seconds of processor time that a call takes."""
-    begin = time.process_time()
-    work()
-    return time.process_time() - begin
+def cpu_seconds(function: Callable[[], object]) -> float:
+    """Returns the seconds of processor time that a call of a function takes."""
+    started_at = time.process_time()
+    function()
+    return time.process_time() - started_at
 
 
 def resident_mb() -> float:
@@ -81,7 +81,7 @@
 
 
 async def measure_memory(servers: int) -> Measurements:
-    """Measures the memory for one list, and for as many lists as the policy keeps."""
+    """Measures the memory for one list, and for the maximum number of lists that the policy stores."""
     settings = read_settings({**info(), "balancers": servers})
     listed = [entry(f"c{number}", f"10.0.{number // 200}.{number % 200}:6379") for number in range(servers)]
     body = json.dumps({"rev": 1, "all": True, "targets": listed})
@@ -106,7 +106,7 @@
 
 
 def measure_decisions(servers: int) -> Measurements:
-    """Measures the processor time of requests that one attempt each serves."""
+    """Measures the processor time per request that needs only one attempt."""
     settings = read_settings({**info(), "balancers": servers})
     balancer = Balancer(settings, 1)
     balancer.handle(SECOND, api.Members(api.ListKind.FULL, [api.Member(f"c{n}") for n in range(servers)]))
@@ -136,11 +136,11 @@
 
 
 def measure_peers(members: int) -> Measurements:
-    """Measures memory and ticks of a gossip agent, then with a verdict on as many servers."""
-    me = Peer(members, 0, PeerState.ALIVE, bytes(4), 1, "n0")
+    """Measures memory and tick time of a gossip agent without and with verdicts on `members` servers."""
+    local_peer = Peer(members, 0, PeerState.ALIVE, bytes(4), 1, "n0")
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    agent = GossipAgent(me, "fleet", [], 1, 50 * MILLI)
+    agent = GossipAgent(local_peer, "fleet", [], 1, 50 * MILLI)
     for number in range(1, members):
         peer = Peer(number, 0, PeerState.ALIVE, number.to_bytes(4), 1, f"n{number}")
         agent.membership.merge(SECOND, peer)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -17,7 +17,7 @@
 from applehub.node.resp import command
 from applehub.settings import read_names, read_network_limits, read_settings
 
-ACCEPTS_PER_ITERATION = 16  # clients that a bench accepts per event loop iteration
+ACCEPTS_PER_ITERATION = 16  # connections that the router accepts per event loop iteration
 WAIT_TIMEOUT = 20.0  # maximum seconds of a wait; every wait ends with an event
 Json = dict[str, Any]
 
@@ -59,7 +59,7 @@
 
 
 class Peer:
-    """A listener that records what it receives and answers by a callback; no answer if that returns None."""
+    """A listener that records requests and answers them by a callback, which returns None for no answer."""
 
     def __init__(self, answer: Callable[[Any, asyncio.StreamWriter], bytes | None]) -> None:
         self.answer = answer
@@ -144,7 +144,7 @@
 
 
 class Caller:
-    """A client's connection."""
+    """A client with one connection to the router; answers are parsed RESP values."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer, self.parser = reader, writer, hiredis.Reader()
@@ -170,7 +170,7 @@
 
 @dataclass
 class Bench:
-    """A router with its peers."""
+    """A router under test with its scripted peers and its internal components."""
 
     cache: Cache
     origin: Web
--- a/tests/test_attempt_start.py
+++ b/tests/test_attempt_start.py
@@ -1,7 +1,7 @@
-"""Attempts that wait for their connection: whether they start once it is established.
+"""Attempts that wait for a connection must not start once it is established if they have become invalid.
 
-Meanwhile the server may start to drain, the client may disconnect, or the window for a retry may end. The
-tests control when the connection is established.
+While the connection is established, the server may start to drain, the client may disconnect, or the window
+for a retry may end. The tests control when the connection is established.
 """
 
 import asyncio
@@ -33,8 +33,8 @@
 
 
 def update_server(bench: Bench, rev: int, **fields: Any) -> None:
-    changed = entry("c0", bench.cache.address, **fields)
-    bench.directory.apply({"rev": rev, "all": False, "targets": [changed]})
+    changed_entry = entry("c0", bench.cache.address, **fields)
+    bench.directory.apply({"rev": rev, "all": False, "targets": [changed_entry]})
 
 
 @pytest.mark.parametrize(
@@ -64,22 +64,22 @@
     run_in_virtual_time(monkeypatch, test)
 
 
-def test_attempt_cancelled_by_drain_goes_to_another_server(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Attempts that the pools cancel are decided on by the new list."""
+def test_attempt_cancelled_by_drain_is_sent_to_another_server(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An attempt that a pool cancels is assigned to another server of the new list."""
 
     async def test() -> None:
         delay_connects(monkeypatch)
-        two = ["c0", "c1"]
-        async with router(entries=lambda cache, _: [entry(name, cache.address) for name in two]) as bench:
+        names = ["c0", "c1"]
+        async with router(entries=lambda cache, _: [entry(name, cache.address) for name in names]) as bench:
             caller = await bench.caller()
             caller.get()
             await asyncio.sleep(0.5)
-            (first,) = [name for name, pool in bench.pools.pools.items() if pool.connections]
-            gone = entry(first, bench.cache.address, state="Terminating")
-            bench.directory.apply({"rev": 6, "all": False, "targets": [gone]})
+            (first_server,) = [name for name, pool in bench.pools.pools.items() if pool.connections]
+            draining_entry = entry(first_server, bench.cache.address, state="Terminating")
+            bench.directory.apply({"rev": 6, "all": False, "targets": [draining_entry]})
             assert await caller.answer() == b"v"
-            (other,) = [name for name, pool in bench.pools.pools.items() if pool.connections]
-            assert other != first and len(bench.cache.received) == 1
+            (second_server,) = [name for name, pool in bench.pools.pools.items() if pool.connections]
+            assert second_server != first_server and len(bench.cache.received) == 1
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -158,7 +158,7 @@
             connect = Pool._dial
             broken: list[Connection] = []
 
-            async def breaks_once(pool: Pool, connection: Connection) -> None:
+            async def break_first_connection(pool: Pool, connection: Connection) -> None:
                 if pool is bench.pools.pools["o"] and not broken:
                     broken.append(connection)
                     connection.accepted = True
@@ -166,7 +166,7 @@
                     return
                 await connect(pool, connection)
 
-            monkeypatch.setattr(Pool, "_dial", breaks_once)
+            monkeypatch.setattr(Pool, "_dial", break_first_connection)
             caller = await bench.caller()
             caller.get()
             assert await caller.answer() == b"from origin"
@@ -200,12 +200,12 @@
         async with router(lambda request, writer: MISS) as bench:
             connect = Pool._dial
 
-            async def slow_origin(pool: Pool, connection: Connection) -> None:
+            async def connect_slowly_to_origin(pool: Pool, connection: Connection) -> None:
                 if pool is bench.pools.pools["o"]:
                     await asyncio.sleep(CONNECT_TIME)
                 await connect(pool, connection)
 
-            monkeypatch.setattr(Pool, "_dial", slow_origin)
+            monkeypatch.setattr(Pool, "_dial", connect_slowly_to_origin)
             monitor = bench.driver.balancer.monitor
             for n in range(40):
                 caller = await bench.caller()
--- a/tests/test_broken_connections.py
+++ b/tests/test_broken_connections.py
@@ -30,24 +30,24 @@
     return names.count(b"i1")
 
 
-def send_request(caller: Caller, kind: bytes, name: bytes = b"i1", key: bytes = b"k") -> None:
+def send_request(caller: Caller, request_class: bytes, name: bytes = b"i1", key: bytes = b"k") -> None:
     """Sends a request. Reads go to the cache server, the other classes are writes and go to the origin."""
-    if kind == b"read":
+    if request_class == b"read":
         caller.get(key, name)
     else:
-        caller.send(b"C.SET", key, name, b"c=%b,t=acme,d=9000,k=1" % kind, b"value")
+        caller.send(b"C.SET", key, name, b"c=%b,t=acme,d=9000,k=1" % request_class, b"value")
 
 
-async def leave_idle_connection(bench: Bench, caller: Caller, kind: bytes) -> None:
+async def leave_idle_connection(bench: Bench, caller: Caller, request_class: bytes) -> None:
     """Serves a request, which leaves an idle connection for the next one."""
-    send_request(caller, kind, b"i0")
+    send_request(caller, request_class, b"i0")
     assert await caller.answer() in (b"v", b"receipt")
     await asyncio.sleep(0.05)
     assert any(pool.idle for pool in bench.pools.pools.values())
 
 
-def server_address(bench: Bench, kind: bytes) -> str:
-    return bench.cache.address if kind == b"read" else bench.origin.address
+def server_address(bench: Bench, request_class: bytes) -> str:
+    return bench.cache.address if request_class == b"read" else bench.origin.address
 
 
 def log_is_quiet(caplog: pytest.LogCaptureFixture, max_log_lines: int) -> bool:
@@ -64,7 +64,7 @@
 def run_request(
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
-    kind: bytes,
+    request_class: bytes,
     reuse_connection: bool,
     faults: list[SystemCallFault],
     min_faults: int = 1,
@@ -72,7 +72,7 @@
 ) -> tuple[Any, int, list[api.Status]]:
     """Runs one request with faults on the connection to its server.
 
-    max_log_lines: maximum number of log lines.
+    min_faults: minimum number of system calls that fail. max_log_lines: maximum number of log lines.
 
     Returns the answer, the number of executions and the status of each attempt.
     """
@@ -83,7 +83,7 @@
         async with router(origin=lambda request, writer: http(200, b"receipt")) as bench:
             caller = await bench.caller()
             if reuse_connection:
-                await leave_idle_connection(bench, caller, kind)
+                await leave_idle_connection(bench, caller, request_class)
             handle = bench.driver.balancer.handle
 
             def recording_handle(now: int, event: api.Event) -> list[api.Action]:
@@ -92,10 +92,10 @@
                 return handle(now, event)
 
             monkeypatch.setattr(bench.driver.balancer, "handle", recording_handle)
-            for one in faults:
-                object.__setattr__(one, "peer", server_address(bench, kind))
+            for injected_fault in faults:
+                object.__setattr__(injected_fault, "peer", server_address(bench, request_class))
             with SystemCallFaults(*faults) as injected:
-                send_request(caller, kind)
+                send_request(caller, request_class)
                 answer = await caller.answer()
                 await asyncio.sleep(1.0)
                 assert injected.count() >= min_faults
@@ -104,7 +104,7 @@
             final_statuses = list(statuses)
             if not max_log_lines:
                 other = await bench.caller()
-                send_request(other, kind, b"i2")
+                send_request(other, request_class, b"i2")
                 assert await other.answer() in (b"v", b"receipt")
             results.extend((answer, executions(bench), final_statuses))
 
@@ -114,20 +114,20 @@
 
 @pytest.mark.parametrize("error", RECEIVE_ERRORS)
 @pytest.mark.parametrize("reuse_connection", [False, True])
-@pytest.mark.parametrize("kind", CLASSES)
+@pytest.mark.parametrize("request_class", CLASSES)
 def test_receive_error_after_write_counts_as_possibly_executed(
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
-    kind: bytes,
+    request_class: bytes,
     reuse_connection: bool,
     error: str,
 ) -> None:
     """Reads, and writes with an idempotency key, are retried; other writes fail."""
     answer, executed, statuses = run_request(
-        monkeypatch, caplog, kind, reuse_connection, [fault("recv", error, times=1)]
+        monkeypatch, caplog, request_class, reuse_connection, [fault("recv", error, times=1)]
     )
     assert statuses[0] is api.Status.RESET
-    if kind == b"once":
+    if request_class == b"once":
         assert str(answer) == "ERR failed" and executed == 1 and len(statuses) == 1
     else:
         assert answer in (b"v", b"receipt") and executed == 2 and statuses[1:] == [api.Status.OK]
@@ -135,20 +135,25 @@
 
 @pytest.mark.parametrize("error", SEND_ERRORS)
 @pytest.mark.parametrize("reuse_connection", [False, True])
-@pytest.mark.parametrize("kind", CLASSES)
+@pytest.mark.parametrize("request_class", CLASSES)
 @pytest.mark.parametrize("short", [0, 10])
 def test_partly_written_request_is_executed_once(
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
-    kind: bytes,
+    request_class: bytes,
     reuse_connection: bool,
     short: int,
     error: str,
 ) -> None:
     """A request that was not written completely is retried and executed once."""
-    first = [fault("send", short=short, times=1)] if short else []
+    short_writes = [fault("send", short=short, times=1)] if short else []
     answer, executed, statuses = run_request(
-        monkeypatch, caplog, kind, reuse_connection, [*first, fault("send", error, times=1)], 1 + len(first)
+        monkeypatch,
+        caplog,
+        request_class,
+        reuse_connection,
+        [*short_writes, fault("send", error, times=1)],
+        1 + len(short_writes),
     )
     assert answer in (b"v", b"receipt") and executed == 1
     assert statuses[-1] is api.Status.OK and len(statuses) == 2
@@ -158,30 +163,38 @@
 
 
 @pytest.mark.parametrize("call", ["send", "recv"])
-@pytest.mark.parametrize("kind", CLASSES)
+@pytest.mark.parametrize("request_class", CLASSES)
 def test_short_reads_and_writes_are_completed(
-    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, kind: bytes, call: str
+    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, request_class: bytes, call: str
 ) -> None:
-    answer, executed, statuses = run_request(monkeypatch, caplog, kind, False, [fault(call, short=1)], 10)
+    answer, executed, statuses = run_request(
+        monkeypatch, caplog, request_class, False, [fault(call, short=1)], 10
+    )
     assert answer in (b"v", b"receipt") and executed == 1 and statuses == [api.Status.OK]
 
 
 @pytest.mark.parametrize("error", ["EINTR", "EAGAIN"])
 @pytest.mark.parametrize("call", ["send", "recv"])
-@pytest.mark.parametrize("kind", CLASSES)
+@pytest.mark.parametrize("request_class", CLASSES)
 def test_interrupted_system_call_is_repeated(
-    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, kind: bytes, call: str, error: str
+    monkeypatch: pytest.MonkeyPatch,
+    caplog: pytest.LogCaptureFixture,
+    request_class: bytes,
+    call: str,
+    error: str,
 ) -> None:
-    answer, executed, statuses = run_request(monkeypatch, caplog, kind, False, [fault(call, error, times=3)])
+    answer, executed, statuses = run_request(
+        monkeypatch, caplog, request_class, False, [fault(call, error, times=3)]
+    )
     assert answer in (b"v", b"receipt") and executed == 1 and statuses == [api.Status.OK]
 
 
-@pytest.mark.parametrize("kind", CLASSES)
-async def test_interrupted_poll_continues(kind: bytes, caplog: pytest.LogCaptureFixture) -> None:
+@pytest.mark.parametrize("request_class", CLASSES)
+async def test_interrupted_poll_continues(request_class: bytes, caplog: pytest.LogCaptureFixture) -> None:
     async with router(origin=lambda request, writer: http(200, b"receipt")) as bench:
         caller = await bench.caller()
         with SystemCallFaults(fault("epoll", "EINTR", times=20)) as injected:
-            send_request(caller, kind)
+            send_request(caller, request_class)
             assert await caller.answer() in (b"v", b"receipt")
             assert injected.count() >= 1
         assert executions(bench) == 1 and log_is_quiet(caplog, 0)
@@ -198,21 +211,21 @@
         ("ENOBUFS", api.Status.LOCAL_FAILURE),
     ],
 )
-@pytest.mark.parametrize("kind", CLASSES)
+@pytest.mark.parametrize("request_class", CLASSES)
 def test_failed_connect_means_request_was_not_executed(
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
-    kind: bytes,
+    request_class: bytes,
     error: str,
     status: api.Status,
 ) -> None:
     refused = status is api.Status.CONNECT_FAILED
-    connects = [fault("connect", error, times=1)]
+    connect_faults = [fault("connect", error, times=1)]
     answer, executed, statuses = run_request(
-        monkeypatch, caplog, kind, False, connects, max_log_lines=1 if refused else 0
+        monkeypatch, caplog, request_class, False, connect_faults, max_log_lines=1 if refused else 0
     )
     assert statuses[0] is status
-    if refused and kind == b"read":  # the only server has failed
+    if refused and request_class == b"read":  # the only server has failed
         assert str(answer) == "BUSY" and executed == 0
     else:
         assert answer in (b"v", b"receipt") and executed == 1
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -33,13 +33,13 @@
     return server, (await server.listen("127.0.0.1", 0))[1]
 
 
-@pytest.mark.parametrize("end", [b"\n", b"\r\n"])
-async def test_command_is_answered_once_and_connection_closes(end: bytes) -> None:
+@pytest.mark.parametrize("line_end", [b"\n", b"\r\n"])
+async def test_command_is_answered_once_and_connection_closes(line_end: bytes) -> None:
     server, port = await start_console(health=report_not_ready, offline=lambda name: f"+OK {name}")
-    assert await send_command(port, b"OFFLINE s-1" + end) == "+OK s-1\n"
-    assert await send_command(port, b"HEALTH" + end) == "-ERR not ready\n"
-    assert await send_command(port, b"NONSENSE" + end) == "-ERR unknown call\n"
-    assert await send_command(port, end) == "-ERR unknown call\n"
+    assert await send_command(port, b"OFFLINE s-1" + line_end) == "+OK s-1\n"
+    assert await send_command(port, b"HEALTH" + line_end) == "-ERR not ready\n"
+    assert await send_command(port, b"NONSENSE" + line_end) == "-ERR unknown call\n"
+    assert await send_command(port, line_end) == "-ERR unknown call\n"
     server.close()
 
 
@@ -137,7 +137,7 @@
 
 
 async def test_process_serves_an_inherited_listener_and_the_console(tmp_path: os.PathLike[str]) -> None:
-    """Prevents the process from binding the address itself, which fails as the platform's socket holds it."""
+    """A process that has inherited a listener must not bind the address itself, since it is in use."""
     listener = socket.create_server(("127.0.0.1", 0))
     path = os.path.join(tmp_path, "config.json")
     target = {"uid": "c0", "endpoint": "127.0.0.1:9", "az": "a", "model": "std", "state": "Ready"}
@@ -172,9 +172,12 @@
                 assert line
         port = int(line.rpartition(b":")[2])
         assert await send_command(port, b"HEALTH\n") == "+OK\n"
-        dump = await send_command(port, b"DUMP\n")
-        assert dump.startswith("+OK\n") and dump.endswith("\n.\n")
-        assert "\nedge_balancer.pool_size=1\n" in dump and "\nedge_balancer.responses.read.ok=0\n" in dump
+        dump_output = await send_command(port, b"DUMP\n")
+        assert dump_output.startswith("+OK\n") and dump_output.endswith("\n.\n")
+        assert (
+            "\nedge_balancer.pool_size=1\n" in dump_output
+            and "\nedge_balancer.responses.read.ok=0\n" in dump_output
+        )
         process.terminate()
         async with asyncio.timeout(WAIT_TIMEOUT):
             assert await process.wait() == 0
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -1,7 +1,7 @@
-"""Connections that cannot be opened because of this machine, by system call and error.
+"""Connections that cannot be opened because a system call fails on the router's own machine.
 
-The tests use real sockets and a simulated clock. No server is blamed, and requests are served as soon as the
-machine has recovered.
+No failure is attributed to a server, and requests are served as soon as the machine has recovered. The tests
+use real sockets and a simulated clock.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
     ("getsockopt", "EHOSTUNREACH"),
 ]
 FAULT_DURATION = 0.3  # seconds that the fault lasts
-CALLERS = 300
+CALLERS = 300  # number of clients, each with one request
 MAX_RECOVERY_TIME = 0.06  # seconds; the longest backoff plus the time of an answer
 
 
@@ -43,8 +43,8 @@
     servers = bench.driver.balancer.server_table.servers
     return [
         name
-        for name, one in servers.items()
-        if one.failures or one.broken_attempts or one.refused_connects or one.timeouts
+        for name, server in servers.items()
+        if server.failures or server.broken_attempts or server.refused_connects or server.timeouts
     ]
 
 
@@ -111,8 +111,8 @@
                 started_at = loop.time()
                 caller.send(b"C.SET", b"k", b"i1", b"c=once,t=acme,d=900,k=1", b"value")
                 other.get(name=b"i2", info=b"c=read,t=acme,d=900")
-                for one in (caller, other):
-                    assert str(await one.answer()).startswith("BUSY")
+                for client in (caller, other):
+                    assert str(await client.answer()).startswith("BUSY")
                 assert loop.time() - started_at < 0.9
                 connects = faults.count()
                 assert connects <= 2 * 2 + 0.9 / 0.025 + 8
@@ -148,8 +148,8 @@
         """Returns how many requests are served; all others are rejected."""
         async with asyncio.timeout(2.0):
             all_answers = [await caller.answer() for caller in callers]
-        served = sum(one in (b"v", b"from origin") for one in all_answers)
-        assert sum(str(one).startswith("BUSY") for one in all_answers) == len(callers) - served
+        served = sum(answer in (b"v", b"from origin") for answer in all_answers)
+        assert sum(str(answer).startswith("BUSY") for answer in all_answers) == len(callers) - served
         assert not bench.driver.balancer.jobs
         return served
 
@@ -163,12 +163,12 @@
             callers = [await bench.caller() for _ in range(CALLERS)]
             with SystemCallFaults(fault(call, error)) as faults:
                 await send_requests(bench, callers)
-                first = faults.count()
-                assert CALLERS <= first <= 3 * CALLERS
+                faults_at_start = faults.count()
+                assert CALLERS <= faults_at_start <= 3 * CALLERS
                 await asyncio.sleep(FAULT_DURATION)
-                assert faults.count() - first <= 30
-                refusal = fault("connect", "ECONNREFUSED", peer=bench.cache.address, for_s=0.2)
-                faults.replace(*([refusal] if peer == "refuses" else []))
+                assert faults.count() - faults_at_start <= 30
+                refused_connects = fault("connect", "ECONNREFUSED", peer=bench.cache.address, for_s=0.2)
+                faults.replace(*([refused_connects] if peer == "refuses" else []))
                 served = await count_served(bench, callers)
                 assert faults.count("connect", "ECONNREFUSED") <= 16
             assert served >= {"quick": CALLERS, "slow": baseline, "refuses": 0}[peer]
@@ -204,8 +204,8 @@
                     assert loop.time() - started_at < MAX_RECOVERY_TIME
                     await asyncio.sleep(0.02)
                     for pool in bench.pools.pools.values():
-                        for one in list(pool.idle):
-                            one.close()
+                        for connection in list(pool.idle):
+                            connection.close()
                 assert 3 <= faults.count() <= 4
             assert servers_with_failures(bench) == ["c1"]
         await origin.stop()
--- a/tests/test_list_propagation.py
+++ b/tests/test_list_propagation.py
@@ -1,4 +1,4 @@
-"""A change of the list reaches a router within 6 s, or within 4 s after SIGHUP, whatever calls fail."""
+"""A change of the list reaches a router within 6 s, or 4 s after SIGHUP, even if calls to discovery fail."""
 
 import asyncio
 import contextlib
@@ -26,7 +26,7 @@
 class FaultyDiscovery:
     """Discovery that holds long polls and can misbehave.
 
-    behaviours: what each call does, in order; the last one stays.
+    behaviours: the behaviour for each call, in order; the last one applies to all later calls too.
     """
 
     def __init__(self) -> None:
@@ -72,10 +72,10 @@
         elif behaviour == SILENT:
             await asyncio.Event().wait()
         elif behaviour == TRICKLING:
-            for at in range(len(response) - 1):
+            for index in range(len(response) - 1):
                 if writer.transport.is_closing():
                     return True
-                writer.write(response[at : at + 1])
+                writer.write(response[index : index + 1])
                 await asyncio.sleep(0.3)
         elif behaviour == DOWN:
             writer.write(http(503))
@@ -94,7 +94,7 @@
         self.driver.start_watch = self.watch.start
         self.directory.apply({"rev": 1, "targets": [entry("c0", "127.0.0.1:1")]}, cached=True)
         self.applied = asyncio.Event()
-        self.directory.on_update = lambda answer, whole: self.applied.set()
+        self.directory.on_update = lambda answer, full_list: self.applied.set()
         self.watch.start()
 
     async def wait_for_version(self, rev: int) -> float:
@@ -138,7 +138,7 @@
         harness = WatchHarness(must_ask, await service.start())
         await wait_for_calls(service, 1 + (behaviours[0] == ANSWERING))
         changed_at = asyncio.get_running_loop().time()
-        service.rev += 1  # a silent watch does not receive it
+        service.rev += 1  # a silent call does not return this change
         if behaviours[0] == ANSWERING:
             service.change()
         assert await harness.wait_for_version(service.rev) - changed_at <= CHANGE_DEADLINE
@@ -150,9 +150,9 @@
 
 @pytest.mark.parametrize("must_ask", [False, True])
 @pytest.mark.parametrize("outage", [DOWN, CUT_OFF, SILENT, TRICKLING])
-@pytest.mark.parametrize("after", [[ANSWERING], [SILENT, ANSWERING]], ids=" then ".join)
+@pytest.mark.parametrize("later_behaviours", [[ANSWERING], [SILENT, ANSWERING]], ids=" then ".join)
 def test_change_during_outage_arrives_in_time_after_recovery(
-    monkeypatch: pytest.MonkeyPatch, outage: str, after: list[str], must_ask: bool
+    monkeypatch: pytest.MonkeyPatch, outage: str, later_behaviours: list[str], must_ask: bool
 ) -> None:
     """Discovery recovers at various moments between the failed calls."""
 
@@ -164,7 +164,7 @@
             harness = WatchHarness(must_ask, await service.start())
             await asyncio.sleep(20 + delay / 10)
             service.rev += 1
-            service.behaviours, recovered_at = list(after), loop.time()
+            service.behaviours, recovered_at = list(later_behaviours), loop.time()
             assert await harness.wait_for_version(2) - recovered_at <= CHANGE_DEADLINE
             harness.watch.stop()
             service.server.close()
@@ -173,29 +173,29 @@
 
 
 @pytest.mark.parametrize("must_ask", [False, True])
-@pytest.mark.parametrize("before", [ANSWERING, SILENT, DOWN])
+@pytest.mark.parametrize("old_behaviour", [ANSWERING, SILENT, DOWN])
 @pytest.mark.parametrize(
-    "after",
+    "new_behaviours",
     [[ANSWERING], [SILENT, ANSWERING], [TRICKLING, ANSWERING], [CUT_OFF, ANSWERING]],
     ids=" then ".join,
 )
 def test_list_of_new_address_arrives_in_time_after_reload(
-    monkeypatch: pytest.MonkeyPatch, before: str, after: list[str], must_ask: bool
+    monkeypatch: pytest.MonkeyPatch, old_behaviour: str, new_behaviours: list[str], must_ask: bool
 ) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         for delay in range(0, 40, 7):
             old, new = FaultyDiscovery(), FaultyDiscovery()
-            old.behaviours, new.behaviours, new.rev = [before], list(after), 2
+            old.behaviours, new.behaviours, new.rev = [old_behaviour], list(new_behaviours), 2
             harness = WatchHarness(must_ask, await old.start())
             address = await new.start()
             await asyncio.sleep(10 + delay / 10)
-            moved_at = loop.time()
+            reloaded_at = loop.time()
             harness.watch.set_endpoints([address])
-            assert await harness.wait_for_version(2) - moved_at <= RELOAD_DEADLINE
+            assert await harness.wait_for_version(2) - reloaded_at <= RELOAD_DEADLINE
             harness.watch.stop()
-            for one in (old, new):
-                one.server.close()
+            for service in (old, new):
+                service.server.close()
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -233,25 +233,25 @@
 def test_all_addresses_share_one_deadline(monkeypatch: pytest.MonkeyPatch, must_ask: bool) -> None:
     async def test() -> None:
         services = [FaultyDiscovery() for _ in range(3)]
-        harness = WatchHarness(must_ask, *[await one.start() for one in services])
-        first = await first_called(*services)
+        harness = WatchHarness(must_ask, *[await service.start() for service in services])
+        first_index = await first_called(*services)
         changed_at = asyncio.get_running_loop().time()
-        for one in services:
-            one.rev += 1
-            one.behaviours = [SILENT]
-        working = services[(first - 1) % 3]  # the last one that is tried
+        for service in services:
+            service.rev += 1
+            service.behaviours = [SILENT]
+        working = services[(first_index - 1) % 3]  # the address that is called last
         working.behaviours = [ANSWERING]
         assert await harness.wait_for_version(2) - changed_at <= CHANGE_DEADLINE
         harness.watch.stop()
-        for one in services:
-            one.server.close()
+        for service in services:
+            service.server.close()
 
     async def first_called(*services: FaultyDiscovery) -> int:
-        calls = [asyncio.create_task(wait_for_calls(one, 1)) for one in services]
-        done, waiting = await asyncio.wait(calls, return_when=asyncio.FIRST_COMPLETED)
-        for one in waiting:
-            one.cancel()
-        return calls.index(done.pop())
+        calls = [asyncio.create_task(wait_for_calls(service, 1)) for service in services]
+        finished, pending = await asyncio.wait(calls, return_when=asyncio.FIRST_COMPLETED)
+        for task in pending:
+            task.cancel()
+        return calls.index(finished.pop())
 
     run_in_virtual_time(monkeypatch, test)
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -63,15 +63,15 @@
 
 
 def test_origin_response_may_carry_report() -> None:
-    for status, ended in ((200, api.Status.OK), (500, api.Status.ERROR)):
+    for status, expected in ((200, api.Status.OK), (500, api.Status.ERROR)):
         for report, load in ((REPORT, LOAD), (b"backlog=", None)):
             result = origin.result_of(HttpResponse(status, {b"x-load-report": report}, bytearray(b"v")))
-            assert (result.status, result.load) == (ended, load)
+            assert (result.status, result.load) == (expected, load)
     assert origin.result_of(HttpResponse(200, {})).load is None
 
 
 def test_reported_errors_reveal_server_failing_other_routers() -> None:
-    """Reported errors reveal a server that fails other routers' requests to a router that seldom uses it."""
+    """A router that seldom uses a server detects from load reports that other routers' requests fail."""
     router = Router(settings(router_count=40))
     for n in range(40):
         name, _ = router.send_request(f"other{n}")
--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -17,10 +17,10 @@
 from applehub.node.shared_state import SharedState
 
 
-def servers_sent_to(router: Router, keys: int = 40) -> set[str]:
-    """Returns the cache servers to which requests for `keys` keys are sent."""
+def servers_sent_to(router: Router, key_count: int = 40) -> set[str]:
+    """Returns the cache servers to which requests for the given number of keys are sent."""
     servers = set()
-    for n in range(keys):
+    for n in range(key_count):
         _, sends = router.send_request(f"key{n}")
         for send in sends:
             assert isinstance(send, api.Send)
@@ -54,16 +54,16 @@
 
 
 @pytest.mark.parametrize("relisted", [False, True])
-def test_slow_start_begins_when_a_server_is_put_online_despite_its_boot_time(relisted: bool) -> None:
+def test_slow_start_counts_from_the_online_override_despite_the_boot_time(relisted: bool) -> None:
     router = Router()
     router.deliver(api.ServerOverride("c1", True, router.now))
     router.advance(20 * SECOND)
     router.deliver(api.ServerOverride("c1", False, router.now))
-    back = router.now
+    online_at = router.now
     if relisted:
         router.deliver(api.Members(api.ListKind.DELTA, [api.Member("c1", api.State.GONE)]))
-        router.deliver(api.Members(api.ListKind.DELTA, [api.Member("c1", since=back - 15 * SECOND)]))
-    assert router.balancer.server_table.servers["c1"].warming_since == back
+        router.deliver(api.Members(api.ListKind.DELTA, [api.Member("c1", since=online_at - 15 * SECOND)]))
+    assert router.balancer.server_table.servers["c1"].warming_since == online_at
 
 
 def test_listed_as_draining_server_stays_draining_when_put_online() -> None:
@@ -75,11 +75,11 @@
 
 
 def test_two_processes_share_the_tokens_of_a_warming_server() -> None:
-    def tokens_taken(copies: int) -> int:
+    def tokens_taken(process_count: int) -> int:
         # The window is long, so that the number of tokens limits the requests rather than the traffic.
         router = Router(settings(slow_start_time=60 * SECOND, overload_window=60 * SECOND))
         servers_sent_to(router, 200)
-        router.deliver(api.ProcessCount(copies))
+        router.deliver(api.ProcessCount(process_count))
         server = router.balancer.server_table.servers["c1"]
         server.warmup_budget.tokens, server.warmup_budget.updated_at = 9.0, router.now
         server.warming_since = router.now
@@ -132,8 +132,10 @@
         new_overrides.online("c1")
         old_overrides.poll()
         assert not old.pools.pools["c1"].retired
-        cold = [one.driver.balancer.server_table.servers["c1"].warming_since for one in (old, new)]
-        assert abs(cold[0] - cold[1]) < SECOND and min(cold) > 0
+        slow_start_times = [
+            bench.driver.balancer.server_table.servers["c1"].warming_since for bench in (old, new)
+        ]
+        assert abs(slow_start_times[0] - slow_start_times[1]) < SECOND and min(slow_start_times) > 0
         old_overrides.offline("c0")
         assert new_overrides.offline("c0") == "+OK" and new.pools.pools["c0"].retired
 
@@ -177,10 +179,10 @@
     for _ in range(2):
         with monkeypatch.context() as patch:
 
-            def refuse(*_: object) -> bytes:
+            def raise_no_locks(*_: object) -> bytes:
                 raise OSError(errno.ENOLCK, "refused")
 
-            patch.setattr(fcntl, "fcntl", refuse)
+            patch.setattr(fcntl, "fcntl", raise_no_locks)
             assert [shared_state.has_other_process() for _ in range(3)] == [False] * 3
         assert not shared_state.has_other_process()
     assert caplog.text.count("checking for another router process failed") == 2
--- a/tests/test_override_file.py
+++ b/tests/test_override_file.py
@@ -106,7 +106,7 @@
 
 
 def test_repeated_command_is_not_acknowledged_while_reads_fail(tmp_path: Path) -> None:
-    """The other process may have put the server online meanwhile."""
+    """The other process may have put the server online since the last successful read."""
     process, other = Process(tmp_path), Process(tmp_path)
     process.operator_overrides.offline("c0")
     other.operator_overrides.poll()
@@ -130,9 +130,9 @@
     path.write_bytes(content)
     other = Process(tmp_path)
     assert other.offline_servers() == set()
-    with pytest.raises(CommandError, match=f"{path}.*") as refused:
+    with pytest.raises(CommandError, match=f"{path}.*") as error_info:
         other.operator_overrides.offline("c1")
-    assert NO_EFFECT in str(refused.value) and path.read_bytes() == content
+    assert NO_EFFECT in str(error_info.value) and path.read_bytes() == content
     with pytest.raises(OverrideFileError):
         OverrideFile(str(tmp_path)).read_if_changed()
     assert process.operator_overrides.offline("c0") == "+OK"  # a repeated command rewrites the file
@@ -156,11 +156,11 @@
 
 
 @pytest.mark.parametrize(("call", "error", "nth"), FAILING_STEPS)
-def test_answer_after_a_failing_step_says_what_took_effect(
+def test_answer_after_a_failing_step_states_whether_the_override_took_effect(
     tmp_path: Path, call: SystemCall, error: str, nth: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The n-th system call of a kind fails during a command for c1: process, file and next process agree with
-    the answer, and c0 stays offline."""
+    """The n-th system call of one kind fails during a command for c1: the state in the process, in the file and
+    in a new process agrees with the answer, and c0 stays offline."""
     monkeypatch.setattr(operator_overrides, "SYNC_RETRY_INTERVAL", 0.0)
     process = Process(tmp_path)
     process.operator_overrides.offline("c0")
@@ -168,8 +168,8 @@
     with SystemCallFaults(fault) as faults:
         try:
             answer = process.operator_overrides.offline("c1")
-        except CommandError as refused:
-            answer = str(refused)
+        except CommandError as command_error:
+            answer = str(command_error)
         fault_count = faults.count()
     assert (answer == "+OK") or fault_count
     assert answer == "+OK" or NO_EFFECT in answer or IN_EFFECT in answer
@@ -205,7 +205,7 @@
 def test_answer_for_each_step_that_keeps_failing(
     tmp_path: Path, call: SystemCall, path: str, answer: str
 ) -> None:
-    """Commands during ENOSPC get the answer of the failing step; a failure to store times rejects none."""
+    """A command gets the error answer of the failing step; a failure to store times does not reject it."""
     process = Process(tmp_path)
     with SystemCallFaults(SystemCallFault(call, "ENOSPC", path=str(tmp_path / path))) as faults:
         for _ in range(3):
@@ -225,16 +225,16 @@
 def test_command_waits_for_the_lock_only_until_the_timeout(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, released: bool
 ) -> None:
-    """Another process holds the lock; a command succeeds if it is released in time, and is else rejected."""
+    """Another process holds the lock; a command is rejected unless the lock is released in time."""
     process, clock, pauses = Process(tmp_path), 0.0, 0
-    with open(tmp_path / "applehub-by-hand.lock", "wb") as held:
-        fcntl.flock(held, fcntl.LOCK_EX)
+    with open(tmp_path / "applehub-by-hand.lock", "wb") as lock_file:
+        fcntl.flock(lock_file, fcntl.LOCK_EX)
 
         def pause(seconds: float) -> None:
             nonlocal clock, pauses
             clock, pauses = clock + seconds, pauses + 1
             if released and pauses == 3:
-                fcntl.flock(held, fcntl.LOCK_UN)
+                fcntl.flock(lock_file, fcntl.LOCK_UN)
 
         monkeypatch.setattr(time, "monotonic", lambda: clock)
         monkeypatch.setattr(time, "sleep", pause)
@@ -283,7 +283,7 @@
     assert caplog.text.count("operator overrides synced to disk again") == 1
 
 
-# Kills
+# Killed processes
 
 KILLED_SCRIPT = """
 import builtins, os, signal, sys
@@ -367,7 +367,7 @@
     ],
 )
 def test_kill_at_any_step_leaves_the_file_intact(tmp_path: Path, step: str, nth: int) -> None:
-    """A process is killed while it stores c1; the next one knows c0, and c1 if the rename was done."""
+    """A process is killed while it stores c1; the next one reads c0, and also c1 if the rename was complete."""
     killed = subprocess.run(
         [sys.executable, "-c", KILLED_SCRIPT, str(tmp_path), step, str(nth)],
         cwd=ROOT,
@@ -376,9 +376,13 @@
         env={**os.environ, "PYTHONPATH": str(ROOT)},
     )
     assert (killed.returncode, killed.stdout) == (-9, "acknowledged\n"), killed.stderr
-    renamed = (step, nth) in [("replace after", 2), ("fsync before", 2), ("fsync after", 2)]
+    rename_complete = (step, nth) in [("replace after", 2), ("fsync before", 2), ("fsync after", 2)]
     restarted = Process(tmp_path)
-    assert restarted.offline_servers() == stored_offline(tmp_path) == ({"c0", "c1"} if renamed else {"c0"})
+    assert (
+        restarted.offline_servers()
+        == stored_offline(tmp_path)
+        == ({"c0", "c1"} if rename_complete else {"c0"})
+    )
     assert restarted.operator_overrides.offline("c2") == "+OK"
     assert (
         Process(tmp_path).offline_servers()
@@ -388,7 +392,7 @@
     )
 
 
-# Times
+# Times of overrides
 
 
 class Clocks:
@@ -408,26 +412,26 @@
 def test_online_time_is_the_same_in_every_process_despite_wall_clock_steps(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seconds: int
 ) -> None:
-    """The slow start of c0 begins at the same monotonic time in both processes and in one started later."""
+    """The slow start of c0 has the same monotonic start in both processes and in a later process."""
     clocks = Clocks(monkeypatch)
     process, other = Process(tmp_path), Process(tmp_path)
     process.operator_overrides.offline("c0")
     clocks.wall += seconds * SECOND
     clocks.wait(20)
-    returned_at = clocks.monotonic
+    online_at = clocks.monotonic
     process.operator_overrides.online("c0")
     clocks.wall += seconds * SECOND
     clocks.wait(0.1)
     other.operator_overrides.poll()
     clocks.wait(5)
     restarted = Process(tmp_path)
-    assert [each.events[-1] for each in (process, other, restarted)] == [
-        api.ServerOverride("c0", False, returned_at)
+    assert [router_process.events[-1] for router_process in (process, other, restarted)] == [
+        api.ServerOverride("c0", False, online_at)
     ] * 3
 
 
 @pytest.mark.parametrize("seconds", [3, -3, 3_600, -3_600])
-def test_online_override_is_kept_for_ten_minutes_of_monotonic_time(
+def test_online_override_expires_after_ten_minutes_of_monotonic_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seconds: int
 ) -> None:
     clocks = Clocks(monkeypatch)
@@ -440,7 +444,7 @@
     assert set(stored(tmp_path)) == {"c0", "c1"}
     clocks.wait(2)
     process.operator_overrides.offline("c2")
-    assert set(stored(tmp_path)) == {"c1", "c2"}  # offline overrides are kept
+    assert set(stored(tmp_path)) == {"c1", "c2"}  # offline overrides do not expire
 
 
 @pytest.mark.parametrize("accepted_ms", [1_790_000_000_000 - 300_000, 1_790_000_000_000 + 3_600_000, 1])
@@ -450,14 +454,16 @@
 def test_online_override_without_valid_monotonic_time_counts_from_its_first_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, accepted_ms: int, reason: str
 ) -> None:
-    """The Unix time is ignored; the override is forgotten ten minutes after the first read."""
+    """The Unix time is ignored; the override expires ten minutes after the first read."""
     clocks = Clocks(monkeypatch)
     (tmp_path / "applehub-by-hand.json").write_text(json.dumps({"c0": [False, accepted_ms], "c1": [True, 5]}))
     if reason != "an older version's":
-        identifier = "" if reason == "no boot id" else "another" if reason == "before a restart" else "this"
+        stored_boot_id = (
+            "" if reason == "no boot id" else "another" if reason == "before a restart" else "this"
+        )
         monkeypatch.setattr(override_file, "boot_id", lambda: "" if reason == "no boot id" else "this")
         stored_ms = accepted_ms - 1 if reason == "of another override" else accepted_ms
-        times = {"boot_id": identifier, "made": {"c0": [stored_ms, 5 * SECOND], "c1": [5, 5 * SECOND]}}
+        times = {"boot_id": stored_boot_id, "made": {"c0": [stored_ms, 5 * SECOND], "c1": [5, 5 * SECOND]}}
         (tmp_path / "applehub-by-hand.times.json").write_text(json.dumps(times))
     process = Process(tmp_path)
     assert api.ServerOverride(
@@ -473,15 +479,15 @@
 
 def test_file_format_stays_readable_by_older_versions(tmp_path: Path) -> None:
     process = Process(tmp_path)
-    before = time.time_ns() // 1_000_000
+    started_ms = time.time_ns() // 1_000_000
     process.operator_overrides.offline("c0")
     process.operator_overrides.online("c0")
     process.operator_overrides.offline("c1")
-    restarted = time.time_ns() // 1_000_000
+    finished_ms = time.time_ns() // 1_000_000
     entries = stored(tmp_path)
     assert {name: offline for name, (offline, _) in entries.items()} == {"c0": False, "c1": True}
     for _, accepted_ms in entries.values():
-        assert type(accepted_ms) is int and before <= accepted_ms <= restarted
+        assert type(accepted_ms) is int and started_ms <= accepted_ms <= finished_ms
 
 
 @pytest.mark.parametrize("content", [b"{", b"[]", b'{"boot_id": 1}', b'{"boot_id": "x", "made": []}'])
--- a/tests/test_persisted.py
+++ b/tests/test_persisted.py
@@ -40,7 +40,7 @@
 
 
 def restored_servers(folder: Path) -> set[str]:
-    """Returns the servers that the next process starts from."""
+    """Returns the servers of the list that the next process loads."""
     known = PersistedList(str(folder)).load({"rev": 1, "targets": []})
     return {target["uid"] for target in known["targets"]}
 
@@ -65,10 +65,10 @@
 ) -> None:
     """One system call fails while the list changes twice; failure and recovery are logged once each."""
     caplog.set_level("INFO")
-    before = PersistedList(str(tmp_path))
-    before.load({"rev": 1, "targets": []})
-    before.update(answer(2, "c0"), False)
-    before.close()
+    previous_list = PersistedList(str(tmp_path))
+    previous_list.load({"rev": 1, "targets": []})
+    previous_list.update(answer(2, "c0"), False)
+    previous_list.close()
     persisted = PersistedList(str(tmp_path))
     persisted.load({"rev": 1, "targets": []})
     if after_a_save:
@@ -96,10 +96,10 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture, call: SystemCall, error: str
 ) -> None:
     caplog.set_level("INFO")
-    seen = {"c0": api.ServerStatistics(2e6, 1e6, 1.5, 0.25)}
-    persisted = PersistedStatistics(str(tmp_path), lambda: api.SavedStatistics(0, seen))
-    before = PersistedStatistics(str(tmp_path), lambda: api.SavedStatistics(0, {}))
-    before.close()  # leaves files, which a save reads when it opens the store
+    observed = {"c0": api.ServerStatistics(2e6, 1e6, 1.5, 0.25)}
+    persisted = PersistedStatistics(str(tmp_path), lambda: api.SavedStatistics(0, observed))
+    previous_statistics = PersistedStatistics(str(tmp_path), lambda: api.SavedStatistics(0, {}))
+    previous_statistics.close()  # leaves files that the next save reads when it opens the store
     with SystemCallFaults(SystemCallFault(call, error, path=str(tmp_path))) as faults:
         persisted.start()
         await wait_until(lambda: persisted.saver.failures >= 4)
@@ -108,23 +108,23 @@
     assert b"c0" in (stored(tmp_path, "learnt") or b"")
     assert caplog.text.count("saving server statistics failed") == 1
     persisted.close()
-    found = PersistedStatistics(str(tmp_path), persisted.get_statistics).load()
-    assert found is not None and found.servers == seen
+    loaded = PersistedStatistics(str(tmp_path), persisted.get_statistics).load()
+    assert loaded is not None and loaded.servers == observed
 
 
 @pytest.mark.usefixtures("short_intervals")
 async def test_saving_resumes_after_threads_could_not_be_started(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    seen = {"c0": api.ServerStatistics(2e6, 1e6, 1.5, 0.25)}
-    statistics = PersistedStatistics(str(tmp_path), lambda: api.SavedStatistics(0, seen))
+    observed = {"c0": api.ServerStatistics(2e6, 1e6, 1.5, 0.25)}
+    statistics = PersistedStatistics(str(tmp_path), lambda: api.SavedStatistics(0, observed))
     persisted = PersistedList(str(tmp_path))
     with monkeypatch.context() as patch:
 
-        def refuse(thread: threading.Thread) -> None:
+        def fail_to_start(thread: threading.Thread) -> None:
             raise RuntimeError("can't start new thread")
 
-        patch.setattr(threading.Thread, "start", refuse)
+        patch.setattr(threading.Thread, "start", fail_to_start)
         statistics.start()
         persisted.update(answer(2, "c0"), False)
         await wait_until(lambda: statistics.saver.failures >= 2 and persisted.saver.failures >= 2)
@@ -147,17 +147,17 @@
 
 
 def test_store_whose_open_failed_is_reopened_and_keeps_its_generation(tmp_path: Path) -> None:
-    """Prevents a failed read from restarting generations at 1, which would hide later saves."""
-    before = Saver(str(tmp_path), "x", 1, "it")
+    """A failed read must not restart generations at 1, which would make older saves win over later ones."""
+    first_saver = Saver(str(tmp_path), "x", 1, "it")
     for number in range(9):
-        assert before.save(b"%d" % number)
-    before.close()
-    after = Saver(str(tmp_path), "x", 1, "it")
+        assert first_saver.save(b"%d" % number)
+    first_saver.close()
+    second_saver = Saver(str(tmp_path), "x", 1, "it")
     with SystemCallFaults(SystemCallFault("read", "EIO", times=1, path=str(tmp_path))):
-        assert not after.save(b"refused")
-    assert after.load() == b"8"
-    assert after.save(b"later")
-    after.close()
+        assert not second_saver.save(b"refused")
+    assert second_saver.load() == b"8"
+    assert second_saver.save(b"later")
+    second_saver.close()
     assert Saver(str(tmp_path), "x", 1, "it").load() == b"later"
 
 
@@ -174,32 +174,32 @@
 async def test_final_value_is_not_overwritten_by_a_delayed_save(tmp_path: Path) -> None:
     """A save waits in its thread while the saver is closed with a newer value."""
     value_saver = Saver(str(tmp_path), "x", 1, "it")
-    save_started, save_may_continue, real = threading.Event(), threading.Event(), value_saver.save
+    save_started, save_may_continue, original_save = threading.Event(), threading.Event(), value_saver.save
 
     def delayed_save(value: bytes) -> bool:
         save_started.set()
         save_may_continue.wait()
-        return real(value)
+        return original_save(value)
 
     value_saver.save = delayed_save  # type: ignore[method-assign]
-    older = asyncio.create_task(value_saver.save_in_thread(b"older"))
+    older_save = asyncio.create_task(value_saver.save_in_thread(b"older"))
     await wait_until(save_started.is_set)
     value_saver.close(b"newest")
     save_may_continue.set()
-    assert not await older
+    assert not await older_save
     assert stored(tmp_path, "x") == b"newest"
 
 
-async def test_close_saves_a_list_whose_last_save_fails_meanwhile(
+async def test_close_saves_a_list_whose_last_save_fails_during_the_close(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A save waits for the disk when the list is closed, and then fails."""
     persisted = PersistedList(str(tmp_path))
     persisted.load({"rev": 1, "targets": []})
-    save_started, save_may_continue, fsync = threading.Event(), threading.Event(), os.fsync
+    save_started, save_may_continue, original_fsync = threading.Event(), threading.Event(), os.fsync
 
     def slow_failure(file: int) -> None:
-        monkeypatch.setattr(os, "fsync", fsync)
+        monkeypatch.setattr(os, "fsync", original_fsync)
         save_started.set()
         save_may_continue.wait()
         raise OSError(errno.EIO, "refused")
@@ -230,6 +230,6 @@
         assert Saver(str(tmp_path), name, 1, name).load() == b"before"
         assert f"stored {name} ignored: {file.name}: byte" in caplog.text
     file.write_bytes(content[:-1])
-    after = Saver(str(tmp_path), name, 1, name)
-    assert after.save(b"next") and after.load() == b"next"
-    after.close()
+    next_saver = Saver(str(tmp_path), name, 1, name)
+    assert next_saver.save(b"next") and next_saver.load() == b"next"
+    next_saver.close()
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -1,4 +1,4 @@
-"""The count of open connections, and the cost of pool operations for any number of servers."""
+"""The count of open connections is exact, and pool operations cost the same for any number of servers."""
 
 import asyncio
 import random
@@ -25,7 +25,7 @@
 
 
 class FakeTransport:
-    """Stands in for a connection's transport and for its socket, on which nothing is received."""
+    """Replaces a connection's transport and its socket, on which nothing is received."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.closing = sock, False
@@ -56,7 +56,7 @@
 
 
 class Network:
-    """Pools whose connections are established, or fail, when the test says so."""
+    """Pools whose connections are established, or fail, under control of the test."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, max_connections: int) -> None:
         self.loop = asyncio.get_running_loop()
@@ -69,16 +69,16 @@
         monkeypatch.setattr(self.loop, "time", lambda: self.clock)
         self.pools = Pools(max_connections, 1e6, 1e6)
 
-    async def _connect(self, make: Callable[[], Connection], host: str, port: int) -> None:
-        connection, established = make(), self.loop.create_future()
+    async def _connect(self, create_protocol: Callable[[], Connection], host: str, port: int) -> None:
+        connection, established = create_protocol(), self.loop.create_future()
         self.pending_connects[connection] = established
         await established
         connection.connection_made(FakeTransport(self.sockets[0]))  # type: ignore[arg-type]
 
     def add(self, name: str, port: int = 1) -> None:
-        self.pools.add(name, ("127.0.0.1", port), self._make)
+        self.pools.add(name, ("127.0.0.1", port), self._create_connection)
 
-    def _make(self, pool: pool_module.Pool) -> Connection:
+    def _create_connection(self, pool: pool_module.Pool) -> Connection:
         connection = CacheConnection(pool)
         self.created.append(connection)
         return connection
@@ -88,7 +88,7 @@
         deadline = time.monotonic_ns() + 60_000_000_000
         return self.pools.pools[name].start(Exchange(call, deadline, self.results.append))
 
-    async def complete_connect(self, problem: OSError | None = None) -> None:
+    async def complete_connect(self, error: OSError | None = None) -> None:
         """Completes the oldest pending connect, with an error if one is given."""
         connection = next(iter(self.connecting()), None)
         if connection is None:
@@ -96,19 +96,23 @@
         while connection not in self.pending_connects:
             await asyncio.sleep(0)
         established = self.pending_connects[connection]
-        established.set_exception(problem) if problem is not None else established.set_result(None)
+        established.set_exception(error) if error is not None else established.set_result(None)
         assert connection.connect_task is not None
         await connection.connect_task
 
     def connecting(self) -> list[Connection]:
-        return [one for one in self.open_connections() if one.transport is None]
+        return [connection for connection in self.open_connections() if connection.transport is None]
 
     def open_connections(self) -> list[Connection]:
-        return [one for one in self.created if one in one.pool.connections]
+        return [connection for connection in self.created if connection in connection.pool.connections]
 
     def in_flight(self) -> list[Connection]:
         """Returns the connections with a written attempt in flight."""
-        return [one for one in self.open_connections() if one.exchange is not None and not one.unsent]
+        return [
+            connection
+            for connection in self.open_connections()
+            if connection.exchange is not None and not connection.unsent
+        ]
 
     def check_counts(self) -> None:
         open_connections = self.open_connections()
@@ -125,22 +129,22 @@
 
 @pytest.fixture
 async def make_network(monkeypatch: pytest.MonkeyPatch) -> Any:
-    made: list[Network] = []
+    networks: list[Network] = []
 
     def make(max_connections: int) -> Network:
-        made.append(Network(monkeypatch, max_connections))
-        return made[-1]
+        networks.append(Network(monkeypatch, max_connections))
+        return networks[-1]
 
     yield make
-    for one in made:
-        one.close()
+    for network in networks:
+        network.close()
 
 
 async def _random_step(network: Network, rng: random.Random) -> None:
     """Applies one random operation or event."""
     name = f"c{rng.randrange(SERVERS)}"
     candidates = network.in_flight()
-    chosen = rng.choice(candidates) if candidates else None
+    connection = rng.choice(candidates) if candidates else None
     network.clock += rng.choice([0.0, MIN_IDLE_BEFORE_REUSE / 2, 0.1])
     match rng.randrange(14):
         case 0 | 1 | 2 | 12 | 13:
@@ -150,11 +154,11 @@
             await network.complete_connect()
         case 5:
             await network.complete_connect(ConnectionRefusedError())
-        case 6 | 7 if chosen is not None:
-            chosen.data_received(HIT)
-        case 8 if chosen is not None:
+        case 6 | 7 if connection is not None:
+            connection.data_received(HIT)
+        case 8 if connection is not None:
             method = rng.choice(["protocol_error", "handle_loss", "abort_attempt", "cancel_unstarted"])
-            getattr(chosen, method)()
+            getattr(connection, method)()
         case 9 if name in network.pools.pools:
             if rng.random() < 0.5:
                 network.pools.pools[name].retire()
@@ -189,13 +193,13 @@
     assert network.pools.open_count == 0 and not network.pools.idle
 
 
-@pytest.mark.parametrize("method", ["refused", "given up", "retired", "replaced", "removed", "started anew"])
-async def test_abandoned_connect_is_not_counted(make_network: Callable[[int], Network], method: str) -> None:
+@pytest.mark.parametrize("reason", ["refused", "given up", "retired", "replaced", "removed", "started anew"])
+async def test_abandoned_connect_is_not_counted(make_network: Callable[[int], Network], reason: str) -> None:
     network = make_network(MAX_CONNECTIONS)
     network.add("c0")
     assert network.start("c0") and network.pools.open_count == 1
     (connection,) = network.open_connections()
-    match method:
+    match reason:
         case "refused":
             await network.complete_connect(ConnectionRefusedError())
         case "given up":
@@ -227,9 +231,9 @@
     assert network.pools.open_count == 0 and network.start("c1")
 
 
-def _executed_events(work: Callable[[], object]) -> int:
-    """Returns how many lines and calls of the pool module are executed by a function."""
-    count, before = 0, sys.gettrace()
+def _executed_events(operation: Callable[[], object]) -> int:
+    """Returns how many lines and calls of the pool module an operation executes."""
+    count, previous_trace = 0, sys.gettrace()
 
     def trace(frame: FrameType, event: str, arg: object) -> Any:
         nonlocal count
@@ -240,9 +244,9 @@
 
     sys.settrace(trace)
     try:
-        work()
+        operation()
     finally:
-        sys.settrace(before)
+        sys.settrace(previous_trace)
     return count
 
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -11,7 +11,7 @@
 from support import SECOND, Router, settings
 
 from applehub import interface as api
-from applehub.node import router as node
+from applehub.node import router as router_module
 from applehub.node.configuration import read_configuration
 
 Json = dict[str, Any]
@@ -31,9 +31,9 @@
     }
 
 
-def create_router(path: Path) -> node.Router:
+def create_router(path: Path) -> router_module.Router:
     path.write_text(json.dumps(configuration()))
-    return node.Router(read_configuration(str(path)), str(path))
+    return router_module.Router(read_configuration(str(path)), str(path))
 
 
 def remove_key(*keys: Any) -> Callable[[Json], None]:
@@ -82,7 +82,7 @@
 async def test_invalid_configuration_is_not_applied(tmp_path: Path, change: Callable[[Json], None]) -> None:
     path = tmp_path / "config.json"
     running = create_router(path)
-    before = (
+    state_before = (
         running.configuration,
         running.driver.balancer.settings,
         running.clients.names,
@@ -93,13 +93,13 @@
     change(invalid)
     path.write_text(json.dumps(invalid))
     running.reload()
-    now = (
+    state_after = (
         running.configuration,
         running.driver.balancer.settings,
         running.clients.names,
         running.watch.endpoints,
     )
-    assert all(one is other for one, other in zip(before, now, strict=True))
+    assert all(one is other for one, other in zip(state_before, state_after, strict=True))
     assert (running.metrics.config_applied, running.metrics.config_rejected) == (0, 1)
 
 
@@ -107,12 +107,12 @@
 async def test_incomplete_or_missing_file_is_not_applied(tmp_path: Path, text: str) -> None:
     path = tmp_path / "config.json"
     running = create_router(path)
-    before = running.configuration
+    configuration_before = running.configuration
     path.write_text(text)
     running.reload()
     path.unlink()
     running.reload()
-    assert running.configuration is before and running.metrics.config_rejected == 2
+    assert running.configuration is configuration_before and running.metrics.config_rejected == 2
 
 
 async def test_classes_are_added_removed_and_reordered_by_name(tmp_path: Path) -> None:
@@ -120,8 +120,8 @@
     running = create_router(path)
     changed = configuration(discovery="127.0.0.1:2")
     read, put, once = changed["settings"]["classes"]
-    new = {**read, "name": "browse", "effect": "unsafe", "deadline": 7 * SECOND}
-    changed["settings"]["classes"] = [once, new, {**read, "effect": "unsafe"}]
+    added_class = {**read, "name": "browse", "effect": "unsafe", "deadline": 7 * SECOND}
+    changed["settings"]["classes"] = [once, added_class, {**read, "effect": "unsafe"}]
     changed["settings"]["hostTypes"] = ["origin", "new", "std"]
     changed["settings"]["specifics"]["originKind"] = 0
     changed["settings"]["ceilings"]["attemptsCap"] = 2
@@ -129,12 +129,16 @@
     path.write_text(json.dumps(changed))
     running.reload()
     assert running.clients.names.classes == {"once": 0, "browse": 1, "read": 2}
-    now = running.driver.balancer.settings
-    assert [one.effect for one in now.classes] == [api.Effect.UNSAFE] * 3
-    assert (now.max_attempts, running.pools.max_connections, running.watch.endpoints[0][1]) == (2, 45, 2)
+    new_settings = running.driver.balancer.settings
+    assert [request_class.effect for request_class in new_settings.classes] == [api.Effect.UNSAFE] * 3
+    assert (new_settings.max_attempts, running.pools.max_connections, running.watch.endpoints[0][1]) == (
+        2,
+        45,
+        2,
+    )
     # Known servers refer to kinds by index, so known kinds keep their indexes and new kinds follow.
     assert running.directory.names.kinds == {"std": 0, "origin": 1, "new": 2}
-    assert running.directory.origin_kind == now.origin_kind == 1
+    assert running.directory.origin_kind == new_settings.origin_kind == 1
     lines = running.metrics.lines()
     assert "edge_balancer.responses.browse.ok=0" in lines and "edge_balancer.responses.put.ok=0" in lines
     assert "edge_balancer.config_applied=1" in lines and "edge_balancer.config_rejected=0" in lines
@@ -143,29 +147,29 @@
     assert put["name"] in running.clients.names.classes and running.metrics.config_applied == 2
 
 
-def retuned_event(*classes: api.RequestClass, **changes: object) -> api.SettingsChanged:
+def settings_changed(*classes: api.RequestClass, **changes: object) -> api.SettingsChanged:
     return api.SettingsChanged(settings(classes=list(classes), **changes))
 
 
 def test_request_in_flight_keeps_its_class_settings() -> None:
     router = Router()
-    _, (idempotent,) = router.send_request("a", cls=0)
-    _, (not_idempotent,) = router.send_request("b", cls=2)
-    strict = api.RequestClass(SECOND, 2 * SECOND, api.Effect.UNSAFE)
-    router.deliver(retuned_event(strict))
-    (retry,) = router.finish_attempt(idempotent, api.Status.RESET)
+    _, (idempotent_attempt,) = router.send_request("a", cls=0)
+    _, (other_attempt,) = router.send_request("b", cls=2)
+    strict_class = api.RequestClass(SECOND, 2 * SECOND, api.Effect.UNSAFE)
+    router.deliver(settings_changed(strict_class))
+    (retry,) = router.finish_attempt(idempotent_attempt, api.Status.RESET)
     assert isinstance(retry, api.Send)
-    (failed,) = router.finish_attempt(not_idempotent, api.Status.RESET)
+    (failed,) = router.finish_attempt(other_attempt, api.Status.RESET)
     assert isinstance(failed, api.Fail)
-    _, (newer,) = router.send_request("c", cls=0)
-    (failed,) = router.finish_attempt(newer, api.Status.RESET)
+    _, (new_attempt,) = router.send_request("c", cls=0)
+    (failed,) = router.finish_attempt(new_attempt, api.Status.RESET)
     assert isinstance(failed, api.Fail)
 
 
 def test_lower_attempt_limit_applies_to_requests_in_flight() -> None:
     router = Router()
     _, (first,) = router.send_request("a")
-    router.deliver(retuned_event(*settings().classes, max_attempts=1))
+    router.deliver(settings_changed(*settings().classes, max_attempts=1))
     (rejected,) = router.finish_attempt(first, api.Status.RESET)
     assert isinstance(rejected, api.Reject)
 
@@ -175,9 +179,12 @@
     for n in range(50):
         router.send_request(f"k{n}")
         router.advance(SECOND // 50)
-    before = router.balancer.server_table.request_rate.per_second(router.now)
-    router.deliver(retuned_event(api.RequestClass(SECOND // 4, SECOND), tenants=[api.Tenant(9.0)]))
-    assert abs(router.balancer.server_table.request_rate.per_second(router.now) - before) < 1e-6 * before
+    rate_before = router.balancer.server_table.request_rate.per_second(router.now)
+    router.deliver(settings_changed(api.RequestClass(SECOND // 4, SECOND), tenants=[api.Tenant(9.0)]))
+    assert (
+        abs(router.balancer.server_table.request_rate.per_second(router.now) - rate_before)
+        < 1e-6 * rate_before
+    )
     assert len(router.balancer.tenants.request_rates) == len(router.balancer.tenants.token_buckets) == 1
     assert router.balancer.monitor.period == SECOND // 8
     router.send_request("again")
@@ -205,7 +212,7 @@
         running.pools.max_connections == single_process_limits[0] // 2
         and running.driver.balancer.server_table.process_count == 2
     )
-    # The base memory of both processes is subtracted before the rest is shared.
+    # The base memory of both processes is subtracted before the remaining memory is shared.
     assert running.driver.memory.limit * 2 < single_process_limits[1]
     running._apply_limits(1)
     assert (running.pools.max_connections, running.driver.memory.limit) == single_process_limits
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -32,7 +32,7 @@
 
 
 @pytest.fixture(autouse=True)
-def no_rest_between_answers(monkeypatch: pytest.MonkeyPatch) -> None:
+def no_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     """Lets connections be reused at once, since these tests count connections."""
     monkeypatch.setattr(pool, "MIN_IDLE_BEFORE_REUSE", 0.0)
 
@@ -151,7 +151,7 @@
 async def test_connect_timeout_proves_that_the_request_did_not_run(
     info: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An unreachable machine does not answer, so that the connection is never established."""
+    """The connection is never established, as with a machine that does not answer."""
 
     async def connect_forever(*args: Any) -> None:
         await asyncio.Event().wait()
@@ -200,12 +200,11 @@
         server = await asyncio.start_server(read_nothing, "127.0.0.1", 0, limit=1024)
         pool.endpoint = server.sockets[0].getsockname()[:2]
         call = Call(b"C.SET", b"k", b"i", b"c=put", bytes(32 << 20), 1, "put", 0, 9000, False)
-        until = time.monotonic_ns() + 9_000_000_000
-        pool.start(Exchange(call, until, lambda ending: statuses.append(ending.status)))
+        deadline = time.monotonic_ns() + 9_000_000_000
+        pool.start(Exchange(call, deadline, lambda ending: statuses.append(ending.status)))
         await wait_until(lambda: statuses)
-        assert statuses == [
-            api.Status.MOOT
-        ]  # the request did not run, although the connection was established
+        # The request did not run, although the connection was established.
+        assert statuses == [api.Status.MOOT]
         server.close()
 
 
@@ -378,11 +377,11 @@
         bench.driver.balancer.handle = lambda now, event: []  # type: ignore[method-assign]
         caller = await bench.caller()
         caller.get(info=b"c=read,t=acme,d=9000")
-        (held,) = await wait_until(lambda: list(bench.driver.requests.values()))
+        (pending_request,) = await wait_until(lambda: list(bench.driver.requests.values()))
         # The guard timer fires after the policy's deadline and before the client's.
-        assert held.deadline_timer.when() * 1e9 - held.deadline < ANSWER_MARGIN
+        assert pending_request.deadline_timer.when() * 1e9 - pending_request.deadline < ANSWER_MARGIN
         caller.get(name=b"i2", info=b"c=read,t=acme,d=200")
-        bench.driver._fail_overdue(held)
+        bench.driver._fail_overdue(pending_request)
         assert [str(await caller.answer()) for _ in range(2)] == ["ERR failed"] * 2
         assert not bench.driver.requests
 
@@ -422,18 +421,18 @@
 
 
 async def test_retry_is_sent_after_the_previous_connection_has_ended() -> None:
-    order: list[str] = []
+    events: list[str] = []
 
-    class Ordered(Cache):
+    class RecordingCache(Cache):
         async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await super()._serve(reader, writer)
-            order.append("ended")
+            events.append("ended")
 
     def answer(command: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
-        order.append("asked")
-        return hit() if len(order) > 2 else None
+        events.append("asked")
+        return hit() if len(events) > 2 else None
 
-    cache = Ordered(answer)
+    cache = RecordingCache(answer)
     await cache.start()
     two_entries = [entry("c0", cache.address), entry("c1", cache.address)]
     async with router(entries=lambda _, origin: two_entries) as bench:
@@ -442,7 +441,7 @@
         def shorten_first_timeout(now: int, event: api.Event) -> list[api.Action]:
             actions = handle(now, event)
             for action in actions:
-                if isinstance(action, api.Send) and len(order) == 0:
+                if isinstance(action, api.Send) and len(events) == 0:
                     action.timeout = 200_000_000
             return actions
 
@@ -450,7 +449,7 @@
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == b"v"
-        assert order[:3] == ["asked", "ended", "asked"]
+        assert events[:3] == ["asked", "ended", "asked"]
     await cache.stop()
 
 
@@ -465,7 +464,7 @@
 
 @pytest.mark.parametrize("sent", [b"*1\r\n-\xff\xfe\r\n", b"-\xff\r\n"])
 async def test_error_line_with_invalid_text_is_a_protocol_error(sent: bytes) -> None:
-    """From a client it is a protocol error; from a cache server it fails the attempt."""
+    """Such a line from a client is a protocol error; a line from a cache server fails the attempt."""
     async with router(lambda command, writer: sent) as bench:
         caller = await bench.caller()
         caller.get(info=once_info())
@@ -476,7 +475,7 @@
 
 
 async def test_forwarded_time_is_what_remains_when_the_command_is_written() -> None:
-    """Prevents a server from working past the client's deadline, since connecting takes time too."""
+    """Prevents a server from working past the client's deadline, since the connect takes time too."""
     async with router() as bench:
         pool = bench.pools.pools["c0"]
         dial = pool._dial
@@ -518,10 +517,10 @@
         pool._dial = dial_forever  # type: ignore[method-assign]
         caller = await bench.caller()
         caller.get()
-        (first,) = await wait_until(lambda: list(pool.connections))
+        (connection,) = await wait_until(lambda: list(pool.connections))
         del pool._dial
-        first.accepted = True  # the connection is lost before the command is written
-        first.handle_loss()
+        connection.accepted = True  # the connection is lost before the command is written
+        connection.handle_loss()
         assert await caller.answer() == b"v"
         assert statuses == [api.Status.MOOT, api.Status.OK]
         server = bench.driver.balancer.server_table.servers["c0"]
@@ -642,14 +641,14 @@
 async def test_burst_of_clients_is_accepted_a_few_at_a_time() -> None:
     """Prevents the process from running out of descriptors when many clients are queued."""
     async with router(sockets=4) as bench:
-        burst = [socket.create_connection(("127.0.0.1", bench.port)) for _ in range(200)]
-        descriptors_before, max_seen = len(os.listdir("/proc/self/fd")), 0
-        while not max_seen or len(os.listdir("/proc/self/fd")) > descriptors_before + 4:
+        client_sockets = [socket.create_connection(("127.0.0.1", bench.port)) for _ in range(200)]
+        descriptors_before, max_descriptors = len(os.listdir("/proc/self/fd")), 0
+        while not max_descriptors or len(os.listdir("/proc/self/fd")) > descriptors_before + 4:
             await asyncio.sleep(0)
-            max_seen = max(max_seen, len(os.listdir("/proc/self/fd")) - descriptors_before)
-        assert max_seen <= 4 + 4 * ACCEPTS_PER_ITERATION
-        for one in burst:
-            one.close()
+            max_descriptors = max(max_descriptors, len(os.listdir("/proc/self/fd")) - descriptors_before)
+        assert max_descriptors <= 4 + 4 * ACCEPTS_PER_ITERATION
+        for client_socket in client_sockets:
+            client_socket.close()
 
 
 async def test_handed_over_connection_closes_after_an_answer_and_never_before_one() -> None:
@@ -689,16 +688,16 @@
 async def test_last_answer_and_end_of_stream_arrive_together() -> None:
     """Prevents a client from sending another request before it sees the end of the stream."""
     async with router() as bench:
-        with socket.create_connection(("127.0.0.1", bench.port)) as raw:
-            raw.settimeout(WAIT_TIMEOUT)
-            raw.sendall(resp.command(b"PING"))
+        with socket.create_connection(("127.0.0.1", bench.port)) as client_socket:
+            client_socket.settimeout(WAIT_TIMEOUT)
+            client_socket.sendall(resp.command(b"PING"))
             await asyncio.sleep(0)
             await wait_until(lambda: any(client.sent_command for client in bench.clients.connections))
-            assert raw.recv(100) == b"+PONG\r\n"
+            assert client_socket.recv(100) == b"+PONG\r\n"
             bench.clients.hand_over()
-            raw.sendall(resp.command(b"C.GET", b"k", b"i1", INFO))
+            client_socket.sendall(resp.command(b"C.GET", b"k", b"i1", INFO))
             await wait_until(lambda: not bench.clients.connections)
-            assert raw.recv(100) == b"$1\r\nv\r\n" and raw.recv(100) == b""
+            assert client_socket.recv(100) == b"$1\r\nv\r\n" and client_socket.recv(100) == b""
 
 
 async def test_each_command_has_its_own_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -710,7 +709,7 @@
         caller.writer.write(ping + ping[:3])
         assert await caller.answer() == b"PONG"
         (client,) = bench.clients.connections
-        first = client.command_timer
+        first_timer = client.command_timer
         caller.writer.write(ping[3:] + ping[:3])
         assert await caller.answer() == b"PONG"
-        assert first is not None and first.cancelled() and client.command_timer is not None
+        assert first_timer is not None and first_timer.cancelled() and client.command_timer is not None
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -110,32 +110,38 @@
 def test_keys_keep_their_migration_times_while_a_large_list_keeps_changing() -> None:
     """In a rolling release, a key keeps its first owner until its migration time."""
     names = [f"s{number:04}" for number in range(FLEET_SIZE)]
-    ranges, begin, gap = KeyRanges(10 * SECOND), 100 * SECOND, 20 * MILLI
+    ranges, started_at, update_interval = KeyRanges(10 * SECOND), 100 * SECOND, 20 * MILLI
     lists = []
     for number in range(500):
-        ranges.assign(begin + number * gap, sorted(names))
+        ranges.assign(started_at + number * update_interval, sorted(names))
         lists.append(sorted(names))
         names[number] = f"a{number:04}"  # sorts before all others, so that every range boundary shifts
-    now = begin + 499 * gap
+    now = started_at + 499 * update_interval
     assert len(ranges.assignments) <= MAX_ASSIGNMENTS
     keys_waiting = keys_moved = 0
     for key in (f"k{number}" for number in range(FLEET_SIZE)):
-        _, at, owner, _ = ranges.locate(key, now)
-        if at < begin:
+        _, migrates_at, owner, _ = ranges.locate(key, now)
+        if migrates_at < started_at:
             keys_waiting += 1
             assert owner == range_owner(lists[0], key)
-        else:  # the key follows a list of about its migration time
+        else:  # the owner is that of a list from about the key's migration time
             keys_moved += 1
-            last = (at - begin) // gap
-            first = max(0, last - 2 * 500 // MAX_ASSIGNMENTS)
-            assert owner in {range_owner(lists[number], key) for number in range(first, last + 1)}
+            last_update = (migrates_at - started_at) // update_interval
+            first_update = max(0, last_update - 2 * 500 // MAX_ASSIGNMENTS)
+            assert owner in {
+                range_owner(lists[number], key) for number in range(first_update, last_update + 1)
+            }
     assert keys_moved > FLEET_SIZE // 2 and keys_waiting + keys_moved == FLEET_SIZE
     ranges = KeyRanges(10 * SECOND)
-    for number in range(250):  # half of the migration period
-        ranges.assign(begin + number * gap, lists[number])
-    now = begin + 249 * gap
+    for number in range(250):  # these updates take half of the migration period
+        ranges.assign(started_at + number * update_interval, lists[number])
+    now = started_at + 249 * update_interval
     locations = [ranges.locate(f"k{number}", now)[1:3] for number in range(FLEET_SIZE)]
-    unmoved_keys = [(owner, f"k{number}") for number, (at, owner) in enumerate(locations) if at < begin]
+    unmoved_keys = [
+        (owner, f"k{number}")
+        for number, (migrates_at, owner) in enumerate(locations)
+        if migrates_at < started_at
+    ]
     assert len(unmoved_keys) > FLEET_SIZE // 3
     assert all(owner == range_owner(lists[0], key) for owner, key in unmoved_keys)
 
@@ -162,8 +168,8 @@
     lookups_by_size = {}
     for size in (16, FLEET_SIZE):
         router_under_test = router_of_large_fleet(size)
-        roster = router_under_test.balancer.server_table
-        roster.servers = counting_servers = CountingServers(roster.servers)
+        server_table = router_under_test.balancer.server_table
+        server_table.servers = counting_servers = CountingServers(server_table.servers)
         for number in range(100):
             serve_request(router_under_test, f"k{number}")
         lookups = counting_servers.lookups
@@ -176,19 +182,19 @@
 
 def test_hot_keys_spread_without_reading_the_complete_list() -> None:
     router_under_test = router_of_large_fleet()
-    roster = router_under_test.balancer.server_table
-    for server in roster.servers.values():
+    server_table = router_under_test.balancer.server_table
+    for server in server_table.servers.values():
         server.base_latency = server.latency = 10.0 * MILLI
-    roster.servers = counting_servers = CountingServers(roster.servers)
+    server_table.servers = counting_servers = CountingServers(server_table.servers)
     for number in range(100):
         serve_request(router_under_test, f"k{number}")
     counting_servers.lookups = 0
-    reached = set()
+    serving_servers = set()
     for number in range(200):
         router_under_test.now += MILLI
         # The response time is three times that without overload.
-        reached.add(serve_request(router_under_test, f"k{number % 10}", 30 * MILLI))
-    assert len(reached) > 10 * 3  # several servers for each key
+        serving_servers.add(serve_request(router_under_test, f"k{number % 10}", 30 * MILLI))
+    assert len(serving_servers) > 10 * 3  # several servers serve each key
     assert counting_servers.lookups < 200 * FLEET_SIZE / 4
 
 
@@ -200,13 +206,13 @@
 
 
 def agent(number: int, known: int = 0, name: str = "") -> GossipAgent:
-    """Returns an agent that knows `known` others and has no changes left to gossip."""
-    me = member(number, name)
-    created = GossipAgent(me, "fleet", [], number + 1, TICK)
+    """Returns an agent that knows `known` other members and has no changes left to gossip."""
+    local_peer = member(number, name)
+    new_agent = GossipAgent(local_peer, "fleet", [], number + 1, TICK)
     for other in range(known):
-        created.membership.merge(0, member(other, name))
-    created.membership.table.update_send_counts.clear()
-    return created
+        new_agent.membership.merge(0, member(other, name))
+    new_agent.membership.table.update_send_counts.clear()
+    return new_agent
 
 
 def long_name() -> str:
@@ -217,10 +223,10 @@
     """Runs one tick of all agents and delivers every datagram."""
     datagrams = [datagram for sender in agents.values() for datagram in sender.tick(now)]
     while datagrams:
-        to, data = datagrams.pop(0)
+        target, data = datagrams.pop(0)
         assert len(data) <= MAX_DATAGRAM_BYTES
-        if isinstance(to, Peer) and to.member_id in agents:
-            datagrams += agents[to.member_id].receive(now, data)
+        if isinstance(target, Peer) and target.member_id in agents:
+            datagrams += agents[target.member_id].receive(now, data)
 
 
 def agent_pair(name: str = "") -> tuple[GossipAgent, GossipAgent]:
@@ -231,7 +237,7 @@
 
 
 def test_all_of_many_routers_are_announced_in_turn_even_with_long_names() -> None:
-    """One datagram holds at most 15 members; none may be omitted in every round."""
+    """One datagram holds at most 15 members, so that each member has to be announced in turn."""
     sender = agent(FLEET_SIZE, FLEET_SIZE, long_name())
     announced: set[int] = set()
     for _ in range(2 * FLEET_SIZE // 15):
@@ -272,8 +278,8 @@
     assert len(probed) == FLEET_SIZE and membership.member_count == FLEET_SIZE + 1
     for tick in range(FLEET_SIZE, FLEET_SIZE + 400):  # no probe is answered
         membership.tick(tick * TICK)
-    gone = sum(peer.state is PeerState.DEAD for peer in membership.table.peers.values())
-    assert 200 < gone < 400 and membership.member_count == FLEET_SIZE + 1 - gone
+    dead_count = sum(peer.state is PeerState.DEAD for peer in membership.table.peers.values())
+    assert 200 < dead_count < 400 and membership.member_count == FLEET_SIZE + 1 - dead_count
 
 
 def test_router_probes_on_behalf_of_many_others_at_once() -> None:
@@ -345,7 +351,7 @@
     assert sorted(store.writers[Limit, 0]) == list(range(1, RETENTION[Limit].max_writers + 1))
 
 
-def test_old_published_records_are_dropped_and_current_ones_kept() -> None:
+def test_old_published_records_are_dropped_and_current_ones_stay() -> None:
     sender = agent(0)
     for number in range(2 * FLEET_SIZE):
         sender.publish(0, Verdict(True, 1), digest(f"old-{number}"))
@@ -353,10 +359,12 @@
     for number in range(FLEET_SIZE):
         sender.publish(now, Verdict(True, 1), digest(f"c{number}"))
     assert sender.published.keys() == {(Verdict, digest(f"c{number}")) for number in range(FLEET_SIZE)}
-    versions = [own.version for own in sender.published.values()]
+    versions = [published_record.version for published_record in sender.published.values()]
     for number in range(FLEET_SIZE):
         sender.publish(now + SECOND, Verdict(True, 1), digest(f"c{number}"))
-    assert [own.version for own in sender.published.values()] == [version + 1 for version in versions]
+    assert [published_record.version for published_record in sender.published.values()] == [
+        version + 1 for version in versions
+    ]
 
 
 # The list service
@@ -447,8 +455,8 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     applied_limits: list[tuple[int, int]] = []
-    monkeypatch.setattr(resource, "getrlimit", lambda of: (soft, hard))
-    monkeypatch.setattr(resource, "setrlimit", lambda of, limits: applied_limits.append(limits))
+    monkeypatch.setattr(resource, "getrlimit", lambda limit_type: (soft, hard))
+    monkeypatch.setattr(resource, "setrlimit", lambda limit_type, limits: applied_limits.append(limits))
     raise_descriptor_limit(1500)
     assert applied_limits == ([(granted, hard)] if granted else [])
     assert ("limits.callers" in caplog.text) is warned
@@ -481,11 +489,13 @@
     async def test() -> None:
         async with router(entries=many_entries, sockets=max_connections) as bench:
             caller = await bench.caller()
-            max_seen = 0
-            for begin in range(0, FLEET_SIZE, CONCURRENT_REQUESTS):
-                await request_keys(caller, keys[begin : begin + CONCURRENT_REQUESTS])
-                max_seen = max(max_seen, sum(len(pool.connections) for pool in bench.pools.pools.values()))
-            assert max_seen == max_connections  # the limit is reached and not exceeded
+            max_open_connections = 0
+            for start in range(0, FLEET_SIZE, CONCURRENT_REQUESTS):
+                await request_keys(caller, keys[start : start + CONCURRENT_REQUESTS])
+                max_open_connections = max(
+                    max_open_connections, sum(len(pool.connections) for pool in bench.pools.pools.values())
+                )
+            assert max_open_connections == max_connections  # the limit is reached and not exceeded
             assert len(bench.cache.writers) == FLEET_SIZE == len(bench.directory.targets) - 1
             assert {command[1] for command in bench.cache.received} == set(keys)
 
@@ -544,14 +554,14 @@
     }
     async with running_program(tmp_path, sockets, **changes) as (running, addresses, lines):
         caller = await connect_client(addresses["listening on"])
-        process, max_seen = psutil.Process(running.pid), 0
-        for begin in range(0, requests, CONCURRENT_REQUESTS):
+        process, max_descriptors = psutil.Process(running.pid), 0
+        for start in range(0, requests, CONCURRENT_REQUESTS):
             await request_keys(
-                caller, [b"k%d" % number for number in range(begin, begin + CONCURRENT_REQUESTS)]
+                caller, [b"k%d" % number for number in range(start, start + CONCURRENT_REQUESTS)]
             )
-            max_seen = max(max_seen, process.num_fds())
+            max_descriptors = max(max_descriptors, process.num_fds())
         caller.writer.transport.abort()
-        assert sockets / 3 < max_seen <= sockets
+        assert sockets / 3 < max_descriptors <= sockets
         assert not [line for line in lines if "Too many open files" in line]
     assert len(cache.writers) > sockets
     await cache.stop()
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -53,7 +53,7 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch, *stalled_attempts: int) -> None:
         self.stalled_attempts, self.encoded = stalled_attempts, 0
         self.on_stall: Callable[[], None] = lambda: None
-        self.started: list[float] = []
+        self.stall_times: list[float] = []
         for connection_class in (CacheConnection, OriginConnection):
             monkeypatch.setattr(connection_class, "encode", self._stalling(connection_class.encode))
 
@@ -63,7 +63,7 @@
             first = next(chunks)
             self.encoded += 1
             if self.encoded in self.stalled_attempts:
-                self.started.append(now())
+                self.stall_times.append(now())
                 self.on_stall()
                 stall_process()
             yield first
@@ -130,7 +130,7 @@
                         <= DEADLINE_MS / 1000 - (received_at - started_at) + MAX_EXCESS_SECONDS
                     )
                 await asyncio.sleep(0.05)
-            assert stalls.started and len(attempts.received) >= 4
+            assert stalls.stall_times and len(attempts.received) >= 4
 
     run(monkeypatch, test)
 
@@ -227,7 +227,7 @@
             assert attempt_times[-1] - attempt_times[0] < window
             assert (answer == b"receipt") == (len(attempt_times) == 2)
             assert len(attempt_times) == 2 or failure_delay > 0.3
-            assert len(attempt_times) == 1 or stalls.started
+            assert len(attempt_times) == 1 or stalls.stall_times
 
     run(monkeypatch, test)
 
@@ -265,7 +265,7 @@
             late_attempts = [
                 received_at
                 for received_at, _ in attempts.received
-                if received_at - stalls.started[0] > DETECTION_TIME
+                if received_at - stalls.stall_times[0] > DETECTION_TIME
             ]
             assert not late_attempts
             assert bench.driver.balancer.server_table.servers["c0"].in_flight == 0
@@ -344,7 +344,7 @@
                 answer = await caller.answer()
                 assert answer in (b"v", b"from origin") or str(answer).startswith("BUSY")
                 await asyncio.sleep(0.05)
-            (changed_at,) = stalls.started
+            (changed_at,) = stalls.stall_times
             attempt_delays = [received_at - changed_at for received_at, _ in attempts.received]
             assert attempt_delays[0] == pytest.approx(STALL_SECONDS, abs=0.01)
             assert max(attempt_delays) <= STALL_SECONDS + 0.1 < DRAIN_GRACE
@@ -448,18 +448,18 @@
         async with router() as bench:
             service = DrainingDiscovery(bench, "Terminating")
             watch = Watch([await service.start()], bench.directory, 1, False)
-            apply, applied_at = bench.directory.apply, []
+            apply, answer_times = bench.directory.apply, []
 
-            def apply_and_stall(*args: Any, **kwargs: Any) -> None:
-                applied_at.append(now())
+            def stall_and_apply(*args: Any, **kwargs: Any) -> None:
+                answer_times.append(now())
                 stall_process()
                 apply(*args, **kwargs)
 
-            monkeypatch.setattr(bench.directory, "apply", apply_and_stall)
+            monkeypatch.setattr(bench.directory, "apply", stall_and_apply)
             watch.start()
             await asyncio.sleep(3 * MAX_HOLD)
-            assert len(applied_at) >= 2
-            for answered_at in applied_at:
+            assert len(answer_times) >= 2
+            for answered_at in answer_times:
                 assert (
                     min(
                         called_at - answered_at
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -24,7 +24,8 @@
 class Clocks:
     """The clocks of a router and of the list service's machine.
 
-    skew_here, skew_there: seconds by which each wall clock is ahead of real time.
+    skew_here, skew_there: seconds by which the wall clock of the router and of the list service is ahead of
+    real time.
     """
 
     now: int = 100 * NS_PER_S  # ns; real time, which the router's monotonic clock shows
@@ -49,7 +50,7 @@
 
 
 class DirectoryHarness:
-    """A directory and the balancer that it notifies."""
+    """A directory and the router policy that it notifies."""
 
     def __init__(self, clocks: Clocks, monkeypatch: pytest.MonkeyPatch) -> None:
         self.clocks = clocks
@@ -63,9 +64,9 @@
         self.router.now = self.clocks.now
         self.router.deliver(event)
 
-    def apply_list(self, boot_times: dict[str, int], full: bool = False, cached: bool = False) -> None:
+    def apply_list(self, start_times: dict[str, int], full: bool = False, cached: bool = False) -> None:
         self.rev += 1
-        targets = [entry(name, "127.0.0.1:1", boot_ms=boot) for name, boot in boot_times.items()]
+        targets = [entry(name, "127.0.0.1:1", boot_ms=start_ms) for name, start_ms in start_times.items()]
         self.directory.apply({"rev": self.rev, "all": full, "targets": targets}, cached)
 
     def apply_unchanged(self) -> None:
@@ -73,13 +74,13 @@
         self.directory.apply({"rev": self.rev, "all": False, "targets": []})
 
     def age(self, name: str) -> float:
-        """Returns the seconds since the start of a server, as the balancer has it."""
+        """Returns the seconds since the start of a server according to the balancer."""
         return (self.clocks.now - self.router.balancer.server_table.servers[name].warming_since) / NS_PER_S
 
-    def warmth(self, name: str) -> float:
+    def warm_capacity(self, name: str) -> float:
         self.router.balancer.context.now = self.clocks.now
-        roster = self.router.balancer.server_table
-        return roster.warm_capacity(roster.servers[name])
+        server_table = self.router.balancer.server_table
+        return server_table.warm_capacity(server_table.servers[name])
 
 
 @pytest.mark.parametrize("seconds", CLOCK_STEPS)
@@ -101,18 +102,18 @@
     clocks.wait(0.5)
     if before_start:
         clocks.step(where, seconds)
-    started = clocks.boot_ms()
+    start_ms = clocks.boot_ms()
     if not before_start:
         clocks.step(where, seconds)
     clocks.wait(0.5)
-    harness.apply_list({"c1": started})
+    harness.apply_list({"c1": start_ms})
     assert 0 <= harness.age("c1") < 1
-    assert 0 < harness.warmth("c1") < 0.4
+    assert 0 < harness.warm_capacity("c1") < 0.4
     clocks.wait(SLOW_START_DURATION - 1)
-    assert harness.warmth("c1") < 1
+    assert harness.warm_capacity("c1") < 1
     clocks.wait(1)
-    assert harness.warmth("c1") == 1
-    assert harness.warmth("c0") == 1  # servers that were listed before are not affected by the step
+    assert harness.warm_capacity("c1") == 1
+    assert harness.warm_capacity("c0") == 1  # servers that were listed before are not affected by the step
 
 
 @pytest.mark.parametrize("seconds", CLOCK_STEPS)
@@ -123,20 +124,20 @@
     """A start that is listed again after a clock step is the same start, and its connections stay open."""
     clocks = Clocks()
     harness = DirectoryHarness(clocks, monkeypatch)
-    boot = clocks.boot_ms()
+    start_ms = clocks.boot_ms()
     clocks.wait(4)
-    harness.apply_list({"c0": boot}, full=True)
+    harness.apply_list({"c0": start_ms}, full=True)
     close_times: list[float] = []
     pool = harness.directory.pools.pools["c0"]
     monkeypatch.setattr(pool, "close_opened_before", close_times.append)
     clocks.step(where, seconds)
     clocks.wait(1)
-    harness.apply_list({"c0": boot})
-    harness.apply_list({"c0": boot}, full=True)
+    harness.apply_list({"c0": start_ms})
+    harness.apply_list({"c0": start_ms}, full=True)
     assert close_times == [] and harness.age("c0") == 5
     harness.apply_list({}, full=True)
     clocks.wait(1)
-    harness.apply_list({"c0": boot})
+    harness.apply_list({"c0": start_ms})
     assert harness.age("c0") == 6
 
 
@@ -147,9 +148,9 @@
     harness.apply_list({"c0": clocks.boot_ms() - 7_000}, full=True)  # in the first list
     assert harness.age("c0") == 7
     clocks.wait(1)
-    started = clocks.boot_ms()
+    start_ms = clocks.boot_ms()
     clocks.wait(0.25)
-    harness.apply_list({"c0": started})
+    harness.apply_list({"c0": start_ms})
     assert harness.age("c0") == 0.25
 
 
@@ -159,12 +160,12 @@
     clocks = Clocks()
     harness = DirectoryHarness(clocks, monkeypatch)
     clocks.step("both", seconds)
-    started = clocks.boot_ms()
+    start_ms = clocks.boot_ms()
     clocks.wait(40)
     harness.apply_list({"c0": 0}, cached=True)
     clocks.wait(1)
-    harness.apply_list({"c0": started})
-    assert harness.age("c0") == 41 and harness.warmth("c0") == 1
+    harness.apply_list({"c0": start_ms})
+    assert harness.age("c0") == 41 and harness.warm_capacity("c0") == 1
 
 
 @pytest.mark.parametrize(("where", "seconds"), [("here", -3_600), ("there", 3_600), ("here", -3)])
@@ -174,13 +175,13 @@
     clocks = Clocks()
     harness = DirectoryHarness(clocks, monkeypatch)
     clocks.step(where, seconds)
-    started = clocks.boot_ms()
+    start_ms = clocks.boot_ms()
     clocks.wait(1)
-    harness.apply_list({"c0": started}, cached=True)
+    harness.apply_list({"c0": start_ms}, cached=True)
     assert harness.age("c0") == 0
     clocks.wait(SLOW_START_DURATION)
     harness.apply_unchanged()
-    assert harness.warmth("c0") == 1
+    assert harness.warm_capacity("c0") == 1
 
 
 def test_restart_with_earlier_unix_time_counts_as_now(
@@ -192,9 +193,9 @@
     harness.apply_list({"c0": clocks.boot_ms() - 60_000}, cached=True)
     clocks.step("there", -3_600)
     clocks.wait(5)
-    started = clocks.boot_ms()
+    start_ms = clocks.boot_ms()
     clocks.wait(1)
-    harness.apply_list({"c0": started})
+    harness.apply_list({"c0": start_ms})
     assert harness.age("c0") == 0
 
 
@@ -210,10 +211,10 @@
     harness.apply_list({"c0": 0})
     assert close_times == []
     clocks.step("here", 3_600)  # by the stepped clock the next start was an hour ago
-    started = clocks.boot_ms()
+    start_ms = clocks.boot_ms()
     clocks.wait(1)
-    harness.apply_list({"c0": started})
-    assert close_times == [pytest.approx(150, abs=1e-6)]  # the time of the previous response
+    harness.apply_list({"c0": start_ms})
+    assert close_times == [pytest.approx(150, abs=1e-6)]  # the time of the response before the start
 
 
 def test_starts_of_unlisted_servers_are_limited() -> None:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -18,7 +18,7 @@
 from applehub.node.persisted_statistics import PersistedStatistics
 
 STORED = Path(__file__).parent / "stored" / "router_0447801"
-STATISTICS_WALL_MS = 1796208787391  # the time of the save, as stored in the file
+STATISTICS_WALL_MS = 1796208787391  # Unix time of the save in ms, as stored in the file
 
 
 @pytest.fixture
@@ -37,12 +37,12 @@
 
 
 def test_store_of_a_newer_format_is_not_changed(folder: Path) -> None:
-    before = (folder / "value.0").read_bytes()
+    content_before = (folder / "value.0").read_bytes()
     store = Store(Folder(str(folder)), "value", 2)
     assert store.open().value is None
     store.save(b"of the older program")
     assert b"of the older program" in (folder / "value.1").read_bytes()
-    assert (folder / "value.0").read_bytes() == before
+    assert (folder / "value.0").read_bytes() == content_before
     with pytest.raises(StoreError):
         Store(Folder(str(folder)), "value", 2).open()
     store.close()
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -42,7 +42,7 @@
         self.rev, self.free_at = 1, 0.0
         self.call_times: list[float] = []
         self.rejected = self.wasted_responses = 0
-        self.connections = self.most_connections = 0
+        self.connections = self.max_connections = 0
         self.change_event = asyncio.Event()
         self.writers: set[asyncio.StreamWriter] = set()
 
@@ -68,7 +68,7 @@
         loop, answered_at = asyncio.get_running_loop(), -CONTINUATION_WINDOW
         self.connections += 1
         self.writers.add(writer)
-        self.most_connections = max(self.most_connections, self.connections)
+        self.max_connections = max(self.max_connections, self.connections)
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while head := await reader.readuntil(b"\r\n\r\n"):
                 query = parse_qs(urlsplit(head.split()[1].decode()).query)
@@ -148,8 +148,8 @@
     try:
         yield harnesses
     finally:
-        for one in harnesses:
-            one.watch.stop()
+        for harness in harnesses:
+            harness.watch.stop()
         service.server.close()
 
 
@@ -161,7 +161,7 @@
 def test_change_arrives_in_time_from_slow_discovery(
     monkeypatch: pytest.MonkeyPatch, delay: float, must_ask: bool
 ) -> None:
-    """A late call is not cancelled, so a slow discovery is still received."""
+    """A call that is late is not cancelled, so that the list arrives even if discovery is slow."""
 
     async def test() -> None:
         service = SlowDiscovery(delay=delay)
@@ -208,9 +208,9 @@
         service.rev = 2
         async with routers(service, count, must_ask) as harnesses:
             started_at = asyncio.get_running_loop().time()
-            last = max([await one.wait_for_version(2) for one in harnesses])
+            last_arrival = max([await harness.wait_for_version(2) for harness in harnesses])
             # Discovery needs 4.5 s for the calls. The queue may be empty during backoffs after rejections.
-            assert last - started_at <= 4.5 + call_schedule.MAX_BACKOFF
+            assert last_arrival - started_at <= 4.5 + call_schedule.MAX_BACKOFF
             assert service.wasted_responses <= count // 10
 
     run_in_virtual_time(monkeypatch, test)
@@ -231,8 +231,8 @@
             service.free_at = 0.0
             service.rev += 1
             recovered_at = loop.time()
-            last = max([await one.wait_for_version(service.rev) for one in harnesses])
-            assert last - recovered_at <= CHANGE_DEADLINE
+            last_arrival = max([await harness.wait_for_version(service.rev) for harness in harnesses])
+            assert last_arrival - recovered_at <= CHANGE_DEADLINE
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -243,7 +243,7 @@
         service.lost = True
         async with routers(service, 1, must_ask=True):
             await asyncio.sleep(120.0)
-            assert service.most_connections <= watch.MAX_CALLS
+            assert service.max_connections <= watch.MAX_CALLS
             assert 40 <= len(service.call_times) <= 120
             gaps = [
                 later - earlier
@@ -274,7 +274,7 @@
         service.rev = 2
         async with routers(service, 1, must_ask=False) as (router,):
             started_at = asyncio.get_running_loop().time()
-            # The response time of the first call.
+            # The first call takes 5 s and is not replaced.
             assert await router.wait_for_version(2) - started_at <= 5.0 + 0.01
             assert len(service.call_times) >= 2
             assert service.wasted_responses == 0
@@ -287,23 +287,25 @@
 def test_rapid_changes_are_batched_and_arrive_soon(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Rapid changes are batched, because each call costs discovery as much as one for many changes."""
+    """A call for one change costs discovery as much as a call for many changes."""
 
     async def test() -> None:
         service, seconds, interval = SlowDiscovery(), 5.0, 0.004
         async with routers(service, 1, must_ask=False) as (router,):
             await asyncio.sleep(3.0)
-            before = len(service.call_times)
-            changed = {}
+            calls_before = len(service.call_times)
+            change_times = {}
             for _ in range(round(seconds / interval)):
-                at = service.change()
-                changed[service.rev] = at
+                changed_at = service.change()
+                change_times[service.rev] = changed_at
                 await asyncio.sleep(interval)
             await router.wait_for_version(service.rev)
-            assert len(service.call_times) - before <= seconds / call_schedule.MIN_WATCH_INTERVAL + 2
-            for rev, at in changed.items():
-                arrived_at = min(applied for known, applied in router.applied_at.items() if known >= rev)
-                assert arrived_at - at <= call_schedule.MIN_WATCH_INTERVAL + 1e-6
+            assert len(service.call_times) - calls_before <= seconds / call_schedule.MIN_WATCH_INTERVAL + 2
+            for rev, changed_at in change_times.items():
+                arrived_at = min(
+                    applied_at for applied_rev, applied_at in router.applied_at.items() if applied_rev >= rev
+                )
+                assert arrived_at - changed_at <= call_schedule.MIN_WATCH_INTERVAL + 1e-6
 
     run_in_virtual_time(monkeypatch, test)
 
@@ -351,12 +353,12 @@
         new.rev = 9
         async with routers(old, 1, must_ask=False) as (router,):
             await asyncio.sleep(3.0)
-            for last in (old, new):
+            for service in (old, new):
                 for _ in range(2):
-                    last.change()
-                    await router.wait_for_version(last.rev)
+                    service.change()
+                    await router.wait_for_version(service.rev)
                 assert router.watch.idle_connection is not None
-                if last is old:
+                if service is old:
                     router.watch.set_endpoints([await new.start()])
                     await router.wait_for_version(new.rev)
             router.watch.stop()
@@ -385,19 +387,20 @@
 
 
 def test_response_time_is_bounded_and_follows_samples() -> None:
-    time = ResponseTime(initial=2.0, minimum=0.5, maximum=4.0)
-    assert (time.mean, time.timeout) == (2.0, 2.0)
-    time.observe(1.0)
-    assert (time.mean, time.timeout) == (1.0, 3.0)  # RFC 6298: the mean plus 4 times half of it
+    response_time = ResponseTime(initial=2.0, minimum=0.5, maximum=4.0)
+    assert (response_time.mean, response_time.timeout) == (2.0, 2.0)
+    response_time.observe(1.0)
+    # RFC 6298: mean + 4 * deviation, which is at first half of the mean.
+    assert (response_time.mean, response_time.timeout) == (1.0, 3.0)
     for _ in range(50):
-        time.observe(1.0)
-    assert time.timeout == pytest.approx(1.0, abs=0.01)
+        response_time.observe(1.0)
+    assert response_time.timeout == pytest.approx(1.0, abs=0.01)
     for _ in range(50):
-        time.observe(0.01)
-    assert (time.mean, time.timeout) == (0.5, 0.5)
+        response_time.observe(0.01)
+    assert (response_time.mean, response_time.timeout) == (0.5, 0.5)
     for _ in range(50):
-        time.observe(30.0)
-    assert (time.mean, time.timeout) == (4.0, 4.0)
+        response_time.observe(30.0)
+    assert (response_time.mean, response_time.timeout) == (4.0, 4.0)
 
 
 def test_budget_allows_burst_then_rate() -> None:
@@ -422,7 +425,7 @@
     assert schedule.hold == call_schedule.MAX_HOLD or response_time > 2.0
     for _ in range(100):
         detected_at = schedule.watch_due(100.0, schedule.hold, False, schedule.jitter())
-        # Not while a response may still come.
+        # A watch is not considered lost while its response may still arrive.
         assert detected_at >= 100.0 + schedule.hold + call_schedule.MIN_WATCH_TIMEOUT
         assert detected_at + response_time <= 100.0 + CHANGE_DEADLINE
 
@@ -435,17 +438,18 @@
         schedule.answered(100.0, response_time, 0.0, queued=True)
         schedule.answered(100.0, schedule.hold + response_time, schedule.hold, queued=False)
     for _ in range(100):
-        second = schedule.watch_due(100.0, schedule.hold, False, schedule.jitter())
-        third = schedule.call_due(second, schedule.jitter())
-        assert third - second <= CHANGE_DEADLINE - response_time  # the third call receives later changes
-        assert second <= 100.0 + CHANGE_DEADLINE - max(response_time, call_schedule.MIN_RESPONSE_TIME)
+        second_due = schedule.watch_due(100.0, schedule.hold, False, schedule.jitter())
+        third_due = schedule.call_due(second_due, schedule.jitter())
+        # The third call returns the changes that are made after the second one.
+        assert third_due - second_due <= CHANGE_DEADLINE - response_time
+        assert second_due <= 100.0 + CHANGE_DEADLINE - max(response_time, call_schedule.MIN_RESPONSE_TIME)
         if response_time <= 0.7:
-            assert third <= 100.0 + CHANGE_DEADLINE - response_time  # even if the second is lost
+            assert third_due <= 100.0 + CHANGE_DEADLINE - response_time  # even if the second call is lost
 
 
 def test_backoff_grows_and_uses_its_full_range() -> None:
     schedule = CallSchedule(random.Random(1))
-    for failures, longest in ((1, 0.25), (2, 0.5), (3, 1.0), (4, 1.5), (60, 1.5)):
+    for failures, max_backoff in ((1, 0.25), (2, 0.5), (3, 1.0), (4, 1.5), (60, 1.5)):
         backoffs = sorted(schedule.backoff(failures) for _ in range(1000))
-        assert 0 <= backoffs[0] < longest / 50 and longest * 0.98 < backoffs[-1] <= longest
-        assert abs(backoffs[500] - longest / 2) < longest / 10
+        assert 0 <= backoffs[0] < max_backoff / 50 and max_backoff * 0.98 < backoffs[-1] <= max_backoff
+        assert abs(backoffs[500] - max_backoff / 2) < max_backoff / 10
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,6 +1,6 @@
 """Virtual time for tests with real sockets: the clock advances only while no socket is ready.
 
-Waiting takes no real time, and the speed of the machine has no influence: no time passes during computations.
+Waits take no real time and computations no virtual time, so the speed of the machine does not matter.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class _SkippingSelector(selectors.DefaultSelector):
-    """Polls the sockets; if none is ready, it advances the clock by the timeout."""
+    """Polls the sockets and, if none is ready, advances the clock by the timeout."""
 
     skip_time: Callable[[float], None]
 
@@ -56,7 +56,7 @@
 def run_in_virtual_time(
     monkeypatch: pytest.MonkeyPatch, test: Callable[[], Coroutine[Any, Any, None]]
 ) -> None:
-    """Runs a test in virtual time, and replaces the monotonic clock of `time` by it."""
+    """Runs a test in virtual time, which also replaces the monotonic clock of the module `time`."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         loop = runner.get_loop()
         monkeypatch.setattr(time, "monotonic_ns", lambda: int(loop.time() * 1e9))
