--- a/tests/measure_sizes.py
+++ b/tests/measure_sizes.py
@@ -86,18 +86,18 @@
     listed = [entry(f"c{number}", f"10.0.{number // 200}.{number % 200}:6379") for number in range(servers)]
     body = json.dumps({"rev": 1, "all": True, "targets": listed})
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
+    memory_before = tracemalloc.get_traced_memory()[0]
     balancer = Balancer(settings, 1)
     driver = Driver(balancer, Pools(64, 0.25, 60.0), 100, Metrics())
     directory = Directory(read_names(info()), 1, driver.pools, driver.notify)
     directory.apply(json.loads(body))
     gc.collect()
-    one_list = tracemalloc.get_traced_memory()[0] - before
+    one_list = tracemalloc.get_traced_memory()[0] - memory_before
     for number in range(4 * MAX_ASSIGNMENTS):
         state = ("Terminating", "Ready")[number % 2]
         directory.apply({"rev": 2 + number, "all": False, "targets": [{**listed[0], "state": state}]})
     gc.collect()
-    many_lists = tracemalloc.get_traced_memory()[0] - before
+    many_lists = tracemalloc.get_traced_memory()[0] - memory_before
     assert len(balancer.server_table.ranges.assignments) == MAX_ASSIGNMENTS
     return {
         "held, kB": one_list / KILOBYTE,
@@ -139,7 +139,7 @@
     """Measures memory and tick time of a gossip agent without and with verdicts on `members` servers."""
     local_peer = Peer(members, 0, PeerState.ALIVE, bytes(4), 1, "n0")
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
+    memory_before = tracemalloc.get_traced_memory()[0]
     agent = GossipAgent(local_peer, "fleet", [], 1, 50 * MILLI)
     for number in range(1, members):
         peer = Peer(number, 0, PeerState.ALIVE, number.to_bytes(4), 1, f"n{number}")
@@ -147,11 +147,11 @@
     for writer in range(1, members):
         agent.store.merge(Record(writer, 0, 1, SECOND, Limit(10.0, 5.0)))
         agent.store.merge(Record(writer, 0, 1, SECOND, Shares(((1, 0.5), (2, 0.5)))))
-    with_records = tracemalloc.get_traced_memory()[0] - before
+    with_records = tracemalloc.get_traced_memory()[0] - memory_before
     for number in range(members):
         for writer in range(1, RETENTION[Verdict].max_writers + 1):
             agent._merge(Record(writer, digest(f"c{number}"), 1, SECOND, Verdict(True, 1)))
-    with_verdicts = tracemalloc.get_traced_memory()[0] - before
+    with_verdicts = tracemalloc.get_traced_memory()[0] - memory_before
     tracemalloc.stop()
 
     def run_ticks() -> None:
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -137,7 +137,7 @@
     async def test() -> None:
         async with router(sockets=256) as bench:
             with ExitStack() as stack, accept_faults(bench.port, "ENFILE", for_s=0.5):
-                requests = [get(b"first"), *[PING] * 20, get(b"last")]  # more than one tick accepts
+                requests = [get(b"first"), *[PING] * 20, get(b"last")]  # more requests than one tick accepts
                 for client in queue_clients(stack, bench.port, requests):
                     await client.read()
             assert set(notified_deadlines(bench)) == {b"first", b"last"}
--- a/tests/test_broken_connections.py
+++ b/tests/test_broken_connections.py
@@ -55,9 +55,9 @@
 
     One line that reports a local failure is not counted.
     """
-    records = [one for one in caplog.records if one.levelno >= logging.INFO]
-    local_failures = sum("this machine could not begin" in one.getMessage() for one in records)
-    noisy = any(one.exc_info or one.levelno >= logging.WARNING for one in records)
+    records = [record for record in caplog.records if record.levelno >= logging.INFO]
+    local_failures = sum("this machine could not begin" in record.getMessage() for record in records)
+    noisy = any(record.exc_info or record.levelno >= logging.WARNING for record in records)
     return not noisy and local_failures <= 1 and len(records) - local_failures <= max_log_lines
 
 
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -398,8 +398,8 @@
 @pytest.mark.parametrize(
     ("start", "repeated", "from_origin"),
     [
-        *((*one, False) for one in ENDLESS_CACHE_ANSWERS.values()),
-        *((*one, True) for one in ENDLESS_ORIGIN_ANSWERS.values()),
+        *((*answer, False) for answer in ENDLESS_CACHE_ANSWERS.values()),
+        *((*answer, True) for answer in ENDLESS_ORIGIN_ANSWERS.values()),
     ],
     ids=[*ENDLESS_CACHE_ANSWERS, *ENDLESS_ORIGIN_ANSWERS],
 )
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -180,8 +180,8 @@
             # The fetch fails and is retried only for the client that started it.
             bench.origin.writers[0].transport.abort()
             await asyncio.sleep(8)
-            requested = [one[2][b"x-call-id"] for one in bench.origin.received]
-            assert set(requested) == {b"i1"} and len(bench.cache.received) == attempts_before
+            request_ids = [request[2][b"x-call-id"] for request in bench.origin.received]
+            assert set(request_ids) == {b"i1"} and len(bench.cache.received) == attempts_before
 
     run_in_virtual_time(monkeypatch, test)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -28,8 +28,8 @@
     return Directory(read_names(info()), 1, Pools(64, 0.25, 60.0), events.append), events
 
 
-def listing(rev: int, *entries: Any, whole: bool = True) -> dict[str, Any]:
-    return {"rev": rev, "all": whole, "targets": list(entries)}
+def listing(rev: int, *entries: Any, full_list: bool = True) -> dict[str, Any]:
+    return {"rev": rev, "all": full_list, "targets": list(entries)}
 
 
 async def test_list_is_reported_with_indexes_and_monotonic_start_times() -> None:
@@ -53,7 +53,7 @@
     directory, events = make_directory()
     directory.apply(listing(5, entry("c0", "127.0.0.1:1")))
     directory.apply(listing(4))
-    directory.apply(listing(5, entry("c0", "127.0.0.1:1", state="Gone"), whole=False))
+    directory.apply(listing(5, entry("c0", "127.0.0.1:1", state="Gone"), full_list=False))
     assert len(events) == 1 and directory.rev == 5 and directory.can_serve
 
 
@@ -86,17 +86,19 @@
         caller.get(name=b"hang", info=b"c=once,t=acme,d=9000")
         await wait_until(lambda: len(bench.cache.received) == 2)
         boot = time.time_ns() // 1_000_000 + 1
-        change = entry("c0", bench.cache.address, boot_ms=boot)
-        bench.directory.apply(listing(6, change, whole=False))
+        changed_entry = entry("c0", bench.cache.address, boot_ms=boot)
+        bench.directory.apply(listing(6, changed_entry, full_list=False))
         # The server's old process has ended and may have executed the request.
         assert str(await caller.answer()) == "ERR failed"
         await wait_until(lambda: bench.cache.closed_connections == 1)
-        second = Cache(lambda request, writer: hit(b"second"))
-        await second.start()
-        old = bench.pools.pools["c0"]
-        bench.directory.apply(listing(7, {**change, "endpoint": second.address}, whole=False))
-        assert bench.pools.pools["c0"] is not old and old.retired
-        await second.stop()
+        second_cache = Cache(lambda request, writer: hit(b"second"))
+        await second_cache.start()
+        old_pool = bench.pools.pools["c0"]
+        bench.directory.apply(
+            listing(7, {**changed_entry, "endpoint": second_cache.address}, full_list=False)
+        )
+        assert bench.pools.pools["c0"] is not old_pool and old_pool.retired
+        await second_cache.stop()
 
 
 async def test_draining_server_completes_attempt_and_receives_no_new_one() -> None:
@@ -104,8 +106,8 @@
         caller = await bench.caller()
         caller.get(name=b"i1")
         await wait_until(lambda: bench.cache.received)
-        gone = entry("c0", bench.cache.address, state="Terminating")
-        bench.directory.apply(listing(6, gone, whole=False))
+        draining_entry = entry("c0", bench.cache.address, state="Terminating")
+        bench.directory.apply(listing(6, draining_entry, full_list=False))
         other = await bench.caller()
         other.get(name=b"i2")
         assert str(await other.answer()).startswith("BUSY")
@@ -117,8 +119,8 @@
         assert str(await other.answer()).startswith("LOADING")
 
 
-def http_list(rev: int, *entries: Any, whole: bool = True) -> bytes:
-    return http(200, json.dumps(listing(rev, *entries, whole=whole)).encode())
+def http_list(rev: int, *entries: Any, full_list: bool = True) -> bytes:
+    return http(200, json.dumps(listing(rev, *entries, full_list=full_list)).encode())
 
 
 async def test_watch_requests_full_list_only_if_changes_are_insufficient(
@@ -129,10 +131,10 @@
     c0, c1 = entry("c0", "127.0.0.1:1"), entry("c1", "127.0.0.1:1")
     script: list[bytes | None] = [
         http_list(7, c0),
-        http_list(8, c1, whole=False),
-        http(503),  # down
+        http_list(8, c1, full_list=False),
+        http(503),  # discovery is unavailable
         http_list(9, c0, c1),
-        None,  # silent
+        None,  # no response
         b"garbage\r\n\r\n",
         http(200, b"{not JSON"),
         http_list(10, c0),
@@ -145,10 +147,12 @@
     watch.start()
     await wait_until(lambda: directory.rev == 10 and len(web.received) > 8)
     targets = [request[1] for request in web.received[:9]]
-    full, after = b"/api/targets", b"/api/targets?from=%d&hold_ms=%d"
+    full_target, changes_target = b"/api/targets", b"/api/targets?from=%d&hold_ms=%d"
     # After a failed call, missing changes are requested without waiting.
-    changes = [after % arguments for arguments in ((7, 100), (8, 100), (8, 0), (9, 100), (9, 0), (9, 0))]
-    assert targets == [full, *changes, full, after % (10, 100)]
+    changes = [
+        changes_target % arguments for arguments in ((7, 100), (8, 100), (8, 0), (9, 100), (9, 0), (9, 0))
+    ]
+    assert targets == [full_target, *changes, full_target, changes_target % (10, 100)]
     assert [event.kind for event in events] == [
         api.ListKind.FULL,
         api.ListKind.DELTA,
@@ -161,7 +165,7 @@
 
 async def test_next_address_is_called_at_once_with_current_version() -> None:
     c0, c1 = entry("c0", "127.0.0.1:1"), entry("c1", "127.0.0.1:1")
-    answers = {"first": [http_list(7, c0)], "second": [http_list(6, c1), http_list(8, c1, whole=False)]}
+    answers = {"first": [http_list(7, c0)], "second": [http_list(6, c1), http_list(8, c1, full_list=False)]}
 
     def serving(responses: list[bytes]) -> Web:
         return Web(lambda request, writer: responses.pop(0) if responses else http(503))
@@ -174,8 +178,9 @@
     watch = Watch(endpoints, directory, 1, must_ask=True)
     watch.endpoint_index = 0
     watch.start()
-    await wait_until(lambda: events and events[-1].kind is api.ListKind.FAILED)  # only after both have failed
-    # the older list of the second address was ignored
+    # A failure is reported only after both addresses have failed.
+    await wait_until(lambda: events and events[-1].kind is api.ListKind.FAILED)
+    # The older list of the second address was ignored.
     assert directory.rev == 8 and set(directory.targets) == {"c0", "c1"}
     assert [event.kind for event in events] == [api.ListKind.FULL, api.ListKind.DELTA, api.ListKind.FAILED]
     assert [request[1] for request in webs["second"].received][:2] == [
@@ -218,10 +223,14 @@
         watch.start()
         await wait_until(lambda n=failures: len(web.received) == n)  # type: ignore[misc]
         if failures == 2:
-            web.writers[-1].close()  # in the middle of a response
+            web.writers[-1].close()  # closes the connection in the middle of a response
         await wait_until(lambda n=failures: len(events) == n + 1)  # type: ignore[misc]
-    after = b"/api/targets?from=41&hold_ms=%d"
-    assert [request[1] for request in web.received] == [after % 2500, after % 0, after % 0]
+    changes_target = b"/api/targets?from=41&hold_ms=%d"
+    assert [request[1] for request in web.received] == [
+        changes_target % 2500,
+        changes_target % 0,
+        changes_target % 0,
+    ]
     assert [event.kind for event in events[1:]] == [api.ListKind.FAILED] * 3
     assert directory.can_serve and directory.rev == 41
     watch.stop()
@@ -261,27 +270,27 @@
 )
 async def test_invalid_configuration_exits_with_one_line(tmp_path: Path, changes: Any) -> None:
     process = await start_program(configuration(tmp_path, **changes))
-    _, lines = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT)
+    _, stderr = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT)
     assert process.returncode == 2
-    assert lines.startswith(b"applehub: ") and lines.count(b"\n") == 1
+    assert stderr.startswith(b"applehub: ") and stderr.count(b"\n") == 1
 
 
 async def test_port_in_use_exits_with_one_line(tmp_path: Path) -> None:
     occupied = Web(lambda request, writer: None)
     await occupied.start()
     process = await start_program(configuration(tmp_path, listen=occupied.address))
-    _, lines = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT)
+    _, stderr = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT)
     assert process.returncode == 2
-    assert lines.startswith(b"applehub: can't listen") and lines.count(b"\n") == 1
+    assert stderr.startswith(b"applehub: can't listen") and stderr.count(b"\n") == 1
     await occupied.stop()
 
 
 async def test_missing_configuration_exits_with_one_line(tmp_path: Path) -> None:
     for env in ({"BALANCER_CONFIG": ""}, {"BALANCER_CONFIG": str(tmp_path / "none")}):
         process = await start_program({**os.environ, **env})
-        _, lines = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT)
+        _, stderr = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT)
         assert process.returncode == 2
-        assert lines.startswith(b"applehub: ") and lines.count(b"\n") == 1
+        assert stderr.startswith(b"applehub: ") and stderr.count(b"\n") == 1
 
 
 def test_value_budget_leaves_memory_for_program() -> None:
@@ -291,8 +300,8 @@
 
 async def test_sighup_switches_to_new_discovery_address(tmp_path: Path) -> None:
     """SIGHUP does not end the router, and it switches to the new address of discovery."""
-    known = http(200, json.dumps(listing(1)).encode())
-    old = Web(lambda request, writer: known if len(old.received) == 1 else None)
+    list_response = http(200, json.dumps(listing(1)).encode())
+    old = Web(lambda request, writer: list_response if len(old.received) == 1 else None)
     new = Web(lambda request, writer: None)
     await old.start()
     await new.start()
@@ -307,12 +316,12 @@
                 break
     configuration(tmp_path, discovery=new.address)
     process.send_signal(signal.SIGHUP)
-    drain = asyncio.create_task(process.stderr.read())
+    stderr_task = asyncio.create_task(process.stderr.read())
     await wait_until(lambda: new.received or process.returncode is not None)
     assert new.received[0][:2] == (b"GET", b"/api/targets?from=1&hold_ms=0")
     process.send_signal(signal.SIGTERM)
     assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT) == 0
-    await drain
+    await stderr_task
     for web in (old, new):
         await web.stop()
 
@@ -330,7 +339,7 @@
             assert line
             if b"listening on " in line:
                 address = line.decode().rsplit(" ", 1)[1].strip().rsplit(":", 1)
-    drain = asyncio.create_task(process.stderr.read())
+    stderr_task = asyncio.create_task(process.stderr.read())
     caller = Caller(*await asyncio.open_connection(address[0], int(address[1])))
     slow = Caller(*await asyncio.open_connection(address[0], int(address[1])))
     caller.send(b"PING")
@@ -339,8 +348,8 @@
     await wait_until(lambda: cache.received)
     started_at = time.monotonic()
     process.send_signal(signal.SIGTERM)
-    for other in (signal.SIGHUP, signal.SIGTERM):  # further signals are ignored during shutdown
-        process.send_signal(other)
+    for signal_number in (signal.SIGHUP, signal.SIGTERM):  # further signals are ignored during shutdown
+        process.send_signal(signal_number)
     late = Caller(*await asyncio.open_connection(address[0], int(address[1])))
     late.get(name=b"late")
     assert await late.answer() == b"v"
@@ -350,5 +359,5 @@
     assert [await one.answer() for one in (caller, slow, late)] == [None] * 3
     assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT) == 0
     assert time.monotonic() - started_at >= 0.5
-    await drain
+    await stderr_task
     await cache.stop()
--- a/tests/test_list_propagation.py
+++ b/tests/test_list_propagation.py
@@ -19,7 +19,7 @@
 from applehub.policy import Balancer
 from applehub.settings import read_names, read_settings
 
-CHANGE_DEADLINE, RELOAD_DEADLINE = 6.0, 4.0  # seconds from a change, and from SIGHUP
+CHANGE_DEADLINE, RELOAD_DEADLINE = 6.0, 4.0  # maximum seconds from a change, and from SIGHUP
 ANSWERING, SILENT, TRICKLING, DOWN, CUT_OFF = "answers", "silent", "trickling", "503", "cut off"
 
 
--- a/tests/test_override_file.py
+++ b/tests/test_override_file.py
@@ -1,5 +1,5 @@
 """Operator overrides across disk errors, kills and clock steps: acknowledged overrides are never lost, and an
-error answer means that the override had no effect unless it says otherwise."""
+error answer means that the override had no effect, unless the answer states that it is in effect."""
 
 import fcntl
 import json
@@ -159,8 +159,8 @@
 def test_answer_after_a_failing_step_states_whether_the_override_took_effect(
     tmp_path: Path, call: SystemCall, error: str, nth: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The n-th system call of one kind fails during a command for c1: the state in the process, in the file and
-    in a new process agrees with the answer, and c0 stays offline."""
+    """The n-th system call of one kind fails during a command for c1. The state in the process, in the file
+    and in a new process agrees with the answer, and c0 stays offline."""
     monkeypatch.setattr(operator_overrides, "SYNC_RETRY_INTERVAL", 0.0)
     process = Process(tmp_path)
     process.operator_overrides.offline("c0")
@@ -367,7 +367,7 @@
     ],
 )
 def test_kill_at_any_step_leaves_the_file_intact(tmp_path: Path, step: str, nth: int) -> None:
-    """A process is killed while it stores c1; the next one reads c0, and also c1 if the rename was complete."""
+    """A process is killed while it stores c1; the next one reads c0, and c1 if the rename was complete."""
     killed = subprocess.run(
         [sys.executable, "-c", KILLED_SCRIPT, str(tmp_path), step, str(nth)],
         cwd=ROOT,
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -117,10 +117,16 @@
     def check_counts(self) -> None:
         open_connections = self.open_connections()
         assert self.pools.open_count == len(open_connections)
-        idle = list(self.pools.idle)
-        assert set(idle) == {one for one in open_connections if one in one.pool.idle}
-        assert sum(len(one.idle) for one in {one.pool for one in self.created}) == len(idle)
-        assert [one.idle_since for one in idle] == sorted(one.idle_since for one in idle)
+        idle_connections = list(self.pools.idle)
+        assert set(idle_connections) == {
+            connection for connection in open_connections if connection in connection.pool.idle
+        }
+        assert sum(len(pool.idle) for pool in {connection.pool for connection in self.created}) == len(
+            idle_connections
+        )
+        assert [connection.idle_since for connection in idle_connections] == sorted(
+            connection.idle_since for connection in idle_connections
+        )
 
     def close(self) -> None:
         for sock in self.sockets:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -18,14 +18,14 @@
 
 
 def configuration(**changes: Any) -> Json:
-    listed = {"rev": 1, "all": True, "targets": [entry("c0", "127.0.0.1:9")]}
+    endpoint_list = {"rev": 1, "all": True, "targets": [entry("c0", "127.0.0.1:9")]}
     limits = {"cores": 1.0, "memory_mb": 64, "sockets": 256}
     return {
         "listen": "127.0.0.1:0",
         "discovery": "127.0.0.1:1",
         "seed": "1",
         "limits": limits,
-        "known": listed,
+        "known": endpoint_list,
         "settings": info(),
         **changes,
     }
@@ -73,8 +73,8 @@
     set_value([], "settings", "classes"),
     set_value("read", "settings", "classes"),
     set_value(7, "settings", "ceilings"),
-    *(set_value(bad, "settings", "classes", 0, "deadline") for bad in INVALID_DEADLINES),
-    *(set_value(bad, "settings", "ceilings", "attemptsCap") for bad in (0, -4, "4", False)),
+    *(set_value(value, "settings", "classes", 0, "deadline") for value in INVALID_DEADLINES),
+    *(set_value(value, "settings", "ceilings", "attemptsCap") for value in (0, -4, "4", False)),
 ]
 
 
@@ -174,7 +174,7 @@
     assert isinstance(rejected, api.Reject)
 
 
-def test_rates_are_kept_when_their_windows_change() -> None:
+def test_rates_are_preserved_when_their_windows_change() -> None:
     router = Router(settings(tenants=[api.Tenant(5.0), api.Tenant(5.0)]))
     for n in range(50):
         router.send_request(f"k{n}")
--- a/tests/test_shutdown_under_load.py
+++ b/tests/test_shutdown_under_load.py
@@ -72,9 +72,9 @@
                 caller.get(key=b"hangs", name=b"h%d-%d" % (number, position), info=b"c=read,t=acme")
         senders = [Sender(await connect_client(address), f"s{number}") for number in range(20)]
         send_tasks = [
-            asyncio.create_task(sender.run(0.002 * number)) for number, sender in enumerate(senders)
+            asyncio.create_task(client.run(0.002 * number)) for number, client in enumerate(senders)
         ]
-        await wait_until(lambda: cache.received and all(one.answered > 3 for one in senders))
+        await wait_until(lambda: cache.received and all(client.answered > 3 for client in senders))
         running.send_signal(signal.SIGTERM)
         killed_after = min(deadline, MAX_DEADLINE) + KILL_GRACE
         kill_timer = asyncio.get_running_loop().call_later(killed_after, kill, running)
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -383,11 +383,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     entries, answers = build_endpoint_list(FLEET_SIZE), AnswerCache()
-    before = entries.version - 1
-    first = [answers.get(entries, before, f"v{number}")[0] for number in range(FLEET_SIZE)]
-    second = [answers.get(entries, before, f"v{number}")[0] for number in range(FLEET_SIZE)]
-    assert all(first_body is second_body for first_body, second_body in zip(first, second, strict=True))
-    assert answers.size == sum(map(len, first))
+    old_version = entries.version - 1
+    first_bodies = [answers.get(entries, old_version, f"v{number}")[0] for number in range(FLEET_SIZE)]
+    second_bodies = [answers.get(entries, old_version, f"v{number}")[0] for number in range(FLEET_SIZE)]
+    assert all(
+        first_body is second_body for first_body, second_body in zip(first_bodies, second_bodies, strict=True)
+    )
+    assert answers.size == sum(map(len, first_bodies))
     complete_list = answers.get(entries, None, "v0")[0]
     assert len(json.loads(complete_list)["targets"]) == FLEET_SIZE
     monkeypatch.setattr(answers_module, "MAX_CACHED", 5 * len(complete_list))
@@ -511,21 +513,21 @@
     directory, events = create_directory()
     listed = [entry(f"c{number}", f"127.0.0.1:{number + 1}") for number in range(FLEET_SIZE)]
     directory.apply(listing(1, *listed))
-    before = dict(directory.pools.pools)
+    pools_before = dict(directory.pools.pools)
     changes = [entry("c7", "127.0.0.1:8", state="Gone"), entry("new", "127.0.0.1:9")]
-    directory.apply(listing(2, *changes, whole=False))
+    directory.apply(listing(2, *changes, full_list=False))
     assert [len(event.entries) for event in events] == [FLEET_SIZE, 2]
     assert directory.cache_count == FLEET_SIZE and "c7" not in directory.pools.pools
     unchanged = {name: pool for name, pool in directory.pools.pools.items() if name != "new"}
-    del before["c7"]
-    assert unchanged == before  # the pool objects are the same
+    del pools_before["c7"]
+    assert unchanged == pools_before  # the pool objects are the same
     directory.apply(listing(3, *listed))
     assert directory.targets.keys() == {f"c{number}" for number in range(FLEET_SIZE)}
 
 
 async def test_watch_receives_a_large_list_and_an_update() -> None:
     listed = [entry(f"c{number}", f"127.0.0.1:{number + 1}") for number in range(FLEET_SIZE)]
-    change = http_list(2, entry("c7", "127.0.0.1:8", state="Gone"), whole=False)
+    change = http_list(2, entry("c7", "127.0.0.1:8", state="Gone"), full_list=False)
     script = [http(200, json.dumps(listing(1, *listed), indent=8).encode()), change]
     web = Web(lambda command, writer: script.pop(0) if script else None)
     await web.start()
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -22,13 +22,13 @@
 
 @dataclass
 class Clocks:
-    """The clocks of a router and of the list service's machine.
+    """The clocks of a router and of the list service.
 
     skew_here, skew_there: seconds by which the wall clock of the router and of the list service is ahead of
     real time.
     """
 
-    now: int = 100 * NS_PER_S  # ns; real time, which the router's monotonic clock shows
+    now: int = 100 * NS_PER_S  # real time in ns, which is also the router's monotonic time
     skew_here: int = 0
     skew_there: int = 0
 
@@ -210,7 +210,7 @@
     clocks.wait(50)
     harness.apply_list({"c0": 0})
     assert close_times == []
-    clocks.step("here", 3_600)  # by the stepped clock the next start was an hour ago
+    clocks.step("here", 3_600)  # by the stepped clock, the next start is an hour old
     start_ms = clocks.boot_ms()
     clocks.wait(1)
     harness.apply_list({"c0": start_ms})
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -105,7 +105,9 @@
         caller.get(name=b"i1")
         await wait_until(lambda: bench.cache.received)
         caller.get(name=b"i2")
-        await wait_until(lambda: any(held.stream for held in bench.driver.requests.values()))
+        await wait_until(
+            lambda: any(pending_request.stream for pending_request in bench.driver.requests.values())
+        )
         bench.cache.writers[1].transport.abort()
         await wait_until(lambda: len(bench.driver.requests) == 1)
         bench.cache.writers[0].write(hit())
