--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -59,7 +59,7 @@
     return SLOW_TESTS.index(name) if name in SLOW_TESTS else len(SLOW_TESTS)
 
 
-@pytest.hookimpl(tryfirst=True)  # before xdist reads the groups
+@pytest.hookimpl(tryfirst=True)  # runs before xdist reads the groups
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     items.sort(key=_sort_key)
     for item in items:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -18,7 +18,7 @@
 from applehub.settings import read_names, read_network_limits, read_settings
 
 ACCEPTS_PER_ITERATION = 16  # connections that the router accepts per event loop iteration
-WAIT_TIMEOUT = 20.0  # maximum seconds of a wait; every wait ends with an event
+WAIT_TIMEOUT = 20.0  # maximum seconds of a wait for a condition or an answer
 Json = dict[str, Any]
 
 
--- a/tests/test_arrivals.py
+++ b/tests/test_arrivals.py
@@ -25,11 +25,11 @@
 
 DEADLINE_MS = 9000  # longer than any delay of a test on a busy machine
 PAST_DEADLINE = DEADLINE_MS / 1000 + 0.1  # seconds after which DEADLINE_MS has passed
-STALL_SECONDS = 0.5  # for which the loop stalls, or a command waits unread
+STALL_SECONDS = 0.5  # seconds for which the loop stalls or a command waits unread
 STALL_MS = int(STALL_SECONDS * 1000)
-SLACK_MS = 60  # virtual time that may pass while a test waits for a condition
-ANSWER_RESERVE_MS = 8  # which the router subtracts for the transfer of the answer
-KERNEL_TIME_ERROR_MS = 16  # error of the kernel's time: resolution of 10, a clock tick of 4, rounding
+SLACK_MS = 60  # virtual ms that may pass while a test waits for a condition
+ANSWER_RESERVE_MS = 8  # ms that the router subtracts for the transfer of the answer
+KERNEL_TIME_ERROR_MS = 16  # maximum error of the kernel's time in ms: resolution, clock tick and rounding
 BUSY = b"-BUSY\r\n"
 
 
@@ -68,7 +68,7 @@
 
 
 def last_poll_time() -> float:
-    """Returns when the loop last polled its sockets, in seconds."""
+    """Returns the monotonic time, in seconds, at which the loop last polled its sockets."""
     return arrivals.running_selector().polled_at / 1e9
 
 
@@ -241,7 +241,7 @@
 def test_commands_behind_full_pipeline_count_from_their_read(
     monkeypatch: pytest.MonkeyPatch, kernel_time_unknown: None
 ) -> None:
-    """Their deadlines must not count from the time at which the commands are processed."""
+    """The deadlines of these commands must not count from the time at which the commands are processed."""
 
     async def test() -> None:
         count = clients.MAX_PIPELINED_COMMANDS + 8
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -84,13 +84,13 @@
             client.sock.sendall(GET)
             await wait_until(lambda: bench.cache.received)
             (bench.clients.close if end == "SIGTERM" else bench.clients.hand_over)()
-            write = bench.clients.driver.memory.add  # called while the answer is written
+            add_memory = bench.clients.driver.memory.add  # is called while the answer is written
 
-            def add_and_send(change: int) -> None:
+            def add_and_send(byte_count: int) -> None:
                 if not bench.driver.requests and not sent_during_write:
                     sent_during_write.append(True)
                     client.sock.sendall(GET.replace(b"i1", b"i2"))
-                write(change)
+                add_memory(byte_count)
 
             sent_during_write: list[bool] = []
             monkeypatch.setattr(bench.driver.memory, "add", add_and_send)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -89,7 +89,7 @@
 async def test_discovery_and_operators_are_reachable_when_idle_clients_use_all_connections(
     tmp_path: Path,
 ) -> None:
-    """Discovery, servers and operators are reachable once discovery is up."""
+    """Discovery starts only after the clients have used all connections."""
     cache = Cache(lambda request, writer: hit())
     await cache.start()
     reserved = socket.create_server(("127.0.0.1", 0))  # reserves the port on which discovery starts later
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -46,7 +46,7 @@
     assert abs(time.monotonic_ns() - 1_000_000_000 - member.since) < WAIT_TIMEOUT * 1e9
     assert events[0].entries[1].since == 0
     assert [event.kind for event in events] == [api.ListKind.CACHED, api.ListKind.FULL]
-    assert events[1].entries[0].since == member.since  # the same start is not a restart
+    assert events[1].entries[0].since == member.since  # an unchanged start time is no restart
 
 
 async def test_older_version_is_ignored() -> None:
--- a/tests/test_list_propagation.py
+++ b/tests/test_list_propagation.py
@@ -24,7 +24,7 @@
 
 
 class FaultyDiscovery:
-    """Discovery that holds long polls and can misbehave.
+    """A discovery service that holds long polls and can fail in several ways.
 
     behaviours: the behaviour for each call, in order; the last one applies to all later calls too.
     """
@@ -98,7 +98,7 @@
         self.watch.start()
 
     async def wait_for_version(self, rev: int) -> float:
-        """Waits until a version is applied; returns the time."""
+        """Waits until a version of the list is applied; returns the time."""
         async with asyncio.timeout(60):
             while self.directory.rev < rev:
                 self.applied.clear()
--- a/tests/test_override_file.py
+++ b/tests/test_override_file.py
@@ -96,7 +96,7 @@
 
 
 def test_failed_command_does_not_hide_an_override_of_the_other_process(tmp_path: Path) -> None:
-    """The override that a failing command has read is still applied."""
+    """An override of the other process that a failing command has read is still applied."""
     process, other = Process(tmp_path), Process(tmp_path)
     process.operator_overrides.offline("c0")
     with SystemCallFaults(SystemCallFault("fsync", "EIO")), pytest.raises(CommandError, match=NO_EFFECT):
@@ -123,7 +123,7 @@
 def test_damaged_file_is_rewritten_only_by_a_process_that_knows_its_overrides(
     tmp_path: Path, content: bytes
 ) -> None:
-    """A process that has not read the file before would lose its overrides, so it rejects commands."""
+    """A process that has not read the undamaged file does not know its overrides and rejects commands."""
     process = Process(tmp_path)
     process.operator_overrides.offline("c0")
     path = tmp_path / "applehub-by-hand.json"
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -510,7 +510,7 @@
 
 
 async def test_attempt_of_which_nothing_was_written_is_returned_to_the_policy() -> None:
-    """Prevents retries that the policy did not decide, and the ejection of a server that is reachable."""
+    """Prevents retries outside the policy, and the ejection of a server that is reachable."""
     async with router() as bench:
         pool = bench.pools.pools["c0"]
         statuses = record_statuses(bench)
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -329,7 +329,7 @@
     adapter, receiver = PolicyAdapter(sender), PolicyAdapter(receiving_agent)
     kinds = {f"kind-{number}": number for number in range(3 * MAX_KINDS_PER_RECORD)}
     received_kinds: set[int] = set()
-    for tick in range(240):  # shares are published every 2 s
+    for tick in range(240):  # 12 s; shares are published every 2 s
         now = tick * TICK
         adapter.publish(now, api.PublishGossip(0.0, 0.0, dict.fromkeys(kinds.values(), 0.5), {}, []), kinds)
         run_tick(now, {sender.member_id: sender, receiving_agent.member_id: receiving_agent})
@@ -398,7 +398,7 @@
     assert (
         answers.size == sum(len(body) for body, _, _ in answers.cached.values()) <= answers_module.MAX_CACHED
     )
-    assert answers.get(entries, None, "v3")[0] == complete_list  # encoded again
+    assert answers.get(entries, None, "v3")[0] == complete_list  # evicted from the cache, so encoded again
 
 
 async def test_one_change_wakes_all_watchers() -> None:
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -26,8 +26,8 @@
 from applehub.node.pool import Connection, Pool
 from applehub.node.watch import Watch
 
-STALL_SECONDS = 0.15
-MAX_EXCESS_SECONDS = 0.15  # by which a notified deadline may exceed the time that the client has left
+STALL_SECONDS = 0.15  # default duration of a stall
+MAX_EXCESS_SECONDS = 0.15  # maximum excess of a notified deadline over the client's remaining time
 DEADLINE_MS = 900
 DETECTION_TIME = 0.1  # seconds after a client's close from which on no attempt may start
 DRAIN_GRACE = 0.5  # seconds after a list update within which an attempt may still start
@@ -355,7 +355,7 @@
 
 
 class DrainingDiscovery(FaultyDiscovery):
-    """Discovery with one server, which starts to drain."""
+    """A discovery service that lists one cache server, which starts to drain or is removed."""
 
     def __init__(self, bench: Bench, final_state: str) -> None:
         super().__init__()
@@ -375,7 +375,7 @@
 
 
 def test_answer_is_not_lost_by_stall_before_write(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An answer may be up to half a second late."""
+    """An answer may arrive up to half a second after the deadline."""
 
     async def test() -> None:
         fill = Slot.fill
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -45,7 +45,7 @@
         return 1_790_000_000 * NS_PER_S + self.now + self.skew_here * NS_PER_S
 
     def boot_ms(self) -> int:
-        """Returns the start time (Unix time) that the list service would write for a start at this moment."""
+        """Returns the Unix time in ms that the list service would record for a start at this moment."""
         return (1_790_000_000 * NS_PER_S + self.now + self.skew_there * NS_PER_S) // NS_PER_MS
 
 
@@ -145,7 +145,7 @@
     clocks = Clocks()
     harness = DirectoryHarness(clocks, monkeypatch)
     clocks.wait(20)
-    harness.apply_list({"c0": clocks.boot_ms() - 7_000}, full=True)  # in the first list
+    harness.apply_list({"c0": clocks.boot_ms() - 7_000}, full=True)  # a start before the first list
     assert harness.age("c0") == 7
     clocks.wait(1)
     start_ms = clocks.boot_ms()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Files that a router of commit 0447801 left on disk are read and updated by this version.
+"""Files stored by a router of commit 0447801 are read and updated by this version.
 
 The files in `stored/router_0447801` hold a server list of versions 41 and 42 (two saves), statistics of two
 servers, operator overrides for c0 (offline) and c1 (offline, then online), and a store of format 3 with three
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -98,7 +98,7 @@
 
 async def test_server_disconnect_before_value_is_written_fails_only_that_request() -> None:
     def answer(request: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
-        return None if request[2] == b"i1" else hit(LONG)[:14]  # only the header
+        return None if request[2] == b"i1" else hit(LONG)[:14]  # only the header of the value
 
     async with router(answer) as bench:
         caller = await bench.caller()
@@ -309,7 +309,7 @@
 
 
 async def test_answer_before_end_of_request_closes_origin_connection() -> None:
-    """Otherwise the rest of the request would precede the next request."""
+    """On a reused connection, the unsent rest of the request would precede the next request."""
 
     async def answer_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""Calls to a discovery that is slow, overloaded or rejects them."""
+"""Calls to a discovery service that is slow, overloaded or rejects calls."""
 
 import asyncio
 import contextlib
@@ -31,7 +31,7 @@
 
 
 class SlowDiscovery:
-    """Discovery that handles `rate` queued calls per second and sends each response `delay` seconds late.
+    """A discovery service that handles `rate` queued calls per second and delays responses by `delay` s.
 
     A call that would wait too long in the queue is rejected with 503 at once. A call whose connection was
     closed keeps its place in the queue. With `lost` set, calls get no response.
@@ -58,7 +58,7 @@
         return host, port
 
     def change(self) -> float:
-        """Changes the list; returns the time."""
+        """Changes the list; returns the time of the change."""
         self.rev += 1
         change_event, self.change_event = self.change_event, asyncio.Event()
         change_event.set()
@@ -133,7 +133,7 @@
         self.applied.set()
 
     async def wait_for_version(self, rev: int) -> float:
-        """Waits until a version is applied; returns the time."""
+        """Waits until a version of the list is applied; returns the time."""
         async with asyncio.timeout(120):
             while self.directory.rev < rev:
                 self.applied.clear()
@@ -332,7 +332,7 @@
             service.change()
             await router.wait_for_version(service.rev)
             service.change()
-            await router.wait_for_version(service.rev)  # the next call is delayed
+            await router.wait_for_version(service.rev)  # the watch delays the next call
             assert router.watch.idle_connection is not None and not router.watch.calls
             for writer in service.writers:
                 writer.transport.abort()
