--- a/applehub/lab/fleet/checks.py
+++ b/applehub/lab/fleet/checks.py
@@ -1,7 +1,7 @@
 """Checks of the invariants that hold over a whole run.
 
 Each check reads the history and yields its violations, each with the events that show it and the faults of
-that time. A fault excuses only what the rules allow it to excuse."""
+that time. Each check defines which faults excuse a violation."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterator
@@ -26,11 +26,11 @@
 PROCESS_ENDING_FAULTS = frozenset({"kill", "power", "bad"})
 EDGE_FAULTS_LOSING_REQUESTS = frozenset({"silent", "hang", "reset", "cut", "delay", "rate"})
 DELAYING_FAULTS = frozenset({"silent", "delay", "rate", "pieces", "stop", "slow"})
-CATCH_UP_NS = 500 * NS_PER_MS  # after a fault's end, until the data that it delayed has been read
+CATCH_UP_NS = 500 * NS_PER_MS  # time after a fault's end until delayed data has been read
 NOT_EXECUTED_OUTCOMES = frozenset({"full", "rejected", "miss"})
-LIST_SERVICES = ("list", "list-0", "list-1", "list-2")  # the stand-in, or replicas of the list service
-HANG_DETECTION_NS = 6000 * NS_PER_MS  # after which a message lost on a hung connection counts as delivered
-TERM_GRACE_NS = 700 * NS_PER_MS  # after SIGTERM, during which new requests must still be answered
+LIST_SERVICES = ("list", "list-0", "list-1", "list-2")  # the stand-in, or the replicas, of the list service
+HANG_DETECTION_NS = 6000 * NS_PER_MS  # until a message lost on a hung connection counts as delivered
+TERM_GRACE_NS = 700 * NS_PER_MS  # time after SIGTERM in which new requests must still be served
 MAX_ATTEMPTS = 4
 
 
@@ -39,7 +39,7 @@
     """A violation of an invariant, with the events that show it."""
 
     check: str
-    what: str
+    message: str
     events: list[EventRecord]
 
     def text(self, history: History) -> str:
@@ -51,7 +51,7 @@
         ]  # fmt: skip
         lines = sorted([*fault_events[-4:], *self.events[-MAX_EVENTS_SHOWN:]], key=lambda record: record.mono)
         return "\n".join(
-            [f"{self.check}: {self.what}", *("  " + record.to_text(history.begin) for record in lines)]
+            [f"{self.check}: {self.message}", *("  " + record.to_text(history.begin) for record in lines)]
         )
 
 
@@ -105,7 +105,7 @@
 
 
 def resends(history: History, plan: Plan) -> Iterator[Violation]:
-    """Checks that each class is retried only as allowed.
+    """Checks that requests of each class are retried only as the class allows.
 
     A `once` request is not retried after an attempt that may have executed, a `put` request only within its
     idempotency window, and no request gets more than MAX_ATTEMPTS attempts."""
@@ -153,7 +153,7 @@
 
 @dataclass(slots=True)
 class _NotifiedState:
-    """The state of a server that a router was notified of, and the event that notified it."""
+    """The latest state of a server that a router was notified of, and the event of that notification."""
 
     state: str
     since: EventRecord
@@ -187,18 +187,18 @@
         elif notified.state != "Ready" and record.mono - notified.since.mono > slack + _max_delay(
             history, record
         ):
-            late = (record.mono - notified.since.mono) / NS_PER_MS
-            what = f"{router} sent to {server} {late:.0f} ms after it was notified: {notified.state}"
-            yield Violation("drained", what, [notified.since, record])
+            late_ms = (record.mono - notified.since.mono) / NS_PER_MS
+            message = f"{router} sent to {server} {late_ms:.0f} ms after it was notified: {notified.state}"
+            yield Violation("drained", message, [notified.since, record])
 
 
 def _max_delay(history: History, attempt: EventRecord) -> int:
     """Returns the longest time, in ns, that faults may have delayed a message or paused the router."""
-    router, server, reach = attempt.fields["router"], attempt.fields["server"], 30_000 * NS_PER_MS
+    router, server, lookback_ns = attempt.fields["router"], attempt.fields["server"], 30_000 * NS_PER_MS
     edges = (f"{router}>{server}", *(f"{router}>{name}" for name in LIST_SERVICES))
     faults = [
         fault for edge in edges
-        for fault in history.faults_affecting(attempt.mono - reach, attempt.mono, router, edge)
+        for fault in history.faults_affecting(attempt.mono - lookback_ns, attempt.mono, router, edge)
         if fault.kind in PROCESS_FAULTS_LOSING_REQUESTS or fault.kind in EDGE_FAULTS_LOSING_REQUESTS
     ]  # fmt: skip
     ends = {
@@ -235,11 +235,11 @@
         elif record.event is EventKind.ATTEMPT_BEGUN:
             override = overridden.get((record.fields["router"], record.fields["server"]))
             if override is not None and record.mono - override.mono > slack + _max_delay(history, record):
-                what = (
+                message = (
                     f"{record.fields['router']} sent a request to {record.fields['server']}, "
                     "which an operator override has taken offline"
                 )
-                yield Violation("by_hand", what, [override, record])
+                yield Violation("by_hand", message, [override, record])
 
 
 def versions(history: History, plan: Plan) -> Iterator[Violation]:
@@ -265,8 +265,8 @@
         elif since is not None and _incarnations_between(history, router, sent_at, record.mono) <= 1:
             before = next((poll for poll in reversed(polls[router]) if poll.mono <= sent_at), None)
             if before is not None and before.fields["since"] > since:
-                what = f"{router} had version {before.fields['since']}, then {since}"
-                yield Violation("versions", what, [before, record])
+                message = f"{router} had version {before.fields['since']}, then {since}"
+                yield Violation("versions", message, [before, record])
                 polls[router].clear()
             if not polls[router] or polls[router][-1].fields["since"] <= since:
                 polls[router].append(record)
@@ -292,7 +292,7 @@
 def stale(history: History, plan: Plan) -> Iterator[Violation]:
     """Checks that each running router is notified of a list change within the bound.
 
-    Excused are routers that were not up throughout, or whose path to the list service had a fault."""
+    The check skips routers that were not up throughout, or whose path to the list service had a fault."""
     bound = int(plan.rules.stale_ms * NS_PER_MS)
     for change, router, notifications in _changes_by_router(history):
         end = change.mono + bound
@@ -301,8 +301,10 @@
         ):
             continue
         if not any(_notifies(record, change, end) for record in notifications):
-            what = f"{router} did not get version {change.fields['version']} within {bound // NS_PER_MS} ms"
-            yield Violation("stale", what, [change])
+            message = (
+                f"{router} did not get version {change.fields['version']} within {bound // NS_PER_MS} ms"
+            )
+            yield Violation("stale", message, [change])
 
 
 def told(history: History, plan: Plan) -> Iterator[Violation]:
@@ -310,20 +312,20 @@
     faults."""
     bound = int(plan.rules.told_ms * NS_PER_MS)
     for change, router, notifications in _changes_by_router(history):
-        free = _fault_free_from(history, change.mono, bound, router)
-        if not _ran_throughout(history, router, free, free + bound):
+        fault_free_at = _fault_free_from(history, change.mono, bound, router)
+        if not _ran_throughout(history, router, fault_free_at, fault_free_at + bound):
             continue
         # A notification that was written while a fault affected the path may be lost, so it does not count.
         if not any(
-            _notifies(record, change, free + bound)
+            _notifies(record, change, fault_free_at + bound)
             and not _faults_on_path(history, record.mono, record.mono, router)
             for record in notifications
         ):
-            what = (
+            message = (
                 f"{router} does not know version {change.fields['version']} {bound // NS_PER_MS} ms "
                 "after its path to the list service recovered"
             )
-            yield Violation("told", what, [change])
+            yield Violation("told", message, [change])
 
 
 def _changes_by_router(history: History) -> Iterator[tuple[EventRecord, str, list[EventRecord]]]:
@@ -336,9 +338,9 @@
             yield change, router, records
 
 
-def _notifies(record: EventRecord, change: EventRecord, by: int) -> bool:
-    """Returns whether the record notifies a router of the change no later than `by`."""
-    return change.mono <= record.mono <= by and record.fields["version"] >= change.fields["version"]
+def _notifies(record: EventRecord, change: EventRecord, latest: int) -> bool:
+    """Returns whether the record notifies a router of the change no later than `latest`."""
+    return change.mono <= record.mono <= latest and record.fields["version"] >= change.fields["version"]
 
 
 def _ran_throughout(history: History, router: str, begin: int, end: int) -> bool:
@@ -392,20 +394,22 @@
     Two cases per run are tolerated as network delay."""
     bound = int(plan.rules.departed_ms * NS_PER_MS)
     left = {record.request: record for record in history.events_of(EventKind.CLIENT_LEFT)}
-    after = [
+    attempts_after_departure = [
         (left[record.request], record)
         for record in history.events_of(EventKind.ATTEMPT_BEGUN)
         if record.request in left
     ]
     late = [
         [departure, attempt]
-        for departure, attempt in after
+        for departure, attempt in attempts_after_departure
         if attempt.mono - departure.mono > bound + _delay_after_leaving(history, departure, attempt)
     ]
     for case in late[2:]:
-        ms = (case[1].mono - case[0].mono) / NS_PER_MS
+        delay_ms = (case[1].mono - case[0].mono) / NS_PER_MS
         yield Violation(
-            "departed", f"{case[1].fields['router']} began an attempt {ms:.0f} ms after its client left", case
+            "departed",
+            f"{case[1].fields['router']} began an attempt {delay_ms:.0f} ms after its client left",
+            case,
         )
 
 
@@ -429,8 +433,9 @@
 def shared(history: History, plan: Plan) -> Iterator[Violation]:
     """Checks that routers use no gossip records older than their bound, and know exactly the live routers.
 
-    The second part applies once no fault was active and no router started or ended for the settling time."""
-    settled = int(plan.rules.peers_ms * NS_PER_MS)
+    The count of live routers is checked only if no fault was active and no router started or ended during
+    the settling time before the record."""
+    settling_ns = int(plan.rules.peers_ms * NS_PER_MS)
     bounds = {type_name(kind): bound.max_age // NS_PER_MS for kind, bound in RETENTION.items()}
     names = [f"router-{number}" for number in range(plan.fleet.routers)]
     incarnations = [incarnation for name in names for incarnation in history.incarnations.get(name, [])]
@@ -445,23 +450,23 @@
         if fault.kind != "hup" and (fault.processes & set(names) or any(map(fault.affects_edge, edges)))
     ]  # fmt: skip
     for record in history.events_of(EventKind.PEER_FIGURES):
-        router, figures = record.fields["router"], record.fields["figures"]
+        router, metrics = record.fields["router"], record.fields["figures"]
         for name, bound in bounds.items():
-            age = figures[f"age_ms.{name}"]
+            age = metrics[f"age_ms.{name}"]
             if age > bound:
                 yield Violation(
                     "shared", f"{router} uses a {name} record {age} ms old, at most {bound} allowed", [record]
                 )
-        since = record.mono - settled
+        since = record.mono - settling_ns
         disturbed = any(fault.begin <= record.mono and fault.end >= since for fault in faults)
         if disturbed or any(since <= moment <= record.mono for moment in moments):
             continue
-        live = sum(
+        expected_routers = sum(
             incarnation.ready < since and incarnation.end > record.mono for incarnation in incarnations
         )
-        if figures["routers"] != live:
-            what = f"{router} counts {figures['routers']} live routers, expected {live}"
-            yield Violation("shared", what, [record])
+        if metrics["routers"] != expected_routers:
+            message = f"{router} counts {metrics['routers']} live routers, expected {expected_routers}"
+            yield Violation("shared", message, [record])
 
 
 def standing(history: History, plan: Plan) -> Iterator[Violation]:
@@ -470,19 +475,19 @@
 
     A router that never became ready is excused by a fault that affected it since its start."""
     for record in history.events_of(EventKind.FAULT_NOT_BEGUN):
-        of = record.fields.get("of", "")
+        process = record.fields.get("of", "")
         begin = max(
             (
                 incarnation.begin
-                for incarnation in history.incarnations.get(of, [])
+                for incarnation in history.incarnations.get(process, [])
                 if incarnation.begin < record.mono
             ),
             default=0,
         )
-        faults = history.faults_affecting(begin, record.mono, of)
+        faults = history.faults_affecting(begin, record.mono, process)
         if not any(fault.begin > begin or fault.kind in ("stop", "slow") for fault in faults):
-            what = f"fault {record.fields['fault']} could not be carried out: {record.fields['why']}"
-            yield Violation("standing", what, [record])
+            message = f"fault {record.fields['fault']} could not be carried out: {record.fields['why']}"
+            yield Violation("standing", message, [record])
     for record in history.events_of(EventKind.EXITED, EventKind.SERVER_OVERLOADED):
         if record.event is EventKind.SERVER_OVERLOADED:
             yield Violation(
@@ -498,22 +503,28 @@
 
 def limits(history: History, plan: Plan) -> Iterator[Violation]:
     """Checks that each router stays within its limits of memory and descriptors."""
-    found: set[tuple[str, str]] = set()
+    reported: set[tuple[str, str]] = set()
     resource_limits = {"descriptors": plan.fleet.sockets, "memory_mb": plan.fleet.memory_mb}
     for record in history.events_of(EventKind.RESOURCE_SAMPLE):
         router = record.fields["of"]
-        for what, bound in resource_limits.items():
-            over = router.startswith("router-") and record.fields[what] > bound
-            if over and (router, what) not in found and not _runs_bad_version(history, record.mono, router):
-                found.add((router, what))
+        for resource, bound in resource_limits.items():
+            exceeds_limit = router.startswith("router-") and record.fields[resource] > bound
+            if (
+                exceeds_limit
+                and (router, resource) not in reported
+                and not _runs_bad_version(history, record.mono, router)
+            ):
+                reported.add((router, resource))
                 yield Violation(
-                    "limits", f"{router} uses {record.fields[what]} {what}, at most {bound} allowed", [record]
+                    "limits",
+                    f"{router} uses {record.fields[resource]} {resource}, at most {bound} allowed",
+                    [record],
                 )
 
 
-def _runs_bad_version(history: History, at: int, process: str) -> bool:
+def _runs_bad_version(history: History, time_ns: int, process: str) -> bool:
     """Returns whether the plan made the process run a defective version at that time."""
-    return any(fault.kind == "bad" for fault in history.faults_affecting(at, at, process))
+    return any(fault.kind == "bad" for fault in history.faults_affecting(time_ns, time_ns, process))
 
 
 def released(history: History, plan: Plan) -> Iterator[Violation]:
@@ -524,7 +535,7 @@
         return
     executed: dict[int, EventRecord] = {}
     versions: dict[str, EventRecord] = {}
-    out: dict[str, EventRecord] = {}
+    out_of_service: dict[str, EventRecord] = {}
     steps = [record for record in history.events_of(EventKind.STEP_EXECUTED) if not record.fields["why"]]
     for record in steps:
         unit, step, number = record.fields["unit"], record.fields["step"], record.fields["number"]
@@ -532,15 +543,17 @@
             yield Violation("released", f"step {number} was executed twice", [executed[number], record])
         executed[number] = record
         if step == "drain":
-            out[unit] = record
+            out_of_service[unit] = record
         elif step == "admit":
-            out.pop(unit, None)
+            out_of_service.pop(unit, None)
         else:
             versions[unit] = record
-        zones = {int(name.rpartition("-")[2]) % plan.fleet.zones for name in out}
-        if len(zones) > 1 or len(out) > plan.release.limits.out_at_once:
+        zones = {int(name.rpartition("-")[2]) % plan.fleet.zones for name in out_of_service}
+        if len(zones) > 1 or len(out_of_service) > plan.release.limits.out_at_once:
             yield Violation(
-                "released", f"out of service at once: {', '.join(sorted(out))}", list(out.values())
+                "released",
+                f"out of service at once: {', '.join(sorted(out_of_service))}",
+                list(out_of_service.values()),
             )
     modes = history.events_of(EventKind.RELEASE_MODE)
     if not modes or modes[-1].fields["mode"] != plan.release.ends:
@@ -555,8 +568,12 @@
     for unit, record in versions.items():
         if record.fields["version"] != expected:
             yield Violation("released", f"{unit} still has version {record.fields['version']}", [record])
-    if out:
-        yield Violation("released", f"still out of service: {', '.join(sorted(out))}", list(out.values()))
+    if out_of_service:
+        yield Violation(
+            "released",
+            f"still out of service: {', '.join(sorted(out_of_service))}",
+            list(out_of_service.values()),
+        )
 
 
 CHECKS: dict[str, Check] = {
--- a/applehub/lab/fleet/clients.py
+++ b/applehub/lab/fleet/clients.py
@@ -17,19 +17,29 @@
 from applehub.node.discovery import read_endpoint
 from applehub.node.resp import command
 
-HEALTH_CHECK_DELAY_S = 0.25  # until the next health check of a router that is down
-MAX_CONNECTIONS = 40  # per router
+HEALTH_CHECK_DELAY_S = 0.25  # delay until the next health check of a router that is down
+MAX_CONNECTIONS = 40  # to each router
 
 
 class Request:
     """A request in flight."""
 
-    __slots__ = ("again", "at", "cls", "key", "leaves", "name", "router", "timer", "words")
-
-    def __init__(self, name: str, router: str, cls: str, key: str, words: bytes) -> None:
-        self.name, self.router, self.cls, self.key, self.words = name, router, cls, key, words
-        self.at, self.again = 0, False  # send time, ns; whether it was retried
-        self.leaves = 0.0  # seconds from sending until the client disconnects; 0 for never
+    __slots__ = (
+        "cls",
+        "disconnect_after_s",
+        "key",
+        "name",
+        "payload",
+        "retried",
+        "router",
+        "sent_at",
+        "timer",
+    )
+
+    def __init__(self, name: str, router: str, cls: str, key: str, payload: bytes) -> None:
+        self.name, self.router, self.cls, self.key, self.payload = name, router, cls, key, payload
+        self.sent_at, self.retried = 0, False  # time of the first attempt, ns
+        self.disconnect_after_s = 0.0  # from sending until the client disconnects; 0: it does not disconnect
         self.timer: asyncio.TimerHandle | None = None
 
 
@@ -57,15 +67,15 @@
     def send(self, request: Request) -> None:
         assert self.transport is not None
         self.request = request
-        self.transport.write(request.words)
+        self.transport.write(request.payload)
 
 
 class Router:
-    """The connections to one router and its health."""
+    """One router as the clients see it: its connections and whether it is up."""
 
     def __init__(self, clients: "Clients", name: str, address: str) -> None:
         self.clients, self.name, self.address = clients, name, read_endpoint(address)
-        self.up, self.draining = True, False
+        self.available, self.draining = True, False
         self.idle: list[Connection] = []
         self.connections: set[Connection] = set()
         self.dial_tasks: set[asyncio.Task[None]] = set()
@@ -88,8 +98,8 @@
             async with asyncio.timeout(1.0):
                 connection = await self._connect()
         except (OSError, TimeoutError) as problem:
-            if self.up:
-                self.up = False
+            if self.available:
+                self.available = False
                 self.clients.loop.call_later(HEALTH_CHECK_DELAY_S, self._start_health_check)
             self.clients.fail_connect(request, type(problem).__name__)
             return
@@ -123,26 +133,26 @@
         except (OSError, TimeoutError):
             pong = b""
         if pong == b"+PONG\r\n":
-            self.up = True
+            self.available = True
         else:
             self.clients.loop.call_later(HEALTH_CHECK_DELAY_S, self._start_health_check)
 
     def _send(self, connection: Connection, request: Request) -> None:
         clients = self.clients
         connection.send(request)
-        if not request.again:
-            request.at = time.monotonic_ns()
+        if not request.retried:
+            request.sent_at = time.monotonic_ns()
             clients.events.write(
                 EventKind.REQUEST_SENT, request=request.name, router=self.name, cls=request.cls,
                 key=request.key, wait_ms=clients.wait_ms,
             )  # fmt: skip
-            timeout_s = clients.wait_ms / 1000 + clients.slack
+            timeout_s = clients.wait_ms / 1000 + clients.timeout_slack_s
             request.timer = clients.loop.call_later(timeout_s, self._time_out, connection, request)
-            if request.leaves:
-                clients.loop.call_later(request.leaves, self._disconnect, connection, request)
+            if request.disconnect_after_s:
+                clients.loop.call_later(request.disconnect_after_s, self._disconnect, connection, request)
 
     def _disconnect(self, connection: Connection, request: Request) -> None:
-        """Disconnects the client of a request by aborting its connection, if the request is still open."""
+        """Simulates a client that leaves: aborts the connection if the request is still in flight."""
         if connection.request is request:
             connection.request = None
             self.clients.end(request, EventKind.CLIENT_LEFT)
@@ -151,11 +161,11 @@
 
     def _time_out(self, connection: Connection, request: Request) -> None:
         self.clients.end(request, EventKind.REQUEST_TIMED_OUT)
-        for one in self.connections:
-            if one.request is request:
-                one.request = None
-                if one.transport is not None:
-                    one.transport.abort()
+        for open_connection in self.connections:
+            if open_connection.request is request:
+                open_connection.request = None
+                if open_connection.transport is not None:
+                    open_connection.transport.abort()
 
     def response_received(self, connection: Connection, answer: object) -> None:
         request, connection.request, connection.used = connection.request, None, True
@@ -163,13 +173,13 @@
             self.clients.events.write(EventKind.ANSWER_UNEXPECTED, router=self.name, answer=repr(answer)[:60])
             return
         if isinstance(answer, bytes):
-            how = "served"
+            outcome = "served"
         elif isinstance(answer, hiredis.ReplyError) and str(answer).startswith("BUSY"):
-            how = "refused"
+            outcome = "refused"
         else:
-            how = "failed"
-        duration_ms = (time.monotonic_ns() - request.at) / 1e6
-        self.clients.end(request, EventKind.REQUEST_ANSWERED, how=how, ms=round(duration_ms, 1))
+            outcome = "failed"
+        duration_ms = (time.monotonic_ns() - request.sent_at) / 1e6
+        self.clients.end(request, EventKind.REQUEST_ANSWERED, how=outcome, ms=round(duration_ms, 1))
         self.idle.append(connection)
 
     def connection_closed(self, connection: Connection) -> None:
@@ -179,8 +189,8 @@
         request, connection.request = connection.request, None
         if request is None or request.name not in self.clients.in_flight:
             return
-        if connection.used and not request.again:
-            request.again = True
+        if connection.used and not request.retried:
+            request.retried = True
             self.submit(request, new_connection=True)
         else:
             self.clients.end(request, EventKind.CLOSED_UNANSWERED)
@@ -191,7 +201,7 @@
 
     def __init__(self, message: Json, events: EventWriter) -> None:
         self.options, self.events, self.loop = message, events, asyncio.get_running_loop()
-        self.source, self.wait_ms, self.slack = (
+        self.source, self.wait_ms, self.timeout_slack_s = (
             message["source"],
             message["wait_ms"],
             message["slack_ms"] / 1000,
@@ -223,10 +233,10 @@
         return {"asked": self.count}
 
     async def _generate_load(self) -> None:
-        due = self.loop.time()
+        next_send_at = self.loop.time()
         while not self.stopping.is_set():
-            due += -math.log(1 - self.draws.uniform()) / self.options["rate"]
-            if (delay := due - self.loop.time()) > 0:
+            next_send_at += -math.log(1 - self.draws.uniform()) / self.options["rate"]
+            if (delay := next_send_at - self.loop.time()) > 0:
                 await asyncio.sleep(delay)
             self._send_request()
         while self.in_flight:
@@ -234,34 +244,36 @@
 
     def _send_request(self) -> None:
         self.count += 1
-        up = [router for router in self.routers if router.up and not router.draining]
-        router = (up or self.routers)[self.draws.below(len(up or self.routers))]
+        available = [router for router in self.routers if router.available and not router.draining]
+        router = (available or self.routers)[self.draws.below(len(available or self.routers))]
         # Keys have a Zipf distribution: p(rank) ~ 1 / rank.
         key = b"key-%d" % int(self.options["keys"] ** self.draws.uniform())
-        kind, name = self.draws.uniform(), b"%016x" % (self.count + (self.options["seed"] << 40))
+        kind_draw, name = self.draws.uniform(), b"%016x" % (self.count + (self.options["seed"] << 40))
         info = b"d=%d" % self.wait_ms
-        if kind < self.options["puts"]:
-            cls, words = "put", (b"C.SET", key, name, b"c=put,%s,k=%s" % (info, name), self.value)
-        elif kind < self.options["puts"] + self.options["once"]:
-            cls, words = "once", (b"C.SET", key, name, b"c=once," + info, self.value)
+        if kind_draw < self.options["puts"]:
+            cls, arguments = "put", (b"C.SET", key, name, b"c=put,%s,k=%s" % (info, name), self.value)
+        elif kind_draw < self.options["puts"] + self.options["once"]:
+            cls, arguments = "once", (b"C.SET", key, name, b"c=once," + info, self.value)
         else:
-            cls, words = "read", (b"C.GET", key, name, b"c=read," + info)  # type: ignore[assignment]
-        request = Request(name.decode(), router.name, cls, key.decode(), command(*words))
+            cls, arguments = "read", (b"C.GET", key, name, b"c=read," + info)  # type: ignore[assignment]
+        request = Request(name.decode(), router.name, cls, key.decode(), command(*arguments))
         if self.options["leaves"] and self.draws.uniform() < self.options["leaves"]:
-            request.leaves = max(0.001, self.draws.uniform() * self.options["leaves_ms"] / 1000)
+            request.disconnect_after_s = max(0.001, self.draws.uniform() * self.options["leaves_ms"] / 1000)
         self.in_flight[request.name] = request
         router.submit(request)
 
-    def end(self, request: Request, event: EventKind, **more: object) -> None:
+    def end(self, request: Request, event: EventKind, **fields: object) -> None:
         if self.in_flight.pop(request.name, None) is None:
             return
         if request.timer is not None:
             request.timer.cancel()
-        self.events.write(event, request=request.name, router=request.router, **more)
+        self.events.write(event, request=request.name, router=request.router, **fields)
 
-    def fail_connect(self, request: Request, why: str) -> None:
-        """Ends a request for lack of a connection; after a retry it counts as closed unanswered."""
-        self.end(request, EventKind.CLOSED_UNANSWERED if request.again else EventKind.CONNECT_FAILED, why=why)
+    def fail_connect(self, request: Request, reason: str) -> None:
+        """Ends a request that got no connection; a retried request counts as closed unanswered."""
+        self.end(
+            request, EventKind.CLOSED_UNANSWERED if request.retried else EventKind.CONNECT_FAILED, why=reason
+        )
 
 
 async def begin(message: Json) -> tuple[Json, Handler]:
--- a/applehub/lab/fleet/commands.py
+++ b/applehub/lab/fleet/commands.py
@@ -26,12 +26,12 @@
 from applehub.settings import Json
 
 SHIPPED_PLANS = resources.files("applehub.lab.fleet") / "plans"
-MAX_SHOWN = 5  # violations of one check
+MAX_SHOWN = 5  # violations printed for each check
 
 
 def shipped_plans() -> list[str]:
     return sorted(
-        one.name.removesuffix(".toml") for one in SHIPPED_PLANS.iterdir() if one.name.endswith(".toml")
+        path.name.removesuffix(".toml") for path in SHIPPED_PLANS.iterdir() if path.name.endswith(".toml")
     )
 
 
@@ -70,7 +70,9 @@
     default=0.0,
     help="Fraction of clients that leave, in a random plan.",
 )
-@click.option("--peers", is_flag=True, help="Routers gossip with each other; half of the faults affect that.")
+@click.option(
+    "--peers", is_flag=True, help="Routers gossip with each other; half of the faults affect the gossip."
+)
 @click.option(
     "--variant", type=click.Choice(sorted(VARIANTS)), help="Runs a known-bad variant of the router."
 )
@@ -103,32 +105,34 @@
     if bad:
         plan = with_bad_version(plan, bad)
     history = asyncio.run(run(plan, keep))
-    broken = run_checks(history, plan)
+    violations = run_checks(history, plan)
     if as_json:
-        click.echo(orjson.dumps(summary(history, plan, broken), option=orjson.OPT_INDENT_2).decode())
+        click.echo(orjson.dumps(summary(history, plan, violations), option=orjson.OPT_INDENT_2).decode())
     else:
-        show(history, plan, broken)
-    if broken and shrinking:
-        small = asyncio.run(_shrink(plan, broken))
-        click.echo(f"smallest plan that still breaks: {len(small.faults)} faults")
-        for one in small.faults:
-            click.echo("  " + orjson.dumps(one.model_dump(exclude_defaults=True)).decode())
-    sys.exit(1 if broken else 0)
+        show(history, plan, violations)
+    if violations and shrinking:
+        reduced_plan = asyncio.run(_shrink(plan, violations))
+        click.echo(f"smallest plan that still breaks: {len(reduced_plan.faults)} faults")
+        for fault in reduced_plan.faults:
+            click.echo("  " + orjson.dumps(fault.model_dump(exclude_defaults=True)).decode())
+    sys.exit(1 if violations else 0)
 
 
 def with_bad_version(plan: Plan, bad: str) -> Plan:
-    """Returns the plan with a bad version, which must be halted and returned. Raises SpecError."""
+    """Returns the plan with a release of a bad version, expected to be halted and rolled back.
+
+    Raises SpecError."""
     if plan.release is None:
         raise SpecError(f"{plan.name}: expected a plan with a release")
     changes = {"what": BAD_VERSION_COMPONENTS[bad], "bad": bad, "ends": "returned"}
     return plan.model_copy(update={"release": plan.release.model_copy(update=changes)})
 
 
-async def _shrink(plan: Plan, broken: list[Violation]) -> Plan:
-    checks = {one.check for one in broken}
+async def _shrink(plan: Plan, violations: list[Violation]) -> Plan:
+    checks = {violation.check for violation in violations}
 
-    async def breaks(one: Plan) -> bool:
-        return bool(checks & {found.check for found in run_checks(await run(one), one)})
+    async def breaks(candidate: Plan) -> bool:
+        return bool(checks & {violation.check for violation in run_checks(await run(candidate), candidate)})
 
     return await shrink(plan, breaks, lambda text: click.echo(text, err=True))
 
@@ -138,12 +142,12 @@
 @click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
 @report_errors
 def judge_again(file: str, folder: Path) -> None:
-    """Checks a run that was kept in FOLDER again, with the limits of plan FILE."""
+    """Checks the saved run in FOLDER again, with the limits of plan FILE."""
     plan = find_plan(file)
     history = gather(folder)
-    broken = run_checks(history, plan)
-    show(history, plan, broken)
-    sys.exit(1 if broken else 0)
+    violations = run_checks(history, plan)
+    show(history, plan, violations)
+    sys.exit(1 if violations else 0)
 
 
 @click.command("faults")
@@ -159,14 +163,17 @@
 def each_fault(file: str, plays: int, jobs: int, out: Path | None) -> None:
     """Runs every fault of a plan alone and prints a table of costs; resumes an --out file."""
     plan = find_plan(file)
-    done: dict[tuple[str, int], Json] = {}
+    results_by_run: dict[tuple[str, int], Json] = {}
     if out is not None and out.exists():
-        done = {(one["fault"], one["seed"]): one for one in map(orjson.loads, out.read_bytes().splitlines())}
+        results_by_run = {
+            (result["fault"], result["seed"]): result
+            for result in map(orjson.loads, out.read_bytes().splitlines())
+        }
     pending = [(number, seed) for number in range(len(plan.faults)) for seed in range(1, plays + 1)]
-    pending = [one for one in pending if (fault_name(plan, one[0]), one[1]) not in done]
+    pending = [pair for pair in pending if (fault_name(plan, pair[0]), pair[1]) not in results_by_run]
 
     def on_result(record: Json) -> None:
-        done[record["fault"], record["seed"]] = record
+        results_by_run[record["fault"], record["seed"]] = record
         if out is not None:
             with open(out, "ab") as file:
                 file.write(orjson.dumps(record) + b"\n")
@@ -177,8 +184,8 @@
     click.echo("| fault | plays | lost | refused | failed | late | of | back s | rules broken |")
     click.echo("|---|---|---|---|---|---|---|---|---|")
     for name in names:
-        click.echo(row(name, [one for (fault, _), one in done.items() if fault == name]))
-    sys.exit(1 if any(one["broken"] for one in done.values()) else 0)
+        click.echo(row(name, [result for (fault, _), result in results_by_run.items() if fault == name]))
+    sys.exit(1 if any(result["broken"] for result in results_by_run.values()) else 0)
 
 
 @click.command("lists")
@@ -204,67 +211,67 @@
 ) -> None:
     slots = asyncio.Semaphore(jobs)
 
-    async def one(number: int, seed: int) -> None:
+    async def run_one(number: int, seed: int) -> None:
         load = plan.load.model_copy(update={"seed": seed})
-        alone = plan.model_copy(update={"faults": [plan.faults[number]], "load": load})
+        single_fault_plan = plan.model_copy(update={"faults": [plan.faults[number]], "load": load})
         async with slots:
-            history = await run(alone)
-        results = summary(history, alone, broken := run_checks(history, alone))
+            history = await run(single_fault_plan)
+        results = summary(history, single_fault_plan, violations := run_checks(history, single_fault_plan))
         checks = {check: count for check, count in results["checks"].items() if count}
-        for found in broken[:2]:
-            click.echo(found.text(history), err=True)
+        for violation in violations[:2]:
+            click.echo(violation.text(history), err=True)
         on_result({"fault": fault_name(plan, number), "seed": seed, "broken": checks, **results["faults"][0]})
 
-    await wait_for_all([one(number, seed) for number, seed in pending])
+    await wait_for_all([run_one(number, seed) for number, seed in pending])
 
 
 def row(name: str, results: list[Json]) -> str:
     """Returns a row of the table: means over runs, and the range of recovery times."""
 
     def mean(*keys: str) -> str:
-        return f"{sum(one[key] for one in results for key in keys) / len(results):.1f}"
+        return f"{sum(result[key] for result in results for key in keys) / len(results):.1f}"
 
-    recovery_times = sorted(one["back_s"] for one in results if one["back_s"] is not None)
-    back = "-" if not recovery_times else f"{recovery_times[0]:.2f} to {recovery_times[-1]:.2f}"
+    recovery_times = sorted(result["back_s"] for result in results if result["back_s"] is not None)
+    recovery = "-" if not recovery_times else f"{recovery_times[0]:.2f} to {recovery_times[-1]:.2f}"
     if len(recovery_times) < len(results):
-        back += f", {len(results) - len(recovery_times)} not"
-    broken = ", ".join(sorted({check for one in results for check in one["broken"]})) or "none"
+        recovery += f", {len(results) - len(recovery_times)} not"
+    broken_checks = ", ".join(sorted({check for result in results for check in result["broken"]})) or "none"
     lost = mean("closed", "gave_up", "unreached")
     cells = [name, str(len(results)), lost, mean("refused"), mean("failed"), mean("late"), mean("requests")]
-    return f"| {' | '.join(cells)} | {back} | {broken} |"
+    return f"| {' | '.join(cells)} | {recovery} | {broken_checks} |"
 
 
-def summary(history: History, plan: Plan, broken: list[Violation]) -> Json:
+def summary(history: History, plan: Plan, violations: list[Violation]) -> Json:
     """Returns the results of a run as JSON values."""
-    objective_ms = plan.load.wait_ms / 2
-    outcomes = outcomes_of(history, objective_ms)
+    latency_objective_ms = plan.load.wait_ms / 2
+    outcomes = outcomes_of(history, latency_objective_ms)
     costs = [cost(history, span, outcomes) for span in history.fault_intervals]
     return {
         "plan": plan.name,
         "requests": len(outcomes),
-        "ended": outcome_totals(history, objective_ms),
-        "checks": {name: sum(one.check == name for one in broken) for name in CHECKS},
-        "broken": [f"{one.check}: {one.what}" for one in broken],
+        "ended": outcome_totals(history, latency_objective_ms),
+        "checks": {name: sum(violation.check == name for violation in violations) for name in CHECKS},
+        "broken": [f"{violation.check}: {violation.message}" for violation in violations],
         "faults": [
             {
-                "kind": one.span.kind, "at_s": round((one.span.begin - history.begin) / 1e9, 2),
-                "requests": one.requests, **one.ended, "before": round(one.before, 3),
-                "back_s": None if one.back_s is None else round(one.back_s, 2),
+                "kind": fault_cost.span.kind, "at_s": round((fault_cost.span.begin - history.begin) / 1e9, 2),
+                "requests": fault_cost.requests, **fault_cost.ended, "before": round(fault_cost.before, 3),
+                "back_s": None if fault_cost.back_s is None else round(fault_cost.back_s, 2),
             }
-            for one in costs
+            for fault_cost in costs
         ],
     }  # fmt: skip
 
 
-def show(history: History, plan: Plan, broken: list[Violation]) -> None:
+def show(history: History, plan: Plan, violations: list[Violation]) -> None:
     """Prints the results of a run."""
-    results, console = summary(history, plan, broken), Console(width=140)
+    results, console = summary(history, plan, violations), Console(width=140)
     table = Table("fault", "at s", "requests", *OUTCOMES, "before", "back s")
-    for one in results["faults"]:
-        back = "-" if one["back_s"] is None else f"{one['back_s']:.2f}"
+    for fault in results["faults"]:
+        recovery = "-" if fault["back_s"] is None else f"{fault['back_s']:.2f}"
         table.add_row(
-            one["kind"], f"{one['at_s']:.1f}", str(one["requests"]),
-            *(str(one[outcome]) for outcome in OUTCOMES), f"{one['before']:.2f}", back,
+            fault["kind"], f"{fault['at_s']:.1f}", str(fault["requests"]),
+            *(str(fault[outcome]) for outcome in OUTCOMES), f"{fault['before']:.2f}", recovery,
         )  # fmt: skip
     if results["faults"]:
         console.print(table)
@@ -272,5 +279,5 @@
     click.echo(f"{plan.name}: {results['requests']} requests: {ended}")
     for name, count in results["checks"].items():
         click.echo(f"  {name:10} {'holds' if not count else f'broken {count} times'}")
-        for one in [one for one in broken if one.check == name][:MAX_SHOWN]:
-            click.echo(one.text(history))
+        for violation in [violation for violation in violations if violation.check == name][:MAX_SHOWN]:
+            click.echo(violation.text(history))
--- a/applehub/lab/fleet/datagrams.py
+++ b/applehub/lab/fleet/datagrams.py
@@ -50,19 +50,19 @@
                 case "swap" if self.held_back is None:
                     self.held_back = data
                     return
-        held, self.held_back = self.held_back, None
-        for datagram in [data] * copies + ([held] if held is not None else []):
+        delayed, self.held_back = self.held_back, None
+        for datagram in [data] * copies + ([delayed] if delayed is not None else []):
             if delay:
                 asyncio.get_running_loop().call_later(delay, self._forward, datagram)
             else:
                 self._forward(datagram)
 
     def settle(self) -> None:
-        """Forwards a datagram that is held back for reordering once no rule asks for reordering."""
+        """Forwards the datagram held back for reordering, unless a reordering rule is still active."""
         if not any(rule.kind == "swap" for rule in self.rules.values()):
-            held, self.held_back = self.held_back, None
-            if held is not None:
-                self._forward(held)
+            delayed, self.held_back = self.held_back, None
+            if delayed is not None:
+                self._forward(delayed)
 
     def hang(self) -> None:
         """Does nothing: datagrams have no connection that could hang."""
--- a/applehub/lab/fleet/failing_calls.py
+++ b/applehub/lab/fleet/failing_calls.py
@@ -15,7 +15,7 @@
 from applehub.lab.fleet.system_call_faults import SystemCallFault, SystemCallFaults
 
 FAULT_FILE_PREFIX = "system_call-"
-# The first lists the active faults, the second has a line for each injection.
+# Files in the control folder: the list of active faults, and one line for each injection.
 ACTIVE_FAULTS_FILE, INJECTIONS_FILE = "seen", "injected"
 POLL_INTERVAL_S = 0.01
 
@@ -48,7 +48,7 @@
         try:
             names = sorted(name for name in os.listdir(self.control) if name.startswith(FAULT_FILE_PREFIX))
             files = {name: self._read(name) for name in names}
-        except OSError:  # a file was removed meanwhile; the next poll sees a consistent set
+        except OSError:  # a file was removed while the folder was read; the next poll retries
             return
         if files != self.files:
             self.files = files
@@ -56,6 +56,6 @@
             self._report_active()
 
     def _report_active(self) -> None:
-        """Writes the names of the active faults in one write, so that a reader never sees a part of them."""
+        """Writes the names of the active faults in one write, so that no reader sees a partial list."""
         with self.open(self.control / ACTIVE_FAULTS_FILE, "wb", buffering=0) as file:
             file.write(orjson.dumps(list(self.files or ())))
--- a/applehub/lab/fleet/faults.py
+++ b/applehub/lab/fleet/faults.py
@@ -20,9 +20,9 @@
 if TYPE_CHECKING:
     from applehub.lab.fleet.harness import Harness
 
-FRONT_STOP_DELAY_S = 0.3  # from SIGTERM until the client front end stops sending
-APPLY_TIMEOUT_S = 1.0  # for a router to apply or remove a fault
-SLOW_PERIOD_S = 0.05  # of the SIGSTOP and SIGCONT cycle of a slow process
+FRONT_STOP_DELAY_S = 0.3  # time from SIGTERM until the client front end stops sending
+APPLY_TIMEOUT_S = 1.0  # time allowed for a router to apply or remove a fault
+SLOW_PERIOD_S = 0.05  # period of the SIGSTOP and SIGCONT cycle of a slow process
 
 
 class Injection:
@@ -47,7 +47,7 @@
         super().__init__(harness, number)
         self.fault = fault
         self.targets = harness.matching_processes(fault.target)
-        self.processes = [one.name for one in self.targets]
+        self.processes = [process.name for process in self.targets]
         self.slow_tasks: list[asyncio.Task[None]] = []
 
     async def begin(self) -> None:
@@ -57,33 +57,33 @@
             case "term":
                 await self._for_each(self._term)
             case "stop":
-                for one in self.targets:
-                    one.signal(signal.SIGSTOP)
+                for process in self.targets:
+                    process.signal(signal.SIGSTOP)
             case "slow":
-                self.slow_tasks = [asyncio.create_task(self._slow(one)) for one in self.targets]
+                self.slow_tasks = [asyncio.create_task(self._slow(process)) for process in self.targets]
             case "hup":
-                for one in self.targets:
-                    one.signal(signal.SIGHUP)
+                for process in self.targets:
+                    process.signal(signal.SIGHUP)
             case "upgrade":
-                for one in self.targets:  # one at a time, as in a release
-                    await self._upgrade(one)
+                for process in self.targets:  # sequentially, as in a release
+                    await self._upgrade(process)
 
     async def end(self) -> None:
         match self.fault.kind:
             case "kill" | "power" | "term":
                 await self._for_each(self.harness.restart)
             case "stop":
-                for one in self.targets:
-                    one.signal(signal.SIGCONT)
+                for process in self.targets:
+                    process.signal(signal.SIGCONT)
             case "slow":
                 for task in self.slow_tasks:
                     task.cancel()
-                for one in self.targets:
-                    one.signal(signal.SIGCONT)
+                for process in self.targets:
+                    process.signal(signal.SIGCONT)
 
     async def _for_each(self, action: object) -> None:
         assert callable(action)
-        await asyncio.gather(*(action(one) for one in self.targets))
+        await asyncio.gather(*(action(process) for process in self.targets))
 
     async def _kill(self, process: Process) -> None:
         await process.kill()
@@ -103,13 +103,13 @@
         process.signal(signal.SIGTERM)
         with suppress(TimeoutError):
             await asyncio.wait_for(process.ended.wait(), FRONT_STOP_DELAY_S)
-        await self.harness.clients.ask({"do": "leaving", "router": process.name})
+        await self.harness.clients.send_command({"do": "leaving", "router": process.name})
         with suppress(TimeoutError):
             await asyncio.wait_for(process.ended.wait(), KILL_DELAY_S - FRONT_STOP_DELAY_S)
         if process.running:
             await process.kill()
         await self.harness.mark_down(process)
-        await self.harness.clients.ask({"do": "back", "router": process.name})
+        await self.harness.clients.send_command({"do": "back", "router": process.name})
 
     async def _slow(self, process: Process) -> None:
         while True:
@@ -130,18 +130,22 @@
     def __init__(self, harness: "Harness", number: int, fault: spec.LinkFault) -> None:
         super().__init__(harness, number)
         self.fault = fault
-        self.edges = [name for name in harness.edges if any(fnmatchcase(name, one) for one in fault.edges)]
+        self.edges = [
+            name for name in harness.edges if any(fnmatchcase(name, pattern) for pattern in fault.edges)
+        ]
 
     async def begin(self) -> None:
         fault = self.fault
         if fault.kind in ("reset", "hang"):
-            await self.harness.relay.ask({"do": fault.kind, "edges": fault.edges})
+            await self.harness.relay.send_command({"do": fault.kind, "edges": fault.edges})
             return
         rule = {name: getattr(fault, name) for name in Rule.__slots__}
-        await self.harness.relay.ask({"do": "rule", "id": self.number, "edges": fault.edges, "rule": rule})
+        await self.harness.relay.send_command(
+            {"do": "rule", "id": self.number, "edges": fault.edges, "rule": rule}
+        )
 
     async def end(self) -> None:
-        await self.harness.relay.ask({"do": "heal", "id": self.number})
+        await self.harness.relay.send_command({"do": "heal", "id": self.number})
 
 
 class ServerInjection(Injection):
@@ -151,11 +155,11 @@
         super().__init__(harness, number)
         self.fault = fault
         self.targets = [
-            one
-            for one in harness.matching_processes(fault.target)
-            if isinstance(one, Standin) and one.role != "list"
+            process
+            for process in harness.matching_processes(fault.target)
+            if isinstance(process, Standin) and process.role != "list"
         ]
-        self.processes = [one.name for one in self.targets]
+        self.processes = [process.name for process in self.targets]
 
     async def begin(self) -> None:
         await self._apply(self.fault.part)
@@ -163,10 +167,10 @@
     async def end(self) -> None:
         await self._apply(0.0 if self.fault.kind == "errors" else 1.0)
 
-    async def _apply(self, part: float) -> None:
-        for one in self.targets:
-            if one.running:
-                await one.ask({"do": self.fault.kind, "part": part})
+    async def _apply(self, fraction: float) -> None:
+        for process in self.targets:
+            if process.running:
+                await process.send_command({"do": self.fault.kind, "part": fraction})
 
 
 class DiscoveryInjection(Injection):
@@ -177,7 +181,7 @@
         self.fault = fault
         if fault.kind == "overload":
             self.processes = ["list"]
-        self.servers = [one.name for one in harness.matching_processes(fault.target)]
+        self.servers = [process.name for process in harness.matching_processes(fault.target)]
 
     async def begin(self) -> None:
         await self._apply({"drain": "Terminating", "gone": "Gone"}.get(self.fault.kind, ""), True)
@@ -187,7 +191,7 @@
 
     async def _apply(self, state: str, on: bool) -> None:
         if self.fault.kind == "overload":
-            await self.harness.list_standin.ask({"do": "overload", "on": on})
+            await self.harness.list_standin.send_command({"do": "overload", "on": on})
         for server in self.servers:
             await self.harness.list_state(server, {"state": state})
 
@@ -199,7 +203,9 @@
         super().__init__(harness, number)
         self.fault = fault
         self.targets = [
-            one for one in harness.matching_processes(fault.target) if isinstance(one, RouterProcess)
+            process
+            for process in harness.matching_processes(fault.target)
+            if isinstance(process, RouterProcess)
         ]
 
     async def begin(self) -> None:
@@ -208,11 +214,13 @@
     async def end(self) -> None:
         await self._call("ONLINE")
 
-    async def _call(self, word: str) -> None:
+    async def _call(self, verb: str) -> None:
         for router in self.targets:
-            words = f"{word} {self.fault.server}"
-            answer = await router.call(words)
-            self.harness.events.write(EventKind.OPERATOR_CALL, router=router.name, words=words, answer=answer)
+            arguments = f"{verb} {self.fault.server}"
+            answer = await router.call(arguments)
+            self.harness.events.write(
+                EventKind.OPERATOR_CALL, router=router.name, words=arguments, answer=answer
+            )
 
 
 class EnvironmentInjection(Injection):
@@ -222,9 +230,11 @@
         super().__init__(harness, number)
         self.fault = fault
         self.targets = [
-            one for one in harness.matching_processes(fault.target) if isinstance(one, RouterProcess)
+            process
+            for process in harness.matching_processes(fault.target)
+            if isinstance(process, RouterProcess)
         ]
-        self.processes = [one.name for one in self.targets]
+        self.processes = [process.name for process in self.targets]
 
     async def begin(self) -> None:
         if isinstance(self.fault, spec.ClockFault):
@@ -243,15 +253,17 @@
 
 
 class SystemCallInjection(Injection):
-    """Fails system calls of routers through `FailingCalls` of the shim."""
+    """Makes system calls of routers fail, through `SystemCallFaultControl` in the router's process."""
 
     def __init__(self, harness: "Harness", number: int, fault: spec.SystemCallsFault) -> None:
         super().__init__(harness, number)
         self.fault = fault
         self.targets = [
-            one for one in harness.matching_processes(fault.target) if isinstance(one, RouterProcess)
+            process
+            for process in harness.matching_processes(fault.target)
+            if isinstance(process, RouterProcess)
         ]
-        self.processes = [one.name for one in self.targets]
+        self.processes = [process.name for process in self.targets]
         self.edges = [f"clients>{name}" for name in self.processes if fault.breaks_client_connections]
 
     async def begin(self) -> None:
--- a/applehub/lab/fleet/harness.py
+++ b/applehub/lab/fleet/harness.py
@@ -29,11 +29,11 @@
 SHIM_FAULTS = frozenset(
     ("clock", "power", "full", "readonly", "torn", "slow_disk")
 )  # faults that need the shim
-READY_TIMEOUT_S = 6.0  # for the new process of an upgrade
+READY_TIMEOUT_S = 6.0  # time allowed for the new process of an upgrade to become ready
 ADDRESS_BLOCKS, CLAIM_PORT = (
     range(100, 250),
     20_000,
-)  # second octets; a port below the ephemeral range
+)  # second octets of 127.0.0.0/8; a port below the ephemeral range
 
 
 def platform_settings(plan: Plan) -> Json:
@@ -49,7 +49,9 @@
         "hostTypes": ["cache", "origin"],
         "balancers": fleet.routers,
         "ceilings": {"attemptsCap": 4, "dialTimeout": SECOND // 4, "keepalive": 10 * SECOND},
-        "classes": [{"name": name, "aim": wait // 2, "deadline": wait, **more} for name, more in effects],
+        "classes": [
+            {"name": name, "aim": wait // 2, "deadline": wait, **options} for name, options in effects
+        ],
         "registryMode": "on_request",
         "safety": {
             "askWithin": 2 * SECOND,
@@ -65,8 +67,9 @@
 def claim_block() -> tuple[str, socket.socket]:
     """Claims a block of loopback addresses that no other harness on this machine uses.
 
-    Returns the first two octets of the block, and the socket that holds the claim. A private block keeps
-    the port of a closed edge from being taken by another process. Raises LiveError if no block is free."""
+    Returns the first two octets of the block, and the bound socket that marks the block as used. Because the
+    block is private, no other process can take the port of a closed edge. Raises LiveError if all
+    are in use."""
     for block in ADDRESS_BLOCKS:
         claim = socket.socket()
         try:
@@ -114,8 +117,12 @@
         return [*self.routers, *self.caches, self.origin, *lists, *controller]
 
     def matching_processes(self, patterns: Iterable[str]) -> list[Process]:
-        """Returns the processes that are open to fault injection and match any of the patterns."""
-        return [one for one in self._served() if any(fnmatchcase(one.name, pattern) for pattern in patterns)]
+        """Returns the processes whose names match any of the patterns, without the relay and the clients."""
+        return [
+            process
+            for process in self._served()
+            if any(fnmatchcase(process.name, pattern) for pattern in patterns)
+        ]
 
     def sources(self) -> dict[str, str]:
         """Returns the name of each router by the source address of its connections."""
@@ -123,7 +130,7 @@
 
     def peer_pattern(self, router: str, side: str) -> str | None:
         """Returns the pattern of the peer addresses that a router has on one side; None for any address."""
-        number = [one.name for one in self.routers].index(router) + 1
+        number = [process.name for process in self.routers].index(router) + 1
         return {"clients": f"{self.block}.200.2:*", "servers": f"{self.block}.{number}.1:*"}.get(side)
 
     def zone(self, number: int) -> str:
@@ -137,7 +144,7 @@
                     (f"{self.block}.201.{number + 1}", 0), backlog=1024
                 )
                 self.addresses[router.name] = "{}:{}".format(*listener.getsockname())
-        await wait_for_all([self.start_cache(one, cold=False) for one in self.caches])
+        await wait_for_all([self.start_cache(cache, cold=False) for cache in self.caches])
         await self.start_origin()
         if self.plan.release is not None:
             for number, address in enumerate(self.agents.values()):
@@ -146,8 +153,8 @@
         self.edges = (await self.relay.start(message))["ports"]
         await self.start_discovery()
         for name, address in self.addresses.items():
-            await self.relay.ask({"do": "up", "target": name, "address": address})
-        await wait_for_all([self.start_router(one) for one in self.routers])
+            await self.relay.send_command({"do": "up", "target": name, "address": address})
+        await wait_for_all([self.start_router(router) for router in self.routers])
         load = self.plan.load
         await self.clients.start(
             {
@@ -162,13 +169,13 @@
                 "leaves_ms": load.leaves_ms,
                 "slack_ms": self.plan.rules.answer_slack_ms,
                 "value": VALUE_BYTES,
-                "routers": {one.name: self.edges[f"clients>{one.name}"] for one in self.routers},
+                "routers": {router.name: self.edges[f"clients>{router.name}"] for router in self.routers},
             }
         )
 
     def _edges(self) -> list[Json]:
-        lists = [one.name for one in self.registry.replicas]
-        targets = [*(one.name for one in self.caches), "origin", *(lists or ["list"])]
+        lists = [replica.name for replica in self.registry.replicas]
+        targets = [*(cache.name for cache in self.caches), "origin", *(lists or ["list"])]
         edges = [
             {
                 "name": f"{router}>{target}", "target": target, "source": address,
@@ -178,19 +185,19 @@
         ]  # fmt: skip
         edges += [
             {
-                "name": f"clients>{one.name}",
-                "target": one.name,
+                "name": f"clients>{router.name}",
+                "target": router.name,
                 "source": f"{self.block}.200.2",
                 "listen": f"{self.block}.200.1",
             }
-            for one in self.routers
+            for router in self.routers
         ]
         edges += [
             {
-                "name": f"{one}>{other}", "target": f"{other}.peers", "source": f"{self.block}.221.{n + 1}",
-                "listen": f"{self.block}.220.{n + 1}",
+                "name": f"{source}>{target}", "target": f"{target}.peers",
+                "source": f"{self.block}.221.{n + 1}", "listen": f"{self.block}.220.{n + 1}",
             }
-            for n, one in enumerate(lists) for other in lists if one != other
+            for n, source in enumerate(lists) for target in lists if source != target
         ]  # fmt: skip
         if self.plan.release is not None:
             edges += [
@@ -204,15 +211,15 @@
 
     def _datagrams(self) -> list[Json]:
         """Returns the datagram edges between each pair of routers, if the plan has peers."""
-        names = (
+        addresses = (
             {router: address for address, router in self.sources().items()} if self.plan.fleet.peers else {}
         )
         return [
             {
-                "name": f"{one}>{other}", "target": f"{other}.peers", "source": address,
+                "name": f"{source}>{target}", "target": f"{target}.peers", "source": address,
                 "listen": address.removesuffix("2") + "1",
             }
-            for one, address in names.items() for other in names if one != other
+            for source, address in addresses.items() for target in addresses if source != target
         ]  # fmt: skip
 
     async def start_cache(self, cache: Process, cold: bool) -> None:
@@ -234,7 +241,7 @@
         )
         self.addresses[cache.name] = answer["address"]
         if self.origin.running:
-            await self.origin.ask({"do": "cache", "name": cache.name, "address": answer["address"]})
+            await self.origin.send_command({"do": "cache", "name": cache.name, "address": answer["address"]})
 
     async def start_origin(self) -> None:
         fleet = self.plan.fleet
@@ -250,26 +257,26 @@
         self.addresses["origin"] = answer["address"]
         for cache in self.caches:
             if cache.running:
-                await self.origin.ask(
+                await self.origin.send_command(
                     {"do": "cache", "name": cache.name, "address": self.addresses[cache.name]}
                 )
 
     async def start_discovery(self) -> None:
-        routers = [one.name for one in self.routers]
-        servers = [*(one.name for one in self.caches), "origin"]
+        routers = [router.name for router in self.routers]
+        servers = [*(cache.name for cache in self.caches), "origin"]
         if self.registry.replicas:
-            await wait_for_all([self.start_replica(one) for one in self.registry.replicas])
-            for one in self.registry.replicas:
-                await self.mark_up(one)
+            await wait_for_all([self.start_replica(replica) for replica in self.registry.replicas])
+            for replica in self.registry.replicas:
+                await self.mark_up(replica)
             for number, name in enumerate(servers):
                 await self.registry.change("PUT", f"/v1/servers/{name}", self._registration(number, name))
             return
-        fresh = {
+        initial_state = {
             "version": 1,
             "changed": {},
             "entries": [self._entry(n, name) for n, name in enumerate(servers)],
         }
-        self.list_snapshot = self.list_snapshot or fresh
+        self.list_snapshot = self.list_snapshot or initial_state
         endpoints = {router: {name: self.edges[f"{router}>{name}"] for name in servers} for router in routers}
         answer = await self.list_standin.start(
             {
@@ -284,7 +291,7 @@
     async def start_replica(self, replica: Process) -> None:
         """Starts a replica of the list service on its existing state folder."""
         assert isinstance(replica, RegistryProcess)
-        names = [one.name for one in self.registry.replicas]
+        names = [peer.name for peer in self.registry.replicas]
         peers = {
             name: self._peer_address(name) if name == replica.name else self.edges[f"{replica.name}>{name}"]
             for name in names
@@ -304,7 +311,7 @@
         return f"{self.block}.222.{int(replica.removeprefix('list-')) + 1}:7000"
 
     def staff_address(self, replica: str) -> str:
-        """Returns the staff address, which stays the same so that the release plan remains valid."""
+        """Returns a replica's address for operator calls, fixed so that the release plan stays valid."""
         return f"{self.block}.223.{int(replica.removeprefix('list-')) + 1}:7000"
 
     def _registration(self, number: int, name: str) -> Json:
@@ -327,11 +334,11 @@
         }
 
     async def start_router(self, router: Process) -> None:
-        """Starts the next incarnation of a router with the initial server list, and waits until ready."""
+        """Starts the next incarnation of a router with the initial list, and waits until it is ready."""
         assert isinstance(router, RouterProcess)
         config = self.router_config(router)
         known = config["known"]
-        states = {one["uid"]: one["state"] for one in known["targets"]}
+        states = {entry["uid"]: entry["state"] for entry in known["targets"]}
         self.events.write(
             EventKind.LIST_SENT,
             router=router.name,
@@ -356,25 +363,25 @@
         """Replaces the process of a router on the same listening socket; returns whether that succeeded.
 
         A new process that does not become ready is terminated, and the old one continues to serve."""
-        old, ended = router.process, router.ended
-        assert old is not None
+        old_process, ended = router.process, router.ended
+        assert old_process is not None
         ready = False
         with suppress(LiveError):
             await router.start(
                 self.router_config(router), self.shim(router.name), self.listeners[router.name].fileno()
             )
             ready = await router.ready(READY_TIMEOUT_S)
-        exiting = old if ready else router.process
-        assert exiting is not None
+        exiting_process = old_process if ready else router.process
+        assert exiting_process is not None
         if not ready:
             ended = router.ended
             router.planned = True
         with suppress(ProcessLookupError):
-            exiting.send_signal(signal.SIGTERM)
+            exiting_process.send_signal(signal.SIGTERM)
         with suppress(TimeoutError):
             await asyncio.wait_for(ended.wait(), KILL_DELAY_S)
-        if exiting.returncode is None:
-            exiting.kill()
+        if exiting_process.returncode is None:
+            exiting_process.kill()
             await ended.wait()
         return ready
 
@@ -387,7 +394,7 @@
         return {"bad": release.bad, "part": release.part}
 
     def begin_bad_version(self, unit: str) -> None:
-        """Records a fault that begins, because a unit is about to run a bad version."""
+        """Records the begin of a fault, before a unit runs a bad version."""
         if self.plan.release is not None and self.plan.release.bad and unit not in self.bad_version_faults:
             number = self.bad_version_faults[unit] = FIRST_BAD_VERSION_FAULT + len(self.bad_version_faults)
             self.events.write(
@@ -395,18 +402,18 @@
             )
 
     def end_bad_version(self, unit: str) -> None:
-        """Records the end of the fault of a bad version."""
+        """Records the end of the fault, after a unit has stopped running a bad version."""
         if unit in self.bad_version_faults:
             self.events.write(EventKind.FAULT_ENDED, fault=self.bad_version_faults[unit])
 
     def configure(self, router: RouterProcess) -> None:
         """Rewrites the configuration file of a router for its current version."""
-        router.write(self.router_config(router))
+        router.write_config(self.router_config(router))
 
     async def release(self) -> None:
         """Starts the controller of the release unless it is running."""
         assert self.controller is not None and self.release_file is not None
-        async with self.release_lock:  # overlapping faults may restart it concurrently
+        async with self.release_lock:  # overlapping faults may restart the controller concurrently
             if not self.controller.running:
                 await self.controller.start(self.release_file)
 
@@ -414,14 +421,14 @@
         """Records that a router did not become ready.
 
         fault: number of the fault that started the router; -1 for a start or restart."""
-        why = f"{router.name} was never ready"
-        self.events.write(EventKind.FAULT_NOT_BEGUN, fault=fault, of=router.name, why=why)
+        reason = f"{router.name} was never ready"
+        self.events.write(EventKind.FAULT_NOT_BEGUN, fault=fault, of=router.name, why=reason)
 
     def router_config(self, router: RouterProcess) -> Json:
         """Returns the configuration of a router."""
         fleet, number = self.plan.fleet, self.routers.index(router)
-        servers = [*(one.name for one in self.caches), "origin"]
-        lists = [one.name for one in self.registry.replicas] or ["list"]
+        servers = [*(cache.name for cache in self.caches), "origin"]
+        lists = [replica.name for replica in self.registry.replicas] or ["list"]
         discoveries = [self.edges[f"{router.name}>{name}"] for name in lists]
         targets = [
             {**self._entry(n, name), "endpoint": self.edges[f"{router.name}>{name}"]}
@@ -441,7 +448,7 @@
         }
 
     def _settings(self, router: str) -> Json:
-        """Returns the settings for the version of the configuration that a router has."""
+        """Returns the settings of a router, according to its version in a release of configuration."""
         config, release = platform_settings(self.plan), self.plan.release
         if (
             release is not None
@@ -451,14 +458,14 @@
             match release.bad:
                 case "rejected":
                     config["classes"] = "none"
-                case "poisoned":  # allows no second attempt, at the origin, after a cache miss
+                case "poisoned":  # forbids the attempt at the origin after a cache miss
                     config["ceilings"]["attemptsCap"] = 1
                 case _:
                     config["ceilings"]["keepalive"] = 9 * SECOND
         return config
 
     def _peer_config(self, router: RouterProcess) -> Json:
-        others = [one.name for one in self.routers if one is not router]
+        others = [other.name for other in self.routers if other is not router]
         return {
             "fleet": self.plan.name,
             # A fixed port is free because the address block is private.
@@ -468,25 +475,25 @@
 
     def shim(self, router: str) -> Json | None:
         """Returns the options of the shim, or None if the plan needs none."""
-        kinds, release = {one.kind for one in self.plan.faults}, self.plan.release
+        kinds, release = {fault.kind for fault in self.plan.faults}, self.plan.release
         if release is not None and release.what == "routers" and release.bad:
             return {"variant": release.bad if self.versions.get(router) == NEW_VERSION else ""}
-        calls = "system_call" in kinds
-        if self.plan.fleet.variant or calls or kinds & SHIM_FAULTS:
-            return {"variant": self.plan.fleet.variant, "system_calls": calls}
+        has_system_call_faults = "system_call" in kinds
+        if self.plan.fleet.variant or has_system_call_faults or kinds & SHIM_FAULTS:
+            return {"variant": self.plan.fleet.variant, "system_calls": has_system_call_faults}
         return None
 
     async def mark_up(self, process: Process) -> None:
         for name in (process.name, f"{process.name}.peers"):
             if name in self.addresses:
-                await self.relay.ask({"do": "up", "target": name, "address": self.addresses[name]})
+                await self.relay.send_command({"do": "up", "target": name, "address": self.addresses[name]})
 
     async def mark_down(self, process: Process) -> None:
         for name in (process.name, f"{process.name}.peers"):
-            await self.relay.ask({"do": "down", "target": name})
+            await self.relay.send_command({"do": "down", "target": name})
 
     async def restart(self, process: Process) -> None:
-        """Restarts a process that has ended, under its name and without its state in memory."""
+        """Starts the next incarnation of a process that has ended."""
         if isinstance(process, RouterProcess):
             await self.start_router(process)
         elif process is self.list_standin:
@@ -510,7 +517,7 @@
     async def list_state(self, server: str, entry: Json) -> None:
         """Changes an entry of the server list: its state, or all fields after a restart."""
         if self.registry.replicas and "boot_ms" in entry:
-            number = [one.name for one in self.caches].index(server)
+            number = [cache.name for cache in self.caches].index(server)
             registration = {**self._registration(number, server), **entry}
             await self.registry.change("PUT", f"/v1/servers/{server}", registration)
             return
@@ -518,18 +525,18 @@
             await self.registry.change("POST", f"/v1/servers/{server}/state", entry)
             return
         if self.list_standin.running:
-            self.list_snapshot = await self.list_standin.ask(
+            self.list_snapshot = await self.list_standin.send_command(
                 {"do": "state", "server": server, "entry": entry}
             )
-        else:  # it reads the change when it starts
+        else:  # the stand-in reads the change when it starts
             self.list_snapshot["version"] += 1
             self.list_snapshot["changed"][server] = self.list_snapshot["version"]
-            next(one for one in self.list_snapshot["entries"] if one["uid"] == server).update(entry)
+            next(listed for listed in self.list_snapshot["entries"] if listed["uid"] == server).update(entry)
 
     async def stop(self) -> None:
-        """Ends every process, in any state, and closes the sockets."""
+        """Ends every running process, also a stopped one, and closes the sockets."""
         await self.registry.close()
-        await wait_for_all([one.close() for one in self.processes() if one.running])
+        await wait_for_all([process.close() for process in self.processes() if process.running])
         for listener in (*self.listeners.values(), self.claim_socket):
             listener.close()
         self.events.close()
@@ -537,7 +544,7 @@
 
 async def wait_for_all(tasks: list[Any]) -> None:
     """Waits for all tasks, then raises the first exception, if any."""
-    done = await asyncio.gather(*tasks, return_exceptions=True)
-    for one in done:
-        if isinstance(one, BaseException):
-            raise one
+    results = await asyncio.gather(*tasks, return_exceptions=True)
+    for result in results:
+        if isinstance(result, BaseException):
+            raise result
--- a/applehub/lab/fleet/history.py
+++ b/applehub/lab/fleet/history.py
@@ -11,12 +11,12 @@
 
 @dataclass(slots=True)
 class FaultInterval:
-    """The time during which a fault was active, in ns of the monotonic clock."""
+    """The interval in which a fault was active, and what it affected; times in ns of the monotonic clock."""
 
     number: int
     kind: str
     processes: frozenset[str]
-    edges: tuple[str, ...]  # patterns
+    edges: tuple[str, ...]  # patterns of edge names
     begin: int
     end: int = NEVER
 
@@ -62,11 +62,13 @@
 def event_files(folder: Path) -> list[Path]:
     """Returns the event files of a run: those of the harness, of each process and of a release controller.
 
-    Other folders are disks of routers, whose files may change during a directory walk."""
-    found = [
-        path for where in ("", "*/", "controller/state/") for path in folder.glob(f"{where}events*.jsonl")
+    No other folder is searched: the routers' disks may change during a directory walk."""
+    paths = [
+        path
+        for subfolder in ("", "*/", "controller/state/")
+        for path in folder.glob(f"{subfolder}events*.jsonl")
     ]
-    return sorted(found)
+    return sorted(paths)
 
 
 def gather(folder: Path) -> History:
--- a/applehub/lab/fleet/hollow.py
+++ b/applehub/lab/fleet/hollow.py
@@ -1,4 +1,4 @@
-"""Routers without a data path, which watch the list as real ones do."""
+"""Routers without a data path, which watch the server list with the code of a real router."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -13,9 +13,9 @@
 from applehub.settings import Json, read_names, read_settings
 
 CLIENT_WAIT_MS = 1000
-MAX_SOCKETS, DIAL_TIMEOUT_S, KEEPALIVE_S = 64, 0.25, 60.0  # of pools that send nothing
+MAX_SOCKETS, DIAL_TIMEOUT_S, KEEPALIVE_S = 64, 0.25, 60.0  # settings of connection pools that send nothing
 ORIGIN_KIND = 1
-OnApplied = Callable[[int], None]  # called with the version of each list that is applied
+OnApplied = Callable[[int], None]  # called with the version of each applied list
 
 
 class Caller(Protocol):
@@ -35,8 +35,8 @@
 class WatchOnlyRouter:
     """Runs the watch and the directory of a real router.
 
-    With `must_ask` it also runs the router's policy, which says when to poll again after a failure. Without
-    it the policy is left out, so that one process can run more routers."""
+    With `must_ask` it also runs the router's policy, which decides when to poll again after a
+    failure. Otherwise the policy is left out, so that one process can run more routers."""
 
     def __init__(self, endpoint: Endpoint, seed: int, on_applied: OnApplied, must_ask: bool = False) -> None:
         router_settings = {**settings(CLIENT_WAIT_MS), "registryMode": "on_request" if must_ask else "pushed"}
--- a/applehub/lab/fleet/keeper.py
+++ b/applehub/lab/fleet/keeper.py
@@ -1,6 +1,6 @@
 """Removes the folder of a test harness after its exit: `python -m applehub.lab.fleet.keeper FOLDER`.
 
-Waits for the end of standard input, which closes even if the harness is killed. Retries, because child
+Waits for the end of standard input, which closes even if the harness is killed. It retries, because child
 processes of the harness may still write files while they exit."""
 
 import shutil
--- a/applehub/lab/fleet/listing.py
+++ b/applehub/lab/fleet/listing.py
@@ -1,6 +1,6 @@
 """Stand-in process for the list service, with versions, long polls and a limited call rate.
 
-Identifies a router by its source address, and returns the endpoints that are meant for that router."""
+The stand-in identifies a router by its source address, and returns the endpoints of that router's edges."""
 
 import asyncio
 from pathlib import Path
@@ -21,7 +21,7 @@
 
     def __init__(self, message: Json, events: EventWriter) -> None:
         self.events, self.sources, self.endpoints = events, message["sources"], message["endpoints"]
-        self.entries: dict[str, Json] = {one["uid"]: one for one in message["entries"]}
+        self.entries: dict[str, Json] = {entry["uid"]: entry for entry in message["entries"]}
         self.version: int = message["version"]
         self.changed: dict[str, int] = message["changed"]  # version of the latest change, by server
         self.rate, self.idle_at, self.overloaded = message["rate"], 0.0, False
@@ -31,7 +31,7 @@
     async def command(self, message: Json) -> Json:
         """Executes a command of the harness.
 
-        state, touch: changes the entry of a server; state returns the whole list, touch the version only.
+        state, touch: changes the entry of a server; state returns the complete list, touch only the version.
         overload: starts or stops answering all calls with 503."""
         if message["do"] == "overload":
             self.overloaded = message["on"]
@@ -82,10 +82,10 @@
 
 
 async def begin(message: Json) -> tuple[Json, Handler]:
-    listing = ListServiceStandin(
+    list_service = ListServiceStandin(
         message, EventWriter(Path(message["events"]), message["name"], message["incarnation"])
     )
     server = await asyncio.get_running_loop().create_server(
-        lambda: connection_with_peer_address(listing.answer), "127.0.0.1", 0, backlog=512
+        lambda: connection_with_peer_address(list_service.answer), "127.0.0.1", 0, backlog=512
     )
-    return {"address": f"127.0.0.1:{server.sockets[0].getsockname()[1]}"}, listing.command
+    return {"address": f"127.0.0.1:{server.sockets[0].getsockname()[1]}"}, list_service.command
--- a/applehub/lab/fleet/plan.py
+++ b/applehub/lab/fleet/plan.py
@@ -24,7 +24,7 @@
     routers: Annotated[int, Field(ge=1, le=60)] = 3
     caches: Annotated[int, Field(ge=1, le=60)] = 3
     zones: Annotated[int, Field(ge=1, le=8)] = 1
-    inherited: bool = False  # the harness holds the listening sockets, as the platform does for upgrades
+    inherited: bool = False  # the harness owns the listening sockets, so that routers can be upgraded
     variant: str = ""  # a known-bad variant of the router, see variants.py
     memory_mb: Count = 192
     sockets: Annotated[int, Field(ge=64)] = 1024
@@ -49,8 +49,8 @@
 
     rate: Annotated[float, Field(gt=0, le=5000)] = 100.0
     seconds: Annotated[float, Field(gt=0, le=3600)] = 10.0  # minimum; extended until all faults are over
-    most_s: Annotated[float, Field(gt=0, le=3600)] = 120.0
-    after_s: NonNegative = 2.0  # duration after the last fault
+    most_s: Annotated[float, Field(gt=0, le=3600)] = 120.0  # maximum time until all faults are over
+    after_s: NonNegative = 2.0  # time with load after the last fault
     keys: Count = 500
     puts: Fraction = 0.03
     once: Fraction = 0.02
@@ -67,14 +67,14 @@
     drain_slack_ms: NonNegative = 550.0
     by_hand_slack_ms: NonNegative = 1050.0
     stale_ms: Positive = 3000.0  # maximum time from a list change until all routers have it
-    told_ms: Positive = 6000.0  # the same, counted from when the path is free of faults
-    departed_ms: Positive = 100.0  # maximum time from a client disconnect to a start of an attempt
+    told_ms: Positive = 6000.0  # maximum time from when a router's path to the list service is free of faults
+    departed_ms: Positive = 100.0  # maximum time from a client disconnect to the start of an attempt
     keyed_window_ms: Positive = 2050.0
     peers_ms: Positive = 10_000.0  # from the end of a fault until all routers agree on the live routers
 
 
 OLD_VERSION, NEW_VERSION = "v1", "v2"  # versions in a release
-FIRST_BAD_VERSION_FAULT = 1000  # number of the first fault that stands for a bad version
+FIRST_BAD_VERSION_FAULT = 1000  # number of the first fault that records a bad version
 BAD_VERSION_COMPONENTS = {  # the component that each kind of bad version applies to
     "errors": "servers",  # fails a fraction `part` of its requests
     "crawls": "servers",  # runs at a fraction `part` of its speed
@@ -83,7 +83,7 @@
     "absent": "servers",  # does not start
     "unready": "routers",  # the new process does not become ready
     "crashes": "routers",
-    "fails": "routers",  # crashes, fails and burns are variants in variants.py
+    "fails": "routers",  # crashes, fails and burns: see variants.py
     "burns": "routers",
     "rejected": "configuration",  # the router rejects it
     "poisoned": "configuration",  # valid, but requests fail under load
@@ -113,7 +113,7 @@
 
 
 class Fault(Table):
-    """Base of all faults: when it begins (`at` seconds into the load, or `on` an event) and when it ends."""
+    """Common fields of all faults: the begin (`at` seconds into the load, or `on` an event) and the end."""
 
     name: str = ""
     at: NonNegative | None = None
@@ -133,9 +133,9 @@
 class ProcessFault(Fault):
     """Fault of the processes whose names match `target`; `PRIMARY` is the primary of the list service.
 
-    kill: SIGKILL, and a restart at the end. term: SIGTERM, SIGKILL as the platform does, then a restart.
-    stop: SIGSTOP until the end. slow: runs for a fraction `part` of the time. upgrade: replaced by a new one.
-    power: SIGKILL, and the disk reverts to what was synced. hup: SIGHUP without changes."""
+    kill: SIGKILL, and a restart at the end. term: SIGTERM, later SIGKILL, and a restart at the end.
+    stop: SIGSTOP until the end. slow: runs for a fraction `part` of the time. upgrade: a new process replaces
+    the old one. power: SIGKILL, and the disk reverts to what was synced. hup: SIGHUP without changes."""
 
     kind: Literal["kill", "term", "stop", "slow", "upgrade", "power", "hup"]
     target: Patterns
@@ -146,11 +146,11 @@
 class LinkFault(Fault):
     """Fault of the edges whose names match `edges` (`router-1>cache-*`, `clients>router-2`, `*>list`).
 
-    hang: connections that are open now carry no more data; new ones work. silent: open connections carry no
-    data (`way`: both, there, back) and new ones time out. delay: adds `ms` and up to `jitter_ms`. reset:
-    resets open connections. cut: resets each connection after `bytes` of response data. rate: limits each
-    direction to `bytes` a second. pieces: data arrives in pieces of `bytes`. For a fraction `part` of the
-    datagrams: lose, double, short (truncated at a random byte), swap (delivered after the next one)."""
+    hang: connections that are open at the begin carry no more data; new ones work. silent: open connections
+    carry no data (`way`: both, there, back) and new ones time out. delay: adds `ms` and up to `jitter_ms`.
+    reset: resets open connections. cut: resets each connection after `bytes` of response data. rate: limits
+    each direction to `bytes` per second. pieces: data arrives in pieces of `bytes`. For a fraction `part` of
+    the datagrams: lose, double, short (truncated at a random byte), swap (delivered after the next one)."""
 
     kind: Literal[
         "silent", "hang", "delay", "reset", "cut", "rate", "pieces", "lose", "double", "short", "swap"
@@ -176,7 +176,7 @@
 class DiscoveryFault(Fault):
     """Fault of discovery.
 
-    drain, gone: changes the state of servers in the list, and makes them ready at the end. overload: the
+    drain, gone: sets the state of servers in the list, and sets it to ready at the end. overload: the
     stand-in for the list service answers 503."""
 
     kind: Literal["drain", "gone", "overload"]
@@ -219,8 +219,8 @@
 class SystemCallsFault(Fault):
     """Fault of system calls of routers: `call` fails with `error`, or transfers at most `short` bytes.
 
-    Affects each `every`-th call, at most `times` times (see system_calls.py). side: limits it to connections
-    with clients or with servers. File system calls are limited to the disk of the router."""
+    The fault affects every `every`-th call, at most `times` times (see system_calls.py). side: limits the
+    fault to connections with clients or with servers. File calls are limited to the disk of the router."""
 
     kind: Literal["system_call"]
     target: Patterns
@@ -238,9 +238,9 @@
 
     @property
     def breaks_client_connections(self) -> bool:
-        """Whether it breaks client connections, so that their requests may go unanswered."""
-        moves = self.call in ("recv", "send", "sendmsg") and self.side != "servers"
-        return moves and self.error not in ("", "EINTR", "EAGAIN")
+        """Whether the fault breaks client connections, so that their requests may go unanswered."""
+        transfers_data = self.call in ("recv", "send", "sendmsg") and self.side != "servers"
+        return transfers_data and self.error not in ("", "EINTR", "EAGAIN")
 
     def for_process(self, peer: str | None, disk: str | None) -> SystemCallFault:
         """Returns the fault for one process. Raises ValueError if the combination is invalid."""
--- a/applehub/lab/fleet/plan_generator.py
+++ b/applehub/lab/fleet/plan_generator.py
@@ -40,7 +40,7 @@
     "accept": "clients>{}",
     **dict.fromkeys(("socket", "connect", "getsockopt"), "{}>cache-*"),
 }
-RESET_DELAY_S = 0.03  # from the begin of such a fault to the reset
+RESET_DELAY_S = 0.03  # delay from the begin of such a fault to the reset
 
 
 def _system_call_fault(draws: RandomStream, routers: int) -> Json:
@@ -53,7 +53,8 @@
     }  # fmt: skip
 
 
-# Weight and generator of each kind of fault; a generator returns the keys of the fault.
+# Weight and generator of each kind of fault. A generator gets the random stream and the numbers of routers
+# and caches, and returns the keys of the fault.
 FAULT_GENERATORS: tuple[tuple[float, Callable[[RandomStream, int, int], Json]], ...] = (
     (3, lambda d, r, c: {"kind": "kill", "target": [f"router-{d.below(r)}"], "for_s": d.between(0.2, 2)}),
     (2, lambda d, r, c: {"kind": "kill", "target": [f"cache-{d.below(c)}"], "for_s": d.between(0.5, 3)}),
@@ -138,7 +139,8 @@
 )
 
 
-# Generators of faults between routers, for plans with peers.
+# Generators of faults between routers, for plans with peers. They get the random stream and the number of
+# routers.
 PEER_FAULT_GENERATORS: tuple[Callable[[RandomStream, int], Json], ...] = (
     lambda d, r: {"kind": "lose", "part": d.between(0.05, 0.5)},
     lambda d, r: {"kind": "double", "part": d.between(0.05, 1)},
@@ -178,15 +180,17 @@
     draws, total_weight = RandomStream(seed, "plan"), sum(weight for weight, _ in FAULT_GENERATORS)
     generated: list[Json] = []
     for number in range(faults):
-        before = generated[-1] if generated else {}
-        if before.get("call") in CONNECTING_CALLS:
-            edge = CONNECTING_CALLS[before["call"]].format(before["target"][0])
-            generated.append({"kind": "reset", "edges": [edge], "at": before["at"] + RESET_DELAY_S})
+        previous = generated[-1] if generated else {}
+        if previous.get("call") in CONNECTING_CALLS:
+            edge = CONNECTING_CALLS[previous["call"]].format(previous["target"][0])
+            generated.append({"kind": "reset", "edges": [edge], "at": previous["at"] + RESET_DELAY_S})
             continue
         if peers and number % 2:
             peer_fault = PEER_FAULT_GENERATORS[draws.below(len(PEER_FAULT_GENERATORS))](draws, routers)
-            at, length = draws.between(1.0, max(1.1, seconds - 4)), draws.between(0.5, 5)
-            generated.append({"edges": ["router-*>router-*"], "at": at, "for_s": length, **peer_fault})
+            begins_at, duration = draws.between(1.0, max(1.1, seconds - 4)), draws.between(0.5, 5)
+            generated.append(
+                {"edges": ["router-*>router-*"], "at": begins_at, "for_s": duration, **peer_fault}
+            )
             continue
         remaining = draws.uniform() * total_weight
         for weight, make in FAULT_GENERATORS:
@@ -197,8 +201,8 @@
                 )
                 break
     if lists:
-        generated = [_redirect_to_replicas(one, draws) for one in generated]
-    generated.sort(key=lambda one: one["at"])
+        generated = [_redirect_to_replicas(fault, draws) for fault in generated]
+    generated.sort(key=lambda fault: fault["at"])
     return make_plan(
         f"seed {seed}",
         {
@@ -210,7 +214,7 @@
                 "lists": lists,
                 "changes": 5.0 if lists else 0.0,
                 "peers": peers,
-                "keeps": any(one.get("call") in FILE_CALLS for one in generated),
+                "keeps": any(fault.get("call") in FILE_CALLS for fault in generated),
             },
             # Leaves time for the check that each router knows exactly the live routers.
             "load": {
@@ -220,26 +224,28 @@
                 "after_s": 12.0 if peers else 2.0,
                 "leaves": leaves,
             },
-            "faults": [_separated(one, generated[:number]) for number, one in enumerate(generated)],
+            "faults": [_separated(fault, generated[:number]) for number, fault in enumerate(generated)],
         },
     )
 
 
 def _affects_registry(fault: Json) -> bool:
-    """Whether a fault affects replicas of the list service, of which two faulty ones break the quorum."""
-    named = [*fault.get("target", []), *fault.get("edges", [])]
-    return any("PRIMARY" in one or "list-" in one for one in named)
+    """Returns whether a fault affects a replica of the list service.
 
+    Two such faults at once would break the quorum."""
+    patterns = [*fault.get("target", []), *fault.get("edges", [])]
+    return any("PRIMARY" in pattern or "list-" in pattern for pattern in patterns)
 
-def _separated(fault: Json, before: list[Json]) -> Json:
+
+def _separated(fault: Json, earlier_faults: list[Json]) -> Json:
     """Delays a fault until earlier faults of the same process or of the list service are over."""
-    at = fault["at"]
-    for one in before:
-        same = set(one.get("target", [])) & set(fault.get("target", []))
-        same |= {"list"} if _affects_registry(one) and _affects_registry(fault) else set()
-        if same or {one["kind"], fault["kind"]} == {"overload", "kill"}:
-            at = max(at, one["at"] + one.get("for_s", 0.0) + 4.5)
-    fault["at"] = at
+    begins_at = fault["at"]
+    for earlier in earlier_faults:
+        shared_targets = set(earlier.get("target", [])) & set(fault.get("target", []))
+        shared_targets |= {"list"} if _affects_registry(earlier) and _affects_registry(fault) else set()
+        if shared_targets or {earlier["kind"], fault["kind"]} == {"overload", "kill"}:
+            begins_at = max(begins_at, earlier["at"] + earlier.get("for_s", 0.0) + 4.5)
+    fault["at"] = begins_at
     return fault
 
 
@@ -248,20 +254,20 @@
 ) -> Plan:
     """Removes faults while `breaks` holds (Zeller's delta debugging): halves first, then one by one.
 
-    The result still breaks an invariant, and removing any single fault was tried without success."""
+    The returned plan still breaks an invariant; runs without any one of its faults did not."""
     remaining: list[AnyFault] = list(plan.faults)
-    parts = 2
+    chunk_count = 2
     while remaining:
-        size = max(1, -(-len(remaining) // parts))
-        for at in range(0, len(remaining), size):
-            candidate = remaining[:at] + remaining[at + size :]
+        chunk_size = max(1, -(-len(remaining) // chunk_count))
+        for start in range(0, len(remaining), chunk_size):
+            candidate = remaining[:start] + remaining[start + chunk_size :]
             fails = await breaks(plan.model_copy(update={"faults": candidate}))
             report(f"{len(candidate)} of {len(plan.faults)} faults: {'still breaks' if fails else 'holds'}")
             if fails:
-                remaining, parts = candidate, max(2, parts - 1)
+                remaining, chunk_count = candidate, max(2, chunk_count - 1)
                 break
         else:
-            if size == 1:
+            if chunk_size == 1:
                 break
-            parts = min(len(remaining), parts * 2)
+            chunk_count = min(len(remaining), chunk_count * 2)
     return plan.model_copy(update={"faults": remaining})
--- a/applehub/lab/fleet/processes.py
+++ b/applehub/lab/fleet/processes.py
@@ -1,7 +1,8 @@
 """Child processes of the test harness.
 
-None outlives the harness: the kernel sends each SIGKILL when the harness exits (PR_SET_PDEATHSIG), and
-a stand-in also exits at the end of its standard input. A separate process, keeper.py, removes the files."""
+No child process outlives the harness: the kernel sends each SIGKILL when the harness exits
+(PR_SET_PDEATHSIG), and a stand-in also exits at the end of its standard input. A separate
+process, keeper.py, removes the files."""
 
 import asyncio
 import ctypes
@@ -23,8 +24,8 @@
 
 PR_SET_PDEATHSIG = 1
 START_TIMEOUT_S = 60.0
-KILL_DELAY_S = 3.7  # from SIGTERM to SIGKILL, as on the platform
-EXIT_TIMEOUT_S = 10.0  # for a stand-in to exit by itself
+KILL_DELAY_S = 3.7  # time from SIGTERM to SIGKILL, as on the platform
+EXIT_TIMEOUT_S = 10.0  # time allowed for a stand-in to exit by itself
 PROJECT_ROOT = str(Path(__file__).parents[3])
 _libc = ctypes.CDLL(None, use_errno=True)
 MB = 1 << 20
@@ -39,23 +40,25 @@
     return prepare
 
 
-def environment(**more: str) -> dict[str, str]:
-    """Returns the current environment without BALANCER_ variables, with PYTHONPATH set, and with `more`."""
+def environment(**variables: str) -> dict[str, str]:
+    """Returns this environment without BALANCER_ variables, with PYTHONPATH set, and with `variables`."""
     path = os.pathsep.join(filter(None, [PROJECT_ROOT, os.environ.get("PYTHONPATH")]))
     inherited = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")}
-    return {**inherited, "PYTHONPATH": path, **more}
+    return {**inherited, "PYTHONPATH": path, **variables}
 
 
-def start_keeper(folder: Path) -> "subprocess.Popen[bytes]":
-    """Starts the process that removes a folder after this process has ended, in whatever way."""
+def start_folder_cleanup(folder: Path) -> "subprocess.Popen[bytes]":
+    """Starts a process that removes the folder once this process has ended for any reason."""
     arguments = [sys.executable, "-m", "applehub.lab.fleet.keeper", str(folder)]
     return subprocess.Popen(arguments, stdin=subprocess.PIPE, env=environment(), start_new_session=True)
 
 
 class Process:
-    """A process with all its incarnations, which share name and folder; ports may differ."""
+    """A child process and its restarts: all incarnations share the name and the folder."""
 
-    expected_exit_codes: frozenset[int] = frozenset()  # exit codes after its work is complete
+    expected_exit_codes: frozenset[int] = (
+        frozenset()
+    )  # codes with which the process exits once its work is complete
 
     def __init__(self, name: str, folder: Path, events: EventWriter) -> None:
         self.name, self.events = name, events
@@ -63,9 +66,9 @@
         self.folder.mkdir()
         self.incarnation = 0
         self.process: asyncio.subprocess.Process | None = None
-        self.planned = False  # whether the harness ends it
+        self.planned = False  # whether the harness has requested the exit
         self.ended = asyncio.Event()
-        self.crashed = asyncio.Event()  # set if it exits unplanned
+        self.crashed = asyncio.Event()  # set when the process exits unplanned
         self._tasks: set[asyncio.Task[None]] = set()
         self._psutil_process: psutil.Process | None = None
 
@@ -79,8 +82,8 @@
     ) -> asyncio.subprocess.Process:
         """Starts the next incarnation.
 
-        control: Commands go to its standard input and replies come from its standard output.
-        out: File for its standard output. Without control and out, standard output goes to the log, and
+        control: whether standard input and output are pipes for commands and replies.
+        out: file for standard output. Without control and out, standard output goes to the log, and
         standard error is a pipe."""
         self.incarnation += 1
         pipe = asyncio.subprocess.PIPE
@@ -125,7 +128,7 @@
         await self.kill()
 
     def sample(self) -> None:
-        """Records its CPU time, memory and number of file descriptors."""
+        """Records the CPU time, memory and number of file descriptors of the process."""
         if self._psutil_process is None or not self.running:
             return
         with suppress(psutil.Error):
@@ -153,21 +156,21 @@
         return self.folder / f"events-{self.incarnation}.jsonl"
 
     async def start(self, config: Json) -> Json:
-        """Starts the process and returns its first reply, sent when it is ready. Raises LiveError."""
+        """Starts the process, waits until it is ready and returns its first reply. Raises LiveError."""
         arguments = ["-m", "applehub.lab.fleet.standin", self.role]
         await self.spawn(arguments, environment(), control=True)
         message = {
             **config, "role": self.role, "name": self.name, "incarnation": self.incarnation,
             "events": str(self.events_file),
         }  # fmt: skip
-        answer = await self.ask(message)
+        answer = await self.send_command(message)
         self.events.write(
             EventKind.READY, of=self.name, number=self.incarnation, address=answer.get("address")
         )
         return answer
 
     async def close(self) -> None:
-        """Closes its standard input, at which it exits; sends SIGKILL if it does not."""
+        """Closes standard input, which makes the process exit; sends SIGKILL after a timeout."""
         self.planned = True
         self.signal(signal.SIGCONT)
         if self.process is not None and self.process.stdin is not None:
@@ -177,8 +180,8 @@
         if self.running:
             await self.kill()
 
-    async def ask(self, message: Json) -> Json:
-        """Sends a command and returns the reply. Raises LiveError if none comes."""
+    async def send_command(self, message: Json) -> Json:
+        """Sends a command and returns the reply. Raises LiveError if there is no reply."""
         process = self.process
         assert process is not None and process.stdin is not None and process.stdout is not None
         async with self.lock:
@@ -202,7 +205,7 @@
         self.listen = self.staff = ""
 
     async def start(self, lines: list[str]) -> None:
-        """Starts it with these lines as configuration; waits for its addresses. Raises LiveError."""
+        """Starts the replica with these lines of configuration; waits for its addresses. Raises LiveError."""
         path = self.folder / "config.toml"
         path.write_text("\n".join([f'state_dir = "{self.folder / "state"}"', *lines]))
         events = self.folder / f"events-{self.incarnation + 1}.jsonl"
@@ -211,16 +214,16 @@
         loop = asyncio.get_running_loop()
         end = loop.time() + START_TIMEOUT_S
         while loop.time() < end and self.running:
-            for one in read_events(events):
-                if one.event is EventKind.READY:
-                    self.listen, self.staff = one.fields["address"], one.fields["staff"]
+            for record in read_events(events):
+                if record.event is EventKind.READY:
+                    self.listen, self.staff = record.fields["address"], record.fields["staff"]
                     self.events.write(
                         EventKind.READY, of=self.name, number=self.incarnation, address=self.listen
                     )
                     return
             await asyncio.sleep(0.02)
         log_tail = (self.folder / "stderr.log").read_text()[-800:]
-        raise LiveError(f"{self.name} is not ready: {log_tail}")
+        raise LiveError(f"{self.name} did not become ready: {log_tail}")
 
 
 class ControllerProcess(Process):
@@ -229,7 +232,7 @@
     expected_exit_codes = frozenset((0, 3))
 
     async def start(self, plan: Path) -> None:
-        """Starts it on its existing state folder."""
+        """Starts the controller on its state folder, so that it resumes a release in progress."""
         state = self.folder / "state"
         await self.spawn(["-m", "applehub.release", "start", str(plan), "--state", str(state)], environment())
         assert self.process is not None and self.process.stderr is not None
@@ -243,13 +246,13 @@
                 log.write(line)
 
     async def finished(self) -> None:
-        """Waits until it has exited by itself, across restarts by faults."""
+        """Waits until the controller has exited by itself, across kills and restarts by faults."""
         while True:
             ended = self.ended
             await ended.wait()
             if self.process is not None and self.process.returncode in self.expected_exit_codes:
                 return
-            while self.ended is ended:  # the fault that killed it restarts it
+            while self.ended is ended:  # the fault that killed the controller restarts it
                 await asyncio.sleep(0.02)
 
 
@@ -259,33 +262,34 @@
     def __init__(self, name: str, folder: Path, events: EventWriter) -> None:
         super().__init__(name, folder, events)
         self.disk, self.durable, self.control = (
-            self.folder / part for part in ("disk", "durable", "control")
+            self.folder / subfolder for subfolder in ("disk", "durable", "control")
         )
-        for one in (self.disk, self.durable, self.control):
-            one.mkdir()
+        for path in (self.disk, self.durable, self.control):
+            path.mkdir()
         self.listen = self.console = ""
         self._reader_tasks: set[asyncio.Task[None]] = set()
 
-    def write(self, config: Json) -> None:
-        """Writes its configuration file."""
+    def write_config(self, config: Json) -> None:
         (self.folder / "config.json").write_bytes(orjson.dumps(config))
 
     async def start(self, config: Json, shim: Json | None, inherited: int | None) -> None:
-        """Starts the next incarnation; waits until it listens. Raises LiveError on exit or timeout."""
-        self.write(config)
-        more = {
+        """Starts the next incarnation and waits until it listens. Raises LiveError on exit or timeout.
+
+        inherited: descriptor of the listening socket, if the harness owns it."""
+        self.write_config(config)
+        variables = {
             "BALANCER_CONFIG": str(self.folder / "config.json"),
             "TMPDIR": str(self.disk),
             "BALANCER_CONSOLE": "127.0.0.1:0",
         }
         if inherited is not None:
-            more["BALANCER_INHERITED_FD"] = str(inherited)
+            variables["BALANCER_INHERITED_FD"] = str(inherited)
         arguments = ["-m", "applehub"]
         if shim is not None:
             folders = {"disk": str(self.disk), "durable": str(self.durable), "control": str(self.control)}
             arguments = ["-m", "applehub.lab.fleet.shim", orjson.dumps({**shim, **folders}).decode()]
         fds = () if inherited is None else (inherited,)
-        process = await self.spawn(arguments, environment(**more), fds)
+        process = await self.spawn(arguments, environment(**variables), fds)
         listening = asyncio.get_running_loop().create_future()
         reader_task = asyncio.get_running_loop().create_task(self._read(process, listening))
         self._reader_tasks.add(reader_task)
@@ -313,14 +317,14 @@
             listening.set_exception(LiveError(f"{self.name} exited before it listened: {log_tail}"))
 
     def counts(self, lines: list[str]) -> dict[str, float]:
-        """Returns the counters in lines of DUMP that the gates of a release use, summed over all classes."""
+        """Returns the counters for the gates of a release from the lines of DUMP, summed over all classes."""
         values = dict(line.partition("=")[::2] for line in lines if "=" in line)
-        sums = dict.fromkeys(("ok", "shed", "errors"), 0)
+        totals = dict.fromkeys(("ok", "shed", "errors"), 0)
         for name, value in values.items():
             if ".responses." in name:
-                sums[name.rpartition(".")[2]] += int(value)
+                totals[name.rpartition(".")[2]] += int(value)
         return {
-            "requests": sum(sums.values()), "refused": sums["shed"], "failed": sums["errors"],
+            "requests": sum(totals.values()), "refused": totals["shed"], "failed": totals["errors"],
             **{
                 name: int(values.get(f"edge_balancer.{name}", 0))
                 for name in ("config_applied", "config_rejected")
@@ -328,7 +332,7 @@
         }  # fmt: skip
 
     def costs(self) -> dict[str, float]:
-        """Returns CPU time in seconds since its start and memory in MB. Raises psutil.Error."""
+        """Returns the router's CPU time in seconds since its start, and memory in MB. Raises psutil.Error."""
         assert self._psutil_process is not None
         times = self._psutil_process.cpu_times()
         return {"cpu_s": times.user + times.system, "memory_mb": self._psutil_process.memory_info().rss / MB}
@@ -350,7 +354,7 @@
         return answer.decode().split("\n")
 
     async def ready(self, timeout_s: float = START_TIMEOUT_S) -> bool:
-        """Waits until HEALTH reports OK; returns False if the process exits or `within` seconds pass."""
+        """Waits until HEALTH reports OK; returns False if the process exits or after `timeout_s`."""
         loop = asyncio.get_running_loop()
         end = loop.time() + timeout_s
         while loop.time() < end and self.running:
--- a/applehub/lab/fleet/registry_replicas.py
+++ b/applehub/lab/fleet/registry_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas of the list service in the test harness, and a staff client that retries until committed."""
+"""Client of the replicas of the list service; it retries a change until a replica has committed it."""
 
 import asyncio
 from typing import Any
@@ -16,7 +16,7 @@
 
 
 class RegistryReplicas:
-    """The replicas, and staff calls to them."""
+    """The replicas of the list service, and operator calls to them."""
 
     def __init__(self, replicas: list[RegistryProcess], events: EventWriter) -> None:
         self.replicas, self.events = replicas, events
@@ -24,7 +24,7 @@
         self.last_committer: RegistryProcess | None = None
 
     async def call(self, replica: RegistryProcess, method: str, path: str, body: Json | None = None) -> Any:
-        """Returns HTTP status and JSON body; None if the call fails."""
+        """Returns the HTTP status and the JSON body of the answer; None if the call fails."""
         if self.session is None:
             self.session = aiohttp.ClientSession(timeout=CALL_TIMEOUT)
         try:
@@ -60,7 +60,7 @@
         loop = asyncio.get_running_loop()
         end = loop.time() + COMMIT_TIMEOUT_S
         while loop.time() < end:
-            for replica in sorted(self.replicas, key=lambda one: one is not self.last_committer):
+            for replica in sorted(self.replicas, key=lambda replica: replica is not self.last_committer):
                 response = await self.call(replica, method, path, body) if replica.running else None
                 if response is not None and response[0] == 200:
                     self.last_committer = replica
@@ -72,12 +72,12 @@
         raise LiveError(f"{method} {path}: not committed within {COMMIT_TIMEOUT_S:.0f} s")
 
     async def record_entries(self) -> None:
-        """Records the entries of the primary. Raises LiveError."""
+        """Records the version of each entry at the primary. Raises LiveError."""
         primary = await self.primary()
         response = await self.call(primary, "GET", "/v1/servers")
         if response is None:
             raise LiveError(f"{primary.name}: GET /v1/servers failed")
-        servers = {one["uid"]: one["version"] for one in response[1]["servers"]}
+        servers = {entry["uid"]: entry["version"] for entry in response[1]["servers"]}
         self.events.write(
             EventKind.ENTRIES_HELD, of=primary.name, version=response[1]["version"], servers=servers
         )
--- a/applehub/lab/fleet/relay.py
+++ b/applehub/lab/fleet/relay.py
@@ -23,18 +23,18 @@
 
 
 class RelayedConnection(asyncio.Protocol):
-    """One of the two connections of a relayed connection: to the source or to the target."""
+    """One half of a relayed connection: to the source or to the target."""
 
     def __init__(self, edge: "Edge", back: bool) -> None:
-        self.edge, self.back = edge, back  # back: whether this one receives response data
+        self.edge, self.back = edge, back  # back: whether this half receives response data
         self.transport: asyncio.Transport | None = None
         self.other: RelayedConnection | None = None
         self.pending = bytearray()  # data received before the other half is connected
-        self.queue: deque[tuple[float, bytes]] = deque()  # due time and data; empty: end of stream
+        self.queue: deque[tuple[float, bytes]] = deque()  # due time and data; empty data: end of stream
         self.timer: asyncio.TimerHandle | None = None
         self.forwarded_bytes = 0
-        self.ended = False  # the end of stream was forwarded
-        self.hung = False  # no data is forwarded any more
+        self.ended = False  # whether the end of stream was forwarded
+        self.hung = False  # whether a fault has stopped all data for good
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -60,7 +60,7 @@
         self._forward(b"")
         return True  # keeps the other direction open
 
-    def join(self, other: "RelayedConnection") -> None:
+    def set_other_half(self, other: "RelayedConnection") -> None:
         self.other = other
         if self.pending:
             self._forward(bytes(self.pending))
@@ -79,7 +79,7 @@
             self.transport.resume_reading()
 
     def abort_with_reset(self) -> None:
-        """Resets the connection."""
+        """Closes the connection with a TCP reset."""
         if self.transport is not None:
             sock = self.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
@@ -103,9 +103,9 @@
                 if rule.kind == "rate":
                     size, step = max(1, rule.bytes // 50), 0.02
         if size and len(data) > 1:
-            last = max(now, due, self.queue[-1][0] if self.queue else 0.0)
-            for number, at in enumerate(range(0, len(data), size)):
-                self.queue.append((last + number * step, data[at : at + size]))
+            previous_due = max(now, due, self.queue[-1][0] if self.queue else 0.0)
+            for number, offset in enumerate(range(0, len(data), size)):
+                self.queue.append((previous_due + number * step, data[offset : offset + size]))
         elif due or self.queue:
             self.queue.append((max(due, self.queue[-1][0] if self.queue else 0.0), data))
         else:
@@ -163,7 +163,7 @@
         self.port = self.socket.getsockname()[1]
 
     def settle(self) -> None:
-        """Updates listener and connections after a change of the target or the rules."""
+        """Applies a change of the target or the rules to the listener and the connections."""
         silent = any(rule.kind == "silent" for rule in self.rules.values())
         if self.upstream is None and not silent:
             self._close()
@@ -176,9 +176,9 @@
 
     def reset(self, connections: list[RelayedConnection] | None = None) -> None:
         for connection in list(self.connections) if connections is None else connections:
-            for one in (connection, connection.other):
-                if one is not None:
-                    one.abort_with_reset()
+            for half in (connection, connection.other):
+                if half is not None:
+                    half.abort_with_reset()
 
     def hang(self) -> None:
         for connection in self.connections:
@@ -205,7 +205,7 @@
             return
         self.loop.remove_reader(self.socket)
         self.socket.listen(0)
-        for _ in range(2):  # one fills the accept queue of length 1, one waits in SYN state
+        for _ in range(2):  # the first fills the accept queue of length 1, the second stays in SYN state
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex((self.listen, self.port))
@@ -231,11 +231,11 @@
             return
         accepted.setblocking(False)
         accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        task = self.loop.create_task(self._join(accepted))
+        task = self.loop.create_task(self._connect_to_target(accepted))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _join(self, accepted: socket.socket) -> None:
+    async def _connect_to_target(self, accepted: socket.socket) -> None:
         _, source_side = await self.loop.connect_accepted_socket(
             lambda: RelayedConnection(self, back=False), accepted
         )
@@ -248,8 +248,8 @@
         except OSError:
             source_side.abort_with_reset()
             return
-        target_side.join(source_side)
-        source_side.join(target_side)
+        target_side.set_other_half(source_side)
+        source_side.set_other_half(target_side)
         if source_side.transport is None:
             target_side.abort_with_reset()
 
@@ -259,14 +259,14 @@
 
     def __init__(self, edges: list[Edge | DatagramEdge]) -> None:
         self.edges = edges
-        for edge in self.edges:  # after all are bound, because settle may close a listener and free its port
+        for edge in self.edges:  # after all edges are bound, because settle may free the port of a listener
             edge.settle()
 
     async def command(self, message: Json) -> Json:
         """Executes a command of the harness.
 
-        up, down: a target listens at an address, or is down. rule, heal: adds or removes the rule of a fault.
-        reset, hang: resets or hangs open connections."""
+        up, down: sets the address of a target, or marks the target as down. rule, heal: adds or removes the
+        rule of a fault. reset, hang: resets or hangs open connections."""
         match message["do"]:
             case "up" | "down":
                 self._set_target(
@@ -294,12 +294,12 @@
                 edge.settle()
 
     def _matching_edges(self, patterns: list[str]) -> list[Edge | DatagramEdge]:
-        return [edge for edge in self.edges if any(fnmatchcase(edge.name, one) for one in patterns)]
+        return [edge for edge in self.edges if any(fnmatchcase(edge.name, pattern) for pattern in patterns)]
 
 
 async def begin(message: Json) -> tuple[Json, Handler]:
-    edges: list[Edge | DatagramEdge] = [Edge(**one, seed=message["seed"]) for one in message["edges"]]
-    for one in message.get("datagrams", []):
-        edges.append(await DatagramEdge.open(**one, seed=message["seed"]))
+    edges: list[Edge | DatagramEdge] = [Edge(**options, seed=message["seed"]) for options in message["edges"]]
+    for options in message.get("datagrams", []):
+        edges.append(await DatagramEdge.open(**options, seed=message["seed"]))
     relay = Relay(edges)
     return {"ports": {edge.name: f"{edge.listen}:{edge.port}" for edge in relay.edges}}, relay.command
--- a/applehub/lab/fleet/release_agents.py
+++ b/applehub/lab/fleet/release_agents.py
@@ -18,8 +18,8 @@
 from applehub.release.state_machine import Order
 from applehub.settings import Json
 
-DRAIN_DELAY_S = 0.7  # after the list change, during which routers may still send
-DRAIN_TIMEOUT_S = 10.0  # for a draining server to complete its requests
+DRAIN_DELAY_S = 0.7  # time after the list change in which routers may still send requests
+DRAIN_TIMEOUT_S = 10.0  # time allowed for a draining server to complete its requests
 RELOAD_TIMEOUT_S = 10.0
 
 
@@ -28,29 +28,29 @@
     release = harness.plan.release
     assert release is not None
     units = harness.caches if release.what == "servers" else harness.routers
-    return {one.name: harness.zone(number) for number, one in enumerate(units)}
+    return {unit.name: harness.zone(number) for number, unit in enumerate(units)}
 
 
 def write_release_plan(harness: Harness) -> Path:
     """Writes the release plan of the controller, with the agent of each unit; returns its path."""
     plan, release = harness.plan, harness.plan.release
     agents = {zone: harness.edges[f"controller>agent-{n}"] for n, zone in enumerate(harness.agents)}
-    lists = [harness.staff_address(one.name) for one in harness.registry.replicas]
+    lists = [harness.staff_address(replica.name) for replica in harness.registry.replicas]
     assert release is not None
 
     def toml_table(fields: Json) -> str:
         return (
             "{ "
-            + ", ".join(f"{key} = {toml_value(one)}" for key, one in fields.items() if one is not None)
+            + ", ".join(f"{key} = {toml_value(value)}" for key, value in fields.items() if value is not None)
             + " }"
         )
 
-    def toml_value(one: object) -> str:
-        if isinstance(one, list):
-            return "[" + ", ".join(map(toml_value, one)) + "]"
-        if isinstance(one, bool):
-            return str(one).lower()
-        return f'"{one}"' if isinstance(one, str) else str(one)
+    def toml_value(value: object) -> str:
+        if isinstance(value, list):
+            return "[" + ", ".join(map(toml_value, value)) + "]"
+        if isinstance(value, bool):
+            return str(value).lower()
+        return f'"{value}"' if isinstance(value, str) else str(value)
 
     units = [
         toml_table({"name": name, "zone": zone, "agent": agents[zone]})
@@ -62,7 +62,7 @@
         f"back_on_halt = {toml_value(release.back_on_halt)}", f"lists = {toml_value(lists)}",
         f"limits = {toml_table(release.limits.model_dump())}",
         f"gates = {toml_table(release.gates.model_dump())}",
-        f"stages = [{', '.join(toml_table(one.model_dump()) for one in release.stages)}]",
+        f"stages = [{', '.join(toml_table(stage.model_dump()) for stage in release.stages)}]",
         f"fleet = [{', '.join(units)}]",
     ]  # fmt: skip
     path = harness.folder / "release.toml"
@@ -76,30 +76,32 @@
     def __init__(self, harness: Harness, zone: str, release: Release) -> None:
         self.harness, self.release = harness, release
         self.units = [name for name, unit_zone in unit_zones(harness).items() if unit_zone == zone]
-        self.figure_requests: dict[str, asyncio.Task[dict[str, float] | None]] = {}
+        self.pending_statistics: dict[str, asyncio.Task[dict[str, float] | None]] = {}
 
     async def execute(self, order: Order) -> str:
         """Executes a step and records it; returns the reason of a failure, or an empty string."""
         unit = self.harness.matching_processes([order.unit])[0]
         try:
             if isinstance(unit, RouterProcess):
-                why = await (self._reload if order.step == "reload" else self._upgrade)(unit, order.version)
+                reason = await (self._reload if order.step == "reload" else self._upgrade)(
+                    unit, order.version
+                )
             else:
                 assert isinstance(unit, Standin)
-                why = await {"drain": self._drain, "replace": self._replace, "admit": self._admit}[
+                reason = await {"drain": self._drain, "replace": self._replace, "admit": self._admit}[
                     order.step
                 ](unit, order.version)
         except (LiveError, OSError) as problem:
-            why = str(problem)
+            reason = str(problem)
         self.harness.events.write(
             EventKind.STEP_EXECUTED,
             unit=order.unit,
             step=order.step,
             version=order.version,
             number=order.number,
-            why=why,
+            why=reason,
         )
-        return why
+        return reason
 
     # Cache servers
 
@@ -109,9 +111,9 @@
         loop = asyncio.get_running_loop()
         end = loop.time() + DRAIN_TIMEOUT_S
         while loop.time() < end:
-            figures = await self._figures(cache)
-            if figures is None or not figures["waiting"]:
-                break  # its queue is empty, or it no longer answers
+            statistics = await self._statistics(cache)
+            if statistics is None or not statistics["waiting"]:
+                break  # the queue is empty, or the server no longer answers
             await asyncio.sleep(0.05)
         return ""
 
@@ -163,10 +165,10 @@
         loop = asyncio.get_running_loop()
         end = loop.time() + RELOAD_TIMEOUT_S
         while loop.time() < end:
-            now = router.counts(await router.lines("DUMP"))
-            if now["config_rejected"] > before["config_rejected"]:
+            current = router.counts(await router.lines("DUMP"))
+            if current["config_rejected"] > before["config_rejected"]:
                 return "config_rejected"
-            if now["config_applied"] > before["config_applied"]:
+            if current["config_applied"] > before["config_applied"]:
                 if version == OLD_VERSION:
                     harness.end_bad_version(router.name)
                 return ""
@@ -189,37 +191,37 @@
             if "+OK" not in lines:
                 return None
             try:
-                # The console port identifies the process that answered: two run during an upgrade.
+                # Two processes run during an upgrade; the console port identifies the one that answered.
                 incarnation_id = int(process.console.rpartition(":")[2])
                 return {"life": incarnation_id, **process.counts(lines), **process.costs()}
             except psutil.Error:
                 return None
         assert isinstance(process, Standin)
-        figures = await self._figures(process)
-        if figures is not None:
-            del figures["waiting"]
-        return figures
+        statistics = await self._statistics(process)
+        if statistics is not None:
+            del statistics["waiting"]
+        return statistics
 
-    async def _figures(self, cache: Standin) -> dict[str, float] | None:
-        """Requests the figures of a cache server, with a timeout because it may be stopped.
+    async def _statistics(self, cache: Standin) -> dict[str, float] | None:
+        """Returns the statistics of a cache server, or None after a timeout: the server may be stopped.
 
-        A later call waits for the same pending request."""
-        task = self.figure_requests.get(cache.name)
+        A call during a pending request waits for that request."""
+        task = self.pending_statistics.get(cache.name)
         if task is None or task.done():
-            task = self.figure_requests[cache.name] = asyncio.get_running_loop().create_task(
-                self._request_figures(cache)
+            task = self.pending_statistics[cache.name] = asyncio.get_running_loop().create_task(
+                self._request_statistics(cache)
             )
         done, _ = await asyncio.wait([task], timeout=0.8)
         return dict(task.result() or {}) if done and task.result() else None
 
     @staticmethod
-    async def _request_figures(cache: Standin) -> dict[str, float] | None:
+    async def _request_statistics(cache: Standin) -> dict[str, float] | None:
         number = cache.incarnation
         try:
-            figures = await cache.ask({"do": "figures"})
+            statistics = await cache.send_command({"do": "figures"})
         except LiveError:
             return None
-        return {"life": number, **figures} if number == cache.incarnation else None
+        return {"life": number, **statistics} if number == cache.incarnation else None
 
 
 class ReleaseAgents:
--- a/applehub/lab/fleet/rule.py
+++ b/applehub/lab/fleet/rule.py
@@ -5,7 +5,7 @@
 
 @dataclass(slots=True)
 class Rule:
-    """The kind and parameters of a `plan.Link` fault."""
+    """The kind and parameters of a `plan.LinkFault`."""
 
     kind: str
     way: str = "both"
--- a/applehub/lab/fleet/runner.py
+++ b/applehub/lab/fleet/runner.py
@@ -11,12 +11,12 @@
 from applehub.lab.fleet.harness import Harness, wait_for_all
 from applehub.lab.fleet.history import History, gather
 from applehub.lab.fleet.plan import AnyFault, Plan
-from applehub.lab.fleet.processes import RouterProcess, start_keeper
+from applehub.lab.fleet.processes import RouterProcess, start_folder_cleanup
 from applehub.lab.fleet.release_agents import ReleaseAgents, write_release_plan
 from applehub.lab.fleet.triggers import EventFollower
 
 SAMPLE_PERIOD_S = 0.5
-EXIT_TIMEOUT_S = 10.0  # for a router to exit after SIGTERM at the end of the run
+EXIT_TIMEOUT_S = 10.0  # time allowed for a router to exit after SIGTERM at the end of the run
 
 
 class PlanRun:
@@ -36,18 +36,21 @@
         sampler = self.loop.create_task(self._sample())
         writer = self.loop.create_task(self._change_entries())
         gossip_watcher = self.loop.create_task(self._watch_gossip())
-        await clients.ask({"do": "begin"})
+        await clients.send_command({"do": "begin"})
         self.started_at = self.loop.time()
-        fault_tasks = [self.loop.create_task(self._inject(n, one)) for n, one in enumerate(self.plan.faults)]
+        fault_tasks = [
+            self.loop.create_task(self._inject(number, fault))
+            for number, fault in enumerate(self.plan.faults)
+        ]
         try:
             completion = self.loop.create_task(self._wait_until_complete(fault_tasks))
-            crashes = [self.loop.create_task(one.crashed.wait()) for one in self.harness.processes()]
+            crashes = [self.loop.create_task(process.crashed.wait()) for process in self.harness.processes()]
             await asyncio.wait([completion, *crashes], return_when=asyncio.FIRST_COMPLETED)
             for task in (completion, *fault_tasks, *crashes):
                 task.cancel()
             if not completion.cancelled() and completion.done():
                 completion.result()
-            await clients.ask({"do": "end"})
+            await clients.send_command({"do": "end"})
             if writer.done():
                 writer.result()
             writer.cancel()
@@ -57,27 +60,27 @@
             sampler.cancel()
             writer.cancel()
             gossip_watcher.cancel()
-        await wait_for_all([self._stop_router(one) for one in self.harness.routers])
+        await wait_for_all([self._stop_router(router) for router in self.harness.routers])
 
     async def _watch_gossip(self) -> None:
-        """Records the gossip state of each router, and when all routers agree on their number."""
+        """Records each router's gossip metrics, and when all running routers agree on their number."""
         while self.plan.fleet.peers:
-            running = [one for one in self.harness.routers if one.running]
-            peer_counts = await asyncio.gather(*(self._gossip_peer_count(one) for one in running))
+            running = [router for router in self.harness.routers if router.running]
+            peer_counts = await asyncio.gather(*(self._gossip_peer_count(router) for router in running))
             if set(peer_counts) == {len(running)}:
                 self.harness.events.write(EventKind.PEERS_AGREED, routers=len(running))
             await asyncio.sleep(SAMPLE_PERIOD_S)
 
     async def _gossip_peer_count(self, router: RouterProcess) -> int:
-        """Records the gossip figures of a router; returns its count of live routers, 0 if unknown."""
+        """Records the gossip metrics of a router; returns its count of live routers, 0 if unknown."""
         number = router.incarnation
         pairs = [line.partition("=") for line in await router.lines("PEERS")]
-        figures = {name.removeprefix("peers."): int(value) for name, _, value in pairs if value}
-        if figures:
+        metrics = {name.removeprefix("peers."): int(value) for name, _, value in pairs if value}
+        if metrics:
             self.harness.events.write(
-                EventKind.PEER_FIGURES, router=router.name, number=number, figures=figures
+                EventKind.PEER_FIGURES, router=router.name, number=number, figures=metrics
             )
-        return figures.get("routers", 0)
+        return metrics.get("routers", 0)
 
     async def _wait_until_complete(self, fault_tasks: list[asyncio.Task[None]]) -> None:
         """Waits for the duration of the load and the end of the faults and the release."""
@@ -86,12 +89,12 @@
             await self.harness.release()
             fault_tasks = [*fault_tasks, self.loop.create_task(self.harness.controller.finished())]
         if fault_tasks:
-            done, late = await asyncio.wait(fault_tasks, timeout=load.most_s)
-            for task in late:
+            finished, unfinished = await asyncio.wait(fault_tasks, timeout=load.most_s)
+            for task in unfinished:
                 task.cancel()
-            if late:
-                await asyncio.wait(late)
-            for task in done:
+            if unfinished:
+                await asyncio.wait(unfinished)
+            for task in finished:
                 task.result()
             await asyncio.sleep(load.after_s)
         await asyncio.sleep(max(0.0, self.started_at + load.seconds - self.loop.time()))
@@ -121,16 +124,16 @@
 
     async def _resolve_primary(self, fault: AnyFault) -> AnyFault:
         """Replaces PRIMARY in the patterns of a fault by the current primary of the list service."""
-        changed = {}
+        updates = {}
         for field in ("target", "edges"):
             patterns = getattr(fault, field, [])
-            if any("PRIMARY" in one for one in patterns):
+            if any("PRIMARY" in pattern for pattern in patterns):
                 name = (await self.harness.registry.primary()).name
-                changed[field] = [one.replace("PRIMARY", name) for one in patterns]
-        return fault.model_copy(update=changed)
+                updates[field] = [pattern.replace("PRIMARY", name) for pattern in patterns]
+        return fault.model_copy(update=updates)
 
     async def _change_entries(self) -> None:
-        """Changes entries that no router may send to, at the configured rate."""
+        """Changes entries of draining servers, to which no router sends, at the configured rate."""
         rate, count = self.plan.fleet.changes, 0
         while rate and self.harness.registry.replicas:
             await asyncio.sleep(1 / rate)
@@ -164,7 +167,7 @@
     with tempfile.TemporaryDirectory(prefix="ground-") as temporary_folder:
         folder = keep or Path(temporary_folder)
         folder.mkdir(parents=True, exist_ok=True)
-        keeper = start_keeper(Path(temporary_folder))
+        folder_cleanup = start_folder_cleanup(Path(temporary_folder))
         try:
             harness = Harness(plan, folder)
             agents = ReleaseAgents(harness)
@@ -179,5 +182,5 @@
                 await harness.stop()
             return gather(folder)
         finally:
-            keeper.kill()
-            keeper.wait()
+            folder_cleanup.kill()
+            folder_cleanup.wait()
--- a/applehub/lab/fleet/scale.py
+++ b/applehub/lab/fleet/scale.py
@@ -22,7 +22,7 @@
 CONTENT_LENGTH = re.compile(rb"content-length: *(\d+)", re.I)
 REV = re.compile(rb'"rev":(\d+)')
 HOLD_MS = 30_000
-PROPAGATION_TIMEOUT_S = 60.0  # for a change to reach every watcher
+PROPAGATION_TIMEOUT_S = 60.0  # time allowed for a change to reach every watcher
 CONCURRENT_CHANGES = 50
 KB = 1 << 10
 
@@ -31,14 +31,14 @@
 class Measurement:
     """Results of one measurement.
 
-    `told_*` are in ms, from the acknowledgement of a change until all watchers have it."""
+    The percentiles `told_*` are delays, in ms, from the acknowledgement of a change to the last watcher."""
 
     what: str
     servers: int
     watchers: int
     first_lists_s: float  # from the first call until all watchers have the complete list
     one_by_one: float  # sequential changes per second
-    together: float  # changes per second with CONCURRENT_CHANGES at once
+    together: float  # changes per second with CONCURRENT_CHANGES in flight
     told_p50: float
     told_p99: float
     changes: int
@@ -66,9 +66,9 @@
 
     def data_received(self, data: bytes) -> None:
         self.buffer += data
-        head, found, body = bytes(self.buffer).partition(b"\r\n\r\n")
+        head, separator, body = bytes(self.buffer).partition(b"\r\n\r\n")
         length = CONTENT_LENGTH.search(head)
-        if not found or length is None or len(body) < int(length[1]):
+        if not separator or length is None or len(body) < int(length[1]):
             return
         self.buffer.clear()
         rev = REV.search(body[:64])
@@ -92,7 +92,7 @@
         self.count, self.watchers = count, [Watcher(self) for _ in range(count)]
         self.refused = self.lost = 0
         self.closing = False
-        self.wanted = 0
+        self.awaited_version = 0
         self.behind: set[Watcher] = set(self.watchers)
         self.all_updated = asyncio.Event()
 
@@ -111,14 +111,14 @@
         return time.monotonic() - started_at
 
     def on_update(self, watcher: Watcher) -> None:
-        if watcher.rev >= self.wanted:
+        if watcher.rev >= self.awaited_version:
             self.behind.discard(watcher)
             if not self.behind:
                 self.all_updated.set()
 
     async def wait_for_version(self, version: int) -> None:
-        """Returns once every watcher has a version."""
-        self.wanted = version
+        """Waits until every watcher has the version or a later one."""
+        self.awaited_version = version
         self.behind = {watcher for watcher in self.watchers if watcher.rev < version}
         self.all_updated.clear()
         if self.behind:
@@ -146,7 +146,7 @@
         self.processes, self.addresses, self.change, self.end = processes, addresses, change, end
 
     def memory(self) -> float:
-        """Returns the resident memory of all its processes, in KB."""
+        """Returns the resident memory of all processes of the service, in KB."""
         pids = [process.process.pid for process in self.processes if process.process is not None]
         return float(sum(psutil.Process(pid).memory_info().rss for pid in pids)) / KB
 
@@ -163,7 +163,7 @@
     }
 
 
-async def stand_in(folder: Path, events: EventWriter, servers: int) -> ServiceUnderTest:
+async def start_stand_in(folder: Path, events: EventWriter, servers: int) -> ServiceUnderTest:
     """Starts the test harness's stand-in, which keeps the list in memory."""
     process = Standin("list", "list", folder, events)
     entries = [{"uid": f"server-{n}", **_entry(n, 0)} for n in range(servers)]
@@ -176,12 +176,12 @@
 
     async def change(number: int, pod_group: int) -> int:
         command = {"do": "touch", "server": f"server-{number}", "entry": {"pod_group": pod_group}}
-        return int((await process.ask(command))["version"])
+        return int((await process.send_command(command))["version"])
 
     return ServiceUnderTest([process], [answer["address"]], change, process.kill)
 
 
-async def service(
+async def start_service(
     folder: Path, events: EventWriter, servers: int, replicas: int, block: str
 ) -> ServiceUnderTest:
     """Starts the list service with the given number of replicas and fills its list."""
@@ -194,61 +194,61 @@
             for replica in replica_processes
         )
     )
-    lists = RegistryReplicas(replica_processes, events)
+    client = RegistryReplicas(replica_processes, events)
     try:
-        await lists.primary()
+        await client.primary()
     except LiveError:
-        await lists.close()
+        await client.close()
         await asyncio.gather(*(replica.kill() for replica in replica_processes))
         raise
 
     async def change(number: int, pod_group: int) -> int:
-        answer = await lists.commit("PUT", f"/v1/servers/server-{number}", _entry(number, pod_group))
+        answer = await client.commit("PUT", f"/v1/servers/server-{number}", _entry(number, pod_group))
         return int(answer["entry"])
 
     async def end() -> None:
-        await lists.close()
+        await client.close()
         await asyncio.gather(*(replica.kill() for replica in replica_processes))
 
-    for first in range(0, servers, CONCURRENT_CHANGES):
-        await asyncio.gather(*(change(n, 0) for n in range(first, min(servers, first + CONCURRENT_CHANGES))))
+    for start in range(0, servers, CONCURRENT_CHANGES):
+        await asyncio.gather(*(change(n, 0) for n in range(start, min(servers, start + CONCURRENT_CHANGES))))
     return ServiceUnderTest(
         [*replica_processes], [replica.listen for replica in replica_processes], change, end
     )
 
 
 async def measure(
-    what: str, subject: ServiceUnderTest, servers: int, watchers: int, changes: int
+    label: str, subject: ServiceUnderTest, servers: int, watchers: int, changes: int
 ) -> Measurement:
     """Runs the workload on a service and returns the measurement."""
     before, group = subject.memory(), WatcherGroup(watchers)
     try:
-        first = await group.connect(subject.addresses)
+        first_lists_s = await group.connect(subject.addresses)
         after = subject.memory()
-        times = []
+        delays_ms = []
         for number in range(changes):
             version = await subject.change(number % servers, 1)
             acknowledged = time.monotonic()
             await group.wait_for_version(version)
-            times.append((time.monotonic() - acknowledged) * 1000)
+            delays_ms.append((time.monotonic() - acknowledged) * 1000)
         started_at = time.monotonic()
         for number in range(changes):
             version = await subject.change(number % servers, 2)
         one_by_one = changes / (time.monotonic() - started_at)
         await group.wait_for_version(version)
         started_at = time.monotonic()
-        created = await asyncio.gather(*(subject.change(n % servers, 3) for n in range(CONCURRENT_CHANGES)))
+        versions = await asyncio.gather(*(subject.change(n % servers, 3) for n in range(CONCURRENT_CHANGES)))
         together = CONCURRENT_CHANGES / (time.monotonic() - started_at)
-        await group.wait_for_version(max(created))
+        await group.wait_for_version(max(versions))
         if group.lost:
             raise LiveError(f"{group.lost} watchers lost their connection")
     finally:
         group.close()
-    times.sort()
+    delays_ms.sort()
     return Measurement(
-        what, servers, watchers, round(first, 2), round(one_by_one, 1), round(together, 1),
-        round(times[len(times) // 2], 1), round(times[int(0.99 * (len(times) - 1))], 1), changes,
-        round((after - before) / max(1, watchers), 1),
+        label, servers, watchers, round(first_lists_s, 2), round(one_by_one, 1), round(together, 1),
+        round(delays_ms[len(delays_ms) // 2], 1), round(delays_ms[int(0.99 * (len(delays_ms) - 1))], 1),
+        changes, round((after - before) / max(1, watchers), 1),
     )  # fmt: skip
 
 
@@ -257,16 +257,16 @@
     rows = []
     block, claim = claim_block()
     try:
-        for replicas, what in ((0, "the stand-in"), (1, "one replica"), (3, "three replicas")):
+        for replicas, label in ((0, "the stand-in"), (1, "one replica"), (3, "three replicas")):
             with tempfile.TemporaryDirectory(prefix="lists-") as directory:
                 folder = Path(directory)
                 events = EventWriter(folder / "events.jsonl", "scale", 0)
                 if replicas:
-                    subject = await service(folder, events, servers, replicas, block)
+                    subject = await start_service(folder, events, servers, replicas, block)
                 else:
-                    subject = await stand_in(folder, events, servers)
+                    subject = await start_stand_in(folder, events, servers)
                 try:
-                    rows.append(asdict(await measure(what, subject, servers, watchers, changes)))
+                    rows.append(asdict(await measure(label, subject, servers, watchers, changes)))
                 finally:
                     await subject.end()
                     events.close()
--- a/applehub/lab/fleet/servers.py
+++ b/applehub/lab/fleet/servers.py
@@ -22,7 +22,7 @@
 
 def class_of(info: bytes) -> str:
     """Returns the request class from the `c` field of the call info; empty if missing."""
-    pairs = (one.partition(b"=") for one in info.split(b","))
+    pairs = (field.partition(b"=") for field in info.split(b","))
     return next((value.decode() for name, _, value in pairs if name == b"c"), "")
 
 
@@ -31,35 +31,35 @@
 
     def __init__(self, message: Json) -> None:
         self.loop = asyncio.get_running_loop()
-        self.rate, self.queue = message["rate"], message["queue"]
+        self.rate, self.queue_limit = message["rate"], message["queue"]
         # Fraction of full speed, and fraction of requests that fail.
         self.speed_fraction, self.error_fraction = 1.0, 0.0
         self.idle_at = 0.0  # time at which the queue is empty
         self.failure_credit = 0.0
-        # Admitted work in seconds of service time; the same and the time at the previous report.
+        # Admitted work, in seconds of service time, and the state at the previous call of statistics().
         self.admitted_work, self.previous_report = 0.0, (0.0, self.loop.time())
         self.counts = dict.fromkeys(("requests", "failed", "refused", "missed"), 0)
 
-    def speed(self) -> float:
-        """Returns the current service rate in requests per second."""
+    def service_rate(self) -> float:
+        """Returns the current capacity in requests per second."""
         return float(self.rate * self.speed_fraction)
 
     def waiting(self) -> float:
         """Returns the number of requests in the queue or in service."""
-        return max(0.0, self.idle_at - self.loop.time()) * self.speed()
+        return max(0.0, self.idle_at - self.loop.time()) * self.service_rate()
 
     def admit(self) -> float | None:
         """Admits a request; returns its completion time on the loop's clock, or None if the queue is full."""
         self.counts["requests"] += 1
-        if self.waiting() >= self.queue:
+        if self.waiting() >= self.queue_limit:
             self.counts["refused"] += 1
             return None
-        self.idle_at = max(self.idle_at, self.loop.time()) + 1 / self.speed()
-        self.admitted_work += 1 / self.speed()
+        self.idle_at = max(self.idle_at, self.loop.time()) + 1 / self.service_rate()
+        self.admitted_work += 1 / self.service_rate()
         return self.idle_at
 
     def should_fail(self) -> bool:
-        """Whether this request fails; failures are spread evenly."""
+        """Returns whether the current request fails; failures are spread evenly over the requests."""
         self.failure_credit += self.error_fraction
         if self.failure_credit >= 1:
             self.failure_credit -= 1
@@ -105,10 +105,12 @@
         self.arrivals: deque[float] = deque()  # arrival times within the window, while warming up
         self.overloaded = False
 
-    def speed(self) -> float:
+    def service_rate(self) -> float:
         options = self.options
-        warm = min(1.0, (self.loop.time() - self.started_at) / options["ramp_s"])
-        return super().speed() * float(options["cold_from"] + (1 - options["cold_from"]) * warm)
+        warm_fraction = min(1.0, (self.loop.time() - self.started_at) / options["ramp_s"])
+        return super().service_rate() * float(
+            options["cold_from"] + (1 - options["cold_from"]) * warm_fraction
+        )
 
     def count_arrival(self) -> None:
         """Counts a request during warm-up, and fails the server if the window holds too many.
@@ -121,8 +123,8 @@
         self.arrivals.append(now)
         while self.arrivals[0] < now - options["fall_s"]:
             self.arrivals.popleft()
-        limit = options["tip_multiple"] * self.speed() / self.speed_fraction * options["fall_s"]
-        if len(self.arrivals) > 1.1 * limit + 3:  # tolerance for random variation
+        limit = options["tip_multiple"] * self.service_rate() / self.speed_fraction * options["fall_s"]
+        if len(self.arrivals) > 1.1 * limit + 3:  # tolerance for random variation of the load
             self.overloaded = True
             self.events.write(
                 EventKind.SERVER_OVERLOADED, server=self.name, sent=len(self.arrivals), bears=round(limit, 1)
@@ -159,7 +161,7 @@
         cache = self.cache
         if not isinstance(arguments, list) or len(arguments) < 3:
             self._reply(b"-SYNTAX\r\n")
-        elif arguments[0] == b"X.STORE":  # sent by the origin after it served this request
+        elif arguments[0] == b"X.STORE":  # sent by the origin after it has served the request with this id
             key = cache.missed.pop(arguments[2], None)
             if key is not None and key == arguments[1]:
                 cache.cached[key] = None
@@ -177,12 +179,12 @@
         event_fields = {"request": name, "router": self.router, "server": cache.name}
         cache.events.write(EventKind.ATTEMPT_BEGUN, **event_fields, cls=class_of(arguments[3]))
         cache.count_arrival()
-        done = cache.admit() if not cache.overloaded else None
-        if done is None:
+        completes_at = cache.admit() if not cache.overloaded else None
+        if completes_at is None:
             cache.events.write(EventKind.ATTEMPT_ENDED, **event_fields, how="full")
             self._reply(b"-BUSY " + cache.report() + b"\r\n")
         else:
-            cache.loop.call_at(done, self._complete, arguments, event_fields)
+            cache.loop.call_at(completes_at, self._complete, arguments, event_fields)
 
     def _complete(self, arguments: list[bytes], event_fields: dict[str, str]) -> None:
         cache, key = self.cache, arguments[1]
@@ -208,7 +210,7 @@
 
 
 class Origin(QueueServer):
-    """The origin; it sends the cache servers values to store and keys to drop over its own connections."""
+    """The origin; it also connects to each cache server and sends commands to store or drop a key."""
 
     def __init__(self, message: Json, events: EventWriter) -> None:
         super().__init__(message)
@@ -234,15 +236,15 @@
         self.events.write(
             EventKind.ATTEMPT_BEGUN, **event_fields, cls=class_of(headers.get(b"x-call-info", b""))
         )
-        done = self.admit()
-        if done is None:
+        completes_at = self.admit()
+        if completes_at is None:
             self.events.write(EventKind.ATTEMPT_ENDED, **event_fields, how="rejected")
             return Reply(503, b"", (("X-Rejected", "1"),))
         failed = self.should_fail()
         if request.method == b"PUT" and not failed:
             self.broadcast(command(b"X.DROP", key, name))
         try:
-            await asyncio.sleep(done - self.loop.time() + self.delay)
+            await asyncio.sleep(completes_at - self.loop.time() + self.delay)
         except asyncio.CancelledError:
             self.events.write(EventKind.ATTEMPT_ENDED, **event_fields, how="left")
             raise
--- a/applehub/lab/fleet/shim.py
+++ b/applehub/lab/fleet/shim.py
@@ -2,7 +2,7 @@
 
 Before the router's main runs, this patches the wall clock and writes to the router's disk, keeps a copy of
 what was synced (so that the test harness can simulate a power loss), and installs system call faults and a
-known-bad variant. The router's own code is not changed otherwise."""
+known-bad variant, if any."""
 
 import builtins
 import errno
@@ -20,7 +20,7 @@
 
 
 class FaultyEnvironment:
-    """Patches that apply the faults which the test harness writes into small control files."""
+    """Patches of the clock and of file functions; they apply the faults in the harness's control files."""
 
     def __init__(self, options: dict[str, Any]) -> None:
         self.disk, self.durable, self.control = (
@@ -44,10 +44,10 @@
         time.time = lambda: self._time_ns() / 1e9
 
     def _time_ns(self) -> int:
-        step = self.read_control("clock")
-        return self.time_ns() + (int(step[0]) if step else 0)
+        offset = self.read_control("clock")
+        return self.time_ns() + (int(offset[0]) if offset else 0)
 
-    def _open(self, file: Any, mode: str = "r", *more: Any, **named: Any) -> Any:
+    def _open(self, file: Any, mode: str = "r", *more: Any, **keywords: Any) -> Any:
         if isinstance(file, str | Path) and set(mode) & set("wax+") and self._is_on_disk(str(file)):
             state = self.read_control("disk")
             failure = {"full": errno.ENOSPC, "readonly": errno.EROFS}.get(state[0] if state else "")
@@ -55,16 +55,18 @@
                 raise OSError(failure, os.strerror(failure), str(file))
             if state and state[0] == "torn" and "b" in mode:
                 return TornFile(str(file), mode)
-        return self.open(file, mode, *more, **named)
+        return self.open(file, mode, *more, **keywords)
 
     def _is_on_disk(self, path: str) -> bool:
         return os.path.realpath(path).startswith(self.disk + os.sep)
 
     def _fsync(self, file: Any) -> None:
-        """Syncs and records what is durable: a file's sync its content, the folder's sync the names in it."""
+        """Syncs a file or the disk folder, and records what is durable now.
+
+        Syncing a file makes its content durable; syncing the folder makes the names in it durable."""
         self.fsync(file)
-        number = file if isinstance(file, int) else file.fileno()
-        path = os.readlink(f"/proc/self/fd/{number}")
+        descriptor = file if isinstance(file, int) else file.fileno()
+        path = os.readlink(f"/proc/self/fd/{descriptor}")
         state = self.read_control("disk")
         if state and state[0] == "slow_disk":
             time.sleep(float(state[1]) / 1000)
@@ -73,10 +75,10 @@
                 self._save_durable_folder()
         elif self._is_on_disk(path):
             with self.open(path, "rb") as synced_file:
-                self.synced[os.fstat(number).st_ino] = synced_file.read()
+                self.synced[os.fstat(descriptor).st_ino] = synced_file.read()
 
     def _save_durable_folder(self) -> None:
-        """Replaces the durable folder by renames, so that a SIGKILL meanwhile leaves the previous one."""
+        """Replaces the durable folder by renames, so that a SIGKILL at any time leaves a complete copy."""
         new_folder = self.durable + ".new"
         shutil.rmtree(new_folder, ignore_errors=True)
         os.mkdir(new_folder)
--- a/applehub/lab/fleet/slow_registry.py
+++ b/applehub/lab/fleet/slow_registry.py
@@ -1,4 +1,4 @@
-"""A stand-in for a list service of limited capacity and high latency: HTTP on loopback with a `CallQueue`."""
+"""A stand-in for a list service of limited capacity and high latency, which serves HTTP on loopback."""
 
 import asyncio
 import math
@@ -24,13 +24,13 @@
     """Counts of calls by outcome. A call that is still open is counted in `calls` only."""
 
     calls: int = 0
-    went_on: int = 0  # continued watches, which take no capacity
-    lapsed: int = 0  # watches that came too late after the last answer on their connection to be continued
+    went_on: int = 0  # watches sent soon after an answer on their connection, which take no capacity
+    lapsed: int = 0  # watches sent too long after the last answer on their connection to be free
     answered: int = 0
     refused: int = 0
-    wasted: int = 0  # took capacity, but the caller closed the connection before the answer
-    left: int = 0  # closed by the caller before the call took capacity, or while it was unresponsive
-    cut: int = 0  # reset by an outage
+    wasted: int = 0  # calls that took capacity, but whose caller closed the connection before the answer
+    left: int = 0  # calls whose caller closed the connection before they took capacity, or while unresponsive
+    cut: int = 0  # calls reset by an outage
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
     """The parameters of a call."""
 
     since: int | None  # the version of the list that the caller has
-    hold_s: float | None  # s to wait for a change; None if the call is no watch
+    hold_s: float | None  # seconds to wait for a change; None if the call is no watch
 
     @property
     def is_watch(self) -> bool:
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Call:
-    """An open call, with what determines how it is counted if its caller leaves."""
+    """The state of an open call, by which the call is counted if its caller leaves."""
 
     queued_call: QueuedCall | None = None
     silent: bool = False
@@ -93,7 +93,7 @@
         self.connections: set[_Connection] = set()
         self.server: asyncio.Server | None = None
         self.start_futures: dict[QueuedCall, asyncio.Future[None]] = {}
-        # Open watches; the result of each says whether the watch becomes unresponsive.
+        # Open watches, in order. The result of a future is True if its watch becomes unresponsive.
         self.watches: dict[asyncio.Future[bool], None] = {}
         self.notify_tasks: set[asyncio.Task[None]] = set()
         self.timer: asyncio.TimerHandle | None = None
@@ -133,7 +133,7 @@
                 await asyncio.sleep(0)
 
     def silence_watches(self) -> None:
-        """Leaves all open watches without an answer for good; their connections stay open."""
+        """Makes all open watches unresponsive: they are never answered, but their connections stay open."""
         for watch in self._pop_watches():
             if not watch.done():
                 watch.set_result(True)
@@ -159,14 +159,14 @@
         )
 
     async def close(self) -> None:
-        """Stops the service for good and waits until its connections are closed."""
+        """Stops the service, releases its port and waits until its connections are closed."""
         self.stop_serving()
         self.port_holder.close()
         while self.connections:
             await asyncio.sleep(0)
 
     async def answer(self, connection: _Connection, query: Query) -> Reply:
-        """Answers one call; cancelled when the caller's connection ends."""
+        """Answers one call. The task is cancelled when the caller's connection ends."""
         self.counts.calls += 1
         call = _Call()
         try:
@@ -188,10 +188,10 @@
         """Returns whether the call is a watch that follows closely on the last answer of its connection."""
         if not query.is_watch or connection.answered_at == -math.inf:
             return False
-        in_time = self.loop.time() - connection.answered_at <= self.service.goes_on_within
-        self.counts.went_on += in_time
-        self.counts.lapsed += not in_time
-        return in_time
+        is_in_time = self.loop.time() - connection.answered_at <= self.service.continue_window_s
+        self.counts.went_on += is_in_time
+        self.counts.lapsed += not is_in_time
+        return is_in_time
 
     async def _wait_for_start(self, call: _Call) -> bool:
         """Waits until the service starts the call; returns False if the call is rejected."""
@@ -221,17 +221,19 @@
     def _schedule_next_start(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        at = self.queue.next_start_at()
-        self.timer = None if at is None else self.loop.call_at(at, self._start_due_calls)
+        next_start_at = self.queue.next_start_at()
+        self.timer = (
+            None if next_start_at is None else self.loop.call_at(next_start_at, self._start_due_calls)
+        )
 
     async def _hold(self, call: _Call, query: Query) -> None:
-        """Waits for a change as long as the caller wants, and for good if the watch becomes unresponsive."""
-        until = self.loop.time() + (query.hold_s or 0.0)
-        while query.since == self.version and (left := until - self.loop.time()) > 0:
+        """Waits for a change for up to the hold time, or forever if the watch becomes unresponsive."""
+        deadline = self.loop.time() + (query.hold_s or 0.0)
+        while query.since == self.version and (remaining_s := deadline - self.loop.time()) > 0:
             watch: asyncio.Future[bool] = self.loop.create_future()
             self.watches[watch] = None
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     call.silent = await watch
             except TimeoutError:
                 return
--- a/applehub/lab/fleet/system_call_faults.py
+++ b/applehub/lab/fleet/system_call_faults.py
@@ -9,13 +9,13 @@
 For a child process, the faults are passed as JSON in the environment, with a file that records injections:
 
     environment = {**os.environ, **in_environment([SystemCallFault("fsync", "EIO")], record=path)}
-    words = [sys.executable, "-m", "applehub.lab.fleet.system_call_faults", "applehub"]
+    command = [sys.executable, "-m", "applehub.lab.fleet.system_call_faults", "applehub"]
 
 This runs `python -m applehub` (or another module, with its arguments) with these faults installed;
 `recorded(path)` counts the injections in the file.
 
 The calls are patched on `socket.socket` and selectors and in `builtins` and `os`. Only IPv4 and IPv6 sockets
-are affected, so an event loop's own wake-up socket pair is not. A failing call never reaches the kernel; a
+are affected, not the Unix socket pair that wakes up an event loop. A failing call never reaches the kernel; a
 short one reaches it with fewer bytes.
 """
 
@@ -45,7 +45,7 @@
 
 ENVIRONMENT_VARIABLE = "SYSTEM_CALL_FAULTS"
 INTERNET_FAMILIES = (socket.AF_INET, socket.AF_INET6)
-# The system call that each socket method stands for.
+# The system call of each patched socket method.
 SOCKET_METHODS: dict[str, SystemCall] = {
     "accept": "accept",
     "connect": "connect",
@@ -114,16 +114,16 @@
         setattr(owner, name, replacement)
 
     def _wrap_socket_method(self, call: SystemCall, original: Any) -> Any:
-        def method(sock: socket.socket, *arguments: Any, **named: Any) -> Any:
-            to = arguments[0] if call == "connect" else arguments[-1] if call == "sendto" else None
+        def method(sock: socket.socket, *arguments: Any, **keywords: Any) -> Any:
+            peer = arguments[0] if call == "connect" else arguments[-1] if call == "sendto" else None
             injected = None
             if call in self.calls and sock.family in INTERNET_FAMILIES:
-                injected = self.fault_for(call, lambda fault: _matches_socket(fault, sock, to))
+                injected = self.fault_for(call, lambda fault: _matches_socket(fault, sock, peer))
             if injected is None:
-                return original(sock, *arguments, **named)
+                return original(sock, *arguments, **keywords)
             if injected.error:
                 raise injected.to_os_error()
-            return original(sock, *_with_fewer_bytes(arguments, injected.short or 1), **named)
+            return original(sock, *_with_fewer_bytes(arguments, injected.short or 1), **keywords)
 
         return method
 
@@ -174,13 +174,13 @@
         return select
 
     def _wrap_open(self, original: Any) -> Any:
-        def open(file: Any, mode: str = "r", buffering: int = -1, *more: Any, **named: Any) -> Any:
+        def open(file: Any, mode: str = "r", buffering: int = -1, *more: Any, **keywords: Any) -> Any:
             if isinstance(file, int):
-                return original(file, mode, buffering, *more, **named)
+                return original(file, mode, buffering, *more, **keywords)
             path = os.fspath(file)
             self._raise_if_injected("open", path)
-            if not self.calls & {"read", "write"} or named.get("opener"):
-                return original(file, mode, buffering, *more, **named)
+            if not self.calls & {"read", "write"} or keywords.get("opener"):
+                return original(file, mode, buffering, *more, **keywords)
             raw = _FaultyFile(path, mode.replace("b", "").replace("t", ""), self)
             if "b" in mode and buffering == 0:
                 return raw
@@ -188,7 +188,7 @@
                 stream: Any = io.BufferedRandom(raw)
             else:
                 stream = io.BufferedReader(raw) if "r" in mode else io.BufferedWriter(raw)
-            return stream if "b" in mode else io.TextIOWrapper(stream, *more, **named)
+            return stream if "b" in mode else io.TextIOWrapper(stream, *more, **keywords)
 
         return open
 
@@ -199,33 +199,33 @@
             raise injected.to_os_error(os.fsdecode(paths[0]))
 
     def _wrap_path_call(self, call: SystemCall, original: Any) -> Any:
-        def path_call(path: Any, *more: Any, **named: Any) -> Any:
+        def path_call(path: Any, *more: Any, **keywords: Any) -> Any:
             self._raise_if_injected(call, path, *(more[:1] if call == "rename" else ()))
-            return original(path, *more, **named)
+            return original(path, *more, **keywords)
 
         return path_call
 
     def _wrap_sync(self, original: Any) -> Any:
         def sync(file: Any) -> None:
-            number = file if isinstance(file, int) else file.fileno()
+            descriptor = file if isinstance(file, int) else file.fileno()
             if self.calls & {"fsync", "fsync_folder"}:
-                folder = stat.S_ISDIR(os.fstat(number).st_mode)
-                self._raise_if_injected("fsync_folder" if folder else "fsync", _path_of(number))
+                folder = stat.S_ISDIR(os.fstat(descriptor).st_mode)
+                self._raise_if_injected("fsync_folder" if folder else "fsync", _path_of(descriptor))
             original(file)
 
         return sync
 
     def _wrap_descriptor_call(self, call: SystemCall, original: Any) -> Any:
-        def transfer(number: int, data_or_size: Any) -> Any:
-            if call not in self.calls or number == self.record or not _is_file(number):
-                return original(number, data_or_size)
-            path = _path_of(number)
+        def transfer(descriptor: int, data_or_size: Any) -> Any:
+            if call not in self.calls or descriptor == self.record or not _is_file(descriptor):
+                return original(descriptor, data_or_size)
+            path = _path_of(descriptor)
             injected = self.fault_for(call, lambda fault: _matches_path(fault, path))
             if injected is not None and injected.error:
                 raise injected.to_os_error()
             if injected is None:
-                return original(number, data_or_size)
-            return original(number, *_with_fewer_bytes((data_or_size,), injected.short or 1))
+                return original(descriptor, data_or_size)
+            return original(descriptor, *_with_fewer_bytes((data_or_size,), injected.short or 1))
 
         return transfer
 
@@ -241,7 +241,7 @@
 
 
 class _FaultyFile(io.FileIO):
-    """A raw file whose reads and writes can get faults, for use below Python's buffering."""
+    """A raw file with faults in its reads and writes, wrapped by Python's buffered files."""
 
     def __init__(self, path: Any, mode: str, faults: SystemCallFaults) -> None:
         super().__init__(path, mode)
@@ -291,13 +291,13 @@
     return f"{address[0]}:{address[1]}"
 
 
-def _matches_socket(fault: SystemCallFault, sock: socket.socket, to: Any) -> bool:
-    """Returns whether a fault matches the addresses of a socket; `to` is the peer if the call names it."""
+def _matches_socket(fault: SystemCallFault, sock: socket.socket, peer: Any) -> bool:
+    """Returns whether a fault matches a socket. `peer` is the peer's address if the call passes one."""
     try:
         if fault.local is not None and not fnmatchcase(_format_address(sock.getsockname()), fault.local):
             return False
         if fault.peer is not None:
-            return fnmatchcase(_format_address(to if to is not None else sock.getpeername()), fault.peer)
+            return fnmatchcase(_format_address(peer if peer is not None else sock.getpeername()), fault.peer)
     except OSError:
         return False
     return True
@@ -307,15 +307,15 @@
     return fault.path is None or os.path.realpath(os.fsdecode(path)).startswith(os.path.realpath(fault.path))
 
 
-def _is_file(number: int) -> bool:
+def _is_file(descriptor: int) -> bool:
     try:
-        return stat.S_ISREG(os.fstat(number).st_mode)
+        return stat.S_ISREG(os.fstat(descriptor).st_mode)
     except OSError:
         return False
 
 
-def _path_of(number: int) -> str:
-    return os.readlink(f"/proc/self/fd/{number}")
+def _path_of(descriptor: int) -> str:
+    return os.readlink(f"/proc/self/fd/{descriptor}")
 
 
 def in_environment(faults: Iterable[SystemCallFault], record: str | Path = "") -> dict[str, str]:
@@ -325,7 +325,7 @@
 
 
 def from_environment(environment: Mapping[str, str]) -> SystemCallFaults:
-    """Reads the faults of `in_environment`, not yet installed; none if the variable is not set."""
+    """Reads the faults from `in_environment`, without installing them; none if the variable is unset."""
     settings = orjson.loads(environment.get(ENVIRONMENT_VARIABLE, "{}"))
     faults = [SystemCallFault(**fields) for fields in settings.get("faults", [])]
     return SystemCallFaults(*faults, record=settings.get("record") or None)
@@ -341,7 +341,7 @@
 
 
 def main() -> None:
-    """Runs a module, with its arguments, with the faults from the environment installed."""
+    """Installs the faults from the environment, then runs a module with its arguments."""
     module, sys.argv = sys.argv[1], sys.argv[1:]
     from_environment(os.environ).install()
     runpy.run_module(module, run_name="__main__", alter_sys=True)
--- a/applehub/lab/fleet/system_calls.py
+++ b/applehub/lab/fleet/system_calls.py
@@ -21,9 +21,9 @@
 class SystemCallFault:
     """A fault that is injected into a system call.
 
-    call: `getsockopt` stands for reading SO_ERROR when a non-blocking connect completes, and returns the
-    error. `recv` and `send` cover all their forms on stream sockets except `sendmsg`; `epoll` is the event
-    loop's wait; `fsync_folder` syncs a directory, `fsync` a file; `rename` covers `os.rename` and
+    call: `getsockopt` is the read of SO_ERROR when a non-blocking connect completes; the fault makes it
+    return the error. `recv` and `send` cover all their forms on stream sockets except `sendmsg`; `epoll` is
+    the event loop's wait; `fsync_folder` syncs a directory, `fsync` a file; `rename` covers `os.rename` and
     `os.replace`.
     error: the name of the error, as in `errno`. short: the maximum number of bytes that the call transfers,
     instead of an error.
@@ -90,14 +90,14 @@
         self.replace(*faults)
 
     def replace(self, *faults: SystemCallFault) -> None:
-        """Replaces the active faults; their counts of calls start from zero."""
+        """Replaces the active faults; the counts of matching calls restart from zero."""
         with self._lock:
             self._installed_at = time.monotonic()
             self._faults = [(fault, _FaultState()) for fault in faults]
             self.calls = frozenset(fault.call for fault in faults)
 
     def count(self, call: SystemCall | None = None, error: str | None = None) -> int:
-        """Returns the number of injections, of one system call and one error (or `short`) if given."""
+        """Returns the number of injections, limited to a system call and an error (or `short`) if given."""
         with self._lock:
             return sum(
                 number
--- a/applehub/lab/fleet/turns.py
+++ b/applehub/lab/fleet/turns.py
@@ -13,15 +13,15 @@
 class ServiceBehavior:
     """The capacity, latency and queue limits of a list service."""
 
-    capacity: float = 100.0  # calls a second
-    min_latency_s: float = 0.0  # s from the start of a call until it is handled; drawn uniformly
+    capacity: float = 100.0  # calls per second
+    min_latency_s: float = 0.0  # from the start of a call until it is handled; drawn uniformly
     max_latency_s: float = 0.0
     max_wait_s: float = 2.0  # a call that would queue for longer is rejected
     max_queued: int | None = None  # a call that finds this many in the queue is rejected as well
-    abandoned_calls_take_capacity: bool = True  # a queued call takes capacity though its caller left
-    # Seconds from an answer, within which the next watch on that connection takes no capacity ("continues").
-    goes_on_within: float = 0.2
-    late_watches: bool = False  # such a continued watch is handled with latency as well
+    abandoned_calls_take_capacity: bool = True  # whether a queued call takes capacity if its caller has left
+    # A watch sent within this time after an answer on its connection takes no capacity (a continued watch).
+    continue_window_s: float = 0.2
+    late_watches: bool = False  # whether continued watches have latency as well
 
     def draw_latency(self, random: Random) -> float:
         """Draws the latency of one call, in seconds."""
@@ -32,7 +32,7 @@
 class QueuedCall:
     """A call in the queue."""
 
-    arrived: float
+    arrived_at: float
 
 
 class CallQueue:
@@ -41,7 +41,7 @@
     def __init__(self, service: ServiceBehavior, clock: Callable[[], float]) -> None:
         self.service, self.clock = service, clock
         self.waiting: deque[QueuedCall] = deque()
-        self.free_at = 0.0  # when the service finishes the call that it started last
+        self.free_at = 0.0  # time at which the service finishes its latest call
 
     def enqueue(self) -> QueuedCall | None:
         """Adds a call to the queue and returns it; returns None if the call is rejected."""
@@ -55,7 +55,7 @@
         return queued_call
 
     def abandon(self, queued_call: QueuedCall) -> bool:
-        """Handles that the caller of a queued call left; returns whether the call was removed."""
+        """Handles the departure of a queued call's caller; returns whether the call was removed."""
         removed = not self.service.abandoned_calls_take_capacity and queued_call in self.waiting
         if removed:
             self.waiting.remove(queued_call)
@@ -63,14 +63,14 @@
 
     def next_start_at(self) -> float | None:
         """Returns when the next call is due to start; None if the queue is empty."""
-        return self._start_at(self.waiting[0].arrived) if self.waiting else None
+        return self._start_at(self.waiting[0].arrived_at) if self.waiting else None
 
     def start_due_calls(self) -> list[QueuedCall]:
         """Removes the calls that are due from the queue and returns them in order."""
         started = []
-        while (at := self.next_start_at()) is not None and at <= self.clock():
+        while (start_at := self.next_start_at()) is not None and start_at <= self.clock():
             started.append(self.waiting.popleft())
-            self.free_at = at + 1 / self.service.capacity
+            self.free_at = start_at + 1 / self.service.capacity
         return started
 
     def clear(self) -> None:
@@ -78,8 +78,8 @@
         self.waiting.clear()
         self.free_at = 0.0
 
-    def _start_at(self, arrived: float) -> float:
-        return max(self.free_at, self.waiting[0].arrived if self.waiting else arrived)
+    def _start_at(self, arrived_at: float) -> float:
+        return max(self.free_at, self.waiting[0].arrived_at if self.waiting else arrived_at)
 
 
 def ideal_completion_time(service: ServiceBehavior, routers: int) -> float:
@@ -87,7 +87,7 @@
 
     Ideal callers send each call just as the service becomes free, so no call waits, is rejected or is
     abandoned. The last call has the maximum latency. If continued watches have latency too, that time counts
-    twice, because a caller cannot tell an unresponsive watch from a slow one any sooner."""
+    twice, because a caller needs that long to tell an unresponsive watch from a slow one."""
     now = 0.0
     queue = CallQueue(service, lambda: now)
     for _ in range(routers):
--- a/applehub/lab/fleet/uptake.py
+++ b/applehub/lab/fleet/uptake.py
@@ -2,8 +2,7 @@
 
 Each router must apply each change within `limit_s` seconds from when the list service has the change and can
 be reached. `limit_s` is 6 s or, if longer, the time that ideal callers need
-(`turns.ideal_completion_time`). That time depends on the service alone, so calls that routers waste
-do not extend the limit.
+(`turns.ideal_completion_time`), so calls that routers waste do not extend the limit.
 
 - An outage that begins within the limit, before the router has applied the change, restarts the time at the
   end of the outage.
@@ -27,7 +26,7 @@
 
     version: int
     at: float
-    phase: str  # start, calm, silent, outage
+    phase: str  # phase of the scenario: start, calm, silent or outage
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,15 +47,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PropagationDelay:
-    """The delay with which one router applied one change, counted as the check counts it."""
+    """The delay with which one router applied one change, as `propagation_seconds` defines it."""
 
     router: int
     change: Change
-    seconds: float  # NEVER if the run ended first
+    seconds: float  # NEVER if the router did not apply the change in the run
 
 
 def propagation_limit(service: ServiceBehavior, routers: int) -> float:
-    """Returns the seconds that the check allows."""
+    """Returns `limit_s`, the maximum propagation delay."""
     return max(PROPAGATION_LIMIT_S, ideal_completion_time(service, routers))
 
 
@@ -64,13 +63,13 @@
     change: Change, applied: list[AppliedVersion], outages: list[Outage], limit_s: float
 ) -> float:
     """Returns the seconds from when the service had and could serve a change until a router applied it."""
-    index = bisect_left(applied, change.version, key=lambda update: update.version)
-    at = applied[index].at if index < len(applied) else NEVER
-    since = change.at
+    index = bisect_left(applied, change.version, key=lambda applied_version: applied_version.version)
+    applied_at = applied[index].at if index < len(applied) else NEVER
+    counted_from = change.at
     for outage in outages:
-        if since <= outage.end and outage.begin < min(at, since + limit_s):
-            since = outage.end
-    return max(0.0, at - since)
+        if counted_from <= outage.end and outage.begin < min(applied_at, counted_from + limit_s):
+            counted_from = outage.end
+    return max(0.0, applied_at - counted_from)
 
 
 def all_propagation_delays(
--- a/applehub/lab/fleet/variants.py
+++ b/applehub/lab/fleet/variants.py
@@ -23,7 +23,7 @@
 from applehub.peers.records import Body, Record, RecordKey
 from applehub.settings import Json
 
-SPOILED_EVERY = 20  # one of this many answers is spoiled
+SPOILED_EVERY = 20  # every n-th answer is spoiled
 
 
 def _spoil_answers(spoil: Callable[[Driver, PendingRequest, bytes, ResponseResult, Any], None]) -> None:
@@ -62,8 +62,8 @@
         self: Driver, request: PendingRequest, answer: bytes, outcome: ResponseResult, original: Any
     ) -> None:
         self._close(request)
-        wait = (request.call.wait_ms or 0) / 1000 + 3600
-        asyncio.get_running_loop().call_later(wait, original, self, request, answer, outcome)
+        delay_s = (request.call.wait_ms or 0) / 1000 + 3600
+        asyncio.get_running_loop().call_later(delay_s, original, self, request, answer, outcome)
 
     _spoil_answers(answer_late)
 
@@ -97,18 +97,18 @@
     """Keeps sending requests to a server that is draining."""
     original = Directory._parse_entry
 
-    def target(self: Directory, entry: Json, now: ClockReading) -> Any:
+    def parse_entry(self: Directory, entry: Json, now: ClockReading) -> Any:
         ready = {**entry, "state": "Ready"} if entry.get("state") == "Terminating" else entry
         return original(self, ready, now)
 
-    Directory._parse_entry = target  # type: ignore[method-assign]
+    Directory._parse_entry = parse_entry  # type: ignore[method-assign]
 
 
 def goes_back() -> None:
     """Resets the version of the list to 1 on every second list that it receives."""
     original, received = Directory.apply, 0
 
-    def take(self: Directory, answer: Any, cached: bool = False) -> bool:
+    def apply(self: Directory, answer: Any, cached: bool = False) -> bool:
         nonlocal received
         result = original(self, answer, cached)
         received += self.rev > 1
@@ -116,7 +116,7 @@
             self.rev = 1
         return result
 
-    Directory.apply = take  # type: ignore[method-assign]
+    Directory.apply = apply  # type: ignore[method-assign]
 
 
 def goes_deaf() -> None:
@@ -147,11 +147,11 @@
     """Leaves a descriptor open for each request."""
     original = Driver.accept
 
-    def take(self: Driver, *more: Any) -> Any:
+    def accept(self: Driver, *arguments: Any) -> Any:
         os.open(os.devnull, os.O_RDONLY)
-        return original(self, *more)
+        return original(self, *arguments)
 
-    Driver.accept = take  # type: ignore[method-assign,assignment]
+    Driver.accept = accept  # type: ignore[method-assign,assignment]
 
 
 def fails() -> None:
@@ -169,11 +169,11 @@
     """Uses much more CPU time for each request."""
     original = Driver.accept
 
-    def take(self: Driver, *more: Any) -> Any:
+    def accept(self: Driver, *arguments: Any) -> Any:
         sum(range(200_000))
-        return original(self, *more)
+        return original(self, *arguments)
 
-    Driver.accept = take  # type: ignore[method-assign,assignment]
+    Driver.accept = accept  # type: ignore[method-assign,assignment]
 
 
 def works_for_nobody() -> None:
@@ -182,12 +182,12 @@
 
 
 def hears_late() -> None:
-    """Waits half a minute before it gives up an unresponsive watch."""
+    """Waits 30 s before it gives up an unresponsive watch."""
 
-    def due(self: CallSchedule, started_at: float, hold: float, queued: bool, jitter: float) -> float:
+    def watch_due(self: CallSchedule, started_at: float, hold: float, queued: bool, jitter: float) -> float:
         return started_at + 30.0
 
-    CallSchedule.watch_due = due  # type: ignore[method-assign]
+    CallSchedule.watch_due = watch_due  # type: ignore[method-assign]
 
 
 def crashes() -> None:
--- a/applehub/lab/fleet/watch_commands.py
+++ b/applehub/lab/fleet/watch_commands.py
@@ -67,7 +67,7 @@
     def plan(routers: int, latency: tuple[float, float], number: int) -> WatchPlan:
         service = ServiceBehavior(
             capacity, *latency, most_wait, most_waiting, not drop_abandoned,
-            0.0 if every_call_turns else ServiceBehavior().goes_on_within, late_watches,
+            0.0 if every_call_turns else ServiceBehavior().continue_window_s, late_watches,
         )  # fmt: skip
         return WatchPlan(routers, service, seed + number, must_ask=must_ask)
 
@@ -81,7 +81,7 @@
 
 def _parse_numbers(option: str, text: str) -> list[int]:
     try:
-        numbers = [int(part) for part in text.split(",")]
+        numbers = [int(number) for number in text.split(",")]
     except ValueError:
         numbers = []
     if not numbers or min(numbers) < 1 or max(numbers) > MAX_ROUTERS:
@@ -91,7 +91,7 @@
 
 def _parse_latency(option: str, text: str) -> tuple[float, float]:
     try:
-        bounds = [float(part) for part in text.split(":")]
+        bounds = [float(bound) for bound in text.split(":")]
     except ValueError:
         bounds = []
     if len(bounds) not in (1, 2) or not 0 <= bounds[0] <= bounds[-1] <= MAX_LATENCY_S:
@@ -100,8 +100,8 @@
 
 
 def _parse_pair(text: str) -> tuple[int, tuple[float, float]]:
-    routers, _, late = text.partition("x")
-    return _parse_numbers("--more", routers)[0], _parse_latency("--more", late)
+    routers, _, latency = text.partition("x")
+    return _parse_numbers("--more", routers)[0], _parse_latency("--more", latency)
 
 
 def run_all(plans: list[WatchPlan], jobs: int) -> list[Json]:
--- a/applehub/lab/fleet/watch_play.py
+++ b/applehub/lab/fleet/watch_play.py
@@ -28,13 +28,16 @@
 from applehub.lab.live.bench import LiveError
 from applehub.settings import Json
 
-CALM_CHANGES, CALM_PERIOD_S = 3, 4.0  # changes without faults, and the period that they are drawn from
+CALM_CHANGES, CALM_PERIOD_S = (
+    3,
+    4.0,
+)  # number of changes without faults, and the period in which they are made
 OUTAGE_S = 3.0
-MAX_SILENT_CHANGE_DELAY_S = 1.0  # from when watches become unresponsive until the change that they miss
-END_MARGIN_S = 0.5  # at the end of a run, so that changes applied just after the limit are recorded
-LAG_SAMPLE_INTERVAL_S = 0.1  # between samples of the event loop's lag
-TIMEOUT_MARGIN_S = 30.0  # past the schedule, after which a run is cancelled
-DESCRIPTORS_PER_ROUTER = 4  # both ends of a connection, and of one that has just been closed
+MAX_SILENT_CHANGE_DELAY_S = 1.0  # maximum time from when watches become unresponsive until the next change
+END_MARGIN_S = 0.5  # added to a run, so that changes applied just after the limit are recorded
+LAG_SAMPLE_INTERVAL_S = 0.1  # period of the samples of the event loop's lag
+TIMEOUT_MARGIN_S = 30.0  # time after the end of the schedule until a run is cancelled
+DESCRIPTORS_PER_ROUTER = 4  # both ends of an open connection, and of one being closed
 OTHER_DESCRIPTORS = 100
 MB = 1 << 20
 
@@ -47,12 +50,12 @@
     service: ServiceBehavior
     seed: int = 1
     servers: int = 20
-    must_ask: bool = False  # routers poll lists, and their policy says when to poll again
+    must_ask: bool = False  # routers poll lists, and their policy decides when to poll again
 
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """The times of a run's events, in seconds from the start, with time to recover between them."""
+    """The times of a run's changes and faults, in seconds from the start of the run."""
 
     calm_changes: tuple[float, ...]
     silence_starts: float
@@ -82,16 +85,18 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """The result of a run, with times of the loop's clock."""
+    """The result of a run; times are in seconds of the event loop's clock."""
 
     plan: WatchPlan
     limit_s: float
     seconds: float = 0.0  # duration of the run
     changes: list[Change] = field(default_factory=list)
     outages: list[Outage] = field(default_factory=list)
-    applied: list[list[AppliedVersion]] = field(default_factory=list)  # by router, in order
+    applied: list[list[AppliedVersion]] = field(
+        default_factory=list
+    )  # applied versions of each router, in order
     counts: CallCounts = field(default_factory=CallCounts)
-    max_lag_s: float = 0.0  # the most that the event loop ran late, which adds to all delays
+    max_lag_s: float = 0.0  # maximum lag of the event loop, which adds to all delays
     memory_mb: float = 0.0
 
     def propagation_delays(self) -> list[PropagationDelay]:
@@ -134,18 +139,18 @@
         result.changes.append(Change(self.registry.version, self.started_at, "start"))
         for caller in callers:
             caller.start()
-        for at in schedule.calm_changes:
-            await self._sleep_until(at)
-            self._change("calm")
+        for change_offset_s in schedule.calm_changes:
+            await self._sleep_until(change_offset_s)
+            self._change_list("calm")
         await self._sleep_until(schedule.silence_starts)
         self.registry.silence_watches()
         await self._sleep_until(schedule.silent_change)
-        self._change("silent")
+        self._change_list("silent")
         await self._sleep_until(schedule.outage_starts)
         outage_starts = self.loop.time()
         self.registry.stop_serving()
         await self._sleep_until(schedule.outage_change)
-        self._change("outage")
+        self._change_list("outage")
         await self._sleep_until(schedule.outage_ends)
         await self.registry.resume_serving()
         result.outages.append(Outage(outage_starts, self.loop.time()))
@@ -154,10 +159,10 @@
         result.counts = replace(self.registry.counts)
         result.memory_mb = psutil.Process().memory_info().rss / MB
 
-    async def _sleep_until(self, at: float) -> None:
-        await asyncio.sleep(self.started_at + at - self.loop.time())
+    async def _sleep_until(self, offset_s: float) -> None:
+        await asyncio.sleep(self.started_at + offset_s - self.loop.time())
 
-    def _change(self, phase: str) -> None:
+    def _change_list(self, phase: str) -> None:
         self.result.changes.append(Change(self.registry.change(), self.loop.time(), phase))
 
     def _on_applied(self, router: int, version: int) -> None:
@@ -186,11 +191,11 @@
     before = psutil.Process().num_fds()
     try:
         with _quiet_routers():
-            result = asyncio.run(_bounded(plan))
+            result = asyncio.run(_run_with_timeout(plan))
     except TimeoutError:
         raise LiveError(f"run with {plan.routers} routers did not end before its timeout") from None
-    if (left := psutil.Process().num_fds() - before) > 0:
-        raise LiveError(f"run with {plan.routers} routers left {left} descriptors open")
+    if (leaked := psutil.Process().num_fds() - before) > 0:
+        raise LiveError(f"run with {plan.routers} routers left {leaked} descriptors open")
     return result
 
 
@@ -206,7 +211,7 @@
         logger.setLevel(level)
 
 
-async def _bounded(plan: WatchPlan) -> RunResult:
+async def _run_with_timeout(plan: WatchPlan) -> RunResult:
     schedule = draw_schedule(propagation_limit(plan.service, plan.routers), Random(plan.seed))
     async with asyncio.timeout(schedule.end + TIMEOUT_MARGIN_S):
         return await run_scenario(plan)
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,6 +1,6 @@
 """Tests of system call faults in plans of the cluster test harness.
 
-Waits of the run are for events, and their timeouts are long enough for a busy machine."""
+The faults of the run wait for events rather than times, so that the test also passes on a busy machine."""
 
 import subprocess
 import sys
@@ -91,15 +91,15 @@
 def test_run_with_system_call_faults_passes_and_each_fault_is_injected(tmp_path: Path) -> None:
     (tmp_path / "plan.toml").write_text(PLAN)
     arguments = ["fleet", str(tmp_path / "plan.toml"), "--json", "--keep", str(tmp_path / "kept")]
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "applehub.lab", *arguments],
         env=environment(),
         capture_output=True,
         text=True,
         timeout=300,
     )
-    assert done.returncode == 0, done.stdout + done.stderr
-    assert not any(orjson.loads(done.stdout)["checks"].values())
+    assert completed.returncode == 0, completed.stdout + completed.stderr
+    assert not any(orjson.loads(completed.stdout)["checks"].values())
     injected = recorded(tmp_path / "kept" / "router-0" / "control" / "injected")
     assert all(injected[key] for key in (("accept", "ENFILE"), ("send", "short"), ("fsync", "EIO"))), injected
 
@@ -123,15 +123,17 @@
 def test_random_plans_have_system_call_faults_and_clock_steps() -> None:
     plans = [generate_plan(seed, 4, 4, 30, 60.0, 100.0) for seed in range(40)]
     faults = [fault for plan in plans for fault in plan.faults]
-    calls = [fault for fault in faults if isinstance(fault, SystemCallsFault)]
-    assert {fault.call for fault in calls} == {call["call"] for call, _, _ in SYSTEM_CALL_CHOICES}
+    system_call_faults = [fault for fault in faults if isinstance(fault, SystemCallsFault)]
+    assert {fault.call for fault in system_call_faults} == {
+        call["call"] for call, _, _ in SYSTEM_CALL_CHOICES
+    }
     assert {fault.step_s for fault in faults if isinstance(fault, ClockFault)} == set(CLOCK_STEPS_S)
     for plan in plans:
-        system_calls = [fault for fault in plan.faults if isinstance(fault, SystemCallsFault)]
-        assert plan.fleet.keeps == any(fault.call in FILE_CALLS for fault in system_calls)
+        in_plan = [fault for fault in plan.faults if isinstance(fault, SystemCallsFault)]
+        assert plan.fleet.keeps == any(fault.call in FILE_CALLS for fault in in_plan)
         resets = sum(isinstance(fault, LinkFault) and fault.kind == "reset" for fault in plan.faults)
         # The last fault may be too close to the end of the plan for a reset after it.
-        assert resets >= sum(fault.call in CONNECTING_CALLS for fault in system_calls) - 1
+        assert resets >= sum(fault.call in CONNECTING_CALLS for fault in in_plan) - 1
 
 
 @pytest.mark.parametrize(
