--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -27,7 +27,7 @@
 from applehub.lab.spec import SpecError
 from applehub.node.discovery import read_endpoint
 
-DETECTIONS = {  # plan and check that detect each known-bad variant
+DETECTIONS = {  # the plan and the check that detect each known-bad variant
     "loses": ("variants", "answered"),
     "answers-twice": ("variants", "answered"),
     "resends": ("variants", "resends"),
@@ -41,16 +41,16 @@
     "never-forgets": ("peers", "shared"),
 }
 
-RETURNED = ("unready", "mute", "poisoned")  # bad versions that a release returns, one per component
+ROLLED_BACK = ("unready", "mute", "poisoned")  # bad versions, one per component, whose release is rolled back
 
 
-def run_plan(*words: str) -> tuple[int, dict[str, int], str]:
-    """Runs `fleet` as a subprocess; returns its exit code, violations by check, and its error output."""
-    command = [sys.executable, "-m", "applehub.lab", "fleet", *words, "--json"]
-    done = subprocess.run(command, env=environment(), capture_output=True, text=True, timeout=300)
-    results = orjson.loads(done.stdout) if done.stdout else {"checks": {}}
+def run_plan(*arguments: str) -> tuple[int, dict[str, int], str]:
+    """Runs the command `fleet`; returns its exit code, the violations by check, and its error output."""
+    command = [sys.executable, "-m", "applehub.lab", "fleet", *arguments, "--json"]
+    completed = subprocess.run(command, env=environment(), capture_output=True, text=True, timeout=300)
+    results = orjson.loads(completed.stdout) if completed.stdout else {"checks": {}}
     counts = {name: count for name, count in results["checks"].items() if count}
-    return done.returncode, counts, "\n".join([done.stderr, *results.get("broken", [])])
+    return completed.returncode, counts, "\n".join([completed.stderr, *results.get("broken", [])])
 
 
 def crossing_with_loose_limits() -> str:
@@ -66,22 +66,33 @@
     bad_runs = {name: (plan, "--variant", name) for name, (plan, _) in DETECTIONS.items()}
     loose = tmp_path / "crossing.toml"
     loose.write_text(crossing_with_loose_limits())
-    good_runs += [(str(loose),), ("release",), *(("worse", "--bad", name) for name in RETURNED)]
+    good_runs += [(str(loose),), ("release",), *(("worse", "--bad", name) for name in ROLLED_BACK)]
     # The longest runs start first, because one of them ends by timeout.
-    runs = sorted([*good_runs, *bad_runs.values()], key=lambda words: "peers" not in words)
+    runs = sorted([*good_runs, *bad_runs.values()], key=lambda arguments: "peers" not in arguments)
     with ThreadPoolExecutor(6) as pool:
-        results = dict(zip(runs, pool.map(lambda words: run_plan(*words), runs), strict=True))
-    for words in good_runs:
-        assert results[words][:2] == (0, {}), (words, results[words])
+        results = dict(zip(runs, pool.map(lambda arguments: run_plan(*arguments), runs), strict=True))
+    for arguments in good_runs:
+        assert results[arguments][:2] == (0, {}), (arguments, results[arguments])
     for name, (_, check) in DETECTIONS.items():
-        code, broken, output = results[bad_runs[name]]
-        assert code == 1 and check in broken, (name, broken, output)
+        code, violations, output = results[bad_runs[name]]
+        assert code == 1 and check in violations, (name, violations, output)
 
 
 def test_killed_harness_leaves_no_process_port_or_file(tmp_path: Path) -> None:
-    words = [sys.executable, "-m", "applehub.lab", "fleet", "--seed", "1", "--routers", "2", "--caches", "1"]
+    command = [
+        sys.executable,
+        "-m",
+        "applehub.lab",
+        "fleet",
+        "--seed",
+        "1",
+        "--routers",
+        "2",
+        "--caches",
+        "1",
+    ]
     env = environment(TMPDIR=str(tmp_path))
-    harness = subprocess.Popen(words, env=env, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
+    harness = subprocess.Popen(command, env=env, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
     try:
         harness_process = psutil.Process(harness.pid)
         while not list(tmp_path.glob("ground-*/clients/events-1.jsonl")):  # the clients start last
@@ -89,19 +100,24 @@
             psutil.wait_procs([], timeout=0.05)
         children = harness_process.children(recursive=True)
         assert len(children) >= 7
-        ports = {one.laddr for child in children for one in child.net_connections() if one.status == "LISTEN"}
+        ports = {
+            connection.laddr
+            for child in children
+            for connection in child.net_connections()
+            if connection.status == "LISTEN"
+        }
     finally:
         harness.kill()
         harness.wait()
     _, alive = psutil.wait_procs(children, timeout=60)
     assert not alive and not list(tmp_path.iterdir())
     for host, port in ports:
-        with socket.socket() as one:
-            assert one.connect_ex((host, port)) != 0
+        with socket.socket() as client:
+            assert client.connect_ex((host, port)) != 0
 
 
-def event(at: float, what: EventKind, request: str = "", /, **more: object) -> EventRecord:
-    return EventRecord(int(at * 1e9), 0, "test", 0, what, request, more)
+def event(at_s: float, kind: EventKind, request: str = "", /, **fields: object) -> EventRecord:
+    return EventRecord(int(at_s * 1e9), 0, "test", 0, kind, request, fields)
 
 
 REQUEST_FIELDS = {"router": "router-0", "cls": "read", "key": "k", "wait_ms": 1000}
@@ -120,14 +136,16 @@
         event(1.2, EventKind.CLOSED_UNANSWERED, "r", router="router-0"),
         event(1.3, EventKind.FAULT_ENDED, fault=0),
     ]
-    broken = run_checks(build_history(records), Plan(name="p"))
-    assert [one.check for one in broken] == ([] if excused else ["answered"])
-    other = [
+    violations = run_checks(build_history(records), Plan(name="p"))
+    assert [violation.check for violation in violations] == ([] if excused else ["answered"])
+    later_request = [
         event(3.0, EventKind.REQUEST_SENT, "s", **REQUEST_FIELDS),
         event(3.1, EventKind.CLOSED_UNANSWERED, "s", router="router-0"),
     ]
-    (found,) = run_checks(build_history([*records[:1], records[3], *other]), Plan(name="p"))
-    assert found.text(build_history(records)).count("\n") == 4  # two events of the fault, two of the request
+    (violation,) = run_checks(build_history([*records[:1], records[3], *later_request]), Plan(name="p"))
+    assert (
+        violation.text(build_history(records)).count("\n") == 4
+    )  # two events of the fault, two of the request
 
 
 @pytest.mark.parametrize(("since", "excused"), [(1.5, True), (0.5, False)])
@@ -140,7 +158,7 @@
         event(since, EventKind.FAULT_BEGUN, **fault_fields),
         event(2.0, EventKind.FAULT_NOT_BEGUN, fault=0, of="router-0", why="router-0 was never ready"),
     ]
-    assert [one.check for one in run_checks(build_history(records), Plan(name="p"))] == (
+    assert [violation.check for violation in run_checks(build_history(records), Plan(name="p"))] == (
         [] if excused else ["standing"]
     )
 
@@ -162,22 +180,22 @@
         whole=True,
         states={"cache-0": "Ready", "origin": "Ready"},
     )
-    broken = run_checks(build_history([list_sent, *records]), Plan(name="p"))
-    assert [one.check for one in broken] == (["resends"] if breaks else [])
+    violations = run_checks(build_history([list_sent, *records]), Plan(name="p"))
+    assert [violation.check for violation in violations] == (["resends"] if breaks else [])
 
 
-def list_call(at: float, replica: str, since: int) -> EventRecord:
+def list_poll(at: float, replica: str, since: int) -> EventRecord:
     """Returns a poll by router-0 that a replica of the list service received."""
-    one = event(at, EventKind.LIST_POLLED, router="router-0", since=since)
-    return dataclasses.replace(one, process=replica)
+    record = event(at, EventKind.LIST_POLLED, router="router-0", since=since)
+    return dataclasses.replace(record, process=replica)
 
 
 def broken_versions(*records: EventRecord) -> list[str]:
     """Returns the violations of the check `versions` in a run with these events."""
-    found = run_checks(
+    violations = run_checks(
         build_history([event(0.1, EventKind.STARTED, of="router-0", number=1), *records]), Plan(name="p")
     )
-    return [one.what for one in found if one.check == "versions"]
+    return [violation.message for violation in violations if violation.check == "versions"]
 
 
 REPLICA_STOPPED = {"fault": 0, "kind": "stop", "processes": ["list-0"], "edges": [], "keep_disk": True}
@@ -189,7 +207,7 @@
     [
         (REPLICA_STOPPED, 4.01, 7, False),
         (REPLICA_STOPPED, 4.01, 6, True),  # the router had version 7 before the fault
-        (REPLICA_STOPPED, 4.6, 7, True),  # delayed calls have been received by then
+        (REPLICA_STOPPED, 4.6, 7, True),  # too late after the fault to be a delayed poll
         (EDGE_SILENT, 4.01, 7, False),
         (EDGE_SILENT, 4.01, 6, True),
         ({**REPLICA_STOPPED, "processes": ["list-1"]}, 4.01, 7, True),
@@ -206,12 +224,12 @@
     fault_records = [] if fault is None else [
         event(1.0, EventKind.FAULT_BEGUN, **fault), event(4.0, EventKind.FAULT_ENDED, fault=0)
     ]  # fmt: skip
-    before = [list_call(0.8, "list-0", 6), list_call(0.9, "list-0", 7)]
-    meanwhile = [list_call(3.7, "list-1", 7), list_call(3.8, "list-1", 9)]
-    late = list_call(read_at, "list-0", since)
-    held = 9 if read_at > 4.5 or not fault_records or fault not in (REPLICA_STOPPED, EDGE_SILENT) else 7
-    expected = [f"router-0 held {held}, then {since}"] if breaks else []
-    assert broken_versions(*before, *fault_records, *meanwhile, late) == expected
+    before = [list_poll(0.8, "list-0", 6), list_poll(0.9, "list-0", 7)]
+    during_fault = [list_poll(3.7, "list-1", 7), list_poll(3.8, "list-1", 9)]
+    late = list_poll(read_at, "list-0", since)
+    previous = 9 if read_at > 4.5 or not fault_records or fault not in (REPLICA_STOPPED, EDGE_SILENT) else 7
+    expected = [f"router-0 had version {previous}, then {since}"] if breaks else []
+    assert broken_versions(*before, *fault_records, *during_fault, late) == expected
 
 
 def test_delayed_poll_neither_lowers_the_version_nor_counts_for_a_later_incarnation() -> None:
@@ -219,22 +237,24 @@
         event(1.0, EventKind.FAULT_BEGUN, **REPLICA_STOPPED),
         event(4.0, EventKind.FAULT_ENDED, fault=0),
     ]
-    before = [list_call(0.9, "list-0", 7), *fault_records, list_call(3.8, "list-1", 9)]
-    late = list_call(4.01, "list-0", 7)
-    assert broken_versions(*before, late, list_call(4.02, "list-1", 8)) == ["router-0 held 9, then 8"]
-    assert broken_versions(*before, late, list_call(4.02, "list-1", 9)) == []
+    before = [list_poll(0.9, "list-0", 7), *fault_records, list_poll(3.8, "list-1", 9)]
+    late = list_poll(4.01, "list-0", 7)
+    assert broken_versions(*before, late, list_poll(4.02, "list-1", 8)) == ["router-0 had version 9, then 8"]
+    assert broken_versions(*before, late, list_poll(4.02, "list-1", 9)) == []
     answer = event(4.02, EventKind.LIST_SENT, router="router-0", version=7, whole=True, states={})
     answer = dataclasses.replace(answer, process="list-0")  # an old list, which the router accepts
-    followed = [*before, late, answer, list_call(4.03, "list-0", 7)]
-    assert broken_versions(*followed) == ["router-0 held 9, then 7"]
-    again = [
+    followed = [*before, late, answer, list_poll(4.03, "list-0", 7)]
+    assert broken_versions(*followed) == ["router-0 had version 9, then 7"]
+    restart = [
         event(3.0, EventKind.EXITED, of="router-0", number=1, code=-9, planned=True),
         event(3.1, EventKind.STARTED, of="router-0", number=2),
-        list_call(3.2, "list-1", 5),
+        list_poll(3.2, "list-1", 5),
+    ]
+    with_restart = [list_poll(0.9, "list-0", 7), *fault_records, *restart]
+    assert broken_versions(*with_restart, late, list_poll(4.02, "list-1", 5)) == []
+    assert broken_versions(*with_restart, late, list_poll(4.02, "list-1", 4)) == [
+        "router-0 had version 5, then 4"
     ]
-    begun_before = [list_call(0.9, "list-0", 7), *fault_records, *again]
-    assert broken_versions(*begun_before, late, list_call(4.02, "list-1", 5)) == []
-    assert broken_versions(*begun_before, late, list_call(4.02, "list-1", 4)) == ["router-0 held 5, then 4"]
 
 
 class DatagramRecorder(asyncio.DatagramProtocol):
@@ -260,8 +280,8 @@
     async def received_with(kind: str, *sent: bytes, want: int) -> list[bytes]:
         """Returns the datagrams received under a rule; a final datagram without the rule marks the end."""
         await handle({"do": "rule", "id": 1, "edges": ["a>*"], "rule": {"kind": kind}})
-        for one in sent:
-            source.sendto(one)
+        for datagram in sent:
+            source.sendto(datagram)
         async with asyncio.timeout(60):
             while len(recorder.received) < want:
                 await asyncio.sleep(0.01)
@@ -270,9 +290,9 @@
             source.sendto(b"last")
             while b"last" not in recorder.received:
                 await asyncio.sleep(0.01)
-        found = [one for one in recorder.received if one != b"last"]
+        received = [datagram for datagram in recorder.received if datagram != b"last"]
         recorder.received.clear()
-        return found
+        return received
 
     await handle({"do": "up", "target": "b", "address": address})
     assert await received_with("lose", b"1", b"2", want=0) == []
@@ -280,8 +300,8 @@
     assert await received_with("swap", b"1", b"2", want=2) == [b"2", b"1"]
     (short,) = await received_with("short", b"12345678", want=1)
     assert len(short) < 8 and b"12345678".startswith(short)
-    for one in (source, target):
-        one.close()
+    for transport in (source, target):
+        transport.close()
 
 
 def test_truncated_last_event_is_ignored_and_unknown_event_is_rejected(tmp_path: Path) -> None:
@@ -290,8 +310,13 @@
     writer.close()
     with open(tmp_path / "events.jsonl", "ab") as file:
         file.write(b'{"mono":1,"wa')
-    (one,) = read_events(tmp_path / "events.jsonl")
-    assert (one.process, one.incarnation, one.event, one.fields["address"]) == ("me", 2, "ready", "here")
+    (record,) = read_events(tmp_path / "events.jsonl")
+    assert (record.process, record.incarnation, record.event, record.fields["address"]) == (
+        "me",
+        2,
+        "ready",
+        "here",
+    )
     with pytest.raises(EventFormatError):
         parse_event(b'{"mono":1,"wall":1,"process":"a","incarnation":1,"event":"sneezed"}')
 
@@ -310,11 +335,11 @@
     assert plan == generate_plan(3, 5, 5, 12, 30.0, 100.0) and len(plan.faults) == 12
     wanted = [plan.faults[2], plan.faults[9]]
 
-    async def breaks(one: Plan) -> bool:
-        return all(fault in one.faults for fault in wanted)
+    async def breaks(candidate: Plan) -> bool:
+        return all(fault in candidate.faults for fault in wanted)
 
-    small = await shrink(plan, breaks, lambda _: None)
-    assert small.faults == wanted
+    reduced = await shrink(plan, breaks, lambda _: None)
+    assert reduced.faults == wanted
 
 
 def restore_sigint() -> None:
@@ -323,10 +348,10 @@
 
 
 def test_interrupted_harness_exits_with_130_and_leaves_no_process() -> None:
-    words = [sys.executable, "-m", "applehub.lab", "fleet", "--quick"]
+    command = [sys.executable, "-m", "applehub.lab", "fleet", "--quick"]
     # A shell starts background jobs with SIGINT ignored, and the harness would inherit that.
     harness = subprocess.Popen(
-        words,
+        command,
         env=environment(),
         preexec_fn=restore_sigint,
         stdout=subprocess.DEVNULL,
@@ -368,7 +393,7 @@
         ("none", 0.0, 8.1, False),
         ("silent", 6.0, 11.9, True),  # the limit counts from the end of the fault
         ("silent", 6.0, 12.1, False),
-        ("silent", 6.0, 4.0, False),  # sent while the edge was silent
+        ("silent", 6.0, 4.0, False),  # a list that was sent while the edge was silent
         ("hang", 2.0, 7.9, True),  # open connections hang, but new ones work
         ("hang", 2.0, 8.1, False),
     ],
@@ -387,7 +412,9 @@
         event(40.0, EventKind.PEERS_AGREED, routers=1),
     ]
     plan = Plan(name="p", rules={"stale_ms": 30_000})  # type: ignore[arg-type]
-    assert [one.check for one in run_checks(build_history(records), plan)] == ([] if holds else ["told"])
+    assert [violation.check for violation in run_checks(build_history(records), plan)] == (
+        [] if holds else ["told"]
+    )
 
 
 @pytest.mark.parametrize(
@@ -398,7 +425,7 @@
         (0.12, 3, "", 1),
         (0.12, 9, "delay", 0),
         (0.12, 9, "reset", 7),  # a reset causes no delay
-        (0.12, 9, "stop", 0),  # a stopped server receives late
+        (0.12, 9, "stop", 0),  # a stopped server receives requests late
     ],
 )
 def test_no_attempt_starts_after_the_client_has_disconnected(
@@ -417,7 +444,9 @@
         if fault == "stop":
             begin.fields.update(processes=["cache-0"], edges=[])
         records += [begin, end]
-    assert [one.check for one in run_checks(build_history(records), Plan(name="p"))] == ["departed"] * breaks
+    assert [violation.check for violation in run_checks(build_history(records), Plan(name="p"))] == [
+        "departed"
+    ] * breaks
 
 
 @pytest.mark.parametrize(("at", "holds"), [(7.5, True), (9.2, False)])
@@ -429,6 +458,6 @@
         event(2.1, EventKind.LIST_SENT, **LIST_FIELDS, version=2),
         event(at, EventKind.ATTEMPT_BEGUN, "r", **{**ATTEMPT_FIELDS, "cls": "read"}),
     ]
-    assert [one.check for one in run_checks(build_history(records), Plan(name="p"))] == (
+    assert [violation.check for violation in run_checks(build_history(records), Plan(name="p"))] == (
         [] if holds else ["drained"]
     )
--- a/tests/test_slow_registry.py
+++ b/tests/test_slow_registry.py
@@ -33,8 +33,8 @@
 from applehub.lab.live.bench import LiveError
 from applehub.node.pool import Endpoint
 
-MAX_WAIT_S = 20.0  # for an event in a test on the real clock
-HOLD_S = 2.5  # as routers request it
+MAX_WAIT_S = 20.0  # timeout for an event in the test on the real clock
+HOLD_S = 2.5  # hold time of the long polls of routers
 
 
 class Clock:
@@ -51,60 +51,64 @@
 
 
 def test_calls_start_in_order_at_the_rate_of_the_service() -> None:
-    calls, clock = make_queue()
-    first, second, third = (calls.enqueue() for _ in range(3))
-    assert calls.start_due_calls() == [first]
-    assert calls.next_start_at() == pytest.approx(100.1)
+    queue, clock = make_queue()
+    first, second, third = (queue.enqueue() for _ in range(3))
+    assert queue.start_due_calls() == [first]
+    assert queue.next_start_at() == pytest.approx(100.1)
     clock.now = 100.15
-    assert calls.start_due_calls() == [second]
+    assert queue.start_due_calls() == [second]
     clock.now = 100.25  # a late check does not delay later calls
-    assert calls.start_due_calls() == [third]
-    assert calls.next_start_at() is None
+    assert queue.start_due_calls() == [third]
+    assert queue.next_start_at() is None
     clock.now = 200.0
-    fourth = calls.enqueue()
-    assert calls.start_due_calls() == [fourth]
+    fourth = queue.enqueue()
+    assert queue.start_due_calls() == [fourth]
 
 
 def test_call_that_would_wait_too_long_is_rejected_and_takes_no_capacity() -> None:
-    calls, clock = make_queue(max_wait_s=0.35)
-    assert [calls.enqueue() is None for _ in range(6)] == [False] * 4 + [True] * 2
+    queue, clock = make_queue(max_wait_s=0.35)
+    assert [queue.enqueue() is None for _ in range(6)] == [False] * 4 + [True] * 2
     clock.now += 0.1
-    calls.start_due_calls()
-    assert calls.enqueue() is not None  # waits 0.3 s, because rejected calls are not in the queue
-    assert calls.enqueue() is None
+    queue.start_due_calls()
+    assert queue.enqueue() is not None  # waits 0.3 s, because rejected calls are not in the queue
+    assert queue.enqueue() is None
 
 
 def test_full_queue_rejects_calls() -> None:
-    calls, _ = make_queue(max_queued=2)
-    assert calls.enqueue() is not None
-    calls.start_due_calls()
-    assert [calls.enqueue() is None for _ in range(4)] == [False, False, True, True]
+    queue, _ = make_queue(max_queued=2)
+    assert queue.enqueue() is not None
+    queue.start_due_calls()
+    assert [queue.enqueue() is None for _ in range(4)] == [False, False, True, True]
 
 
-@pytest.mark.parametrize(("kept", "begins"), [(True, 100.2), (False, 100.1)])
-def test_abandoned_call_keeps_its_place_if_the_service_is_set_so(kept: bool, begins: float) -> None:
-    calls, clock = make_queue(abandoned_calls_take_capacity=kept)
-    _, abandoned, last = (calls.enqueue() for _ in range(3))
-    calls.start_due_calls()
+@pytest.mark.parametrize(("takes_capacity", "starts_at"), [(True, 100.2), (False, 100.1)])
+def test_abandoned_call_takes_capacity_if_the_service_is_configured_so(
+    takes_capacity: bool, starts_at: float
+) -> None:
+    queue, clock = make_queue(abandoned_calls_take_capacity=takes_capacity)
+    _, abandoned, last = (queue.enqueue() for _ in range(3))
+    queue.start_due_calls()
     assert abandoned is not None
-    calls.abandon(abandoned)
-    clock.now = begins - 0.01
-    assert last not in calls.start_due_calls()
-    clock.now = begins + 0.01
-    assert last in calls.start_due_calls()
+    queue.abandon(abandoned)
+    clock.now = starts_at - 0.01
+    assert last not in queue.start_due_calls()
+    clock.now = starts_at + 0.01
+    assert last in queue.start_due_calls()
 
 
 def test_ideal_time_is_one_call_per_router_and_the_maximum_latency() -> None:
     """An ideal caller never waits in the queue, so the queue limits do not matter."""
-    late = ServiceBehavior(capacity=100.0, min_latency_s=1.0, max_latency_s=4.0, max_wait_s=0.0, max_queued=1)
-    assert ideal_completion_time(late, 230) == pytest.approx(2.3 + 4.0)
+    slow_service = ServiceBehavior(
+        capacity=100.0, min_latency_s=1.0, max_latency_s=4.0, max_wait_s=0.0, max_queued=1
+    )
+    assert ideal_completion_time(slow_service, 230) == pytest.approx(2.3 + 4.0)
     assert ideal_completion_time(ServiceBehavior(capacity=50.0), 5) == pytest.approx(0.1)
-    both = ServiceBehavior(capacity=100.0, max_latency_s=4.0, late_watches=True)
-    assert ideal_completion_time(both, 230) == pytest.approx(2.3 + 8.0)
+    slow_watches = ServiceBehavior(capacity=100.0, max_latency_s=4.0, late_watches=True)
+    assert ideal_completion_time(slow_watches, 230) == pytest.approx(2.3 + 8.0)
 
 
 @pytest.mark.parametrize(
-    ("at", "outage", "seconds"),
+    ("applied_at", "outage", "seconds"),
     [
         (13.0, None, 3.0),
         (13.0, (14.0, 17.0), 3.0),  # applied before the outage
@@ -116,22 +120,28 @@
     ],
 )
 def test_delay_counts_from_when_the_service_has_the_change_and_can_be_reached(
-    at: float, outage: tuple[float, float] | None, seconds: float
+    applied_at: float, outage: tuple[float, float] | None, seconds: float
 ) -> None:
     # A single answer contains the changes to versions 2 and 3.
-    applied = [AppliedVersion(1.0, 1)] + ([] if at == NEVER else [AppliedVersion(at, 3)])
+    applied = [AppliedVersion(1.0, 1)] + ([] if applied_at == NEVER else [AppliedVersion(applied_at, 3)])
     outages = [Outage(*outage)] if outage else []
     assert propagation_seconds(Change(2, 10.0, "calm"), applied, outages, 6.0) == seconds
 
 
 def test_schedule_leaves_the_limit_after_each_change() -> None:
     for seed in range(20):
-        plan = draw_schedule(7.0, Random(seed))
+        schedule = draw_schedule(7.0, Random(seed))
+        assert (
+            schedule.calm_changes[0] >= 7.0
+            and schedule.calm_changes[-1] < schedule.silence_starts < schedule.silent_change
+        )
         assert (
-            plan.calm_changes[0] >= 7.0 and plan.calm_changes[-1] < plan.silence_starts < plan.silent_change
+            schedule.silent_change + 7.0
+            <= schedule.outage_starts
+            < schedule.outage_change
+            < schedule.outage_ends
         )
-        assert plan.silent_change + 7.0 <= plan.outage_starts < plan.outage_change < plan.outage_ends
-        assert plan.outage_ends + 7.0 <= plan.end
+        assert schedule.outage_ends + 7.0 <= schedule.end
 
 
 class Peer:
@@ -202,9 +212,9 @@
     )
 
 
-@pytest.mark.parametrize(("kept", "seconds", "wasted"), [(True, 1.0, 1), (False, 0.5, 0)])
+@pytest.mark.parametrize(("takes_capacity", "seconds", "wasted"), [(True, 1.0, 1), (False, 0.5, 0)])
 def test_call_of_a_closed_connection_wastes_capacity(
-    monkeypatch: pytest.MonkeyPatch, kept: bool, seconds: float, wasted: int
+    monkeypatch: pytest.MonkeyPatch, takes_capacity: bool, seconds: float, wasted: int
 ) -> None:
     async def test(registry: SlowRegistry) -> None:
         first, second, third = [await Peer.connect(registry.endpoint) for _ in range(3)]
@@ -217,7 +227,9 @@
         assert status == 200 and now() - started_at == pytest.approx(seconds, abs=0.01)
         assert (registry.counts.wasted, registry.counts.left) == (wasted, 1 - wasted)
 
-    run_with_service(monkeypatch, ServiceBehavior(capacity=2.0, abandoned_calls_take_capacity=kept), test)
+    run_with_service(
+        monkeypatch, ServiceBehavior(capacity=2.0, abandoned_calls_take_capacity=takes_capacity), test
+    )
 
 
 def test_watch_within_200_ms_of_an_answer_takes_no_capacity(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -245,9 +257,9 @@
 
 
 @pytest.mark.parametrize(
-    ("options", "seconds"), [({"goes_on_within": 0.0}, 3.0), ({"late_watches": True}, 3.0), ({}, 1.0)]
+    ("options", "seconds"), [({"continue_window_s": 0.0}, 3.0), ({"late_watches": True}, 3.0), ({}, 1.0)]
 )
-def test_continued_watches_have_latency_only_if_the_service_is_set_so(
+def test_continued_watches_have_latency_only_if_the_service_is_configured_so(
     monkeypatch: pytest.MonkeyPatch, options: dict[str, Any], seconds: float
 ) -> None:
     async def test(registry: SlowRegistry) -> None:
@@ -261,7 +273,7 @@
     run_with_service(monkeypatch, ServiceBehavior(min_latency_s=2.0, max_latency_s=2.0, **options), test)
 
 
-def test_unresponsive_watches_leave_new_connections_answered(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_new_connections_are_answered_while_watches_are_unresponsive(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(registry: SlowRegistry) -> None:
         silent, other = await Peer.connect(registry.endpoint), await Peer.connect(registry.endpoint)
         await silent.get()
@@ -300,7 +312,7 @@
 
 
 class SimpleWatch:
-    """A watch that waits up to `timeout_s` for an immediate answer, then reconnects and retries."""
+    """A caller that reconnects and retries if an answer takes longer than `timeout_s` or the hold time."""
 
     def __init__(self, timeout_s: float, endpoint: Endpoint, seed: int, on_applied: OnApplied) -> None:
         self.timeout_s, self.endpoint, self.on_applied = timeout_s, endpoint, on_applied
@@ -343,53 +355,53 @@
     monkeypatch: pytest.MonkeyPatch, plan: WatchPlan, timeout_s: float | None = None
 ) -> RunResult:
     """Runs the plan on the virtual clock, with routers or simple watches, and checks for open descriptors."""
-    found: list[RunResult] = []
+    results: list[RunResult] = []
 
     async def run() -> None:
         before = psutil.Process().num_fds()
         if timeout_s is None:
-            found.append(await run_scenario(plan))
+            results.append(await run_scenario(plan))
         else:
-            found.append(await run_scenario(plan, lambda *arguments: SimpleWatch(timeout_s, *arguments)))
+            results.append(await run_scenario(plan, lambda *arguments: SimpleWatch(timeout_s, *arguments)))
         await asyncio.sleep(0.01)  # until both ends of closed connections are closed
         assert psutil.Process().num_fds() == before
 
     virtual.run_in_virtual_time(monkeypatch, run)
-    return found[0]
+    return results[0]
 
 
 TWO_SECONDS_LATENCY = ServiceBehavior(min_latency_s=2.0, max_latency_s=2.0)
 
 
 def test_watch_with_a_timeout_below_the_latency_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    figures = summary(run_on_virtual_clock(monkeypatch, WatchPlan(10, TWO_SECONDS_LATENCY), timeout_s=1.3))
-    assert (figures["breaches"], figures["no_list"], figures["in_time"]) == (60, 10, 0.0)
-    assert figures["worst_s"] is None and figures["calls"]["answered"] == 0
-    assert figures["calls"]["wasted"] > 100
+    results = summary(run_on_virtual_clock(monkeypatch, WatchPlan(10, TWO_SECONDS_LATENCY), timeout_s=1.3))
+    assert (results["breaches"], results["no_list"], results["in_time"]) == (60, 10, 0.0)
+    assert results["worst_s"] is None and results["calls"]["answered"] == 0
+    assert results["calls"]["wasted"] > 100
 
 
 def test_watch_that_waits_for_a_slow_answer_is_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    figures = summary(run_on_virtual_clock(monkeypatch, WatchPlan(10, TWO_SECONDS_LATENCY), timeout_s=5.0))
-    assert (figures["breaches"], figures["no_list"], figures["in_time"]) == (0, 0, 1.0)
-    assert figures["calls"]["wasted"] == 0
-    assert 2.0 < figures["worst_s"] <= figures["patience_s"] == uptake.PROPAGATION_LIMIT_S
+    results = summary(run_on_virtual_clock(monkeypatch, WatchPlan(10, TWO_SECONDS_LATENCY), timeout_s=5.0))
+    assert (results["breaches"], results["no_list"], results["in_time"]) == (0, 0, 1.0)
+    assert results["calls"]["wasted"] == 0
+    assert 2.0 < results["worst_s"] <= results["patience_s"] == uptake.PROPAGATION_LIMIT_S
 
 
-def test_router_that_misses_a_single_change_is_named(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_summary_names_the_router_that_missed_a_change(monkeypatch: pytest.MonkeyPatch) -> None:
     result = run_on_virtual_clock(monkeypatch, WatchPlan(3, ServiceBehavior()), timeout_s=5.0)
     result.applied[1] = [
         update for update in result.applied[1] if update.version < result.changes[-1].version
     ]
-    figures = summary(result)
-    assert figures["breaches"] == 1 and figures["breaches_by_change"]["outage"] == 1
-    assert figures["worst"] == {"router": 1, "change": "outage"} and figures["worst_s"] is None
+    results = summary(result)
+    assert results["breaches"] == 1 and results["breaches_by_change"]["outage"] == 1
+    assert results["worst"] == {"router": 1, "change": "outage"} and results["worst_s"] is None
 
 
 @pytest.mark.parametrize("must_ask", [False, True])
 def test_routers_are_in_time_with_a_fast_service(monkeypatch: pytest.MonkeyPatch, must_ask: bool) -> None:
-    figures = summary(run_on_virtual_clock(monkeypatch, WatchPlan(5, ServiceBehavior(), must_ask=must_ask)))
-    assert (figures["breaches"], figures["no_list"]) == (0, 0)
-    assert figures["changes"] == 6 and figures["calls"]["answered"] > 5 * figures["seconds"] / HOLD_S / 2
+    results = summary(run_on_virtual_clock(monkeypatch, WatchPlan(5, ServiceBehavior(), must_ask=must_ask)))
+    assert (results["breaches"], results["no_list"]) == (0, 0)
+    assert results["changes"] == 6 and results["calls"]["answered"] > 5 * results["seconds"] / HOLD_S / 2
 
 
 async def test_routers_apply_lists_on_the_real_clock() -> None:
@@ -402,7 +414,7 @@
         versions[router] = version
         applied.set()
 
-    async def until(version: int) -> None:
+    async def wait_for_version(version: int) -> None:
         async with asyncio.timeout(MAX_WAIT_S):
             while min(versions) < version:
                 applied.clear()
@@ -411,12 +423,12 @@
     routers = [WatchOnlyRouter(endpoint, seed, partial(on_applied, seed)) for seed in range(5)]
     for router in routers:
         router.start()
-    await until(1)
-    await until(registry.change())
+    await wait_for_version(1)
+    await wait_for_version(registry.change())
     registry.silence_watches()
     registry.stop_serving()
     await registry.resume_serving()
-    await until(registry.change())
+    await wait_for_version(registry.change())
     for router in routers:
         router.stop()
     await registry.close()
@@ -442,8 +454,8 @@
     ],
 )
 def test_invalid_options_exit_with_code_2(options: list[str], problem: str) -> None:
-    done = CliRunner().invoke(main, ["watches", *options])
-    assert done.exit_code == 2 and problem in done.output
+    result = CliRunner().invoke(main, ["watches", *options])
+    assert result.exit_code == 2 and problem in result.output
 
 
 def test_command_runs_each_pair_and_its_exit_code_shows_breaches(
@@ -451,18 +463,18 @@
 ) -> None:
     row = summary(run_on_virtual_clock(monkeypatch, WatchPlan(3, TWO_SECONDS_LATENCY), timeout_s=5.0))
     plans: list[WatchPlan] = []
-    found: list[int] = []
+    breach_counts: list[int] = []
 
     def run_all(requested: list[WatchPlan], jobs: int) -> list[Any]:
         plans[:] = requested
-        return [{**row, "breaches": breaches} for breaches in found]
+        return [{**row, "breaches": breaches} for breaches in breach_counts]
 
     monkeypatch.setattr(watch_commands, "run_all", run_all)
     command = ["watches", "--routers", "5,30", "--late", "2,0:4", "--more", "5x2"]
-    for found[:], code in (([0, 0], 0), ([0, 1], 1)):
-        done = CliRunner().invoke(main, command)
-        assert done.exit_code == code
-        assert [line.count("|") for line in done.output.splitlines()] == [18] * 4
+    for breach_counts[:], code in (([0, 0], 0), ([0, 1], 1)):
+        result = CliRunner().invoke(main, command)
+        assert result.exit_code == code
+        assert [line.count("|") for line in result.output.splitlines()] == [18] * 4
     parameters = [
         (plan.routers, plan.service.min_latency_s, plan.service.max_latency_s, plan.seed) for plan in plans
     ]
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -162,11 +162,11 @@
         with open(folder / "old") as text:
             assert text.read() == "content"
 
-    affected, second = tmp_path / "struck", tmp_path / "other"
+    affected, other = tmp_path / "struck", tmp_path / "other"
     affected.mkdir()
-    second.mkdir()
+    other.mkdir()
     with SystemCallFaults(SystemCallFault(call, "EIO", path=str(affected))) as faults:  # type: ignore[arg-type]
-        use_files(second)
+        use_files(other)
         assert faults.count() == 0
         with pytest.raises(OSError, match="Input/output error"):
             use_files(affected)
@@ -223,14 +223,16 @@
         "        print(problem.strerror)\n"
     )
     path = os.pathsep.join([str(Path(__file__).parent.parent), str(tmp_path)])
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "applehub.lab.fleet.system_call_faults", "child", "with", "words"],
         env={**os.environ, "PYTHONPATH": path, **in_environment(faults, record)},
         capture_output=True,
         text=True,
         timeout=60,
     )
-    assert done.stdout.splitlines() == ["Too many open files"] * 2 + ["opened with words"], done.stderr
+    assert completed.stdout.splitlines() == ["Too many open files"] * 2 + ["opened with words"], (
+        completed.stderr
+    )
     assert recorded(record) == {("socket", "EMFILE"): 2}
 
 
