--- a/applehub/lab/fleet/checks.py
+++ b/applehub/lab/fleet/checks.py
@@ -29,7 +29,8 @@
 CATCH_UP_NS = 500 * NS_PER_MS  # time after a fault's end until delayed data has been read
 NOT_EXECUTED_OUTCOMES = frozenset({"full", "rejected", "miss"})
 LIST_SERVICES = ("list", "list-0", "list-1", "list-2")  # the stand-in, or the replicas, of the list service
-HANG_DETECTION_NS = 6000 * NS_PER_MS  # until a message lost on a hung connection counts as delivered
+# Time from the start of a hang until messages that were lost on the connection count as delivered.
+HANG_DETECTION_NS = 6000 * NS_PER_MS
 TERM_GRACE_NS = 700 * NS_PER_MS  # time after SIGTERM in which new requests must still be served
 MAX_ATTEMPTS = 4
 
@@ -248,7 +249,7 @@
     Polls are ignored while two processes of a router run, because they cannot be told apart. A poll is
     compared with the polls that were read before it may have been sent, because a fault may delay it past
     later ones."""
-    polls: dict[str, list[EventRecord]] = defaultdict(list)  # by router, in order of version
+    polls: dict[str, list[EventRecord]] = defaultdict(list)  # polls of each router, in order of version
     answered_at: dict[tuple[str, str], int] = {}  # time of a replica's last answer to a router
     for record in history.events_of(EventKind.LIST_POLLED, EventKind.LIST_SENT, EventKind.STARTED):
         if record.event is EventKind.STARTED:
--- a/applehub/lab/fleet/harness.py
+++ b/applehub/lab/fleet/harness.py
@@ -154,7 +154,7 @@
         await self.start_discovery()
         for name, address in self.addresses.items():
             await self.relay.send_command({"do": "up", "target": name, "address": address})
-        await wait_for_all([self.start_router(router) for router in self.routers])
+        await wait_for_all([self.start_router(process) for process in self.routers])
         load = self.plan.load
         await self.clients.start(
             {
@@ -169,7 +169,7 @@
                 "leaves_ms": load.leaves_ms,
                 "slack_ms": self.plan.rules.answer_slack_ms,
                 "value": VALUE_BYTES,
-                "routers": {router.name: self.edges[f"clients>{router.name}"] for router in self.routers},
+                "routers": {process.name: self.edges[f"clients>{process.name}"] for process in self.routers},
             }
         )
 
@@ -185,19 +185,19 @@
         ]  # fmt: skip
         edges += [
             {
-                "name": f"clients>{router.name}",
-                "target": router.name,
+                "name": f"clients>{process.name}",
+                "target": process.name,
                 "source": f"{self.block}.200.2",
                 "listen": f"{self.block}.200.1",
             }
-            for router in self.routers
+            for process in self.routers
         ]
         edges += [
             {
-                "name": f"{source}>{target}", "target": f"{target}.peers",
+                "name": f"{replica}>{peer}", "target": f"{peer}.peers",
                 "source": f"{self.block}.221.{n + 1}", "listen": f"{self.block}.220.{n + 1}",
             }
-            for n, source in enumerate(lists) for target in lists if source != target
+            for n, replica in enumerate(lists) for peer in lists if replica != peer
         ]  # fmt: skip
         if self.plan.release is not None:
             edges += [
@@ -262,7 +262,7 @@
                 )
 
     async def start_discovery(self) -> None:
-        routers = [router.name for router in self.routers]
+        routers = [process.name for process in self.routers]
         servers = [*(cache.name for cache in self.caches), "origin"]
         if self.registry.replicas:
             await wait_for_all([self.start_replica(replica) for replica in self.registry.replicas])
--- a/applehub/lab/fleet/plan.py
+++ b/applehub/lab/fleet/plan.py
@@ -126,7 +126,7 @@
         if (self.at is None) == (self.on is None):
             raise ValueError("expected exactly one of at and on")
         if self.for_s is not None and self.until is not None:
-            raise ValueError("expected for_s or until, not both")
+            raise ValueError("expected at most one of for_s and until")
         return self
 
 
@@ -277,7 +277,7 @@
     @model_validator(mode="after")
     def _check_consistency(self) -> "Plan":
         if self.load.puts + self.load.once > 1:
-            raise ValueError("expected puts and once to be at most 1 together")
+            raise ValueError("expected the sum of puts and once to be at most 1")
         for number, fault in enumerate(self.faults):
             if fault.kind == "upgrade" and not self.fleet.inherited:
                 raise ValueError(f"faults.{number}: expected fleet.inherited with an upgrade")
--- a/applehub/lab/fleet/registry_replicas.py
+++ b/applehub/lab/fleet/registry_replicas.py
@@ -67,7 +67,7 @@
                     answer: Json = response[1]
                     return answer
                 if response is not None and response[0] in (400, 404, 409):
-                    raise LiveError(f"{method} {path}: {response}")
+                    raise LiveError(f"{method} {path}: rejected with {response}")
             await asyncio.sleep(RETRY_DELAY_S)
         raise LiveError(f"{method} {path}: not committed within {COMMIT_TIMEOUT_S:.0f} s")
 
--- a/applehub/lab/fleet/relay.py
+++ b/applehub/lab/fleet/relay.py
@@ -34,7 +34,7 @@
         self.timer: asyncio.TimerHandle | None = None
         self.forwarded_bytes = 0
         self.ended = False  # whether the end of stream was forwarded
-        self.hung = False  # whether a fault has stopped all data for good
+        self.hung = False  # whether a hang fault has stopped the data
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
--- a/applehub/lab/fleet/release_agents.py
+++ b/applehub/lab/fleet/release_agents.py
@@ -211,8 +211,8 @@
             task = self.pending_statistics[cache.name] = asyncio.get_running_loop().create_task(
                 self._request_statistics(cache)
             )
-        done, _ = await asyncio.wait([task], timeout=0.8)
-        return dict(task.result() or {}) if done and task.result() else None
+        finished, _ = await asyncio.wait([task], timeout=0.8)
+        return dict(task.result() or {}) if finished and task.result() else None
 
     @staticmethod
     async def _request_statistics(cache: Standin) -> dict[str, float] | None:
--- a/applehub/lab/fleet/servers.py
+++ b/applehub/lab/fleet/servers.py
@@ -95,9 +95,9 @@
         self.options, self.events, self.name = message, events, message["name"]
         self.sources: dict[str, str] = message["sources"]
         # The kind of bad version is a key of plan.BAD_VERSION_COMPONENTS.
-        self.bad_version, part = message.get("bad", ""), message.get("part", 0.0)
-        self.error_fraction = part if self.bad_version == "errors" else 0.0
-        self.speed_fraction = part if self.bad_version == "crawls" else 1.0
+        self.bad_version, fraction = message.get("bad", ""), message.get("part", 0.0)
+        self.error_fraction = fraction if self.bad_version == "errors" else 0.0
+        self.speed_fraction = fraction if self.bad_version == "crawls" else 1.0
         self.value = b"v" * message["value"]
         self.cached: dict[bytes, None] = {}
         self.missed: dict[bytes, bytes] = {}  # missed key, by request
--- a/applehub/lab/fleet/shim.py
+++ b/applehub/lab/fleet/shim.py
@@ -47,7 +47,7 @@
         offset = self.read_control("clock")
         return self.time_ns() + (int(offset[0]) if offset else 0)
 
-    def _open(self, file: Any, mode: str = "r", *more: Any, **keywords: Any) -> Any:
+    def _open(self, file: Any, mode: str = "r", *rest: Any, **keywords: Any) -> Any:
         if isinstance(file, str | Path) and set(mode) & set("wax+") and self._is_on_disk(str(file)):
             state = self.read_control("disk")
             failure = {"full": errno.ENOSPC, "readonly": errno.EROFS}.get(state[0] if state else "")
@@ -55,7 +55,7 @@
                 raise OSError(failure, os.strerror(failure), str(file))
             if state and state[0] == "torn" and "b" in mode:
                 return TornFile(str(file), mode)
-        return self.open(file, mode, *more, **keywords)
+        return self.open(file, mode, *rest, **keywords)
 
     def _is_on_disk(self, path: str) -> bool:
         return os.path.realpath(path).startswith(self.disk + os.sep)
--- a/applehub/lab/fleet/slow_registry.py
+++ b/applehub/lab/fleet/slow_registry.py
@@ -25,7 +25,7 @@
 
     calls: int = 0
     went_on: int = 0  # watches sent soon after an answer on their connection, which take no capacity
-    lapsed: int = 0  # watches sent too long after the last answer on their connection to be free
+    lapsed: int = 0  # watches sent too late after an answer on their connection, which take capacity
     answered: int = 0
     refused: int = 0
     wasted: int = 0  # calls that took capacity, but whose caller closed the connection before the answer
--- a/applehub/lab/fleet/system_call_faults.py
+++ b/applehub/lab/fleet/system_call_faults.py
@@ -174,13 +174,13 @@
         return select
 
     def _wrap_open(self, original: Any) -> Any:
-        def open(file: Any, mode: str = "r", buffering: int = -1, *more: Any, **keywords: Any) -> Any:
+        def open(file: Any, mode: str = "r", buffering: int = -1, *rest: Any, **keywords: Any) -> Any:
             if isinstance(file, int):
-                return original(file, mode, buffering, *more, **keywords)
+                return original(file, mode, buffering, *rest, **keywords)
             path = os.fspath(file)
             self._raise_if_injected("open", path)
             if not self.calls & {"read", "write"} or keywords.get("opener"):
-                return original(file, mode, buffering, *more, **keywords)
+                return original(file, mode, buffering, *rest, **keywords)
             raw = _FaultyFile(path, mode.replace("b", "").replace("t", ""), self)
             if "b" in mode and buffering == 0:
                 return raw
@@ -188,7 +188,7 @@
                 stream: Any = io.BufferedRandom(raw)
             else:
                 stream = io.BufferedReader(raw) if "r" in mode else io.BufferedWriter(raw)
-            return stream if "b" in mode else io.TextIOWrapper(stream, *more, **keywords)
+            return stream if "b" in mode else io.TextIOWrapper(stream, *rest, **keywords)
 
         return open
 
@@ -199,9 +199,9 @@
             raise injected.to_os_error(os.fsdecode(paths[0]))
 
     def _wrap_path_call(self, call: SystemCall, original: Any) -> Any:
-        def path_call(path: Any, *more: Any, **keywords: Any) -> Any:
-            self._raise_if_injected(call, path, *(more[:1] if call == "rename" else ()))
-            return original(path, *more, **keywords)
+        def path_call(path: Any, *rest: Any, **keywords: Any) -> Any:
+            self._raise_if_injected(call, path, *(rest[:1] if call == "rename" else ()))
+            return original(path, *rest, **keywords)
 
         return path_call
 
@@ -279,12 +279,12 @@
     """Returns the arguments of a call with its byte count limited.
 
     The first argument is the data, a list of data, a buffer or a size."""
-    first, *more = arguments
+    first, *rest = arguments
     if isinstance(first, int):
-        return (min(first, limit), *more)
+        return (min(first, limit), *rest)
     if isinstance(first, list | tuple):
-        return ([b"".join(first)[:limit]], *more)
-    return (memoryview(first).cast("B")[:limit], *more)
+        return ([b"".join(first)[:limit]], *rest)
+    return (memoryview(first).cast("B")[:limit], *rest)
 
 
 def _format_address(address: Any) -> str:
--- a/applehub/lab/fleet/uptake.py
+++ b/applehub/lab/fleet/uptake.py
@@ -25,7 +25,7 @@
     """A change of the list: its version and the time at which it was made."""
 
     version: int
-    at: float
+    made_at: float
     phase: str  # phase of the scenario: start, calm, silent or outage
 
 
@@ -41,7 +41,7 @@
 class AppliedVersion:
     """The time at which a router applied a version."""
 
-    at: float
+    applied_at: float
     version: int
 
 
@@ -64,8 +64,8 @@
 ) -> float:
     """Returns the seconds from when the service had and could serve a change until a router applied it."""
     index = bisect_left(applied, change.version, key=lambda applied_version: applied_version.version)
-    applied_at = applied[index].at if index < len(applied) else NEVER
-    counted_from = change.at
+    applied_at = applied[index].applied_at if index < len(applied) else NEVER
+    counted_from = change.made_at
     for outage in outages:
         if counted_from <= outage.end and outage.begin < min(applied_at, counted_from + limit_s):
             counted_from = outage.end
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -142,9 +142,9 @@
         event(3.0, EventKind.REQUEST_SENT, "s", **REQUEST_FIELDS),
         event(3.1, EventKind.CLOSED_UNANSWERED, "s", router="router-0"),
     ]
-    (violation,) = run_checks(build_history([*records[:1], records[3], *later_request]), Plan(name="p"))
+    (later_violation,) = run_checks(build_history([*records[:1], records[3], *later_request]), Plan(name="p"))
     assert (
-        violation.text(build_history(records)).count("\n") == 4
+        later_violation.text(build_history(records)).count("\n") == 4
     )  # two events of the fault, two of the request
 
 
@@ -184,9 +184,9 @@
     assert [violation.check for violation in violations] == (["resends"] if breaks else [])
 
 
-def list_poll(at: float, replica: str, since: int) -> EventRecord:
+def list_poll(at_s: float, replica: str, since: int) -> EventRecord:
     """Returns a poll by router-0 that a replica of the list service received."""
-    record = event(at, EventKind.LIST_POLLED, router="router-0", since=since)
+    record = event(at_s, EventKind.LIST_POLLED, router="router-0", since=since)
     return dataclasses.replace(record, process=replica)
 
 
@@ -285,7 +285,9 @@
         async with asyncio.timeout(60):
             while len(recorder.received) < want:
                 await asyncio.sleep(0.01)
-            await asyncio.sleep(0.05 if kind == "lose" else 0)  # time for a datagram that should be lost
+            await asyncio.sleep(
+                0.05 if kind == "lose" else 0
+            )  # time for the arrival of a datagram that should have been dropped
             await handle({"do": "heal", "id": 1})
             source.sendto(b"last")
             while b"last" not in recorder.received:
@@ -370,11 +372,11 @@
 LIST_FIELDS = {"router": "router-0", "states": {"cache-0": "Terminating"}, "whole": False}
 
 
-def router_ready(at: float = 0.5) -> list[EventRecord]:
+def router_ready(at_s: float = 0.5) -> list[EventRecord]:
     return [
-        event(at, EventKind.STARTED, of="router-0", number=1),
-        event(at + 0.1, EventKind.READY, of="router-0", number=1),
-        event(at + 0.2, EventKind.LIST_SENT, **{**LIST_FIELDS, "states": {"cache-0": "Ready"}}, version=1),
+        event(at_s, EventKind.STARTED, of="router-0", number=1),
+        event(at_s + 0.1, EventKind.READY, of="router-0", number=1),
+        event(at_s + 0.2, EventKind.LIST_SENT, **{**LIST_FIELDS, "states": {"cache-0": "Ready"}}, version=1),
     ]
 
 
@@ -433,11 +435,11 @@
 ) -> None:
     records = router_ready()
     for number in range(cases):
-        name, at = f"r{number}", 2.0 + number
+        name, at_s = f"r{number}", 2.0 + number
         records += [
-            event(at, EventKind.REQUEST_SENT, name, **REQUEST_FIELDS),
-            event(at + 0.1, EventKind.CLIENT_LEFT, name, router="router-0"),
-            event(at + 0.1 + after, EventKind.ATTEMPT_BEGUN, name, **{**ATTEMPT_FIELDS, "cls": "read"}),
+            event(at_s, EventKind.REQUEST_SENT, name, **REQUEST_FIELDS),
+            event(at_s + 0.1, EventKind.CLIENT_LEFT, name, router="router-0"),
+            event(at_s + 0.1 + after, EventKind.ATTEMPT_BEGUN, name, **{**ATTEMPT_FIELDS, "cls": "read"}),
         ]
     if fault:
         begin, end = fault_events(0, fault, "router-0>cache-0", 1.5, 30.0)
@@ -449,14 +451,14 @@
     ] * breaks
 
 
-@pytest.mark.parametrize(("at", "holds"), [(7.5, True), (9.2, False)])
-def test_drain_sent_on_a_hanging_connection_applies_six_seconds_later(at: float, holds: bool) -> None:
+@pytest.mark.parametrize(("at_s", "holds"), [(7.5, True), (9.2, False)])
+def test_drain_sent_on_a_hanging_connection_applies_six_seconds_later(at_s: float, holds: bool) -> None:
     records = [
         *router_ready(),
         *fault_events(0, "hang", "router-0>list", 1.9, 1.9),
         event(2.0, EventKind.LIST_CHANGED, version=2, server="cache-0", state="Terminating"),
         event(2.1, EventKind.LIST_SENT, **LIST_FIELDS, version=2),
-        event(at, EventKind.ATTEMPT_BEGUN, "r", **{**ATTEMPT_FIELDS, "cls": "read"}),
+        event(at_s, EventKind.ATTEMPT_BEGUN, "r", **{**ATTEMPT_FIELDS, "cls": "read"}),
     ]
     assert [violation.check for violation in run_checks(build_history(records), Plan(name="p"))] == (
         [] if holds else ["drained"]
--- a/tests/test_slow_registry.py
+++ b/tests/test_slow_registry.py
@@ -363,7 +363,7 @@
             results.append(await run_scenario(plan))
         else:
             results.append(await run_scenario(plan, lambda *arguments: SimpleWatch(timeout_s, *arguments)))
-        await asyncio.sleep(0.01)  # until both ends of closed connections are closed
+        await asyncio.sleep(0.01)  # lets the other ends of closed connections close
         assert psutil.Process().num_fds() == before
 
     virtual.run_in_virtual_time(monkeypatch, run)
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -162,7 +162,7 @@
         with open(folder / "old") as text:
             assert text.read() == "content"
 
-    affected, other = tmp_path / "struck", tmp_path / "other"
+    affected, other = tmp_path / "affected", tmp_path / "other"
     affected.mkdir()
     other.mkdir()
     with SystemCallFaults(SystemCallFault(call, "EIO", path=str(affected))) as faults:  # type: ignore[arg-type]
