--- a/applehub/lab/fleet/checks.py
+++ b/applehub/lab/fleet/checks.py
@@ -246,7 +246,7 @@
 def versions(history: History, plan: Plan) -> Iterator[Violation]:
     """Checks that a router's list version never decreases within one incarnation.
 
-    Polls are ignored while two processes of a router run, because they cannot be told apart. A poll is
+    Polls are ignored while two processes of a router run, because they cannot be distinguished. A poll is
     compared with the polls that were read before it may have been sent, because a fault may delay it past
     later ones."""
     polls: dict[str, list[EventRecord]] = defaultdict(list)  # polls of each router, in order of version
@@ -471,8 +471,8 @@
 
 
 def standing(history: History, plan: Plan) -> Iterator[Violation]:
-    """Checks that processes exit only by plan, that no warming-up server is overloaded, and that each fault
-    is carried out.
+    """Checks that processes exit only as planned, that no server is overloaded while warming up, and that
+    each fault is carried out.
 
     A router that never became ready is excused by a fault that affected it since its start."""
     for record in history.events_of(EventKind.FAULT_NOT_BEGUN):
@@ -524,14 +524,14 @@
 
 
 def _runs_bad_version(history: History, time_ns: int, process: str) -> bool:
-    """Returns whether the plan made the process run a defective version at that time."""
+    """Returns whether the plan made the process run a bad version at that time."""
     return any(fault.kind == "bad" for fault in history.faults_affecting(time_ns, time_ns, process))
 
 
 def released(history: History, plan: Plan) -> Iterator[Violation]:
     """Checks that a release ends as planned, with every unit at the expected version.
 
-    No step runs twice, and units are never out of service in two zones at once or in too great a number."""
+    No step may run twice, and the units out of service must be in one zone and within the limit."""
     if plan.release is None:
         return
     executed: dict[int, EventRecord] = {}
--- a/applehub/lab/fleet/commands.py
+++ b/applehub/lab/fleet/commands.py
@@ -109,7 +109,7 @@
     if as_json:
         click.echo(orjson.dumps(summary(history, plan, violations), option=orjson.OPT_INDENT_2).decode())
     else:
-        show(history, plan, violations)
+        print_results(history, plan, violations)
     if violations and shrinking:
         reduced_plan = asyncio.run(_shrink(plan, violations))
         click.echo(f"smallest plan that still breaks: {len(reduced_plan.faults)} faults")
@@ -146,7 +146,7 @@
     plan = find_plan(file)
     history = gather(folder)
     violations = run_checks(history, plan)
-    show(history, plan, violations)
+    print_results(history, plan, violations)
     sys.exit(1 if violations else 0)
 
 
@@ -184,7 +184,9 @@
     click.echo("| fault | plays | lost | refused | failed | late | of | back s | rules broken |")
     click.echo("|---|---|---|---|---|---|---|---|---|")
     for name in names:
-        click.echo(row(name, [result for (fault, _), result in results_by_run.items() if fault == name]))
+        click.echo(
+            format_row(name, [result for (fault, _), result in results_by_run.items() if fault == name])
+        )
     sys.exit(1 if any(result["broken"] for result in results_by_run.values()) else 0)
 
 
@@ -225,7 +227,7 @@
     await wait_for_all([run_one(number, seed) for number, seed in pending])
 
 
-def row(name: str, results: list[Json]) -> str:
+def format_row(name: str, results: list[Json]) -> str:
     """Returns a row of the table: means over runs, and the range of recovery times."""
 
     def mean(*keys: str) -> str:
@@ -263,7 +265,7 @@
     }  # fmt: skip
 
 
-def show(history: History, plan: Plan, violations: list[Violation]) -> None:
+def print_results(history: History, plan: Plan, violations: list[Violation]) -> None:
     """Prints the results of a run."""
     results, console = summary(history, plan, violations), Console(width=140)
     table = Table("fault", "at s", "requests", *OUTCOMES, "before", "back s")
--- a/applehub/lab/fleet/faults.py
+++ b/applehub/lab/fleet/faults.py
@@ -26,7 +26,7 @@
 
 
 class Injection:
-    """One injected fault: the processes and edges that it affects, its begin and its end."""
+    """One injected fault: the processes and edges that it affects, its start and its end."""
 
     def __init__(self, harness: "Harness", number: int) -> None:
         self.harness, self.number = harness, number
@@ -224,7 +224,7 @@
 
 
 class EnvironmentInjection(Injection):
-    """Changes the wall clock or fails disk writes through the shim."""
+    """Changes the wall clock of routers, or makes their disk writes fail, through the shim."""
 
     def __init__(self, harness: "Harness", number: int, fault: spec.ClockFault | spec.DiskFault) -> None:
         super().__init__(harness, number)
--- a/applehub/lab/fleet/harness.py
+++ b/applehub/lab/fleet/harness.py
@@ -109,9 +109,9 @@
         self.bad_version_faults: dict[str, int] = {}  # number of the fault, by unit that runs a bad version
 
     def processes(self) -> list[Process]:
-        return [*self._served(), self.relay, self.clients]
+        return [*self._fault_targets(), self.relay, self.clients]
 
-    def _served(self) -> list[Process]:
+    def _fault_targets(self) -> list[Process]:
         lists: list[Process] = [*self.registry.replicas] or [self.list_standin]
         controller = [] if self.controller is None else [self.controller]
         return [*self.routers, *self.caches, self.origin, *lists, *controller]
@@ -120,7 +120,7 @@
         """Returns the processes whose names match any of the patterns, without the relay and the clients."""
         return [
             process
-            for process in self._served()
+            for process in self._fault_targets()
             if any(fnmatchcase(process.name, pattern) for pattern in patterns)
         ]
 
@@ -394,7 +394,7 @@
         return {"bad": release.bad, "part": release.part}
 
     def begin_bad_version(self, unit: str) -> None:
-        """Records the begin of a fault, before a unit runs a bad version."""
+        """Records the start of a fault, before a unit runs a bad version."""
         if self.plan.release is not None and self.plan.release.bad and unit not in self.bad_version_faults:
             number = self.bad_version_faults[unit] = FIRST_BAD_VERSION_FAULT + len(self.bad_version_faults)
             self.events.write(
--- a/applehub/lab/fleet/plan.py
+++ b/applehub/lab/fleet/plan.py
@@ -49,7 +49,9 @@
 
     rate: Annotated[float, Field(gt=0, le=5000)] = 100.0
     seconds: Annotated[float, Field(gt=0, le=3600)] = 10.0  # minimum; extended until all faults are over
-    most_s: Annotated[float, Field(gt=0, le=3600)] = 120.0  # maximum time until all faults are over
+    most_s: Annotated[float, Field(gt=0, le=3600)] = (
+        120.0  # maximum time until all faults and the release are over
+    )
     after_s: NonNegative = 2.0  # time with load after the last fault
     keys: Count = 500
     puts: Fraction = 0.03
@@ -113,7 +115,7 @@
 
 
 class Fault(Table):
-    """Common fields of all faults: the begin (`at` seconds into the load, or `on` an event) and the end."""
+    """Common fields of all faults: the start (`at` seconds into the load, or `on` an event) and the end."""
 
     name: str = ""
     at: NonNegative | None = None
@@ -133,7 +135,7 @@
 class ProcessFault(Fault):
     """Fault of the processes whose names match `target`; `PRIMARY` is the primary of the list service.
 
-    kill: SIGKILL, and a restart at the end. term: SIGTERM, later SIGKILL, and a restart at the end.
+    kill: SIGKILL, and a restart at the end. term: SIGTERM, SIGKILL after a delay, and a restart at the end.
     stop: SIGSTOP until the end. slow: runs for a fraction `part` of the time. upgrade: a new process replaces
     the old one. power: SIGKILL, and the disk reverts to what was synced. hup: SIGHUP without changes."""
 
@@ -146,7 +148,7 @@
 class LinkFault(Fault):
     """Fault of the edges whose names match `edges` (`router-1>cache-*`, `clients>router-2`, `*>list`).
 
-    hang: connections that are open at the begin carry no more data; new ones work. silent: open connections
+    hang: connections that are open at the start carry no more data; new ones work. silent: open connections
     carry no data (`way`: both, there, back) and new ones time out. delay: adds `ms` and up to `jitter_ms`.
     reset: resets open connections. cut: resets each connection after `bytes` of response data. rate: limits
     each direction to `bytes` per second. pieces: data arrives in pieces of `bytes`. For a fraction `part` of
--- a/applehub/lab/fleet/plan_generator.py
+++ b/applehub/lab/fleet/plan_generator.py
@@ -40,7 +40,7 @@
     "accept": "clients>{}",
     **dict.fromkeys(("socket", "connect", "getsockopt"), "{}>cache-*"),
 }
-RESET_DELAY_S = 0.03  # delay from the begin of such a fault to the reset
+RESET_DELAY_S = 0.03  # delay from the start of such a fault to the reset
 
 
 def _system_call_fault(draws: RandomStream, routers: int) -> Json:
@@ -224,7 +224,10 @@
                 "after_s": 12.0 if peers else 2.0,
                 "leaves": leaves,
             },
-            "faults": [_separated(fault, generated[:number]) for number, fault in enumerate(generated)],
+            "faults": [
+                _delay_past_earlier_faults(fault, generated[:number])
+                for number, fault in enumerate(generated)
+            ],
         },
     )
 
@@ -237,7 +240,7 @@
     return any("PRIMARY" in pattern or "list-" in pattern for pattern in patterns)
 
 
-def _separated(fault: Json, earlier_faults: list[Json]) -> Json:
+def _delay_past_earlier_faults(fault: Json, earlier_faults: list[Json]) -> Json:
     """Delays a fault until earlier faults of the same process or of the list service are over."""
     begins_at = fault["at"]
     for earlier in earlier_faults:
--- a/applehub/lab/fleet/processes.py
+++ b/applehub/lab/fleet/processes.py
@@ -316,7 +316,7 @@
             log_tail = (self.folder / "router.log").read_text()[-800:]
             listening.set_exception(LiveError(f"{self.name} exited before it listened: {log_tail}"))
 
-    def counts(self, lines: list[str]) -> dict[str, float]:
+    def release_counters(self, lines: list[str]) -> dict[str, float]:
         """Returns the counters for the gates of a release from the lines of DUMP, summed over all classes."""
         values = dict(line.partition("=")[::2] for line in lines if "=" in line)
         totals = dict.fromkeys(("ok", "shed", "errors"), 0)
@@ -331,7 +331,7 @@
             },
         }  # fmt: skip
 
-    def costs(self) -> dict[str, float]:
+    def resource_usage(self) -> dict[str, float]:
         """Returns the router's CPU time in seconds since its start, and memory in MB. Raises psutil.Error."""
         assert self._psutil_process is not None
         times = self._psutil_process.cpu_times()
--- a/applehub/lab/fleet/release_agents.py
+++ b/applehub/lab/fleet/release_agents.py
@@ -156,7 +156,7 @@
         return ""
 
     async def _reload(self, router: RouterProcess, version: str) -> str:
-        harness, before = self.harness, router.counts(await router.lines("DUMP"))
+        harness, before = self.harness, router.release_counters(await router.lines("DUMP"))
         harness.versions[router.name] = version
         if version == NEW_VERSION and self.release.bad != "rejected":
             harness.begin_bad_version(router.name)
@@ -165,7 +165,7 @@
         loop = asyncio.get_running_loop()
         end = loop.time() + RELOAD_TIMEOUT_S
         while loop.time() < end:
-            current = router.counts(await router.lines("DUMP"))
+            current = router.release_counters(await router.lines("DUMP"))
             if current["config_rejected"] > before["config_rejected"]:
                 return "config_rejected"
             if current["config_applied"] > before["config_applied"]:
@@ -193,7 +193,7 @@
             try:
                 # Two processes run during an upgrade; the console port identifies the one that answered.
                 incarnation_id = int(process.console.rpartition(":")[2])
-                return {"life": incarnation_id, **process.counts(lines), **process.costs()}
+                return {"life": incarnation_id, **process.release_counters(lines), **process.resource_usage()}
             except psutil.Error:
                 return None
         assert isinstance(process, Standin)
--- a/applehub/lab/fleet/report.py
+++ b/applehub/lab/fleet/report.py
@@ -11,13 +11,13 @@
 BASELINE_NS, MAX_RECOVERY_NS = (
     5 * NS_PER_S,
     20 * NS_PER_S,
-)  # windows before and after the begin of a fault, ns
+)  # windows before and after the start of a fault, ns
 OUTCOMES = ("served", "late", "refused", "failed", "closed", "gave_up", "unreached")
 
 
 @dataclass(slots=True)
 class Cost:
-    """Requests by outcome, from the begin of a fault until its end and recovery."""
+    """Requests by outcome, from the start of a fault until its end and recovery."""
 
     span: FaultInterval
     requests: int
@@ -25,7 +25,7 @@
     before: float  # served fraction before the fault
     back_s: (
         float | None
-    )  # from the begin of the fault until lasting recovery; None if there was none in MAX_RECOVERY_NS
+    )  # from the start of the fault until lasting recovery; None if there was none in MAX_RECOVERY_NS
 
 
 def outcomes_of(history: History, objective_ms: float) -> list[tuple[int, str]]:
--- a/tests/test_slow_registry.py
+++ b/tests/test_slow_registry.py
@@ -144,14 +144,14 @@
         assert schedule.outage_ends + 7.0 <= schedule.end
 
 
-class Peer:
+class ClientConnection:
     """A connection of a caller, driven by the test."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     @classmethod
-    async def connect(cls, endpoint: Endpoint) -> "Peer":
+    async def connect(cls, endpoint: Endpoint) -> "ClientConnection":
         return cls(*await asyncio.open_connection(*endpoint))
 
     def send_request(self, query: str = "") -> None:
@@ -196,14 +196,14 @@
 ) -> None:
     async def test(registry: SlowRegistry) -> None:
         started_at = now()
-        peers = [await Peer.connect(registry.endpoint) for _ in range(4)]
+        connections = [await ClientConnection.connect(registry.endpoint) for _ in range(4)]
         times: dict[float, int] = {}
 
-        async def call(peer: Peer) -> None:
-            status, _ = await peer.get()
+        async def call(connection: ClientConnection) -> None:
+            status, _ = await connection.get()
             times[round(now() - started_at, 2)] = status
 
-        await asyncio.gather(*map(call, peers))
+        await asyncio.gather(*map(call, connections))
         assert times == {0.0: 503, 3.0: 200, 3.5: 200, 4.0: 200}
         assert (registry.counts.calls, registry.counts.answered, registry.counts.refused) == (4, 3, 1)
 
@@ -217,10 +217,10 @@
     monkeypatch: pytest.MonkeyPatch, takes_capacity: bool, seconds: float, wasted: int
 ) -> None:
     async def test(registry: SlowRegistry) -> None:
-        first, second, third = [await Peer.connect(registry.endpoint) for _ in range(3)]
+        first, second, third = [await ClientConnection.connect(registry.endpoint) for _ in range(3)]
         started_at = now()
-        for peer in (first, second, third):
-            peer.send_request()
+        for connection in (first, second, third):
+            connection.send_request()
             await asyncio.sleep(0.01)
         second.close()
         status, _ = await third.answer()
@@ -234,22 +234,22 @@
 
 def test_watch_within_200_ms_of_an_answer_takes_no_capacity(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(registry: SlowRegistry) -> None:
-        peer = await Peer.connect(registry.endpoint)
-        assert (await peer.get())[1]["all"] is True
+        connection = await ClientConnection.connect(registry.endpoint)
+        assert (await connection.get())[1]["all"] is True
         await asyncio.sleep(0.19)
         started_at = now()
-        peer.send_request("?from=1&hold_ms=2500")
+        connection.send_request("?from=1&hold_ms=2500")
         await asyncio.sleep(1)
         registry.change()
-        _, body = await peer.answer()
+        _, body = await connection.answer()
         assert (body["rev"], body["all"], len(body["targets"])) == (2, False, 1)
         assert now() - started_at == pytest.approx(1.0, abs=0.01) and registry.counts.went_on == 1
         started_at = now()
-        _, body = await peer.get("?from=2&hold_ms=2500")
+        _, body = await connection.get("?from=2&hold_ms=2500")
         assert body["targets"] == [] and now() - started_at == pytest.approx(2.5, abs=0.01)
         await asyncio.sleep(0.21)
         started_at = now()
-        await peer.get("?from=2&hold_ms=100")
+        await connection.get("?from=2&hold_ms=100")
         assert now() - started_at == pytest.approx(2.1, abs=0.01)
         assert (registry.counts.went_on, registry.counts.lapsed) == (2, 1)
 
@@ -263,11 +263,11 @@
     monkeypatch: pytest.MonkeyPatch, options: dict[str, Any], seconds: float
 ) -> None:
     async def test(registry: SlowRegistry) -> None:
-        peer = await Peer.connect(registry.endpoint)
-        await peer.get()
+        connection = await ClientConnection.connect(registry.endpoint)
+        await connection.get()
         await asyncio.sleep(0.01)
         started_at = now()
-        await peer.get("?from=1&hold_ms=1000")
+        await connection.get("?from=1&hold_ms=1000")
         assert now() - started_at == pytest.approx(seconds, abs=0.01)
 
     run_with_service(monkeypatch, ServiceBehavior(min_latency_s=2.0, max_latency_s=2.0, **options), test)
@@ -275,7 +275,10 @@
 
 def test_new_connections_are_answered_while_watches_are_unresponsive(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(registry: SlowRegistry) -> None:
-        silent, other = await Peer.connect(registry.endpoint), await Peer.connect(registry.endpoint)
+        silent, other = (
+            await ClientConnection.connect(registry.endpoint),
+            await ClientConnection.connect(registry.endpoint),
+        )
         await silent.get()
         silent.send_request("?from=1&hold_ms=1000")
         await asyncio.sleep(0.5)
@@ -295,24 +298,24 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test(registry: SlowRegistry) -> None:
-        waiting = await Peer.connect(registry.endpoint)
+        waiting = await ClientConnection.connect(registry.endpoint)
         waiting.send_request("?from=1&hold_ms=60000")
         await asyncio.sleep(0.5)
         registry.stop_serving()
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
             await waiting.answer()
         with pytest.raises(ConnectionRefusedError):
-            await Peer.connect(registry.endpoint)
+            await ClientConnection.connect(registry.endpoint)
         await asyncio.sleep(3)
         await registry.resume_serving()
-        assert (await (await Peer.connect(registry.endpoint)).get())[0] == 200
+        assert (await (await ClientConnection.connect(registry.endpoint)).get())[0] == 200
         assert (registry.counts.cut, registry.counts.wasted) == (1, 0)
 
     run_with_service(monkeypatch, ServiceBehavior(), test)
 
 
 class SimpleWatch:
-    """A caller that reconnects and retries if an answer takes longer than `timeout_s` or the hold time."""
+    """A list watcher that reconnects and retries if an immediate answer takes longer than `timeout_s`."""
 
     def __init__(self, timeout_s: float, endpoint: Endpoint, seed: int, on_applied: OnApplied) -> None:
         self.timeout_s, self.endpoint, self.on_applied = timeout_s, endpoint, on_applied
@@ -329,20 +332,20 @@
     async def _run(self) -> None:
         while True:
             with contextlib.suppress(OSError, TimeoutError, asyncio.IncompleteReadError):
-                peer = await Peer.connect(self.endpoint)
+                connection = await ClientConnection.connect(self.endpoint)
                 try:
-                    await self._watch(peer)
+                    await self._watch(connection)
                 finally:
-                    peer.close()
+                    connection.close()
             await asyncio.sleep(self.random.uniform(0.05, 0.3))
 
-    async def _watch(self, peer: Peer) -> None:
+    async def _watch(self, connection: ClientConnection) -> None:
         """Polls first on a new connection, then sends long polls."""
         hold = 0.0
         while True:
             query = f"?from={self.version}&hold_ms={int(hold * 1000)}" if self.version else ""
             async with asyncio.timeout(self.timeout_s if hold == 0 else hold + 0.7):
-                status, body = await peer.get(query)
+                status, body = await connection.get(query)
             if status != 200:
                 return
             if body["rev"] > self.version:
