--- a/applehub/lab/fleet/checks.py
+++ b/applehub/lab/fleet/checks.py
@@ -214,8 +214,8 @@
 def by_hand(history: History, plan: Plan) -> Iterator[Violation]:
     """Checks that a cache server under an operator override to offline gets no new requests.
 
-    The override holds from the operator's acknowledgement and the slack until it is withdrawn, also over
-    restarts while the router's disk is kept."""
+    The check applies once the slack has passed since the override was acknowledged, until the override is
+    withdrawn or the router's disk is lost."""
     overridden: dict[tuple[str, str], EventRecord] = {}
     slack = int(plan.rules.by_hand_slack_ms * NS_PER_MS)
     disk_losses = [
@@ -247,8 +247,8 @@
     """Checks that a router's list version never decreases within one incarnation.
 
     Polls are ignored while two processes of a router run, because they cannot be distinguished. A poll is
-    compared with the polls that were read before it may have been sent, because a fault may delay it past
-    later ones."""
+    compared only with polls received before it can have been sent, because a fault may delay a poll past
+    later polls."""
     polls: dict[str, list[EventRecord]] = defaultdict(list)  # polls of each router, in order of version
     answered_at: dict[tuple[str, str], int] = {}  # time of a replica's last answer to a router
     for record in history.events_of(EventKind.LIST_POLLED, EventKind.LIST_SENT, EventKind.STARTED):
@@ -376,7 +376,7 @@
 
 
 def _delay_after_leaving(history: History, left: EventRecord, attempt: EventRecord) -> int:
-    """Returns for how long, in ns, faults hid a client's departure from the router or delayed the attempt.
+    """Returns the time, in ns, for which faults hid a client's departure or delayed the attempt.
 
     A stopped server logs an attempt that reached it earlier only when it continues."""
     router, server = attempt.fields["router"], attempt.fields["server"]
--- a/applehub/lab/fleet/failing_calls.py
+++ b/applehub/lab/fleet/failing_calls.py
@@ -24,7 +24,7 @@
     """Keeps the faults of this process in step with the files in a folder."""
 
     def __init__(self, control: str, open: Callable[..., Any]) -> None:
-        """open: the original `open` function, unaffected by patches."""
+        """open: the original `open` function, which the faults do not affect."""
         self.control, self.open = Path(control), open
         self.faults = SystemCallFaults(record=str(self.control / INJECTIONS_FILE))
         self.files: dict[str, bytes] | None = None
--- a/applehub/lab/fleet/harness.py
+++ b/applehub/lab/fleet/harness.py
@@ -534,7 +534,7 @@
             next(listed for listed in self.list_snapshot["entries"] if listed["uid"] == server).update(entry)
 
     async def stop(self) -> None:
-        """Ends every running process, also a stopped one, and closes the sockets."""
+        """Ends every running or suspended process, and closes the sockets."""
         await self.registry.close()
         await wait_for_all([process.close() for process in self.processes() if process.running])
         for listener in (*self.listeners.values(), self.claim_socket):
--- a/applehub/lab/fleet/uptake.py
+++ b/applehub/lab/fleet/uptake.py
@@ -16,7 +16,7 @@
 
 from applehub.lab.fleet.turns import ServiceBehavior, ideal_completion_time
 
-PROPAGATION_LIMIT_S = 6.0  # from when the list service has a change and can be reached
+PROPAGATION_LIMIT_S = 6.0  # maximum time from when the list service has a change and can be reached
 NEVER = math.inf
 
 
@@ -62,7 +62,7 @@
 def propagation_seconds(
     change: Change, applied: list[AppliedVersion], outages: list[Outage], limit_s: float
 ) -> float:
-    """Returns the seconds from when the service had and could serve a change until a router applied it."""
+    """Returns the time, in seconds, from when the service could serve a change until a router applied it."""
     index = bisect_left(applied, change.version, key=lambda applied_version: applied_version.version)
     applied_at = applied[index].applied_at if index < len(applied) else NEVER
     counted_from = change.made_at
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -143,9 +143,8 @@
         event(3.1, EventKind.CLOSED_UNANSWERED, "s", router="router-0"),
     ]
     (later_violation,) = run_checks(build_history([*records[:1], records[3], *later_request]), Plan(name="p"))
-    assert (
-        later_violation.text(build_history(records)).count("\n") == 4
-    )  # two events of the fault, two of the request
+    # The text has two events of the fault and two of the request.
+    assert later_violation.text(build_history(records)).count("\n") == 4
 
 
 @pytest.mark.parametrize(("since", "excused"), [(1.5, True), (0.5, False)])
