--- a/applehub/registry/__main__.py
+++ b/applehub/registry/__main__.py
@@ -23,7 +23,7 @@
 from applehub.registry.service import Service
 from applehub.registry.store import ReplicaStore
 
-START_RETRY_TIMEOUT = 60.0  # seconds for which opening the store is retried at startup
+START_RETRY_TIMEOUT = 60.0  # seconds during which a failed opening of the store is retried
 START_RETRY_DELAY = 0.2  # seconds between attempts to open the store
 EXIT_INVALID_CONFIG = 2
 EXIT_STORE_UNUSABLE = 3
@@ -35,7 +35,7 @@
     names = sorted(config.peers) or [config.name]
     options = HostOptions(
         replica_id=names.index(config.name),
-        addresses={number: config.peers[name] for number, name in enumerate(names) if config.peers},
+        addresses={replica_id: config.peers[name] for replica_id, name in enumerate(names) if config.peers},
         timing=config.timing.for_replica(),
         max_changes=config.limits.changes,
         compact_after=config.limits.compact,
@@ -49,21 +49,21 @@
 
 
 async def open_host(config: Config, stopping: asyncio.Event) -> Host | None:
-    """Returns the host, retrying while the disk refuses access, or None if the replica is stopped first.
+    """Opens the store and returns the host, or None if `stopping` is set first.
 
-    Raises StoreError."""
+    Retries while the disk refuses access, up to START_RETRY_TIMEOUT. Raises StoreError."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + START_RETRY_TIMEOUT
-    logged = False
+    has_warned = False
     while not stopping.is_set():
         try:
             return make_host(config)
         except StoreRefusedError as error:
             if loop.time() > deadline:
                 raise
-            if not logged:
-                log.warning("can't open the store: %s; retrying for %.0f s", error, START_RETRY_TIMEOUT)
-            logged = True
+            if not has_warned:
+                log.warning("opening the store failed: %s; retrying for %.0f s", error, START_RETRY_TIMEOUT)
+            has_warned = True
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(stopping.wait(), START_RETRY_DELAY)
     return None
--- a/applehub/registry/actions.py
+++ b/applehub/registry/actions.py
@@ -7,7 +7,7 @@
 
 
 class Tick(NamedTuple):
-    """Time has passed.
+    """A periodic clock tick, which triggers heartbeats and elections.
 
     jitter: a random number from 0 to 1 that spreads election timeouts."""
 
@@ -15,7 +15,7 @@
 
 
 class MessageReceived(NamedTuple):
-    """A message from another replica was received."""
+    """A message received from another replica."""
 
     sender: int
     message: Message
@@ -28,9 +28,9 @@
 
 
 class Compact(NamedTuple):
-    """The state machine has made a snapshot of all entries up to `last_index`.
+    """A snapshot that the host has made of all entries up to `last_index`.
 
-    The log up to that index can be discarded."""
+    The replica can discard the log up to that index."""
 
     last_index: int
     data: bytes
@@ -39,19 +39,21 @@
 class StorageFailed(NamedTuple):
     """The disk refused a Save.
 
-    The Save may be stored completely or not at all, and no message after it in the actions was sent."""
+    The Save is stored completely or not at all. The host sends none of the messages that follow the Save."""
 
 
 class StorageRetried(NamedTuple):
-    """The host retries the disk with the complete state of the replica."""
+    """A retry by the host after StorageFailed; the replica returns a Save of its complete state."""
 
 
 Event = Tick | MessageReceived | Propose | Compact | StorageFailed | StorageRetried
 
 
 class Save(NamedTuple):
-    """Write atomically to disk: term and vote; `entries`, which replace the log from `start` on; and the
-    snapshot, if any, which replaces the log before `start`."""
+    """Writes to disk atomically.
+
+    Term and vote are replaced; `entries` replace the log from `start` on; a snapshot, if any, replaces the
+    log before `start`."""
 
     term: int
     voted_for: int | None
@@ -61,16 +63,16 @@
 
 
 class Send(NamedTuple):
-    """Send a message to another replica."""
+    """Sends a message to another replica."""
 
     receiver: int
     message: Message
 
 
 class Apply(NamedTuple):
-    """Apply a committed entry to the state machine.
+    """Applies a committed entry to the endpoint list.
 
-    Entries after the snapshot are applied in order, each once during the lifetime of a process."""
+    Entries after the snapshot are applied in order, each exactly once per process lifetime."""
 
     log_index: int
     term: int
@@ -78,16 +80,16 @@
 
 
 class Restore(NamedTuple):
-    """Replace the state of the state machine by a snapshot."""
+    """Replaces the endpoint list by a snapshot."""
 
     snapshot: Snapshot
 
 
 class Proposed(NamedTuple):
-    """The log index of the first command of a proposal.
+    """The result of Propose: the log index of the first command, and the term.
 
-    A command may be acknowledged once its index is applied with this term. An index of 0 means that this
-    replica is not the leader and accepted none."""
+    A command may be acknowledged once the entry at its index is applied with this term. An index of 0 means
+    that this replica is not the leader and has accepted no command."""
 
     first_index: int
     term: int
--- a/applehub/registry/admin_api.py
+++ b/applehub/registry/admin_api.py
@@ -45,7 +45,7 @@
     """Handles requests of writers and operators."""
 
     def __init__(self, config: Config, list_api: ListApi, metrics: Metrics, leases: ServerLeases) -> None:
-        """list_api: the list API of the same replica, whose statistics are reported."""
+        """list_api: the list API of the same replica, for its request and watcher counts."""
         self._name = config.name
         self._host: Host = list_api.host
         self._list_api = list_api
@@ -69,9 +69,9 @@
             result = await self._host.propose(command)
         except NotLeaseHolderError as error:
             return self.replies.not_leader(str(error))
-        return self._response(result)
+        return self._command_response(result)
 
-    def _response(self, result: CommandResult) -> web.Response:
+    def _command_response(self, result: CommandResult) -> web.Response:
         content: dict[str, object] = {"version": result.list_version, "entry": result.entry_version}
         if result.status in ERRORS:
             content["error"] = ERRORS[result.status]
@@ -81,7 +81,7 @@
         """Registers or updates a server. The request is idempotent."""
         try:
             registration = Registration.model_validate_json(await request.read())
-            expected = _expected(request)
+            expected = _expected_version(request)
         except ValidationError as error:
             return self.replies.invalid(error)
         except ValueError:
@@ -97,15 +97,15 @@
             expected=expected,
             base=initial_version(),
         )
-        answer = await self._propose(command)
-        if answer.status == HTTPStatus.OK:
+        response = await self._propose(command)
+        if response.status == HTTPStatus.OK:
             self._leases.renew(time.monotonic_ns(), uid)
-        return answer
+        return response
 
     async def renew(self, request: web.Request) -> web.Response:
         """Renews the lease of a server.
 
-        Renewals are kept in memory at the leader only, so they are not replicated."""
+        Only the leader stores renewals, in memory; they are not replicated."""
         uid = request.match_info["uid"]
         if not self._host.is_lease_holder():
             return self.replies.not_leader()
@@ -121,7 +121,7 @@
         """Sets the state of a server: Ready, Terminating or Gone."""
         try:
             state = ServerState(orjson.loads(await request.read())["state"])
-            expected = _expected(request)
+            expected = _expected_version(request)
         except (ValueError, KeyError, TypeError):
             states = ", ".join(ServerState)
             content = {"error": f"expected state: one of {states}"}
@@ -130,7 +130,7 @@
         return await self._propose(SetState(uid=uid, state=state, expected=expected, base=initial_version()))
 
     async def delete(self, request: web.Request) -> web.Response:
-        """Sets the state of a server to Gone."""
+        """Removes a server by setting its state to Gone."""
         uid = request.match_info["uid"]
         return await self._propose(SetState(uid=uid, state=ServerState.GONE, base=initial_version()))
 
@@ -173,7 +173,7 @@
         return web.Response(body=metrics.text(), content_type="text/plain")
 
 
-def _expected(request: web.Request) -> int | None:
-    """Returns the version that the entry must have, or None for any. Raises ValueError."""
+def _expected_version(request: web.Request) -> int | None:
+    """Returns the entry version in the query parameter `expected`, if present. Raises ValueError."""
     expected = request.query.get("expected")
     return None if expected is None else int(expected)
--- a/applehub/registry/admission.py
+++ b/applehub/registry/admission.py
@@ -1,16 +1,14 @@
-"""Rate limiting of requests for the complete list, which are the expensive ones."""
+"""Rate limiting of requests for the complete list, which cost far more than requests for changes."""
 
 from collections.abc import Callable
 from typing import NamedTuple
 
 
 class AdmissionDecision(NamedTuple):
-    """The wait before a request is answered or, if it is rejected, the time after which it may be retried.
+    """Whether and when a request is answered."""
 
-    Both are in seconds."""
-
-    wait: float
-    retry_after: float  # 0 if the request is admitted
+    wait: float  # seconds to wait before answering; 0 if the request is rejected
+    retry_after: float  # seconds after which a rejected request may be retried; 0 if the request is admitted
 
 
 class Admission:
@@ -24,7 +22,7 @@
         self.next_slot_at = 0.0
 
     def admit(self) -> AdmissionDecision:
-        """Reserves a slot, or rejects the request if the wait for the slot would be too long."""
+        """Reserves a slot, or rejects the request if its wait would exceed `max_wait`."""
         wait = max(0.0, self.next_slot_at - self.now())
         if wait > self.max_wait:
             return AdmissionDecision(0.0, wait)
--- a/applehub/registry/answers.py
+++ b/applehub/registry/answers.py
@@ -1,4 +1,4 @@
-"""Cached responses to routers, so that a response is encoded once for all routers that need it."""
+"""Cache of encoded responses, so that equal responses to many routers are encoded once."""
 
 from collections import OrderedDict
 from typing import NamedTuple
@@ -7,15 +7,15 @@
 
 from applehub.registry.endpoint_list import EndpointList
 
-MAX_CACHED = 16 << 20  # bytes of encoded responses; each watcher may need a response of its own
+MAX_CACHED = 16 << 20  # bytes of encoded responses; routers with different versions need different responses
 
 
 class Answer(NamedTuple):
-    """A response body, whether it holds the complete list, and the states in it by server id."""
+    """An encoded response to a router."""
 
     body: bytes
-    complete: bool
-    states: dict[str, str]
+    complete: bool  # whether the body contains the complete list
+    states: dict[str, str]  # states in the body, by server id
 
 
 class AnswerCache:
--- a/applehub/registry/commands.py
+++ b/applehub/registry/commands.py
@@ -1,4 +1,4 @@
-"""The commands that the replicas agree on, and their JSON encoding in the log.
+"""The commands in the replicated log, and their JSON encoding.
 
 The kinds and keys are part of the storage format: logs written by earlier versions contain them."""
 
@@ -9,7 +9,9 @@
 
 from applehub.registry.errors import CommandError
 
-EndpointFields = dict[str, str | int | float]  # fields of an entry in the protocol, except id and state
+EndpointFields = dict[
+    str, str | int | float
+]  # fields of an entry in responses to routers, except uid and state
 
 
 class ServerState(StrEnum):
@@ -29,7 +31,7 @@
 
     uid: str
     fields: EndpointFields
-    endpoints: dict[str, str]  # by view, where it differs from the default endpoint
+    endpoints: dict[str, str]  # endpoint by view, for views that do not use the default endpoint
     state: ServerState
     lease_ms: int  # 0: the entry never expires
     expected: int | None = None
@@ -38,7 +40,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SetState:
-    """Changes the state of a server."""
+    """Changes the state of a server.
+
+    expected, base: as for PutServer."""
 
     uid: str
     state: ServerState
@@ -50,7 +54,8 @@
 class SetLock:
     """Assigns a lock to a holder, or releases it (holder "").
 
-    expected: the fencing number that the lock must have."""
+    expected: the fencing number that the lock must have; 0 if the lock must not exist.
+    base: the first fencing number of a new lock."""
 
     name: str
     holder: str
@@ -61,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SetSuspect:
-    """Marks servers as suspect because their leases expired, or clears the marks."""
+    """Marks servers as suspect because their leases expired (`on`), or clears the marks."""
 
     on: bool
     uids: tuple[str, ...]
@@ -69,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RemoveSuspects:
-    """Sets those of these servers that are still suspect to Gone."""
+    """Sets the state of the given servers to Gone, except those that are no longer suspect."""
 
     uids: tuple[str, ...]
 
@@ -106,8 +111,8 @@
             content["state"] = ServerState(content["state"])
         if "uids" in content:
             content["uids"] = tuple(content["uids"])
-        known = {field.name for field in fields(command_class)}
-        return command_class(**{key: value for key, value in content.items() if key in known})
+        field_names = {field.name for field in fields(command_class)}
+        return command_class(**{key: value for key, value in content.items() if key in field_names})
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise CommandError(
             f"can't decode the command {data[:80]!r}: {type(error).__name__}: {error}"
--- a/applehub/registry/config.py
+++ b/applehub/registry/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a replica of the list service: a TOML file that is validated completely."""
+"""The configuration of a replica of the list service, read from a TOML file."""
 
 from pathlib import Path
 from typing import Annotated, Any
@@ -18,30 +18,33 @@
 class Timing(Table):
     """Time spans of the Raft protocol.
 
-    The lease must be shorter than the minimum election timeout by more than the clock drift."""
+    The lease must be shorter than the minimum election timeout; the difference must exceed the clock drift
+    between replicas."""
 
     heartbeat_ms: Positive = 50.0
     election_ms: Positive = 500.0
     lease_ms: Positive = 400.0
 
     @model_validator(mode="after")
-    def _in_order(self) -> "Timing":
+    def _check_order(self) -> "Timing":
         if not 2 * self.heartbeat_ms <= self.lease_ms < self.election_ms:
             raise ValueError("expected 2 * heartbeat_ms <= lease_ms < election_ms")
         return self
 
     def for_replica(self) -> ReplicaTiming:
-        """Returns the time spans for the replica, in nanoseconds."""
+        """Converts the time spans to nanoseconds."""
         return ReplicaTiming(
             int(self.heartbeat_ms * MILLI), int(self.election_ms * MILLI), int(self.lease_ms * MILLI)
         )
 
 
 class Leases(Table):
-    """Leases of the servers that register themselves.
+    """Expiry of server leases.
 
-    brake_part, brake_least: expiry is paused while more than this fraction of the leased servers, and more
-    than this number of them, are expired. look_ms: time between two checks."""
+    Expiry is paused while the number of expired leases exceeds both limits, `brake_part` and `brake_least`.
+    brake_part: a fraction of all leased servers.
+    brake_least: a number of servers.
+    look_ms: time between two checks of the leases."""
 
     brake_part: Annotated[float, Field(gt=0, le=1)] = 0.3
     brake_least: Count = 2
@@ -51,13 +54,15 @@
 class Limits(Table):
     """Resource limits of one replica."""
 
-    callers: Count = 5000  # concurrent requests of routers
-    whole_a_second: Positive = 400.0  # complete lists per second; further requests wait
-    patience_ms: Positive = 1000.0  # maximum wait; longer ones are answered with Retry-After
+    callers: Count = 5000  # maximum concurrent requests of routers
+    whole_a_second: Positive = 400.0  # complete lists sent per second; requests above this rate wait
+    patience_ms: Positive = (
+        1000.0  # maximum wait for a complete list; requests with a longer wait are rejected
+    )
     slow_s: Positive = 10.0  # maximum time for a router to read its response
-    stale_ms: Positive = 2000.0  # a follower without contact to the leader for longer stops serving
-    changes: Count = 10_000  # retained for routers that are behind
-    compact: Count = 2000  # log entries after which the log is compacted
+    stale_ms: Positive = 2000.0  # a replica that was last up to date longer ago rejects requests of routers
+    changes: Count = 10_000  # changes retained for routers with earlier versions
+    compact: Count = 2000  # applied log entries after which the log is compacted
 
 
 class Config(Table):
@@ -65,30 +70,30 @@
 
     name: Annotated[str, Field(min_length=1)]
     state_dir: Path
-    listen: str = "127.0.0.1:0"  # address for routers
-    staff: str = "127.0.0.1:0"  # address for writers, operators and metrics
+    listen: str = "127.0.0.1:0"  # HOST:PORT for requests of routers
+    staff: str = "127.0.0.1:0"  # HOST:PORT for writers, operators and metrics
     peers: dict[str, str] = Field(default={})  # addresses of all replicas by name, including this one
     views: dict[str, str] = Field(default={})  # view of a router by its IP address
-    log_calls: bool = False
+    log_calls: bool = False  # whether requests of routers are logged as events
     timing: Timing = Timing()
     leases: Leases = Leases()
     limits: Limits = Limits()
 
     @field_validator("listen", "staff")
     @classmethod
-    def _address(cls, address: str) -> str:
+    def _check_address(cls, address: str) -> str:
         _check_endpoint(address)
         return address
 
     @field_validator("peers")
     @classmethod
-    def _addresses(cls, addresses: dict[str, str]) -> dict[str, str]:
+    def _check_peer_addresses(cls, addresses: dict[str, str]) -> dict[str, str]:
         for address in addresses.values():
             _check_endpoint(address)
         return addresses
 
     @model_validator(mode="after")
-    def _in_group(self) -> "Config":
+    def _check_peers(self) -> "Config":
         if self.peers and self.name not in self.peers:
             raise ValueError(f"expected the name of the replica, {self.name!r}, among the peers")
         if self.peers and len(self.peers) % 2 == 0:
@@ -104,12 +109,12 @@
 
 
 def parse(name: str, raw: dict[str, Any]) -> Config:
-    """Validates the contents of a file. Raises ConfigError.
+    """Validates the contents of a configuration file. Raises ConfigError.
 
-    name: the file name that error messages contain."""
+    name: the file name in error messages."""
     return validate(name, Config, raw, ConfigError)
 
 
 def load(path: Path) -> Config:
-    """Reads and validates a file. Raises ConfigError."""
+    """Reads and validates a configuration file. Raises ConfigError."""
     return parse(str(path), read_toml(path, ConfigError))
--- a/applehub/registry/descriptors.py
+++ b/applehub/registry/descriptors.py
@@ -1,9 +1,9 @@
-"""Raises the limit on file descriptors, because each router keeps a connection open."""
+"""File descriptor limit of the process, which must allow an open connection for each router."""
 
 import logging
 import resource
 
-RESERVED_DESCRIPTORS = 64  # standard streams, store, listeners, peers, writers and operators
+RESERVED_DESCRIPTORS = 64  # descriptors for standard streams, store, listeners, peers, writers and operators
 log = logging.getLogger("applehub.registry")
 
 
@@ -19,5 +19,8 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (granted, hard))
     if granted < required:
         log.warning(
-            "limits.callers: %d need %d descriptors, the system allows %d", connections, required, granted
+            "file descriptor limit too low: limits.callers %d requires %d, the system allows %d",
+            connections,
+            required,
+            granted,
         )
--- a/applehub/registry/election.py
+++ b/applehub/registry/election.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class Election(Replication):
-    """The part of a replica that takes part in elections."""
+    """A replica that takes part in elections."""
 
     def _tick(self, jitter: float, actions: list[Action]) -> None:
         if self.role is Role.LEADER:
@@ -29,14 +29,14 @@
         self.election_due = self.now + int(self.timing.election * (1 + jitter))
 
     def _start_pre_vote(self, actions: list[Action]) -> None:
-        """Asks whether it would win an election. This changes neither term nor vote, so nothing is saved."""
+        """Starts a pre-vote, which changes neither term nor vote and therefore saves nothing."""
         self.role = Role.CANDIDATE
         self.leader = None
         self.pre_vote = True
         self._request_votes(self.term + 1, actions)
 
     def _start_election(self, actions: list[Action]) -> None:
-        """Starts a new term. The vote for itself is on disk before any other vote is requested."""
+        """Starts a new term. The own vote of this replica is saved before other votes are requested."""
         self.pre_vote = False
         self.term += 1
         self.voted_for = self.replica_id
@@ -62,14 +62,14 @@
         self.leader_since = self.now
         others = (member for member in self.members if member != self.replica_id)
         self.progress = {member: FollowerProgress(self.last_index + 1) for member in others}
-        # Entries of earlier terms are committed only through an entry of the own term (Raft, 5.4.2).
+        # Entries of earlier terms are committed only with an entry of the current term (Raft, 5.4.2).
         self._propose((b"",), actions)
 
     def _receive_vote_request(self, sender: int, request: RequestVote, actions: list[Action]) -> None:
-        """Answers a candidate, unless a leader may still hold its lease.
+        """Answers a vote request, unless a leader may still hold its lease.
 
-        Within the minimum election timeout after contact with a leader, a replica ignores candidates and
-        their terms (Ongaro's thesis, 4.2.3); so does a leader that holds its lease."""
+        A follower or candidate ignores vote requests within the minimum election timeout after contact with
+        a leader, and a leader ignores them while it holds its lease (Ongaro's thesis, 4.2.3)."""
         is_leader = self.role is Role.LEADER
         if (
             self.lease_until() > self.now
--- a/applehub/registry/endpoint_list.py
+++ b/applehub/registry/endpoint_list.py
@@ -2,7 +2,7 @@
 on every replica. It reads neither clocks nor random numbers.
 
 The version increases with every change and is never reused. The first version of a new list is derived from
-the wall clock, so that a list recreated after the loss of all replicas is newer than what routers have."""
+the wall clock, so that a list recreated after a loss of all replicas has higher versions."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -24,7 +24,7 @@
 )
 from applehub.registry.locks import Lock, next_lock
 
-VERSIONS_PER_SECOND = 1 << 20  # the first version of a list is the Unix time in seconds multiplied by this
+VERSIONS_PER_SECOND = 1 << 20  # factor from the Unix time in seconds to the first version of a list
 
 
 @dataclass(slots=True)
@@ -33,14 +33,14 @@
 
     uid: str
     fields: EndpointFields
-    endpoints: dict[str, str]  # by view, where it differs from the default endpoint
+    endpoints: dict[str, str]  # endpoint by view, for views that do not use the default endpoint
     lease_ms: int  # 0: the entry never expires
     state: ServerState = ServerState.READY
-    version: int = 0  # list version of its latest change
-    suspect: bool = False  # its lease has expired; the state is unchanged
+    version: int = 0  # list version of the latest change of this entry
+    suspect: bool = False  # whether the lease has expired; the state does not change yet
 
     def target(self, view: str) -> dict[str, str | int | float]:
-        """Returns the entry in the format of the protocol, for a router with this view."""
+        """Returns the entry as it appears in a response to a router with this view."""
         target = {"uid": self.uid, "state": self.state, **self.fields}
         if view in self.endpoints:
             target["endpoint"] = self.endpoints[view]
@@ -50,15 +50,16 @@
 class CommandResult(NamedTuple):
     """The result of a command.
 
-    status: 200 if applied or already in effect, 404 if there is no such server, 409 on a version conflict."""
+    status: 200 if the command was applied or changes nothing, 404 for an unknown server, 409 for a conflict.
+    """
 
     status: HTTPStatus
     list_version: int
-    entry_version: int  # 0 if there is no entry
+    entry_version: int  # version of the entry, or fencing number of the lock; 0 if there is none
 
 
 class Change(NamedTuple):
-    """The server that changed in a version."""
+    """A list version and the id of the server that changed in it."""
 
     version: int
     uid: str
@@ -75,7 +76,7 @@
 class EndpointList:
     """All entries, the latest changes, and the locks."""
 
-    max_changes: int  # a router that is further behind gets the complete list
+    max_changes: int  # retained changes; a router that lacks more gets the complete list
     version: int = 0
     entries: dict[str, ServerEntry] = field(default_factory=dict)
     changes: deque[Change] = field(default_factory=deque)
@@ -102,7 +103,7 @@
         return CommandResult(HTTPStatus.OK, self.version, entry_version)
 
     def _conflict(self, entry: ServerEntry | None, expected: int | None) -> CommandResult | None:
-        """Returns the result for a command that expects another entry version, or None if it matches."""
+        """Returns a conflict if the entry has another version than expected, else None."""
         version = entry.version if entry is not None else 0
         if expected is None or expected == version:
             return None
@@ -133,7 +134,7 @@
         return self._done(entry.version)
 
     def _set_lock(self, command: SetLock) -> CommandResult:
-        """Changes the holder of a lock. The list version stays, because routers don't read locks."""
+        """Changes the holder of a lock. The list version stays, because routers do not receive locks."""
         previous = self.locks.get(command.name)
         lock = next_lock(previous, command)
         if lock is None:
@@ -163,12 +164,14 @@
         while len(self.changes) > self.max_changes:
             dropped = self.changes.popleft()
             self.dropped_version = dropped.version
-            last = self.entries.get(dropped.uid)
-            if last is not None and last.state is ServerState.GONE and last.version == dropped.version:
-                del self.entries[dropped.uid]  # routers behind this version get the complete list
+            gone = self.entries.get(dropped.uid)
+            if gone is not None and gone.state is ServerState.GONE and gone.version == dropped.version:
+                del self.entries[dropped.uid]  # routers with earlier versions get the complete list
 
     def since(self, version: int | None) -> ListUpdate:
-        """Returns the entries for a router that has a version, or None if it has no list yet."""
+        """Returns the entries to send to a router.
+
+        version: the version that the router has, or None if it has no list yet."""
         unknown = version is None or version < self.dropped_version or version > self.version
         if version is None or unknown or not self.version:
             present = [entry for entry in self.entries.values() if entry.state is not ServerState.GONE]
@@ -204,7 +207,7 @@
 
     @classmethod
     def from_snapshot(cls, max_changes: int, data: bytes) -> "EndpointList":
-        """Returns the list of a snapshot, or an empty list for b""."""
+        """Decodes the list from a snapshot; returns an empty list for b""."""
         if not data:
             return cls(max_changes)
         content = orjson.loads(data)
@@ -214,12 +217,12 @@
                 uid, entry_fields, endpoints, lease_ms, ServerState(state), version, suspect
             )
         changes = deque(Change(*change) for change in content["changes"])
-        # Snapshots of older versions have no locks.
+        # Snapshots by earlier releases have no locks.
         locks = {name: Lock(*lock) for name, lock in content.get("locks", {}).items()}
         return cls(max_changes, content["version"], entries, changes, content["forgotten"], locks)
 
 
 def _same_content(entry: ServerEntry, other: ServerEntry) -> bool:
-    """Returns whether two entries have the same content, apart from version and suspect."""
+    """Returns whether two entries have the same content, except `version` and `suspect`."""
     content = (entry.fields, entry.endpoints, entry.lease_ms, entry.state)
     return content == (other.fields, other.endpoints, other.lease_ms, other.state)
--- a/applehub/registry/errors.py
+++ b/applehub/registry/errors.py
@@ -1,4 +1,4 @@
-"""The exceptions of the package."""
+"""The exceptions of the list service."""
 
 
 class RegistryError(Exception):
@@ -6,26 +6,26 @@
 
 
 class ConfigError(RegistryError, ValueError):
-    """The configuration file is invalid; the message has one line per fault."""
+    """Raised for an invalid configuration file; the message has one line per fault."""
 
 
 class MessageError(RegistryError, ValueError):
-    """A line from another replica can't be decoded as a message."""
+    """Raised if a line from another replica can't be decoded as a message."""
 
 
 class CommandError(RegistryError, ValueError):
-    """A log entry can't be decoded as a command."""
+    """Raised if a log entry can't be decoded as a command."""
 
 
 class StoreError(RegistryError):
-    """The store is unusable; the message names the file and the reason."""
+    """Raised if the store is unusable; the message names the file and the reason."""
 
 
 class StoreRefusedError(StoreError):
-    """The disk or the system refuses access temporarily; the stored data is intact."""
+    """Raised if the disk or the system refuses access; the stored data is intact, and a retry may succeed."""
 
 
 class NotLeaseHolderError(RegistryError):
-    """This replica can't accept a command, or lost its lease before the command was committed.
+    """Raised if this replica can't accept a command, or loses its lease before the command is committed.
 
-    In the second case, the command may still be committed."""
+    In the second case, the command may still be committed later."""
--- a/applehub/registry/host.py
+++ b/applehub/registry/host.py
@@ -37,24 +37,24 @@
 from applehub.registry.replica_state import Timing
 from applehub.registry.store import ReplicaStore
 
-TICK_INTERVAL = 0.02  # seconds; must be well below the heartbeat interval
-MAX_MESSAGE_SIZE = 64 << 20  # bytes of a message between replicas; the largest contain a snapshot
-STORAGE_RETRY_DELAY = (
-    0.2  # seconds between attempts to write to a disk that refuses; shorter than an election
-)
-NOT_LEASE_HOLDER = "not the primary"  # in responses to writers
+TICK_INTERVAL = 0.02  # seconds between Tick events; must be well below the heartbeat interval
+MAX_MESSAGE_SIZE = 64 << 20  # bytes of a message between replicas, which may contain a snapshot
+STORAGE_RETRY_DELAY = 0.2  # seconds between writes to a refusing disk; below the election timeout
+NOT_LEASE_HOLDER = "not the primary"  # error text in responses to writers
 log = logging.getLogger("applehub.registry")
 
 
 @dataclass(frozen=True, slots=True)
 class HostOptions:
-    """The options of a replica."""
+    """The options of one replica and its host."""
 
     replica_id: int
-    addresses: dict[int, str] = field(default_factory=dict)  # of the group by id; empty if single
+    addresses: dict[int, str] = field(
+        default_factory=dict
+    )  # addresses of all replicas by id; empty for a single replica
     timing: Timing = field(default_factory=Timing)
-    max_changes: int = 10_000  # retained for routers that are behind
-    compact_after: int = 2000  # log entries
+    max_changes: int = 10_000  # changes retained for routers with earlier versions
+    compact_after: int = 2000  # applied log entries after which the log is compacted
 
 
 @dataclass(slots=True)
@@ -62,7 +62,7 @@
     """A proposed command that is not applied yet, and the term in which it was proposed."""
 
     term: int
-    answer: "asyncio.Future[CommandResult]"
+    result_future: "asyncio.Future[CommandResult]"
 
 
 class Host:
@@ -78,17 +78,19 @@
         self.endpoints = EndpointList.from_snapshot(options.max_changes, self.replica.snapshot.data)
         self.applied_index = self.replica.snapshot.last_index
         self.on_new_version: Callable[[], None] = lambda: None
-        self.failed: asyncio.Future[None] = self.loop.create_future()  # fails if the store does
+        self.failed: asyncio.Future[None] = (
+            self.loop.create_future()
+        )  # receives the exception if the store fails permanently
         self.disk_refuses = False
-        self._pending: dict[int, _Pending] = {}  # commands proposed here, by log index
+        self._pending: dict[int, _Pending] = {}  # commands proposed by this replica, by log index
         self._proposals: list[tuple[bytes, asyncio.Future[CommandResult]]] = []
-        self._queued: list[Action] = []  # queued until the sync in progress ends
+        self._queued: list[Action] = []  # actions that wait for the end of the sync in progress
         self._syncing = False
         self._sync_started_at = 0  # nanoseconds of the monotonic clock
-        self._deferred: list[Action] = []  # deferred until the disk accepts writes again
+        self._deferred: list[Action] = []  # actions that wait until the disk accepts writes again
         self._storage_retry: asyncio.TimerHandle | None = None
         self._stopping = False
-        self._applied_own_term = False  # whether an entry of a term of this process is applied
+        self._applied_own_term = False  # whether an entry of the current term was applied in this process
         self._disk = ThreadPoolExecutor(1, "disk")
         self._peers = {
             member: PeerConnection(address)
@@ -103,12 +105,12 @@
     async def start(self) -> None:
         """Listens for peers and starts the replica. Raises OSError if it can't listen."""
         if self.options.addresses:
-            own = read_endpoint(self.options.addresses[self.options.replica_id])
-            self._listener = Listener(own, self._peer_protocol)
+            own_address = read_endpoint(self.options.addresses[self.options.replica_id])
+            self._listener = Listener(own_address, self._peer_protocol)
         self._tasks = [self.loop.create_task(peer.run()) for peer in self._peers.values()]
         self._tasks.append(self.loop.create_task(self._run_clock()))
         if not self._peers:
-            self.replica.election_due = 0  # a single replica need not wait
+            self.replica.election_due = 0  # a single replica has no leader to wait for
 
     async def stop(self) -> None:
         """Stops all tasks and closes the connections and the store."""
@@ -123,7 +125,7 @@
         for writer in self._incoming:
             writer.transport.abort()
         for pending in self._pending.values():
-            pending.answer.cancel()
+            pending.result_future.cancel()
         await self.loop.run_in_executor(self._disk, self.store.close)
         self._disk.shutdown()
 
@@ -132,7 +134,7 @@
     def is_lease_holder(self) -> bool:
         """Returns whether this replica is the leader, holds its lease, and is up to date.
 
-        It is up to date once it has applied all commands that earlier leaders acknowledged."""
+        A leader is up to date once it has applied all commands that earlier leaders acknowledged."""
         if self.disk_refuses or not self.replica.is_lease_holder(time.monotonic_ns()):
             return False
         return self.replica.term_at(self.applied_index) == self.replica.term
@@ -140,25 +142,27 @@
     def staleness(self) -> int:
         """Returns the time, in nanoseconds, since this replica was known to be up to date; 0 at the leader.
 
-        It is also 0 for a single replica while the disk refuses writes, since no other replica can commit."""
+        The staleness of a single replica is 0 even while its disk refuses writes, since no other replica can
+        commit."""
         is_single = not self._peers and self._applied_own_term
         if is_single or self.is_lease_holder():
             return 0
-        current_at = self.replica.leader_contact
-        if self._syncing:  # messages received since then wait for the sync
-            current_at = min(current_at, self._sync_started_at)
-        return time.monotonic_ns() - current_at
+        up_to_date_at = self.replica.leader_contact
+        if self._syncing:  # messages received during the sync are not applied yet
+            up_to_date_at = min(up_to_date_at, self._sync_started_at)
+        return time.monotonic_ns() - up_to_date_at
 
     async def propose(self, command: Command) -> CommandResult:
-        """Proposes a command and returns its result once it is committed and applied. Raises
-        NotLeaseHolderError."""
+        """Proposes a command and returns its result once the command is committed and applied.
+
+        Raises NotLeaseHolderError."""
         if not self.is_lease_holder():
             raise NotLeaseHolderError(NOT_LEASE_HOLDER)
-        answer: asyncio.Future[CommandResult] = self.loop.create_future()
-        self._proposals.append((commands.encode(command), answer))
+        result_future: asyncio.Future[CommandResult] = self.loop.create_future()
+        self._proposals.append((commands.encode(command), result_future))
         if len(self._proposals) == 1:
             self.loop.call_soon(self._propose_batch)
-        return await answer
+        return await result_future
 
     def _propose_batch(self) -> None:
         """Proposes all commands of one iteration of the event loop as a batch."""
@@ -167,11 +171,11 @@
         proposal = Propose(tuple(command for command, _ in proposals))
         actions = self.replica.handle(time.monotonic_ns(), proposal)
         (proposed,) = (action for action in actions if isinstance(action, Proposed))
-        for number, (_, answer) in enumerate(proposals):
+        for offset, (_, result_future) in enumerate(proposals):
             if proposed.first_index:
-                self._pending[proposed.first_index + number] = _Pending(proposed.term, answer)
-            elif not answer.done():
-                answer.set_exception(NotLeaseHolderError(NOT_LEASE_HOLDER))
+                self._pending[proposed.first_index + offset] = _Pending(proposed.term, result_future)
+            elif not result_future.done():
+                result_future.set_exception(NotLeaseHolderError(NOT_LEASE_HOLDER))
         self._enqueue(actions)
 
     # Events and actions
@@ -189,15 +193,17 @@
         """Executes the queued actions up to the first Save, and then syncs all queued Saves together."""
         queued = self._queued
         self._queued = []
-        first = next((n for n, action in enumerate(queued) if isinstance(action, Save)), len(queued))
-        self._execute(queued[:first])
-        if first < len(queued):
+        first_save = next(
+            (index for index, action in enumerate(queued) if isinstance(action, Save)), len(queued)
+        )
+        self._execute(queued[:first_save])
+        if first_save < len(queued):
             self._syncing = True
             self._sync_started_at = time.monotonic_ns()
-            rest = queued[first:]
+            rest = queued[first_save:]
             saves = [action for action in rest if isinstance(action, Save)]
-            done = self.loop.run_in_executor(self._disk, self.store.save, saves)
-            done.add_done_callback(lambda future: self._on_synced(future, rest))
+            sync = self.loop.run_in_executor(self._disk, self.store.save, saves)
+            sync.add_done_callback(lambda future: self._on_synced(future, rest))
 
     def _on_synced(self, future: "asyncio.Future[None]", rest: list[Action]) -> None:
         failure = None if future.cancelled() else future.exception()
@@ -206,7 +212,7 @@
             self._on_write_refused(failure, rest)
             return
         if failure is not None:
-            # Actions after the Save must not run; the process exits and restarts from the store.
+            # Actions after the Save must not be executed; the process exits instead.
             if not self.failed.done():
                 error = failure if isinstance(failure, StoreError) else StoreError(str(failure))
                 self.failed.set_exception(error)
@@ -214,7 +220,7 @@
         self._syncing = False
         if self.disk_refuses:
             self.disk_refuses = False
-            log.warning("the disk accepts writes again")
+            log.warning("disk accepts writes again")
         self._execute(rest)
         if not self._syncing:
             self._execute_queued()
@@ -222,8 +228,8 @@
     def _on_write_refused(self, error: StoreRefusedError, rest: list[Action]) -> None:
         """Handles a refused write.
 
-        Until the disk accepts writes again, this replica neither leads, votes nor acknowledges entries. It
-        continues to apply and serve entries that the leader reports as committed."""
+        Until the disk accepts writes again, this replica neither leads, votes nor acknowledges entries. The
+        replica continues to apply and serve entries that the leader reports as committed."""
         if not self.disk_refuses:
             self.disk_refuses = True
             log.warning(
@@ -234,7 +240,7 @@
         ]
         self._queued = []
         self.handle(StorageFailed())
-        if self._peers:  # a majority of the other replicas has these on disk
+        if self._peers:  # a majority of the group has these entries on disk
             self._execute(committed)
         else:
             self._deferred = committed
@@ -249,10 +255,10 @@
         self._enqueue([*self.replica.handle(time.monotonic_ns(), StorageRetried()), *deferred])
 
     def _reject_pending(self, reason: str) -> None:
-        """Fails all pending commands. They may still be committed; a retry by the writer finds the result."""
+        """Fails all pending commands. They may still be committed; writers can retry them safely."""
         for pending in self._pending.values():
-            if not pending.answer.done():
-                pending.answer.set_exception(NotLeaseHolderError(reason))
+            if not pending.result_future.done():
+                pending.result_future.set_exception(NotLeaseHolderError(reason))
         self._pending.clear()
 
     def _execute(self, actions: Sequence[Action]) -> None:
@@ -279,11 +285,11 @@
         self.applied_index = action.log_index
         self._applied_own_term = self._applied_own_term or action.term == self.replica.term
         pending = self._pending.pop(action.log_index, None)
-        if pending is not None and not pending.answer.done():
+        if pending is not None and not pending.result_future.done():
             if pending.term == action.term:
-                pending.answer.set_result(result)
+                pending.result_future.set_result(result)
             else:
-                pending.answer.set_exception(NotLeaseHolderError("another primary took its place"))
+                pending.result_future.set_exception(NotLeaseHolderError("another primary took its place"))
 
     async def _run_clock(self) -> None:
         while True:
@@ -305,7 +311,7 @@
                 if sender in self._peers:
                     self.handle(MessageReceived(sender, message))
         except (OSError, ValueError) as error:
-            log.warning("closing a peer connection, can't read a message: %s", error)
+            log.warning("closing a peer connection after a read error: %s", error)
         finally:
             self._incoming.discard(writer)
             writer.close()
--- a/applehub/registry/lease_watch.py
+++ b/applehub/registry/lease_watch.py
@@ -1,4 +1,4 @@
-"""Removes servers with expired leases from the list; active at the leader only."""
+"""Periodic removal of servers with expired leases from the list, by the leader only."""
 
 import asyncio
 import logging
@@ -18,7 +18,7 @@
     """Checks the leases of servers periodically."""
 
     def __init__(self, config: Leases, host: Host, events: EventWriter) -> None:
-        """Starts with a replica that is not the leader."""
+        """Creates the watch; `run` starts the checks."""
         self.leases = ServerLeases(config.brake_part, config.brake_least)
         self._config = config
         self._host = host
@@ -59,4 +59,4 @@
             if gone:
                 await self._host.propose(RemoveSuspects(uids=tuple(gone)))
         except NotLeaseHolderError as error:
-            log.warning("expired leases are left to the next leader: %s", error)
+            log.warning("lease changes not committed; the next leader checks the leases again: %s", error)
--- a/applehub/registry/list_api.py
+++ b/applehub/registry/list_api.py
@@ -15,17 +15,17 @@
 from applehub.registry.replica_state import MILLI
 from applehub.registry.watchers import Watchers
 
-MAX_WAIT = 60.0  # seconds; given by the protocol
-CATCH_UP_TIMEOUT = 1.0  # seconds that a follower waits for a version that the router has from another replica
-OVERLOAD_RETRY_AFTER = 2.0  # Retry-After, in seconds, for requests above the limit
+MAX_WAIT = 60.0  # maximum seconds of a long poll, given by the protocol
+CATCH_UP_TIMEOUT = 1.0  # seconds that a replica waits to reach the version that a router already has
+OVERLOAD_RETRY_AFTER = 2.0  # Retry-After, in seconds, for requests above limits.callers
 
 
 class _ListRequest(NamedTuple):
     """The parsed request of a router."""
 
-    name: str  # the view of the router, or else its address
+    name: str  # name of the router in events: its view or, without a view, its address
     view: str
-    since: int | None  # the version that the router has
+    since: int | None  # the version that the router has; None if it has no list yet
     max_wait: float  # maximum wait for a change, in seconds
 
 
@@ -36,7 +36,7 @@
         """Needs a running event loop."""
         self.host = host
         self.watchers = Watchers()
-        self.active_requests = 0  # requests being answered or waiting
+        self.active_requests = 0  # requests in progress, including long polls
         self._events = events
         self._metrics = metrics
         self._answers = AnswerCache()
@@ -51,7 +51,7 @@
         self.admission = Admission(limits.whole_a_second, limits.patience_ms / 1000, self._loop.time)
 
     def end_watches(self) -> None:
-        """Ends all long polls with a response."""
+        """Answers all long polls, because the service stops."""
         self._closing = True
         self.watchers.wake()
 
@@ -62,7 +62,7 @@
         return application
 
     async def targets(self, request: web.Request) -> web.StreamResponse:
-        """Answers with the complete list or, after a long poll, with the changes."""
+        """Responds with the complete list or, after a long poll, with the changes."""
         self.active_requests += 1
         try:
             if self.active_requests > self._config.limits.callers:
@@ -88,20 +88,20 @@
         return _ListRequest(view or address, view, since, max_wait)
 
     async def _wait_until_ready(self, list_request: _ListRequest) -> web.Response | None:
-        """Waits until the request can be answered. Returns the response if the request is rejected."""
+        """Waits until the request can be answered. Returns the rejection, or None if the list can be sent."""
         since = list_request.since
         if since is not None and since > self.host.endpoints.version and not self.host.is_lease_holder():
-            # The router has this version from a replica that is ahead.
+            # The router received this version from a replica that is further ahead.
             await self._wait_newer(since - 1, CATCH_UP_TIMEOUT)
             if since > self.host.endpoints.version:
                 return self._rejected("behind")
         if not self._is_recent():
             return self._rejected("stale")
         if self.host.endpoints.since(since).complete:
-            admitted = self.admission.admit()
-            if admitted.retry_after:
-                return self._rejected("overload", admitted.retry_after)
-            await asyncio.sleep(admitted.wait)
+            decision = self.admission.admit()
+            if decision.retry_after:
+                return self._rejected("overload", decision.retry_after)
+            await asyncio.sleep(decision.wait)
         elif list_request.max_wait and since is not None:
             await self._wait_newer(since, list_request.max_wait)
             if not self._is_recent():
@@ -117,7 +117,7 @@
         return self.host.staleness() <= self._config.limits.stale_ms * MILLI
 
     async def _wait_newer(self, version: int, seconds: float) -> None:
-        """Waits until the list is newer than a version, or until the time is over."""
+        """Waits until the list is newer than `version`, for at most `seconds`."""
         deadline = self._loop.time() + seconds
         while self.host.endpoints.version <= version and (remaining := deadline - self._loop.time()) > 0:
             if self._closing:
@@ -129,7 +129,7 @@
         answer = self._answers.get(self.host.endpoints, list_request.since, list_request.view)
         response = web.Response(body=answer.body, content_type="application/json")
         try:
-            # Bounds the time that an unread response stays in memory.
+            # The timeout bounds how long a response that the router does not read stays in memory.
             async with asyncio.timeout(self._config.limits.slow_s):
                 await response.prepare(request)
                 await response.write_eof()
--- a/applehub/registry/listener.py
+++ b/applehub/registry/listener.py
@@ -1,7 +1,7 @@
-"""A listener that retries after errors of accept().
+"""A listener that resumes soon after errors of accept().
 
-After a shortage of descriptors or memory, asyncio's servers wait for a second and schedule a retry for each
-connection of the backlog; this listener schedules one retry after a short delay."""
+After a shortage of descriptors or memory, an asyncio server pauses for a second and schedules a retry for
+each connection of the backlog; this listener schedules a single retry after a short delay."""
 
 import asyncio
 import logging
@@ -10,7 +10,7 @@
 
 from applehub.node.accepting import BROKEN_CONNECTION_ERRORS, FAILURE_LOG_INTERVAL, RETRY_DELAY
 
-BACKLOG = 1024  # pending connections; thousands of routers may connect at once
+BACKLOG = 1024  # maximum pending connections; thousands of routers may connect at once
 ACCEPT_BATCH = 64  # connections accepted per event loop iteration, so that other tasks are not delayed
 log = logging.getLogger("applehub.registry")
 
@@ -19,7 +19,7 @@
     """A listening socket that creates a protocol for each accepted connection."""
 
     def __init__(self, address: tuple[str, int], make_protocol: Callable[[], asyncio.BaseProtocol]) -> None:
-        """Starts to listen and accept. Raises OSError if it can't listen on the address."""
+        """Listens on the address and starts to accept. Raises OSError if the address can't be listened on."""
         host, port = address
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         self._socket = socket.create_server((host, port), family=family, backlog=BACKLOG)
@@ -33,7 +33,7 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Host and port of the listening socket."""
+        """IP address and port of the listening socket."""
         address: tuple[str, int] = self._socket.getsockname()[:2]
         return address
 
@@ -55,7 +55,7 @@
     def _accept_batch(self) -> None:
         """Accepts up to one batch of pending connections.
 
-        Raises OSError if no connection can be accepted now, or if all were already reset."""
+        Raises OSError if accept() fails, or if every connection of the batch was already reset."""
         accepted, reset_error = 0, OSError()
         for _ in range(ACCEPT_BATCH):
             try:
@@ -77,11 +77,11 @@
     async def _connect(self, connection: socket.socket) -> None:
         try:
             await self._loop.connect_accepted_socket(self._make_protocol, connection)
-        except OSError:  # the connection was reset in the meantime
+        except OSError:  # the client has reset the connection
             connection.close()
 
     def _log_failure(self, error: OSError) -> None:
-        """Logs only the first failure of an outage, to limit the number of log lines."""
+        """Logs the failure, unless another one occurred less than FAILURE_LOG_INTERVAL ago."""
         now = self._loop.time()
         if now - self._failed_at > FAILURE_LOG_INTERVAL:
             log.error("accept fails, retrying every %.0f ms: %s", RETRY_DELAY * 1000, error)
--- a/applehub/registry/lock_api.py
+++ b/applehub/registry/lock_api.py
@@ -1,4 +1,4 @@
-"""The HTTP API for named locks, for example of the release controller."""
+"""The HTTP API for named locks, which the release controller and other programs use."""
 
 import time
 from http import HTTPStatus
@@ -28,7 +28,7 @@
     """Handles requests for locks."""
 
     def __init__(self, host: Host, replies: Replies) -> None:
-        """replies: builds the responses."""
+        """replies: the builder of the responses."""
         self._host = host
         self._replies = replies
         self.leases = LockLeases()
@@ -62,7 +62,7 @@
         )
 
     async def unlock(self, request: web.Request) -> web.Response:
-        """Releases a lock if `holder` holds it; otherwise responds with a conflict."""
+        """Releases a lock held by the query parameter `holder`; else responds with a conflict."""
         name = request.match_info["name"]
         if not self._tracks_renewals(time.monotonic_ns()):
             return self._replies.not_leader()
@@ -72,7 +72,7 @@
         return await self._set_holder(name, "", 0, lock.fence)
 
     def _tracks_renewals(self, now: int) -> bool:
-        """Returns whether this replica tracks renewals, as the leader does. Resets them in each new term."""
+        """Returns whether this replica is the leader, which tracks renewals. Resets them in each new term."""
         is_lease_holder = self._host.is_lease_holder()
         if is_lease_holder and self._leases_term != self._host.replica.term:
             self.leases.reset(now)
--- a/applehub/registry/locks.py
+++ b/applehub/registry/locks.py
@@ -1,15 +1,15 @@
 """Named locks with a lease and a fencing number, which increases with each holder so that commands of an
 earlier holder can be rejected.
 
-Holder and fencing number are replicated. Renewals are kept in memory at the leader only; a new leader grants
-each holder a complete lease. This module reads no clock: times are parameters."""
+Holder and fencing number are replicated. Only the leader stores renewals, in memory; a new leader grants each
+holder a complete lease. This module reads no clock: times are parameters."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
 from applehub.registry.commands import SetLock
 
-MILLI = 1_000_000  # nanoseconds
+MILLI = 1_000_000  # nanoseconds per millisecond
 
 
 class Lock(NamedTuple):
@@ -34,10 +34,10 @@
     """The times of the last renewals, in nanoseconds of the monotonic clock of this replica."""
 
     renewed_at: dict[str, int] = field(default_factory=dict)
-    reset_at: int = 0
+    reset_at: int = 0  # start of the leases without a renewal
 
     def reset(self, now: int) -> None:
-        """Forgets all renewals, because this replica has become the leader."""
+        """Discards all renewals and starts complete leases; called when this replica becomes the leader."""
         self.renewed_at = {}
         self.reset_at = now
 
@@ -46,8 +46,8 @@
         self.renewed_at[name] = now
 
     def remaining(self, now: int, name: str, lock: Lock | None) -> int:
-        """Returns the remaining lease, in nanoseconds; 0 if the lock can be acquired."""
+        """Returns the remaining lease of a lock, in nanoseconds; 0 if the lock can be acquired."""
         if lock is None or not lock.holder:
             return 0
-        since = max(self.renewed_at.get(name, 0), self.reset_at)
-        return max(0, since + lock.lease_ms * MILLI - now)
+        lease_start = max(self.renewed_at.get(name, 0), self.reset_at)
+        return max(0, lease_start + lock.lease_ms * MILLI - now)
--- a/applehub/registry/messages.py
+++ b/applehub/registry/messages.py
@@ -15,7 +15,7 @@
     """The state of the state machine after all log entries up to an index."""
 
     last_index: int
-    last_term: int  # of the entry at that index
+    last_term: int  # term of the entry at that index
     data: bytes
 
 
@@ -23,10 +23,10 @@
 
 
 class RequestVote(NamedTuple):
-    """A candidate requests a vote.
+    """A request of a candidate for a vote.
 
-    With `pre_vote` it only asks whether the vote would be granted (Ongaro's thesis, 9.6), so that a replica
-    that returns from a network partition does not depose a working leader with its higher term."""
+    With `pre_vote`, the candidate only asks whether the vote would be granted (Ongaro's thesis, 9.6), so that
+    a replica that was partitioned does not depose a working leader with its higher term."""
 
     term: int
     pre_vote: bool
@@ -43,9 +43,9 @@
 
 
 class AppendEntries(NamedTuple):
-    """A leader sends the entries after `prev_index`, and its commit index. Without entries it is a heartbeat.
+    """The entries after `prev_index` and the commit index of a leader; a heartbeat if there are no entries.
 
-    sent_at: time on the leader's clock, which the response returns."""
+    sent_at: time on the leader's clock, which the response repeats."""
 
     term: int
     prev_index: int
@@ -58,8 +58,7 @@
 class AppendEntriesResponse(NamedTuple):
     """The response to AppendEntries or InstallSnapshot.
 
-    match_index: the index up to which the logs agree; without success, the index that the leader should try
-    next."""
+    match_index: the index up to which the logs match; without success, the `prev_index` to try next."""
 
     term: int
     success: bool
@@ -68,7 +67,7 @@
 
 
 class InstallSnapshot(NamedTuple):
-    """A leader sends its snapshot to a follower that needs entries already removed from the leader's log."""
+    """The snapshot of a leader, for a follower that lacks entries already compacted by the leader."""
 
     term: int
     snapshot: Snapshot
--- a/applehub/registry/metrics.py
+++ b/applehub/registry/metrics.py
@@ -7,7 +7,7 @@
     """The counters and gauges of a replica. Their names are documented for operators."""
 
     def __init__(self) -> None:
-        """Creates the metrics in a separate registry."""
+        """Creates the metrics in a Prometheus registry of their own."""
         self._registry = CollectorRegistry()
         self.calls = Counter(
             "list_calls", "Calls of routers, by how they ended", ["how"], registry=self._registry
--- a/applehub/registry/model/__main__.py
+++ b/applehub/registry/model/__main__.py
@@ -24,7 +24,9 @@
 
 
 def explore_from(model: Model, name: str, start: str, depth: int, max_states: int) -> ExplorationResult:
-    """Explores from an initial state and reports progress on standard error."""
+    """Explores from an initial state and reports progress on standard error.
+
+    start: a key of INITIAL_STATES."""
     started_at = time.monotonic()
 
     def report(level: int, states: int) -> None:
@@ -57,10 +59,10 @@
         for start in INITIAL_STATES:
             model = model_class(replica_class, bounds, delays_until_sync)
             description = f"{name}, from {start}"
-            found = explore_from(model, description, start, depth, most)
-            click.echo(f"{description}: {found.states} states to depth {found.depth}")
-            if found.violation:
-                click.echo("\n  ".join([f"invariant violated: {found.violation}, by", *found.trace]))
+            result = explore_from(model, description, start, depth, most)
+            click.echo(f"{description}: {result.states} states to depth {result.depth}")
+            if result.violation:
+                click.echo("\n  ".join([f"invariant violated: {result.violation}, by", *result.trace]))
                 sys.exit(1)
 
 
--- a/applehub/registry/model/explorer.py
+++ b/applehub/registry/model/explorer.py
@@ -9,13 +9,13 @@
 from applehub.registry.model.state import Bounds, State
 from applehub.registry.model.steps import Model
 
-NO_LIMIT = 1 << 62
+NO_LIMIT = 1 << 62  # a number of states that no exploration reaches
 
 NO_RESTARTS = Bounds(proposals=2, restarts=0)  # no crashes, so that greater depths are feasible
-DISK_REFUSALS = Bounds(restarts=1, refusals=1)  # with one disk that refuses writes
+DISK_REFUSALS = Bounds(restarts=1, refusals=1)  # one crash, and one disk that refuses writes
 
-# The initial states of explorations, as steps of the coarse model from the empty group.
-ELECTED = ("pre-vote 0 1", "vote 0 1", "replicate 0 1")
+ELECTED = ("pre-vote 0 1", "vote 0 1", "replicate 0 1")  # steps that make replica 0 the leader
+# The initial states of explorations, as steps of the coarse model from a new group.
 INITIAL_STATES: dict[str, tuple[str, ...]] = {
     "nothing": (),
     "two candidates of one term": ("pre-vote 0 1", "pre-vote 1 2"),
@@ -55,14 +55,14 @@
 class ExplorationResult:
     """The result of an exploration."""
 
-    states: int
-    depth: int  # up to which all states were explored
+    states: int  # number of explored states or, for random walks, of steps
+    depth: int  # depth up to which all states were explored
     violation: str = ""  # the violated invariant, if any
     trace: tuple[str, ...] = ()  # the steps to the violation
 
 
 def reach_state(model: Model, steps: tuple[str, ...]) -> State:
-    """Returns the state that these steps reach from the empty group. Raises InvariantError."""
+    """Returns the state that steps of the coarse model reach from a new group. Raises InvariantError."""
     state = model.empty_group()
     coarse = CoarseModel(model.replica_class, Bounds(refusals=1), model.delays_until_sync)
     for name in steps:
@@ -80,26 +80,26 @@
 ) -> ExplorationResult:
     """Explores all states up to a depth, breadth-first, and stops at the first violated invariant.
 
-    on_level: called after each depth with the depth and the number of states so far."""
+    on_level: called after each depth with the depth and the total number of states."""
     seen = {hash(initial.key())}
-    layer = [initial]
+    frontier = [initial]
     for level in range(depth):
-        following: list[State] = []
-        for state in layer:
+        next_frontier: list[State] = []
+        for state in frontier:
             try:
-                following += _successors(model, state, seen)
+                next_frontier += _successors(model, state, seen)
             except _ViolationError as error:
                 return ExplorationResult(len(seen), level, error.reason, error.trace)
             if len(seen) > max_states:
                 return ExplorationResult(len(seen), level)
-        layer = following
+        frontier = next_frontier
         if on_level is not None:
             on_level(level + 1, len(seen))
     return ExplorationResult(len(seen), depth)
 
 
 class _ViolationError(Exception):
-    """A step violated an invariant."""
+    """Raised if a step violates an invariant."""
 
     def __init__(self, reason: str, trace: tuple[str, ...]) -> None:
         super().__init__(reason)
@@ -111,44 +111,44 @@
     """Returns the new successors of a state and adds them to `seen`. Raises _ViolationError."""
     successors = []
     for name, step in model.steps(state):
-        after = state.clone()
-        after.trace = (*state.trace, name)
+        successor = state.clone()
+        successor.trace = (*state.trace, name)
         try:
-            step(after)
+            step(successor)
         except InvariantError as error:
-            raise _ViolationError(str(error), after.trace) from error
-        if len(after.messages) > model.bounds.messages:
+            raise _ViolationError(str(error), successor.trace) from error
+        if len(successor.messages) > model.bounds.messages:
             continue
-        key = hash(after.key())
+        key = hash(successor.key())
         if key not in seen:
             seen.add(key)
-            successors.append(after)
+            successors.append(successor)
     return successors
 
 
 def random_walk(model: Model, seed: int, length: int) -> ExplorationResult:
-    """Follows one random path, which reaches depths that exhaustive exploration can't."""
+    """Takes up to `length` random steps, more than exhaustive exploration can."""
     generator = random.Random(seed)
     state = model.empty_group()
-    for count in range(length):
+    for steps_taken in range(length):
         steps = list(model.steps(state))
         if not steps:
-            return ExplorationResult(count, 0)
+            return ExplorationResult(steps_taken, 0)
         name, step = generator.choice(steps)
         state.trace = (*state.trace, name)
         try:
             step(state)
         except InvariantError as error:
-            return ExplorationResult(count, 0, str(error), state.trace)
+            return ExplorationResult(steps_taken, 0, str(error), state.trace)
         if len(state.messages) > model.bounds.messages:
             state.messages = state.messages[1:]
     return ExplorationResult(length, 0)
 
 
 def random_walks(model: Model, count: int, length: int) -> ExplorationResult:
-    """Runs random walks with the seeds from 0 on and stops at the first violated invariant."""
+    """Runs `count` random walks with seeds from 0, and stops at the first violated invariant."""
     for seed in range(count):
-        found = random_walk(model, seed, length)
-        if found.violation:
-            return found
+        result = random_walk(model, seed, length)
+        if result.violation:
+            return result
     return ExplorationResult(count * length, 0)
--- a/applehub/registry/model/granularity.py
+++ b/applehub/registry/model/granularity.py
@@ -11,17 +11,17 @@
 
 
 class FineModel(Model):
-    """Each message, sync, timeout and crash is a separate step."""
+    """The model in which each message, sync, timeout and crash is a separate step."""
 
     def steps(self, state: State) -> Iterator[Step]:
         """Yields all possible next steps."""
         yield from self.common_steps(state)
         for envelope in dict.fromkeys(state.messages):
             sender, receiver, message = envelope
-            what = f"{type(message).__name__} {sender} to {receiver}"
-            yield f"deliver {what}", partial(self.deliver, envelope=envelope)
-            yield f"double {what}", partial(self.deliver, envelope=envelope, duplicate=True)
-            yield f"lose {what}", partial(State.remove_message, envelope=envelope)
+            label = f"{type(message).__name__} {sender} to {receiver}"
+            yield f"deliver {label}", partial(self.deliver, envelope=envelope)
+            yield f"double {label}", partial(self.deliver, envelope=envelope, duplicate=True)
+            yield f"lose {label}", partial(State.remove_message, envelope=envelope)
         for replica_id in GROUP:
             replica = state.replicas[replica_id]
             if state.unsynced[replica_id]:
@@ -33,11 +33,13 @@
 
 
 class CoarseModel(Model):
-    """Each step is an election or replication round of two replicas; messages to the third are lost."""
+    """The model in which a step is an election or replication round of two replicas.
+
+    Messages to the third replica are lost."""
 
     def steps(self, state: State) -> Iterator[Step]:
         """Yields all possible next steps."""
-        for name, step in self.common_steps(state):  # messages of these steps are lost
+        for name, step in self.common_steps(state):  # the messages that these steps send are lost
             yield name, partial(self._run_isolated, step=step)
         yield "wait", self.wait
         for replica_id in GROUP:
@@ -48,14 +50,14 @@
             yield f"late {envelope[0]} to {envelope[1]}", partial(self._deliver_late, envelope=envelope)
 
     def _pair_steps(self, state: State, initiator: int, peer: int) -> Iterator[Step]:
-        """Yields the steps between two replicas that the first one initiates."""
+        """Yields the steps that a replica can initiate with a peer."""
         replica = state.replicas[initiator]
         if replica.role is Role.LEADER:
             yield f"replicate {initiator} {peer}", partial(self._replicate, initiator=initiator, peer=peer)
             for answer in (False, True) if len(state.messages) < self.bounds.delayed else ():
-                what = "an answer to" if answer else "from"
+                label = "an answer to" if answer else "from"
                 yield (
-                    f"delay {what} {initiator}, {peer}",
+                    f"delay {label} {initiator}, {peer}",
                     partial(self._delay, initiator=initiator, peer=peer, answer=answer),
                 )
         elif replica.term < self.bounds.terms:
@@ -72,7 +74,7 @@
                 self.sync(state, replica_id)
 
     def _exchange(self, state: State, initiator: int, peer: int, rounds: int = 1) -> None:
-        """Delivers the messages of the first replica and the responses; all other messages are lost."""
+        """Delivers the messages of the initiator to the peer and the responses; loses all other messages."""
         for sender, receiver in ((initiator, peer), (peer, initiator)) * rounds:
             self._sync_all(state)
             envelopes = state.messages_between(sender, receiver)
@@ -83,7 +85,7 @@
         state.messages = ()
 
     def _run_isolated(self, state: State, step: Callable[[State], None]) -> None:
-        """Runs a step without the delayed messages."""
+        """Runs a step while delayed messages stay delayed; loses the messages that the step sends."""
         delayed: tuple[Envelope, ...] = state.messages
         state.messages = ()
         step(state)
@@ -95,7 +97,7 @@
 
         def run_pre_vote(state: State) -> None:
             replica = state.replicas[initiator]
-            for _ in range(2):  # the first round may only bring a higher term
+            for _ in range(2):  # the first round may only raise the term of the initiator
                 self.time_out(state, initiator)
                 self._exchange(state, initiator, peer)
                 if replica.role is Role.CANDIDATE and not replica.pre_vote:
@@ -117,7 +119,9 @@
     def _replicate(self, state: State, initiator: int, peer: int) -> None:
         def replicate(state: State) -> None:
             self.send_heartbeat(state, initiator)
-            self._exchange(state, initiator, peer, 2)  # the second round sends entries lost before
+            self._exchange(
+                state, initiator, peer, 2
+            )  # the second round resends entries that were lost earlier
 
         self._run_isolated(state, replicate)
 
--- a/applehub/registry/model/invariants.py
+++ b/applehub/registry/model/invariants.py
@@ -8,7 +8,7 @@
 
 
 class InvariantError(AssertionError):
-    """An invariant is violated."""
+    """Raised if an invariant is violated."""
 
 
 def check_replica(state: State, replica_id: int) -> None:
@@ -22,12 +22,12 @@
 
 
 def _check_leader_has_committed(state: State, leader: Replica) -> None:
-    for number, (entry, term) in enumerate(zip(state.committed, state.commit_terms, strict=True)):
-        if term > leader.term:  # an old leader that does not know its successor yet
+    for position, (entry, term) in enumerate(zip(state.committed, state.commit_terms, strict=True)):
+        if term > leader.term:  # the leader was deposed but has not received the newer term
             continue
-        offset = number - leader.snapshot.last_index
+        offset = position - leader.snapshot.last_index
         if offset >= 0 and (offset >= len(leader.log) or leader.log[offset] != entry):
-            raise InvariantError(f"the leader of term {leader.term} lacks the committed entry {number + 1}")
+            raise InvariantError(f"the leader of term {leader.term} lacks the committed entry {position + 1}")
 
 
 def check_leases(state: State) -> None:
@@ -38,7 +38,9 @@
 
 
 def record_applied(state: State, replica_id: int, action: Apply) -> None:
-    """Records that a host applies an entry. Raises InvariantError if it is not the next committed entry."""
+    """Records that a host applies an entry.
+
+    Raises InvariantError if the entry is not the next committed entry."""
     entry = LogEntry(action.term, action.command)
     if action.log_index <= len(state.committed):
         if state.committed[action.log_index - 1] != entry:
@@ -47,7 +49,7 @@
         state.committed = (*state.committed, entry)
         state.commit_terms = (*state.commit_terms, state.replicas[replica_id].term)
     else:
-        raise InvariantError("an index was skipped")
+        raise InvariantError("applied index skips an index that no replica has applied")
     if action.log_index != state.applied[replica_id] + 1:
         raise InvariantError(f"index {action.log_index} applied after {state.applied[replica_id]}")
     state.applied[replica_id] = action.log_index
@@ -59,7 +61,7 @@
     Raises InvariantError if the snapshot differs from the committed log or is older than the host's state."""
     snapshot = action.snapshot
     if snapshot.last_index < state.applied[replica_id]:
-        raise InvariantError("a snapshot is older than the applied state")
+        raise InvariantError("installed snapshot is older than the applied state")
     state.applied[replica_id] = snapshot.last_index
     if snapshot.data != snapshot_data(state.committed[: snapshot.last_index]):
-        raise InvariantError("a snapshot differs from the committed log")
+        raise InvariantError("installed snapshot differs from the committed log")
--- a/applehub/registry/model/mutants.py
+++ b/applehub/registry/model/mutants.py
@@ -1,4 +1,4 @@
-"""Faulty replicas, each of which the model checker must detect."""
+"""Replicas with deliberate faults, each of which the model checker must detect."""
 
 from typing import NamedTuple
 
@@ -31,8 +31,10 @@
     """Commits entries of earlier terms by counting replicas."""
 
     def _advance_commit_index(self, actions: list[Action]) -> None:
-        stored = sorted([self.last_index, *(one.match_index for one in self.progress.values())], reverse=True)
-        index = stored[self.majority - 1]
+        stored_indexes = sorted(
+            [self.last_index, *(progress.match_index for progress in self.progress.values())], reverse=True
+        )
+        index = stored_indexes[self.majority - 1]
         if index > self.commit_index:
             self.commit_index = index
             self._apply_committed(actions)
@@ -41,8 +43,8 @@
 class InstallsOverNewer(Replica):
     """Installs a snapshot over newer entries."""
 
-    def _install_snapshot(self, message: InstallSnapshot, changed: bool, actions: list[Action]) -> None:
-        del changed
+    def _install_snapshot(self, message: InstallSnapshot, vote_changed: bool, actions: list[Action]) -> None:
+        del vote_changed
         snapshot = message.snapshot
         self.log = ()
         self.snapshot = snapshot
@@ -52,7 +54,7 @@
 
 
 class OverlongLease(Replica):
-    """Starts its lease at the response instead of the request."""
+    """Starts its lease when a response is received instead of when the message was sent."""
 
     def _receive_entries_response(
         self, sender: int, response: AppendEntriesResponse, actions: list[Action]
@@ -79,17 +81,17 @@
 
 
 def _answer_unsaved(replica: Replica, event: MessageReceived) -> list[Action]:
-    """Returns the actions of a replica with a working disk, without the Saves."""
+    """Returns the actions with which a replica with a working disk answers, without the Saves."""
     actions: list[Action] = []
-    replica._receive(event.sender, event.message, actions)  # noqa: SLF001 (subclasses of this module)
+    replica._receive(event.sender, event.message, actions)  # noqa: SLF001 (called by subclasses of Replica)
     return [action for action in actions if not isinstance(action, Save)]
 
 
 class Mutant(NamedTuple):
-    """A replica class, and whether its host delays the actions after a Save until the sync."""
+    """A faulty combination of replica class and host."""
 
     replica_class: type[Replica]
-    delays_until_sync: bool
+    delays_until_sync: bool  # whether the host delays the actions after a Save until the Save is on disk
 
 
 MUTANTS: dict[str, Mutant] = {
--- a/applehub/registry/model/state.py
+++ b/applehub/registry/model/state.py
@@ -16,7 +16,7 @@
 
 GROUP = (0, 1, 2)
 TIMING = Timing(heartbeat=0, election=10, lease=8, batch=1)
-TIME_HORIZON = 2 * TIMING.election + 1  # older times are equivalent
+TIME_HORIZON = 2 * TIMING.election + 1  # time differences beyond it are equivalent
 Envelope = tuple[int, int, Message]  # sender, receiver, message
 
 
@@ -26,8 +26,8 @@
 
     terms: int = 4
     proposals: int = 2
-    messages: int = 3  # in flight at the same time
-    delayed: int = 1  # coarse model: delayed at the same time
+    messages: int = 3  # messages in flight at the same time
+    delayed: int = 1  # messages delayed at the same time, in the coarse model
     restarts: int = 2
     refusals: int = 0  # number of times that a disk starts to refuse writes
 
@@ -39,17 +39,19 @@
     replicas: list[Replica]
     disks: list[StoredState]
     unsynced: list[tuple[Action, ...]]  # actions that wait for a sync, by replica
-    applied: list[int] = field(default_factory=lambda: [0, 0, 0])  # last index by host
+    applied: list[int] = field(default_factory=lambda: [0, 0, 0])  # index of the last applied entry, by host
     messages: tuple[Envelope, ...] = ()
     now: int = 100
     proposals: int = 0
     restarts: int = 0
     refusals: int = 0
-    refusing: dict[int, bool] = field(default_factory=dict)  # whether refused writes are stored, by disk
-    leaders: dict[int, int] = field(default_factory=dict)  # replica by term
+    refusing: dict[int, bool] = field(
+        default_factory=dict
+    )  # refusing disks, and whether each stores refused writes
+    leaders: dict[int, int] = field(default_factory=dict)  # id of the leader by term
     committed: tuple[LogEntry, ...] = ()
     commit_terms: tuple[int, ...] = ()  # term of the replica that first applied each entry
-    trace: tuple[str, ...] = ()
+    trace: tuple[str, ...] = ()  # names of the steps from a new group to this state
 
     def clone(self) -> "State":
         """Returns an independent copy of this state."""
@@ -63,7 +65,7 @@
         return state
 
     def key(self) -> object:
-        """Returns a key that is equal for equivalent states; times in it are relative to now and bounded."""
+        """Returns a key that is equal for equivalent states; its times are relative to `now` and bounded."""
         return (
             tuple(_replica_key(replica, self.now) for replica in self.replicas),
             tuple((disk.term, disk.voted_for, disk.snapshot, disk.log) for disk in self.disks),
@@ -81,12 +83,12 @@
 
     def messages_between(self, sender: int, receiver: int) -> tuple[Envelope, ...]:
         """Returns the messages in flight from one replica to another."""
-        return tuple(one for one in self.messages if one[:2] == (sender, receiver))
+        return tuple(envelope for envelope in self.messages if envelope[:2] == (sender, receiver))
 
     def remove_message(self, envelope: Envelope) -> None:
         """Removes a message in flight."""
-        at = self.messages.index(envelope)
-        self.messages = self.messages[:at] + self.messages[at + 1 :]
+        index = self.messages.index(envelope)
+        self.messages = self.messages[:index] + self.messages[index + 1 :]
 
 
 def _clone_replica(replica: Replica) -> Replica:
@@ -95,12 +97,12 @@
     return clone
 
 
-def _relative(at: int, now: int) -> int:
-    return max(-TIME_HORIZON, min(TIME_HORIZON, at - now))
+def _relative(time: int, now: int) -> int:
+    return max(-TIME_HORIZON, min(TIME_HORIZON, time - now))
 
 
 def _with_relative_time(envelope: Envelope, now: int) -> Envelope:
-    """Returns the envelope with times relative to now."""
+    """Returns the envelope with its send time, if any, relative to `now`."""
     sender, receiver, message = envelope
     if isinstance(message, AppendEntries | AppendEntriesResponse | InstallSnapshot):
         return sender, receiver, message._replace(sent_at=_relative(message.sent_at, now))
@@ -124,5 +126,5 @@
 
 
 def snapshot_data(entries: tuple[LogEntry, ...]) -> bytes:
-    """Returns the snapshot data after these entries."""
+    """Returns the data of a snapshot that covers these entries."""
     return b"|".join(b"%d %s" % (entry.term, entry.command) for entry in entries)
--- a/applehub/registry/model/steps.py
+++ b/applehub/registry/model/steps.py
@@ -25,11 +25,11 @@
 from applehub.registry.replica import Replica
 from applehub.registry.replica_state import Role
 
-Step = tuple[str, Callable[[State], None]]
+Step = tuple[str, Callable[[State], None]]  # name of the step and its state transition
 
 
 class Model(ABC):
-    """The steps of a group of replicas of one class, within bounds."""
+    """A group of replicas of one class, and the steps that are possible within the bounds."""
 
     def __init__(self, replica_class: type[Replica], bounds: Bounds, delays_until_sync: bool = True) -> None:
         """delays_until_sync: whether hosts delay the actions after a Save until it is on disk."""
@@ -66,7 +66,7 @@
             self.sync(state, replica_id)
 
     def sync(self, state: State, replica_id: int) -> None:
-        """Syncs the disk: the waiting actions are executed, or the disk refuses the writes."""
+        """Syncs the disk of a replica and executes its waiting actions, or handles refused writes."""
         actions = state.unsynced[replica_id]
         state.unsynced[replica_id] = ()
         if replica_id in state.refusing and any(isinstance(action, Save) for action in actions):
@@ -75,7 +75,7 @@
             self.execute(state, replica_id, actions)
 
     def refuse_save(self, state: State, replica_id: int, actions: Sequence[Action]) -> None:
-        """Handles refused writes: the host sends no messages but applies committed entries."""
+        """Handles refused writes: the host drops the messages but applies committed entries."""
         kinds = (Save, Apply, Restore) if state.refusing[replica_id] else (Apply, Restore)
         self.execute(state, replica_id, [action for action in actions if isinstance(action, kinds)])
         self.handle(state, replica_id, StorageFailed())
@@ -104,17 +104,17 @@
         state.replicas[replica_id] = self.replica_class(replica_id, GROUP, TIMING, state.now, replace(disk))
 
     def compact(self, state: State, replica_id: int) -> None:
-        """Compacts the log up to the last applied entry."""
+        """Compacts the log of a replica up to the last applied entry."""
         index = state.applied[replica_id]
         self.handle(state, replica_id, Compact(index, snapshot_data(state.committed[:index])))
 
     def propose(self, state: State, replica_id: int) -> None:
-        """Proposes a new command."""
+        """Proposes a new command to a replica."""
         state.proposals += 1
         self.handle(state, replica_id, Propose((b"p%d" % state.proposals,)))
 
     def wait(self, state: State) -> None:
-        """Advances the time without ticks."""
+        """Advances the time beyond every lease and timeout, without ticks."""
         state.now += TIME_HORIZON
         check_leases(state)
 
@@ -124,7 +124,7 @@
         self.handle(state, replica_id, Tick(0.0))
 
     def send_heartbeat(self, state: State, replica_id: int) -> None:
-        """Makes a leader send its heartbeats."""
+        """Makes a leader send heartbeats; the time does not advance."""
         self.handle(state, replica_id, Tick(0.0))
 
     def deliver(self, state: State, envelope: Envelope, duplicate: bool = False) -> None:
@@ -144,11 +144,11 @@
         del state.refusing[replica_id]
 
     def retry_storage(self, state: State, replica_id: int) -> None:
-        """Makes the host retry its disk."""
+        """Makes the host of a replica write to its disk again after a refused write."""
         self.handle(state, replica_id, StorageRetried())
 
     def disk_steps(self, state: State, replica_id: int) -> Iterator[Step]:
-        """Yields the steps of a disk that refuses writes or may start to."""
+        """Yields the steps that start or end the refusal of writes, or retry a write."""
         if replica_id in state.refusing:
             yield f"accept {replica_id}", partial(self.accept, replica_id=replica_id)
         elif state.refusals < self.bounds.refusals:
--- a/applehub/registry/peer_connection.py
+++ b/applehub/registry/peer_connection.py
@@ -5,15 +5,16 @@
 
 from applehub.node.discovery import read_endpoint
 
-MAX_UNSENT = 8 << 20  # bytes buffered for a peer; above, the connection is reset
+MAX_UNSENT = 8 << 20  # bytes buffered for a peer, above which the connection is reset
 CONNECT_TIMEOUT = 1.0  # seconds
 RECONNECT_DELAY = 0.1  # seconds between connection attempts
 log = logging.getLogger("applehub.registry")
 
 
 class PeerConnection:
-    """Sends messages to another replica. Messages that can't be sent at once are dropped, which Raft
-    tolerates."""
+    """Sends messages to another replica.
+
+    Messages are dropped while the peer is not connected or does not read, which Raft tolerates."""
 
     def __init__(self, address: str) -> None:
         """address: HOST:PORT of the other replica."""
@@ -21,7 +22,7 @@
         self._writer: asyncio.StreamWriter | None = None
 
     def send(self, line: bytes) -> None:
-        """Sends a message, or drops it if the peer is not connected or does not read."""
+        """Sends an encoded message, or drops it if the peer is not connected or does not read."""
         writer = self._writer
         if writer is None or writer.is_closing():
             return
@@ -31,15 +32,15 @@
         writer.write(line)
 
     async def run(self) -> None:
-        """Maintains the connection until cancelled."""
+        """Connects and reconnects until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(CONNECT_TIMEOUT):
                     reader, self._writer = await asyncio.open_connection(*self._address)
-                # Peers respond on their own connections, so this returns at the end of the connection.
+                # Peers send on connections of their own, so this read returns when the connection ends.
                 await reader.read()
             except (OSError, TimeoutError) as error:
-                log.debug("can't connect to the replica at %s: %s", self._address, error)
+                log.debug("connection to the replica at %s failed: %s", self._address, error)
             finally:
                 if self._writer is not None:
                     self._writer.transport.abort()
--- a/applehub/registry/replica.py
+++ b/applehub/registry/replica.py
@@ -1,18 +1,18 @@
 """The Raft consensus algorithm (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm",
 2014; leases after Ongaro's thesis, 6.4.1) as a pure state machine.
 
-It does no I/O and reads neither clocks nor random numbers: each event brings the time (nanoseconds of a
-monotonic clock, which is not comparable between machines) and the random numbers. Each event returns an
-ordered list of actions. The host must delay all actions after a Save until that Save is on disk; several
-Saves may be synced together. Hence the log of a leader is on disk before it is sent, and the leader counts
-itself among the replicas that have stored it.
+The state machine does no I/O and reads neither clocks nor random numbers: each event provides the time
+(nanoseconds of a monotonic clock, which is not comparable between machines) and the random numbers. Handling
+an event returns an ordered list of actions. The host must delay all actions after a Save until that Save is
+on disk; several Saves may be synced together. Hence the entries of a leader are on its disk before they are
+sent, and the leader counts itself among the replicas that have stored them.
 
 If the disk refuses a Save, the host drops the messages after it, and the replica neither leads, votes nor
-acknowledges entries. It continues to receive entries in memory, so that it can serve what a majority of the
-others has on disk, until a Save of its complete state succeeds.
+acknowledges entries until a Save of its complete state succeeds. Meanwhile the replica keeps received entries
+in memory and applies those that a majority of the group has on disk, so that it can serve routers.
 
-A leader holds its lease while the latest responses of a majority are so recent that none of them votes for
-another candidate yet. Without its lease a leader neither serves nor acknowledges."""
+A leader holds its lease while the latest responses of a majority are so recent that no replica of that
+majority votes for another candidate yet. A leader without a lease neither serves nor acknowledges."""
 
 from dataclasses import dataclass
 
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class Replica(Election):
-    """One replica: takes events and returns actions."""
+    """One replica, which handles events and returns actions."""
 
     def handle(self, now: int, event: Event) -> list[Action]:
         """Handles an event and returns the resulting actions in order.
@@ -74,10 +74,9 @@
                 self._compact(event, actions)
 
     def _handle_unsaved(self, event: Event) -> list[Action]:
-        """Handles an event while the disk refuses writes: sends no votes and no acknowledgements.
+        """Handles an event while the disk refuses writes, without votes and acknowledgements.
 
-        Entries that a leader reports as committed are on disk at a majority of the others, so they are
-        applied."""
+        Entries that a leader reports as committed are on disk at a majority, so they are applied."""
         actions: list[Action] = []
         match event:
             case MessageReceived(sender, AppendEntries() | InstallSnapshot() as message):
--- a/applehub/registry/replica_state.py
+++ b/applehub/registry/replica_state.py
@@ -1,4 +1,4 @@
-"""The state of one replica and the values derived from it: terms, log, lease."""
+"""The state of one replica, and values derived from the state: last index, majority, lease."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -6,11 +6,11 @@
 from applehub.registry.actions import Action, Save, StoredState
 from applehub.registry.messages import NO_SNAPSHOT, LogEntry, Snapshot
 
-MILLI = 1_000_000  # nanoseconds
+MILLI = 1_000_000  # nanoseconds per millisecond
 
 
 class Role(StrEnum):
-    """The role of a replica in its term."""
+    """The role of a replica in its current term."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -21,13 +21,13 @@
 class Timing:
     """Time spans in nanoseconds.
 
-    A follower without contact to a leader for `election` to 2 * `election` becomes a candidate. It grants no
-    vote within `election` after such contact. `lease` is shorter by more than the clock drift."""
+    A follower becomes a candidate after `election` to 2 * `election` without contact to a leader. A follower
+    grants no vote within `election` after such contact. `election` - `lease` must exceed the clock drift."""
 
     heartbeat: int = 50 * MILLI
     election: int = 500 * MILLI
     lease: int = 400 * MILLI
-    batch: int = 256  # maximum entries of one message
+    batch: int = 256  # maximum number of entries in one message
 
 
 @dataclass(slots=True)
@@ -35,20 +35,20 @@
     """The replication progress of a follower, as the leader knows it."""
 
     next_index: int  # index of the next entry to send
-    match_index: int = 0  # the follower has stored the same log up to here
-    acknowledged_at: int = 0  # send time of the latest acknowledged message
+    match_index: int = 0  # index up to which the follower has stored the log of the leader
+    acknowledged_at: int = 0  # send time of the latest message that the follower has answered
     sent_at: int = 0  # time of the last message to the follower
 
 
 @dataclass(slots=True)
 class ReplicaState:
-    """The state of one replica of a fixed group."""
+    """The state of one replica of a fixed group. Times are in nanoseconds of its monotonic clock."""
 
     replica_id: int
     members: tuple[int, ...]  # ids of all replicas, including this one
     timing: Timing
-    now: int
-    stored: StoredState = field(default_factory=StoredState)
+    now: int  # time of the latest event
+    stored: StoredState = field(default_factory=StoredState)  # loaded from disk; empty after the start
     role: Role = Role.FOLLOWER
     term: int = 0
     voted_for: int | None = None
@@ -57,19 +57,21 @@
     commit_index: int = 0
     last_applied: int = 0  # index of the last entry returned in an Apply action
     leader: int | None = None
-    leader_contact: int = 0  # time of the last message from the leader, or of the start
-    election_due: int = 0  # time at which it becomes a candidate
-    votes: frozenset[int] = frozenset()
+    leader_contact: int = 0  # time of the last message from a leader, or of the start of this replica
+    election_due: int = 0  # time at which this replica starts a pre-vote
+    votes: frozenset[int] = frozenset()  # replicas that voted for this candidate
     pre_vote: bool = False  # whether a candidate is in the pre-vote phase
-    leader_since: int = 0
-    progress: dict[int, FollowerProgress] = field(default_factory=dict)  # by follower, if leader
+    leader_since: int = 0  # time at which this replica became the leader
+    progress: dict[int, FollowerProgress] = field(
+        default_factory=dict
+    )  # progress by follower; empty unless leader
     storage_failed: bool = False  # the disk refused the last Save, so memory and disk may differ
 
     def __post_init__(self) -> None:
         """Restores the stored state.
 
-        A restarted replica does not know whether a leader still holds a lease, so it treats the start as
-        contact with a leader and grants no vote before the election timeout."""
+        A restarted replica does not know whether a leader holds a lease. The start therefore counts as
+        contact with a leader, and the replica grants no vote before the election timeout."""
         self.term = self.stored.term
         self.voted_for = self.stored.voted_for
         self.snapshot = self.stored.snapshot
@@ -103,18 +105,20 @@
         return None
 
     def lease_until(self) -> int:
-        """Returns the end of the lease, in nanoseconds of the own clock; 0 without a lease."""
+        """Returns the end of the lease, in nanoseconds of the local clock; 0 if there is no lease."""
         if self.role is not Role.LEADER:
             return 0
-        acknowledged = sorted((progress.acknowledged_at for progress in self.progress.values()), reverse=True)
-        required = self.majority - 1  # in addition to itself
-        since = acknowledged[required - 1] if required else self.now
-        return since + self.timing.lease if since else 0
+        acknowledged_times = sorted(
+            (progress.acknowledged_at for progress in self.progress.values()), reverse=True
+        )
+        required = self.majority - 1  # followers, in addition to the leader itself
+        lease_start = acknowledged_times[required - 1] if required else self.now
+        return lease_start + self.timing.lease if lease_start else 0
 
     def is_lease_holder(self, now: int) -> bool:
         """Returns whether the replica is the leader, holds its lease, and has committed an entry of its term.
 
-        With such an entry its commit index covers all commands that earlier leaders acknowledged."""
+        The commit index then covers all commands that earlier leaders acknowledged."""
         return self.lease_until() > now and self.term_at(self.commit_index) == self.term
 
     def _save(
@@ -124,15 +128,15 @@
         entries: tuple[LogEntry, ...] = (),
         snapshot: Snapshot | None = None,
     ) -> None:
-        """Requests a write of term, vote and the entries from `start` on."""
+        """Adds a Save of term, vote, the entries from `start` on, and the snapshot if any."""
         actions.append(Save(self.term, self.voted_for, start, entries, snapshot))
 
     def _save_vote(self, actions: list[Action]) -> None:
-        """Requests a write of term and vote only."""
+        """Adds a Save of term and vote only."""
         self._save(actions, self.last_index + 1)
 
     def _become_follower(self, term: int, leader: int | None) -> None:
-        """Becomes a follower in a term; the vote is cleared if the term is new."""
+        """Becomes a follower in a term; clears the vote if the term is new."""
         if term > self.term:
             self.term = term
             self.voted_for = None
--- a/applehub/registry/replication.py
+++ b/applehub/registry/replication.py
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class Replication(ReplicaState):
-    """The part of a replica that replicates the log."""
+    """A replica that replicates the log."""
 
     # As leader
 
@@ -23,11 +23,11 @@
         if self.role is not Role.LEADER:
             actions.append(Proposed(0, self.term))
             return
-        first = self.last_index + 1
+        first_index = self.last_index + 1
         entries = tuple(LogEntry(self.term, command) for command in commands)
         self.log = (*self.log, *entries)
-        actions.append(Proposed(first, self.term))
-        self._save(actions, first, entries)
+        actions.append(Proposed(first_index, self.term))
+        self._save(actions, first_index, entries)
         for follower in self.progress:
             self._send_entries(follower, actions)
         self._advance_commit_index(actions)  # a single replica commits without responses
@@ -45,18 +45,20 @@
         entries = self.log[offset : offset + self.timing.batch]
         message = AppendEntries(self.term, prev_index, prev_term, entries, self.commit_index, self.now)
         actions.append(Send(follower, message))
-        progress.next_index += len(entries)  # optimistic; reset by a response without success
+        progress.next_index += len(entries)  # assumes success; a response without success reduces the index
 
     def _advance_commit_index(self, actions: list[Action]) -> None:
-        """Commits the entries that a majority has stored, up to the last one of this term (Raft, 5.4.2)."""
-        stored = sorted(
+        """Commits the entries that a majority has stored, if the last one is of this term (Raft, 5.4.2)."""
+        stored_indexes = sorted(
             [self.last_index, *(progress.match_index for progress in self.progress.values())], reverse=True
         )
-        index = stored[self.majority - 1]
+        index = stored_indexes[self.majority - 1]
         if index > self.commit_index and self.term_at(index) == self.term:
             self.commit_index = index
             self._apply_committed(actions)
-            for follower in self.progress:  # followers serve reads, so they learn the index at once
+            for (
+                follower
+            ) in self.progress:  # followers serve routers, so they receive the commit index at once
                 self._send_entries(follower, actions)
 
     def _apply_committed(self, actions: list[Action]) -> None:
@@ -98,21 +100,23 @@
         self._become_follower(message.term, sender)
         self.leader_contact = self.now
         self.election_due = self.now + 2 * self.timing.election
-        changed = previous != (self.term, self.voted_for)
+        vote_changed = previous != (self.term, self.voted_for)
         if isinstance(message, InstallSnapshot):
-            self._install_snapshot(message, changed, actions)
+            self._install_snapshot(message, vote_changed, actions)
             response = AppendEntriesResponse(self.term, True, self.commit_index, message.sent_at)
         else:
-            response = self._receive_entries(message, changed, actions)
+            response = self._receive_entries(message, vote_changed, actions)
         actions.append(Send(sender, response))
 
     def _receive_entries(
-        self, message: AppendEntries, changed: bool, actions: list[Action]
+        self, message: AppendEntries, vote_changed: bool, actions: list[Action]
     ) -> AppendEntriesResponse:
         """Appends the entries of a message and returns the response.
 
-        changed: whether term or vote changed, so that they are saved even without new entries."""
-        if message.prev_index < self.snapshot.last_index:  # the snapshot holds committed entries only
+        vote_changed: whether term or vote changed, so that they are saved even without new entries."""
+        if (
+            message.prev_index < self.snapshot.last_index
+        ):  # the entries up to the snapshot are committed, hence equal
             skip = self.snapshot.last_index - message.prev_index
             message = message._replace(
                 prev_index=self.snapshot.last_index,
@@ -120,11 +124,11 @@
                 entries=message.entries[skip:],
             )
         if self.term_at(message.prev_index) != message.prev_term:
-            if changed:
+            if vote_changed:
                 self._save_vote(actions)
-            hint = max(min(self.last_index, message.prev_index - 1), self.commit_index)
-            return AppendEntriesResponse(self.term, False, hint, message.sent_at)
-        self._append(message, changed, actions)
+            hint_index = max(min(self.last_index, message.prev_index - 1), self.commit_index)
+            return AppendEntriesResponse(self.term, False, hint_index, message.sent_at)
+        self._append(message, vote_changed, actions)
         match_index = message.prev_index + len(message.entries)
         commit_index = min(message.commit_index, match_index)
         if commit_index > self.commit_index:
@@ -132,7 +136,7 @@
             self._apply_committed(actions)
         return AppendEntriesResponse(self.term, True, match_index, message.sent_at)
 
-    def _append(self, message: AppendEntries, changed: bool, actions: list[Action]) -> None:
+    def _append(self, message: AppendEntries, vote_changed: bool, actions: list[Action]) -> None:
         """Replaces the log from the first conflicting entry on.
 
         Matching entries stay, because a delayed message may contain fewer entries than the log."""
@@ -144,18 +148,18 @@
         if entries:
             self.log = (*self.log[: index - self.snapshot.last_index], *entries)
             self._save(actions, index + 1, entries)
-        elif changed:
+        elif vote_changed:
             self._save_vote(actions)
 
-    def _install_snapshot(self, message: InstallSnapshot, changed: bool, actions: list[Action]) -> None:
+    def _install_snapshot(self, message: InstallSnapshot, vote_changed: bool, actions: list[Action]) -> None:
         snapshot = message.snapshot
         if snapshot.last_index <= self.commit_index:
-            if changed:
+            if vote_changed:
                 self._save_vote(actions)
             return
-        # Entries after the snapshot are kept if the log matches the snapshot.
-        agrees = self.term_at(snapshot.last_index) == snapshot.last_term
-        self.log = self.log[snapshot.last_index - self.snapshot.last_index :] if agrees else ()
+        # Entries after the snapshot remain in the log if the log matches the snapshot.
+        matches_snapshot = self.term_at(snapshot.last_index) == snapshot.last_term
+        self.log = self.log[snapshot.last_index - self.snapshot.last_index :] if matches_snapshot else ()
         self.snapshot = snapshot
         self.commit_index = self.last_applied = snapshot.last_index
         self._save(actions, snapshot.last_index + 1, self.log, snapshot)
@@ -164,7 +168,7 @@
     # In any role
 
     def _compact(self, event: Compact, actions: list[Action]) -> None:
-        """Replaces the log up to the index of a snapshot by the snapshot.
+        """Replaces the log entries that a snapshot of the host contains.
 
         The index may be below `last_applied`, because the host may not have executed all Apply actions."""
         term = self.term_at(event.last_index)
--- a/applehub/registry/replies.py
+++ b/applehub/registry/replies.py
@@ -14,8 +14,8 @@
 from applehub.registry.host import NOT_LEASE_HOLDER, Host
 from applehub.registry.metrics import Metrics
 
-SECOND = 1_000_000_000  # nanoseconds
-RETRY = {"Retry-After": "1"}
+SECOND = 1_000_000_000  # nanoseconds per second
+RETRY = {"Retry-After": "1"}  # header of 503 responses, in seconds
 
 
 def initial_version() -> int:
@@ -24,7 +24,7 @@
 
 
 class Replies:
-    """Builds responses and counts them by status."""
+    """Builder of JSON responses, which counts them by status."""
 
     def __init__(self, config: Config, host: Host, metrics: Metrics) -> None:
         """config: provides the names of the replicas."""
@@ -41,14 +41,14 @@
         return web.Response(status=status, body=body, content_type="application/json", headers=headers)
 
     def not_leader(self, message: str = NOT_LEASE_HOLDER) -> web.Response:
-        """Returns a 503 response that names the leader, if another replica is known to be it."""
+        """Returns a 503 response, which names the leader if another replica is known to lead."""
         leader = self._host.replica.leader
         is_other = leader is not None and leader != self._host.options.replica_id
         primary = self._names[leader] if leader is not None and is_other and self._names else None
         return self.json(HTTPStatus.SERVICE_UNAVAILABLE, {"error": message, "primary": primary}, RETRY)
 
     def invalid(self, error: ValidationError) -> web.Response:
-        """Returns a 400 response that lists all faults of a request body."""
+        """Returns a 400 response that lists all validation errors of a request body."""
         faults = [
             {"key": ".".join(map(str, detail["loc"])) or "the whole", "expected": detail["msg"]}
             for detail in error.errors()
--- a/applehub/registry/service.py
+++ b/applehub/registry/service.py
@@ -17,9 +17,9 @@
 from applehub.registry.lock_api import LockApi
 from applehub.registry.metrics import Metrics
 
-MAX_BODY = 1 << 16  # bytes of a request body
-KEEPALIVE = 75.0  # seconds; longer than the longest long poll
-SHUTDOWN_TIMEOUT = 0.5  # seconds for requests in progress
+MAX_BODY = 1 << 16  # maximum bytes of a request body
+KEEPALIVE = 75.0  # seconds that an idle connection stays open; longer than a long poll
+SHUTDOWN_TIMEOUT = 0.5  # seconds that requests in progress may take at shutdown
 
 
 class Service:
@@ -35,10 +35,10 @@
         self.list_api = ListApi(config, host, events, metrics)
         self.admin_api = AdminApi(config, self.list_api, metrics, self.lease_watch.leases)
         self.lock_api = LockApi(host, self.admin_api.replies)
-        self._version = host.endpoints.version  # changes up to this version were logged
+        self._logged_version = host.endpoints.version  # version up to which changes are logged
         self._listeners: list[Listener] = []
         self._runners: list[web.AppRunner] = []
-        self._task: asyncio.Task[None] | None = None
+        self._lease_task: asyncio.Task[None] | None = None
         host.on_new_version = self._on_new_version
 
     def update_config(self, config: Config) -> None:
@@ -48,13 +48,13 @@
         self.lease_watch.update_config(config.leases)
 
     async def start(self) -> tuple[str, str]:
-        """Starts to listen. Returns the addresses for routers and for operators. Raises OSError."""
+        """Starts the listeners; returns the address for routers and the one for writers. Raises OSError."""
         admin_application = web.Application(client_max_size=MAX_BODY)
         self.admin_api.add_routes(admin_application.router)
         self.lock_api.add_routes(admin_application.router)
         router_address = await self._listen(self.list_api.application(), self.config.listen)
         admin_address = await self._listen(admin_application, self.config.staff)
-        self._task = asyncio.get_running_loop().create_task(self.lease_watch.run())
+        self._lease_task = asyncio.get_running_loop().create_task(self.lease_watch.run())
         return router_address, admin_address
 
     async def _listen(self, application: web.Application, address: str) -> str:
@@ -75,10 +75,10 @@
 
     async def stop(self) -> None:
         """Answers all long polls and closes the listeners and connections."""
-        if self._task is not None:
-            self._task.cancel()
+        if self._lease_task is not None:
+            self._lease_task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await self._task
+                await self._lease_task
         self.list_api.end_watches()
         for listener in self._listeners:
             listener.close()
@@ -86,14 +86,14 @@
             await runner.cleanup()
 
     def _on_new_version(self) -> None:
-        """Logs the changes if this replica is the leader, and wakes the watchers."""
+        """Logs the changes if this replica is the leader, and wakes waiting long polls."""
         endpoints = self.host.endpoints
         if self.host.is_lease_holder():
             for change in endpoints.changes:
-                if change.version > self._version and change.uid in endpoints.entries:
+                if change.version > self._logged_version and change.uid in endpoints.entries:
                     state = endpoints.entries[change.uid].state
                     self.events.write(
                         EventKind.LIST_CHANGED, version=change.version, server=change.uid, state=state
                     )
-        self._version = endpoints.version
+        self._logged_version = endpoints.version
         self.list_api.watchers.wake()
--- a/applehub/registry/store.py
+++ b/applehub/registry/store.py
@@ -8,7 +8,7 @@
 
 A corrupt store is rejected with an error that names file, row and reason.
 
-If the disk refuses a write (for example because it is full), the stored data is intact and the same Saves are
+If the disk refuses a write (for example because it is full), the stored data is intact. The same Saves are
 written again later on a new connection, which first rolls back the failed transaction. A failed write may be
 on disk nevertheless (if only the last sync failed), so Saves are idempotent."""
 
@@ -26,7 +26,7 @@
 from applehub.registry.messages import NO_SNAPSHOT, LogEntry, Snapshot
 
 FORMAT_VERSION = 1
-NO_VOTE = -1
+NO_VOTE = -1  # stored in the row "voted" if the replica has not voted in its term
 TABLES = """
 CREATE TABLE IF NOT EXISTS meta (name TEXT PRIMARY KEY, value INTEGER, crc INTEGER) WITHOUT ROWID;
 CREATE TABLE IF NOT EXISTS log (place INTEGER PRIMARY KEY, term INTEGER, data BLOB, crc INTEGER);
@@ -50,7 +50,7 @@
 
 
 def _store_error(path: Path, error: OSError | sqlite3.Error) -> StoreError:
-    """Converts an error to StoreRefusedError if it may be temporary, else to StoreError."""
+    """Returns StoreRefusedError for an error that may be temporary, else StoreError."""
     if isinstance(error, OSError):
         refused = error.errno in REFUSALS
         text = error.strerror or str(error)
@@ -69,7 +69,7 @@
 
 
 def _sync_directory(directory: Path) -> None:
-    """Syncs a directory, so that its file names are on disk. Raises OSError."""
+    """Syncs a directory, so that its entries are on disk. Raises OSError."""
     descriptor = os.open(directory, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -81,10 +81,14 @@
     """The database of one replica, locked while it is open."""
 
     def __init__(self, directory: Path) -> None:
-        """Opens the store. Raises StoreError if another process has locked it or it is corrupt, and
-        StoreRefusedError if the disk refuses access."""
+        """Opens the store.
+
+        Raises StoreError if the store is locked by another process or corrupt, and StoreRefusedError if the
+        disk refuses access."""
         self.path = directory / "replica.sqlite"
-        self._marker = directory / "made"
+        self._marker = (
+            directory / "made"
+        )  # exists once a Save was written, so that an empty database is an error
         self._connection: sqlite3.Connection | None = None
         try:
             directory.mkdir(parents=True, exist_ok=True)
@@ -101,14 +105,14 @@
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             self._connect()
-            _sync_directory(directory)  # the new file names must be on disk, too
+            _sync_directory(directory)  # the entries of new files must be on disk, too
         except BlockingIOError as error:
             raise StoreError(f"{directory}: the store is locked by another process") from error
         except OSError as error:
             raise _store_error(directory, error) from error
 
     def _connect(self) -> sqlite3.Connection:
-        """Returns the connection, or a new one after a failure. Opening rolls back an incomplete transaction.
+        """Returns the open connection, or opens a new one, which rolls back an incomplete transaction.
 
         Raises StoreError."""
         if self._connection is not None:
@@ -131,7 +135,7 @@
         return connection
 
     def _disconnect(self) -> None:
-        """Closes the connection; the next connection rolls back an incomplete transaction."""
+        """Closes the connection, if open; the next connection rolls back an incomplete transaction."""
         connection = self._connection
         self._connection = None
         if connection is not None:
@@ -139,17 +143,18 @@
                 connection.close()
 
     def load(self) -> StoredState:
-        """Returns the stored state. Raises StoreError if a checksum, the order of entries or the format is
-        wrong."""
+        """Returns the stored state.
+
+        Raises StoreError for a checksum mismatch, a gap in the log or an unknown format version."""
         connection = self._connect()
         try:
             meta = self._load_meta(connection)
             if not meta:
-                self._verify(not self._marker.exists(), "it is empty, expected stored state")
+                self._verify(not self._marker.exists(), "empty database, expected stored state")
                 return StoredState()
             self._verify(
                 meta.get("format") == FORMAT_VERSION,
-                f"format {meta.get('format')}, expected {FORMAT_VERSION}",
+                f"format version {meta.get('format')}, expected {FORMAT_VERSION}",
             )
             snapshot = self._load_snapshot(connection)
             log = self._load_log(connection, snapshot.last_index)
@@ -190,12 +195,12 @@
             raise StoreError(f"{self.path}: corrupt store: {description}")
 
     def save(self, saves: Iterable[Save]) -> None:
-        """Writes a batch in one transaction, which is on disk on return.
+        """Writes a batch of Saves in one transaction, which is on disk when the method returns.
 
-        Raises StoreRefusedError if the disk refuses, in which case the batch is stored completely or not at
-        all, and StoreError if the store is unusable."""
+        Raises StoreRefusedError if the disk refuses the write, in which case the batch is stored completely
+        or not at all, and StoreError if the store is unusable."""
         try:
-            if not self._marker.exists():  # marks that an empty database is lost data from now on
+            if not self._marker.exists():
                 self._marker.touch()
                 _sync_directory(self._marker.parent)
         except OSError as error:
--- a/applehub/registry/watchers.py
+++ b/applehub/registry/watchers.py
@@ -1,23 +1,23 @@
-"""Long polls that wait for a change of the list, woken in batches."""
+"""Long polls that wait for a change of the list, and are woken in batches."""
 
 import asyncio
 import contextlib
 
 WAKE_BATCH = 64  # watchers woken per event loop iteration, so that other tasks are not delayed
-WAKE_PAUSE = 0.1  # seconds between two rounds; changes in between are sent together
+WAKE_PAUSE = 0.1  # seconds between two rounds of waking; changes in between are sent together
 
 
 class Watchers:
-    """The requests that wait for a newer version of the list."""
+    """Long polls that wait for a newer version of the list."""
 
     def __init__(self) -> None:
         """Needs a running event loop."""
         self.loop = asyncio.get_running_loop()
-        self.waiting: dict[asyncio.Future[None], None] = {}
-        self._waking = self._changed_since = False
+        self.waiting: dict[asyncio.Future[None], None] = {}  # used as an ordered set
+        self._waking = self._wake_again = False
 
     async def wait(self, seconds: float) -> None:
-        """Waits for a change, or until the time is over."""
+        """Waits for a change, for at most `seconds`."""
         future: asyncio.Future[None] = self.loop.create_future()
         self.waiting[future] = None
         try:
@@ -27,9 +27,9 @@
             self.waiting.pop(future, None)
 
     def wake(self) -> None:
-        """Wakes all watchers after a change: at once, or in the next round if one is in progress."""
+        """Wakes all watchers after a change: at once or, if a round is in progress, in the next round."""
         if self._waking:
-            self._changed_since = True
+            self._wake_again = True
         else:
             self._waking = True
             self._wake_batch(list(self.waiting))
@@ -45,6 +45,6 @@
 
     def _end_round(self) -> None:
         self._waking = False
-        if self._changed_since:
-            self._changed_since = False
+        if self._wake_again:
+            self._wake_again = False
             self.wake()
--- a/applehub/registry/wire.py
+++ b/applehub/registry/wire.py
@@ -1,4 +1,4 @@
-"""The encoding of messages between replicas: JSON lines with the kind, the sender and the fields.
+"""The wire format of messages between replicas: JSON lines with the kind, the sender and the fields.
 
 Kinds and keys are part of the wire protocol and differ from the names in the code. Commands and snapshots are
 UTF-8 text and are sent as strings."""
@@ -31,19 +31,19 @@
 
 
 def encode(sender: int, message: Message) -> bytes:
-    """Returns the encoded line of a message."""
+    """Returns a message as a line of JSON."""
     kind, keys = ENCODINGS[type(message)]
-    line: dict[str, object] = {"kind": kind, "from": sender, **dict(zip(keys, message, strict=True))}
+    content: dict[str, object] = {"kind": kind, "from": sender, **dict(zip(keys, message, strict=True))}
     if isinstance(message, AppendEntries):
-        line["entries"] = [(term, command.decode()) for term, command in message.entries]
+        content["entries"] = [(term, command.decode()) for term, command in message.entries]
     elif isinstance(message, InstallSnapshot):
         index, term, data = message.snapshot
-        line["snapshot"] = (index, term, data.decode())
-    return orjson.dumps(line) + b"\n"
+        content["snapshot"] = (index, term, data.decode())
+    return orjson.dumps(content) + b"\n"
 
 
 def decode(line: bytes) -> tuple[int, Message]:
-    """Returns the sender and the message of a line. Raises MessageError."""
+    """Decodes a line. Returns the sender and the message. Raises MessageError."""
     try:
         fields = orjson.loads(line)
         sender = _check_integer(fields.pop("from"))
