--- a/applehub/peers/__init__.py
+++ b/applehub/peers/__init__.py
@@ -7,8 +7,8 @@
 - `record_store`: the records that a process has received, with the merge rule and the size limits.
 - `codec`: the wire format of a datagram.
 - `member_table`: the known router processes, and the precedence of conflicting descriptions of one of them.
-- `membership`: SWIM probes, suspicion and refutation.
-- `agent`: the gossip state machine of one process; ticks and datagrams in, datagrams out.
+- `membership`: failure detection by SWIM: probes, suspicion and refutation.
+- `agent`: the gossip state machine of one process, from ticks and datagrams to datagrams to send.
 - `fleet_view`: the state of the fleet, computed from the records of one process.
 - `policy_adapter`: the translation between the agent and the decision module.
 """
--- a/applehub/peers/agent.py
+++ b/applehub/peers/agent.py
@@ -1,4 +1,4 @@
-"""Gossip state machine of one router process: ticks and datagrams in, datagrams out.
+"""Gossip state machine of one router process, driven by clock ticks and received datagrams.
 
 The caller invokes `tick` periodically and `receive` for each datagram, and sends the datagrams returned.
 """
@@ -28,8 +28,8 @@
 
 # Age, in ns, at which an unchanged record is republished; below the maximum age in records.RETENTION.
 REPUBLISH_AFTER: dict[type[Body], int] = {Limit: SECOND // 2, Shares: 2 * SECOND, Verdict: SECOND // 2}
-MAX_PEERS_PER_DATAGRAM = 4  # in addition to membership changes
-MAX_PEERS_TO_NEW_MEMBER = 20  # the same, in answers to a process that has just joined
+MAX_PEERS_PER_DATAGRAM = 4  # peers per datagram, in addition to membership changes
+MAX_PEERS_TO_NEW_MEMBER = 20  # peers per datagram in answers to a process that has just joined
 MAX_PEER_BYTES = MAX_DATAGRAM_BYTES * 3 // 4  # datagram size up to which peers are added before records
 URGENT_VERDICT_SENDS = 4  # sends after which a verdict is no longer urgent
 URGENT_FANOUT = 2  # additional recipients per tick while verdicts are urgent
@@ -42,11 +42,11 @@
 
 @dataclass(slots=True)
 class PublishedRecord:
-    """Latest publication of one record type and subject; `body` is None once it is withdrawn."""
+    """Latest publication of one record type and subject."""
 
     version: int = 0
-    published_at: int = -SECOND
-    body: Body | None = None
+    published_at: int = -SECOND  # ns
+    body: Body | None = None  # None if the record is withdrawn or not published yet
 
 
 class GossipAgent:
@@ -64,7 +64,9 @@
         self.store = RecordStore()
         self.published: dict[tuple[type[Body], int], PublishedRecord] = {}
         self.last_prune_at = 0
-        self.pending_records: dict[RecordKey, int] = {}  # number of sends by record
+        self.pending_records: dict[
+            RecordKey, int
+        ] = {}  # number of sends of each record that is still disseminated
         self.drop_counts: Counter[str] = Counter()  # dropped datagrams by reason
         self.datagrams_sent = 0
         self.datagrams_accepted = 0
@@ -84,8 +86,8 @@
         if now - self.last_prune_at >= ABSENT_MEMBER_RETENTION:
             self._prune_published(now)
         published = self.published.setdefault((type(body), subject), PublishedRecord())
-        due = now - published.published_at >= REPUBLISH_AFTER[type(body)]
-        if due or _is_changed_verdict(published.body, body):
+        is_due = now - published.published_at >= REPUBLISH_AFTER[type(body)]
+        if is_due or _is_changed_verdict(published.body, body):
             published.version += 1
             published.published_at = now
             published.body = body
@@ -185,7 +187,7 @@
             self.fleet_id, message.kind, self.member_id, message.sequence, message.target
         )
         if isinstance(message.to, Peer) and message.to.state is not PeerState.ALIVE:
-            builder.add(encode_peer(message.to))  # lets a suspect refute (Lifeguard)
+            builder.add(encode_peer(message.to))  # so that a suspect can refute the suspicion (Lifeguard)
         self._add_peers(builder, 1 + MAX_UPDATES + max_peers)
         self._add_records(now, builder)
         return builder.build()
@@ -208,14 +210,14 @@
                     del pending[key]
 
     def _max_sends(self, key: RecordKey) -> int:
-        """Returns how often a record is sent; verdicts more often, as other types tolerate lost updates."""
+        """Returns how often a record is sent: verdicts more often, as other types tolerate lost updates."""
         log_member_count = self.membership.member_count.bit_length()
         if key.body_type is Verdict:
             return BASE_VERDICT_SENDS + log_member_count
         return max(MIN_RECORD_SENDS, 1 + log_member_count // 2)
 
 
-def _is_changed_verdict(before: Body | None, after: Body) -> bool:
-    if not isinstance(after, Verdict):
+def _is_changed_verdict(previous: Body | None, current: Body) -> bool:
+    if not isinstance(current, Verdict):
         return False
-    return not isinstance(before, Verdict) or after.failing is not before.failing
+    return not isinstance(previous, Verdict) or current.failing is not previous.failing
--- a/applehub/peers/codec.py
+++ b/applehub/peers/codec.py
@@ -18,12 +18,12 @@
 FORMAT_VERSION = 1
 MAX_DATAGRAM_BYTES = 1200  # fits the minimum IPv6 MTU of 1,280 bytes, so datagrams are not fragmented
 MAX_NAME_BYTES = 48  # UTF-8 bytes of a router name
-MAX_KINDS_PER_RECORD = 16  # server kinds; the length of an item is encoded in one byte
+MAX_KINDS_PER_RECORD = 16  # server kinds in a Shares record; an item has at most 255 bytes of content
 MAX_AGE_MS = 0xFFFF  # maximum of the 16-bit age field
 MAX_ATTEMPTS = 0xFFFF  # maximum of the 16-bit field for failed attempts
-MAX_RATE = 1e9  # tokens per second; a limit record at or above it is rejected
+MAX_RATE = 1e9  # tokens per second, from which a limit record is rejected
 NS_PER_MS = 1_000_000
-FORMAT_VERSION_OFFSET = 2
+FORMAT_VERSION_OFFSET = 2  # position of the format version in a datagram, in bytes
 HEADER = struct.Struct("!2sBBIQIQ")
 CHECKSUM = struct.Struct("!I")
 ITEM_HEADER = struct.Struct("!BB")
@@ -81,7 +81,7 @@
 
     @property
     def rank(self) -> tuple[int, PeerState]:
-        """Precedence among descriptions of one process; the higher one is newer."""
+        """Precedence among descriptions of one process; the description with the higher rank is newer."""
         return self.incarnation, self.state
 
 
@@ -131,7 +131,8 @@
     """Returns the decoded datagram.
 
     fleet_id: CRC-32 of the receiver's fleet name.
-    Raises DatagramError with the reason: foreign, format, checksum, fleet, cut, figures or malformed.
+    Raises DatagramError with the reason: foreign (not a gossip datagram), format, checksum, fleet, cut
+    (truncated item), figures (number out of range) or malformed.
     Items of unknown types are skipped, so that different versions of the program can interoperate.
     """
     _check_envelope(data)
@@ -153,7 +154,7 @@
     """Assembles one datagram up to a size limit."""
 
     def __init__(self, fleet_id: int, kind: MessageKind, sender: int, sequence: int, target: int) -> None:
-        """Starts a datagram. fleet_id: CRC-32 of the fleet name; for the others see `Datagram`."""
+        """Starts a datagram. fleet_id: CRC-32 of the fleet name; other parameters: see `Datagram`."""
         self.parts = [HEADER.pack(MAGIC, FORMAT_VERSION, kind, fleet_id, sender, sequence, target)]
         self.size = HEADER.size + CHECKSUM.size
 
@@ -196,7 +197,7 @@
 
 
 def _iter_items(data: bytes) -> Iterator[tuple[int, bytes]]:
-    """Yields the type and the content of each item; raises DatagramError if one is truncated."""
+    """Yields the type and the content of each item; raises DatagramError for a truncated item."""
     position = HEADER.size
     end = len(data) - CHECKSUM.size
     while position < end:
@@ -242,7 +243,7 @@
 
 
 def _is_valid_body(body: Body) -> bool:
-    """Returns whether all numbers are in their valid ranges; NaN is not."""
+    """Returns whether all numbers are in their valid ranges; NaN is invalid."""
     match body:
         case Limit(throttle_rate, spend_rate):
             return 0 <= throttle_rate < MAX_RATE and 0 <= spend_rate < MAX_RATE
--- a/applehub/peers/member_table.py
+++ b/applehub/peers/member_table.py
@@ -10,21 +10,21 @@
 
 SUSPICION_MULTIPLIER = 5  # suspicion timeout in ticks, as a multiple of log2 of the member count
 MIN_SUSPICION_TIMEOUT = SECOND  # ns
-ABSENT_MEMBER_RETENTION = 60 * SECOND  # ns; longer than any peer gossips the end of a member
+ABSENT_MEMBER_RETENTION = 60 * SECOND  # ns; longer than peers gossip the death or departure of a member
 ABSENT_STATES = (PeerState.DEAD, PeerState.LEFT)
 
 
 class MemberTable:
-    """Members that are known to the local process, which is one of them."""
+    """Known members, including the local process."""
 
     def __init__(self, local_peer: Peer, rng: random.Random, tick_interval: int) -> None:
-        """Creates a table with only the local process. tick_interval: ns between two probes."""
+        """Creates a table that contains only the local process. tick_interval: ns between two probes."""
         self.local_peer = local_peer
         self.rng = rng
         self.tick_interval = tick_interval
         self.peers: dict[int, Peer] = {}  # by member id; without the local process
-        self.state_changed_at: dict[int, int] = {}  # by member id; time of the last change of state
-        self.update_send_counts: dict[int, int] = {}  # by member id; how often its latest change was sent
+        self.state_changed_at: dict[int, int] = {}  # by member id; time of the last change of state, in ns
+        self.update_send_counts: dict[int, int] = {}  # by member id; number of sends of its latest change
         self.probe_order: list[int] = []  # member ids still to be probed in the current round
         self.member_count = 1  # members present, including suspects and the local process
 
@@ -50,30 +50,30 @@
         return max(MIN_SUSPICION_TIMEOUT, SUSPICION_MULTIPLIER * self.log_member_count * self.tick_interval)
 
     def merge(self, now: int, peer: Peer) -> bool:
-        """Merges a description of a process; returns whether it was newer than the known one.
+        """Merges a description of a process; returns whether the description is newer than the known one.
 
-        If the description suspects the local process, its incarnation is incremented to refute it.
+        A description of the local process as not alive is refuted by a higher incarnation.
         """
         if peer.member_id == self.local_peer.member_id:
             self._refute(peer)
             return False
-        known = self.peers.get(peer.member_id)
-        if known is not None and peer.rank <= known.rank:
+        known_peer = self.peers.get(peer.member_id)
+        if known_peer is not None and peer.rank <= known_peer.rank:
             return False
-        if known is None and peer.state in ABSENT_STATES:
-            return False  # the end of an unknown process is not worth storing
+        if known_peer is None and peer.state in ABSENT_STATES:
+            return False  # a dead or departed process that was never known
         self.peers[peer.member_id] = peer
         self.update_send_counts[peer.member_id] = 0
-        was_present = known is not None and known.state not in ABSENT_STATES
-        if known is None or known.state is not peer.state:
+        was_present = known_peer is not None and known_peer.state not in ABSENT_STATES
+        if known_peer is None or known_peer.state is not peer.state:
             self.state_changed_at[peer.member_id] = now
         self.member_count += (peer.state not in ABSENT_STATES) - was_present
-        if known is None:
+        if known_peer is None:
             self.probe_order.insert(self.rng.randrange(len(self.probe_order) + 1), peer.member_id)
         return True
 
     def shift_state_times(self, duration: int) -> None:
-        """Excludes a pause of the local process, in ns, from the suspicion timeouts of the peers."""
+        """Postpones the suspicion timeouts of peers by a pause of the local process. duration: in ns."""
         self.state_changed_at = {
             member_id: since + duration for member_id, since in self.state_changed_at.items()
         }
--- a/applehub/peers/membership.py
+++ b/applehub/peers/membership.py
@@ -2,8 +2,8 @@
 
 See Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
 Protocol" (2002). Two rules follow Dadgar, Phillips and Currey, "Lifeguard" (2018): after a pause of the local
-process, missing answers cause no suspicion; and every datagram to a suspect carries the suspicion, so that it
-can refute. Times are in ns; each tick sends one probe.
+process, missing answers cause no suspicion; and every datagram to a suspect carries the suspicion, so that
+the suspect can refute it. Times are in ns; each tick sends one probe.
 """
 
 import random
@@ -19,12 +19,14 @@
 SUSPECT_TICKS = 8  # ticks without an answer before the member is suspected
 PING_REQUEST_FANOUT = 3  # members that relay an indirect probe
 LEAVE_FANOUT = 8  # members that receive a leave message directly; the others learn of it by gossip
-UPDATE_SEND_MULTIPLIER = 3  # sends of a membership change, as a multiple of log2 of the member count
+UPDATE_SEND_MULTIPLIER = (
+    3  # number of sends of a membership change, as a multiple of log2 of the member count
+)
 RECONNECT_TICKS = 20  # ticks between pings to absent configured routers or dead members
-ISOLATED_RECONNECT_TICKS = 4  # the same while no other member is present
+ISOLATED_RECONNECT_TICKS = 4  # ticks between these pings while no other member is present
 LOCAL_PAUSE_TICKS = 4  # tick intervals without a tick after which the local process counts as paused
-MAX_RELAYED_PINGS = 1024  # pings in flight on behalf of other members
-MAX_UPDATES = 12  # membership changes per datagram
+MAX_RELAYED_PINGS = 1024  # maximum pings in flight on behalf of other members
+MAX_UPDATES = 12  # maximum membership changes per datagram
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +66,7 @@
 
 
 class Membership:
-    """Maintains the member table by the SWIM protocol."""
+    """Member table maintained by the SWIM protocol."""
 
     def __init__(self, local_peer: Peer, names: list[str], seed: int, tick_interval: int) -> None:
         """Starts with only the local process.
@@ -101,7 +103,7 @@
         return self.table.is_present(member_id)
 
     def merge(self, now: int, peer: Peer) -> bool:
-        """Merges a description of a process; returns whether it was newer than the known one."""
+        """Merges a description of a process; returns whether the description is newer than the known one."""
         return self.table.merge(now, peer)
 
     def set_tick_interval(self, tick_interval: int) -> None:
@@ -163,7 +165,8 @@
         """Adds peers to a datagram until `add` returns False or `max_peers` were added.
 
         The order is: the local process, changed members (least often sent first), then the other members in
-        round-robin order, which repairs lost changes. A member that doesn't fit is the first one next time.
+        round-robin order, which repairs lost changes. If one of these other members doesn't fit, it is the first
+        of them in the next datagram.
         """
         add(self.local_peer)
         changed = nsmallest(
@@ -173,7 +176,7 @@
             self._add_round_robin(add, max_peers - 1 - len(changed))
 
     def _discount_local_pause(self, now: int) -> None:
-        """Discards the probes in flight after a pause of the local process (Lifeguard)."""
+        """Discards probes and postpones suspicion timeouts after a pause of the local process (Lifeguard)."""
         elapsed = now - self.last_tick_at
         if self.last_tick_at >= 0 and elapsed > LOCAL_PAUSE_TICKS * self.table.tick_interval:
             self.probes.clear()
--- a/applehub/peers/record_store.py
+++ b/applehub/peers/record_store.py
@@ -1,15 +1,15 @@
 """The gossip records that a process has received or published.
 
 For each key, a merge keeps the record with the highest version and, within a version, the earliest creation
-time. For each subject, it keeps the records of the writers with the lowest ids. The former is a maximum over
-a total order and the latter the lowest k of a union, so merges commute, associate and are idempotent.
+time. For each subject, a merge keeps the records of the writers with the lowest ids. The former is a maximum
+over a total order and the latter the lowest k of a union, so merges commute, associate and are idempotent.
 """
 
 from collections.abc import Iterator
 
 from applehub.peers.records import RETENTION, Body, Record, RecordKey, Verdict
 
-MAX_VERDICT_SUBJECTS = 4096  # servers with stored verdicts; those with the lowest digests are kept
+MAX_VERDICT_SUBJECTS = 4096  # servers with stored verdicts, above which the highest digest is evicted
 
 
 class RecordStore:
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         """Creates an empty store."""
         self.records: dict[RecordKey, Record] = {}
-        self.writers: dict[tuple[type[Body], int], list[int]] = {}
+        self.writers: dict[tuple[type[Body], int], list[int]] = {}  # member ids by record type and subject
         self.verdict_subjects: set[int] = set()  # digests of the servers with stored verdicts
 
     def merge(self, record: Record) -> bool:
@@ -62,7 +62,7 @@
         return list(self.verdict_subjects)
 
     def _free_writer_slot(self, key: RecordKey) -> bool:
-        """Evicts the highest writer of a full subject; returns False if the new writer is higher."""
+        """Evicts the highest writer of a full subject; returns False if the new writer is even higher."""
         writers = self.writers.get((key.body_type, key.subject), [])
         if len(writers) < RETENTION[key.body_type].max_writers:
             return True
@@ -73,7 +73,7 @@
         return True
 
     def _evict_excess_subject(self, key: RecordKey) -> bool:
-        """Evicts the server with the highest digest above the limit; returns whether the key is about it."""
+        """Evicts the highest digest if there are too many; returns whether it is the subject of the key."""
         if key.body_type is not Verdict or len(self.verdict_subjects) <= MAX_VERDICT_SUBJECTS:
             return False
         highest = max(self.verdict_subjects)
--- a/applehub/peers/records.py
+++ b/applehub/peers/records.py
@@ -9,18 +9,18 @@
 from heapq import nsmallest
 from typing import NamedTuple
 
-SECOND = 1_000_000_000  # ns
-DIGEST_BYTES = 8
+SECOND = 1_000_000_000  # ns per second
+DIGEST_BYTES = 8  # bytes of the hash that identifies a name
 
 
 def digest(name: str) -> int:
-    """Returns the 64-bit hash that identifies a name in datagrams; it is equal on all routers."""
+    """Returns the 64-bit hash that identifies a name in datagrams, equal on all routers."""
     return int.from_bytes(blake2b(name.encode(), digest_size=DIGEST_BYTES).digest())
 
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """Origin load that one router may send, and that it does send.
+    """Limit and actual rate of the load that one router sends to the origin.
 
     throttle_rate: tokens per second that the router's throttle admits; 0 if the throttle is off.
     spend_rate: tokens per second that the router spends.
