--- a/tests/registry_group.py
+++ b/tests/registry_group.py
@@ -15,10 +15,10 @@
 
 
 class Group:
-    """A group of three replicas, each in a process of its own."""
+    """A group of three replicas, each in a separate process."""
 
     def __init__(self, directory: Path, block: str, extra_config: str = "") -> None:
-        """block: prefix of the addresses, unique to this group. extra_config: TOML lines for each replica."""
+        """block: prefix of the IP addresses of this group. extra_config: TOML lines for each replica."""
         self.extra_config = extra_config
         self.directory, self.names = directory, ("a", "b", "c")
         self.peers = {name: f"{block}.210.{number + 1}:7000" for number, name in enumerate(self.names)}
@@ -45,7 +45,7 @@
         self.processes[name] = subprocess.Popen(command, env=environment(), stdout=subprocess.DEVNULL)
 
     def refuse_writes(self, name: str, refuse: bool) -> None:
-        """Makes the system refuse or accept the file writes of a replica."""
+        """Makes the operating system refuse or accept the file writes of a replica."""
         limit = 0 if refuse else resource.RLIM_INFINITY
         resource.prlimit(self.processes[name].pid, resource.RLIMIT_FSIZE, (limit, resource.RLIM_INFINITY))
 
@@ -60,7 +60,7 @@
         return [process.wait(60) for process in self.processes.values()]
 
     async def wait_for_primary(self, session: aiohttp.ClientSession, *excluded: str) -> str:
-        """Waits for a leader other than the given replicas and returns its name."""
+        """Waits for a leader that is not one of the excluded replicas, and returns its name."""
         deadline = time.monotonic() + 60
         while time.monotonic() < deadline:
             for name in self.names:
@@ -86,7 +86,7 @@
             return None
 
     async def wait_until_ready(self, session: aiohttp.ClientSession, name: str) -> None:
-        """Waits until a replica responds."""
+        """Waits until a replica responds on its admin address."""
         async with asyncio.timeout(60):
             while await self.request(session, "GET", name, "/v1/status") is None:
                 await asyncio.sleep(0.02)
--- a/tests/registry_replica.py
+++ b/tests/registry_replica.py
@@ -18,7 +18,7 @@
 
 @dataclass
 class Replica:
-    """A running single replica and a client session."""
+    """A running single replica, and a client session for requests to it."""
 
     host: Host
     service: Service
@@ -37,7 +37,9 @@
 
 @asynccontextmanager
 async def run_replica(directory: Path, compact_after: int = 2000) -> AsyncIterator[Replica]:
-    """Runs a single replica that is the leader. compact_after: log entries before compaction."""
+    """Runs a single replica and yields it once it is the leader.
+
+    compact_after: applied log entries after which the log is compacted."""
     config = parse("x", {"name": "a", "state_dir": str(directory / "a"), "leases": {"look_ms": 20}})
     host = Host(HostOptions(0, compact_after=compact_after), ReplicaStore(config.state_dir))
     with (directory / "events").open("wb") as events:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -66,7 +66,7 @@
         first.merge(record)
     shuffled = records + [rng.choice(records) for _ in records]
     rng.shuffle(shuffled)
-    intermediate = RecordStore()  # receives records before they reach the second store
+    intermediate = RecordStore()  # the second store receives the first half of the records through this store
     for record in shuffled[: len(shuffled) // 2]:
         intermediate.merge(record)
     for record in [*shuffled[len(shuffled) // 2 :], *intermediate.records.values()]:
@@ -176,7 +176,7 @@
     membership = Membership(local_peer, [], 1, TICK_INTERVAL)
     membership.merge(0, Peer(2, 0, PeerState.ALIVE, bytes(4), 1, "n1"))
     for tick in range(4):
-        membership.tick(tick * TICK_INTERVAL)  # sends probes that are not answered
+        membership.tick(tick * TICK_INTERVAL)  # the probes that are sent remain unanswered
     membership.tick(30 * SECOND)
     assert [peer.state for peer in membership.members()] == [PeerState.ALIVE]
     membership.merge(30 * SECOND, replace(local_peer, state=PeerState.DEAD))
@@ -247,7 +247,9 @@
     router = router_with_peers()
     router.advance(3 * SECOND)
     router.deliver(api.GossipSummary(9, failure_reports={f"c{number}": (9, 9) for number in range(4)}))
-    assert router.balancer.server_table.excluded_count == 1  # of five listed servers, including the origin
+    assert (
+        router.balancer.server_table.excluded_count == 1
+    )  # one of five listed servers, which include the origin
 
 
 def test_failing_server_is_published_until_it_responds() -> None:
@@ -267,7 +269,7 @@
     (republished,) = [stored for key, stored in adapter.agent.store.records.items() if key[0] is Verdict]
     assert republished.body == Verdict(True, 1) and republished.supersedes(
         record
-    )  # also at peers that store the previous version
+    )  # also at peers that store the withdrawn record
 
 
 def test_starting_router_adopts_gossiped_range_fraction_and_then_converges() -> None:
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Tests of the list service: list, leases, store, configuration, and a group with failing leaders."""
+"""Tests of the list service: endpoint list, leases, store, configuration, and failover of a group."""
 
 import shutil
 import signal
@@ -61,7 +61,7 @@
 def test_version_increases_with_changes_but_not_with_repeated_commands() -> None:
     endpoint_list = EndpointList(max_changes=4)
     assert endpoint_list.apply(put("a")) == (200, 50, 50)
-    assert endpoint_list.apply(put("a")) == (200, 50, 50)  # a retry
+    assert endpoint_list.apply(put("a")) == (200, 50, 50)  # a retry changes nothing
     assert endpoint_list.apply(put("b")) == (200, 51, 51)
     assert endpoint_list.apply(state("a", "Terminating", expected=49)) == (409, 51, 50)
     assert endpoint_list.apply(state("a", "Terminating", expected=50)) == (200, 52, 52)
@@ -73,12 +73,14 @@
         ("a", "Terminating"),
     ]
     assert endpoint_list.since(52) == (False, [])
-    assert endpoint_list.since(99)[0] and endpoint_list.since(None)[0]  # an unknown version; no version
+    assert (
+        endpoint_list.since(99)[0] and endpoint_list.since(None)[0]
+    )  # a version that the list never had, and no version
     endpoint_list.apply(state("a", "Gone"))
     for duration in (1, 2, 3, 4):
         endpoint_list.apply(put("b", lease_ms=duration))
-    assert endpoint_list.since(52)[0]  # further behind than the retained changes
-    assert list(endpoint_list.entries) == ["b"]  # an entry in state Gone is dropped with its change
+    assert endpoint_list.since(52)[0]  # the changes after version 52 are not retained
+    assert list(endpoint_list.entries) == ["b"]  # the Gone entry is removed with its change
     restored = EndpointList.from_snapshot(4, endpoint_list.snapshot())
     assert restored == endpoint_list and restored.apply(put("b", lease_ms=9)) == endpoint_list.apply(
         put("b", lease_ms=9)
@@ -108,7 +110,7 @@
     for time_ms in (2600, 3000, 3400, 3800):  # no server renews
         assert check_at(time_ms) == ([], [], []) and leases.expiry_paused == (time_ms > 3100)
     assert check_at(3900, *range(1, 10)) == ([], [], []) and not leases.expiry_paused
-    resumed_at = 3900 * MILLI + 3600 * SECOND  # this process was stalled
+    resumed_at = 3900 * MILLI + 3600 * SECOND  # this process stalls for an hour
     assert leases.check(resumed_at, endpoint_list.entries) == ([], [], []) and not leases.expiry_paused
 
 
@@ -132,7 +134,7 @@
 
 
 def test_corrupt_or_truncated_files_are_rejected_or_harmless(tmp_path: Path) -> None:
-    """Flips a bit in every eleventh byte of both files and truncates both: no other state is loaded."""
+    """No corrupt or truncated file is loaded as another state."""
     original = tmp_path / "whole"
     store = ReplicaStore(original)
     store.save(SAVES)
@@ -145,23 +147,23 @@
     for file in files:
         content = file.read_bytes()
         flipped = [
-            content[:at] + bytes([content[at] ^ 0x10]) + content[at + 1 :]
-            for at in range(0, len(content), 11)
+            content[:position] + bytes([content[position] ^ 0x10]) + content[position + 1 :]
+            for position in range(0, len(content), 11)
         ]
-        for corrupt in [*flipped, *(content[:at] for at in range(0, len(content), 4096))]:
+        for corrupt in [*flipped, *(content[:length] for length in range(0, len(content), 4096))]:
             shutil.rmtree(tmp_path / "one", ignore_errors=True)
             shutil.copytree(copied, tmp_path / "one")
             (tmp_path / "one" / file.name).write_bytes(corrupt)
-            opened = None
+            corrupt_store = None
             try:
-                opened = ReplicaStore(tmp_path / "one")
-                assert opened.load() == expected
+                corrupt_store = ReplicaStore(tmp_path / "one")
+                assert corrupt_store.load() == expected
             except StoreError as error:
                 rejected += 1
                 assert "replica.sqlite: " in str(error)
             finally:
-                if opened is not None:
-                    opened.close()
+                if corrupt_store is not None:
+                    corrupt_store.close()
     assert rejected
 
 
--- a/tests/test_registry_api.py
+++ b/tests/test_registry_api.py
@@ -34,15 +34,18 @@
         assert await replica.get_list() == (200, {"rev": 0, "all": True, "targets": []})
         status, body = await replica.request("PUT", "/v1/servers/s", BODY)
         assert status == 200 and body["entry"] >= VERSIONS_PER_SECOND
-        assert await replica.request("PUT", "/v1/servers/s?expected=0", BODY) == (200, body)  # a retry
+        assert await replica.request("PUT", "/v1/servers/s?expected=0", BODY) == (
+            200,
+            body,
+        )  # a retry changes nothing
         assert (await replica.request("PUT", "/v1/servers/s?expected=0", {**BODY, "az": "b"}))[0] == 409
         assert (await replica.request("PUT", "/v1/servers/s?expected=x", BODY))[0] == 400
         status, body = await replica.request("PUT", "/v1/servers/s", {"endpoint": "x", "more": 1})
         keys = [fault["key"] for fault in body["faults"]]
         assert status == 400 and keys == ["endpoint", "az", "model", "more"]
-        faulty: list[object] = [{"state": "Ill"}, []]
-        for wrong in faulty:
-            assert (await replica.request("POST", "/v1/servers/s/state", wrong))[0] == 400
+        invalid_bodies: list[object] = [{"state": "Ill"}, []]
+        for invalid_body in invalid_bodies:
+            assert (await replica.request("POST", "/v1/servers/s/state", invalid_body))[0] == 400
         for method, path in (("POST", "t/renew"), ("DELETE", "t")):
             assert (await replica.request(method, f"/v1/servers/{path}"))[0] == 404
 
@@ -58,7 +61,7 @@
         assert body["rev"] == first + 1 and not body["all"]
         assert body["targets"] == [{**TARGET, "state": "Terminating"}]
         assert await replica.get_list(f"?from={first + 1}&hold_ms=0") == (200, {**body, "targets": []})
-        assert (await replica.get_list(f"?from={first + 99}"))[1]["all"]  # an unknown version
+        assert (await replica.get_list(f"?from={first + 99}"))[1]["all"]  # the list never had this version
         assert (await replica.get_list("?from=x"))[0] == 400
         config = replica.service.config.model_dump(mode="json")
         replica.service.update_config(parse("x", {**config, "views": {"127.0.0.1": "v"}}))
@@ -70,7 +73,7 @@
         lock = "/v1/locks/release"
         assert (await replica.request("PUT", lock, {"holder": ""}))[0] == 400
         status, first = await replica.request("PUT", lock, FIRST_HOLDER)
-        assert status == 200 and await replica.request("PUT", lock, FIRST_HOLDER) == (200, first)  # renewed
+        assert status == 200 and await replica.request("PUT", lock, FIRST_HOLDER) == (200, first)  # a renewal
         status, body = await replica.request("PUT", lock, SECOND_HOLDER)
         assert status == 409 and body["holder"] == "me" and 0 < body["left_ms"] <= 60_000
         assert (await replica.request("DELETE", f"{lock}?holder=another"))[0] == 409
@@ -93,16 +96,16 @@
             ] == 200
         long_ago = time.monotonic_ns() - 121 * SECOND
         leases = replica.service.lease_watch.leases
-        while not leases.checked_at:  # until the leader tracks leases
+        while not leases.checked_at:  # the leader has not checked the leases yet
             await asyncio.sleep(0.01)
         leases.renewed_at = dict.fromkeys(("l0", "l1", "l2"), long_ago)
         entries = replica.host.endpoints.entries
-        while not leases.expiry_paused:  # all leases have expired, so expiry is paused
+        while not leases.expiry_paused:  # the next check pauses expiry, as all leases have expired
             await asyncio.sleep(0.01)
         assert all(entry.state != "Gone" for entry in entries.values())
         for uid in ("l1", "l2"):
             assert (await replica.request("POST", f"/v1/servers/{uid}/renew"))[0] == 200
-        while entries["l0"].state != "Gone":  # the others have renewed
+        while entries["l0"].state != "Gone":  # expiry resumes, as the other servers have renewed
             await asyncio.sleep(0.01)
         _, body = await replica.request("GET", "/v1/servers")
         assert {entry["uid"] for entry in body["servers"] if entry["state"] == "Gone"} == {"l0"}
--- a/tests/test_registry_disk.py
+++ b/tests/test_registry_disk.py
@@ -54,7 +54,7 @@
     replica = Replica(0, (0, 1, 2), Timing(), 0)
     replica.handle(1, StorageFailed())
     late = 10 * Timing().election
-    assert not replica.handle(late, Tick(0.0))  # it does not become a candidate
+    assert not replica.handle(late, Tick(0.0))  # no election is started
     for pre_vote in (True, False):
         assert not replica.handle(late, MessageReceived(1, RequestVote(1, pre_vote, 0, 0)))
     entry = LogEntry(1, b"x")
@@ -73,10 +73,11 @@
 
 
 class RefusingDisk:
-    """Makes SQLite connections fail according to `mode`.
+    """A disk on which SQLite statements fail according to `mode`.
 
-    "full": the file can't grow, as with ENOSPC. "WORD before", "WORD after": statements that start with WORD
-    fail before or after they take effect. "": no failures."""
+    "full": the database can't grow, as with ENOSPC.
+    "KEYWORD before", "KEYWORD after": statements that start with KEYWORD fail before or after taking effect.
+    "": no statement fails."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.mode, self.refusals = "", 0
@@ -85,7 +86,7 @@
 
 
 class Connection:
-    """A SQLite connection that fails as its RefusingDisk says."""
+    """A SQLite connection that fails according to the mode of its disk."""
 
     def __init__(self, disk: RefusingDisk, connection: sqlite3.Connection) -> None:
         self.disk, self.connection = disk, connection
@@ -122,7 +123,7 @@
 
 @contextmanager
 def refuse_file_writes() -> Iterator[None]:
-    """Makes the system refuse file writes of this process (EFBIG, which SQLite reports like EIO)."""
+    """Makes the operating system refuse file writes of this process (EFBIG, reported by SQLite as EIO)."""
     soft, hard = resource.getrlimit(resource.RLIMIT_FSIZE)
     resource.setrlimit(resource.RLIMIT_FSIZE, (0, hard))
     try:
@@ -168,7 +169,7 @@
             def fail(*_: object, error: int = error) -> int:
                 raise OSError(error, "refused")
 
-            patch.setattr(os, call, fail)  # called to sync the directory
+            patch.setattr(os, call, fail)  # the store calls it to sync the directory
             with pytest.raises(StoreError) as caught:
                 ReplicaStore(tmp_path / f"{call}-{error}")
             assert type(caught.value) is expected
@@ -239,7 +240,7 @@
     assert list(host.endpoints.entries) == ["a"]  # the uncommitted server is not listed
     refused_before = disk.refusals
     await wait_until(lambda: disk.refusals > refused_before + 2)
-    assert host.staleness() == 0  # no other replica can commit, so its list is up to date
+    assert host.staleness() == 0  # no other replica can commit, so the list is up to date
     disk.mode = ""
     await wait_until(host.is_lease_holder)
     assert not host.disk_refuses
@@ -256,7 +257,7 @@
 async def test_staleness_increases_during_a_stalled_sync(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The sync of a follower stalls for 10 s while heartbeats of its leader continue."""
+    """Guards against serving an old list while a stalled sync delays the entries of the leader."""
     block, claim = claim_block()
     addresses = {number: f"{block}.212.{number + 1}:7000" for number in range(3)}
     store, sync_released = ReplicaStore(tmp_path), threading.Event()
@@ -271,7 +272,7 @@
     now, elapsed = time.monotonic_ns, 0
     monkeypatch.setattr(time, "monotonic_ns", lambda: now() + elapsed)
     host.handle(MessageReceived(1, AppendEntries(1, 0, 0, (LogEntry(1, b""),), 1, 5)))
-    elapsed = 10**10
+    elapsed = 10**10  # nanoseconds
     host.handle(MessageReceived(1, AppendEntries(1, 1, 1, (), 1, 6)))
     staleness, applied = host.staleness(), host.applied_index
     sync_released.set()
@@ -302,7 +303,7 @@
     assert await opening is None
 
 
-STALE_S = 1.0
+STALE_S = 1.0  # seconds after which a replica stops serving its list
 
 
 @pytest.fixture
@@ -325,10 +326,10 @@
 
     def __init__(self, group: Group, session: aiohttp.ClientSession) -> None:
         self.group, self.session = group, session
-        self.acknowledged: dict[str, int] = {}  # version by server
+        self.acknowledged: dict[str, int] = {}  # acknowledged version by server id
 
     async def register_servers(self, count: int) -> None:
-        """Registers servers at the current leader; retries until a write is acknowledged."""
+        """Registers servers at the current leader, retrying each until acknowledged."""
         for _ in range(count):
             uid, status, answer = f"s{len(self.acknowledged)}", 0, dict[str, Any]()
             while status != 200:
@@ -344,12 +345,12 @@
         answer: dict[str, Any] = response[1]
         return answer
 
-    async def wait_for_disk_refuses(self, name: str, refuses: bool) -> None:
+    async def wait_for_disk_refusal(self, name: str, refuses: bool) -> None:
         while (await self.status(name))["disk_refuses"] is not refuses:
             await asyncio.sleep(0.01)
 
     async def fetch_list_version(self, name: str) -> tuple[int, int]:
-        """Returns status and version of the list that a replica serves."""
+        """Returns the status of a list request to a replica and the version of the list, or 0 if rejected."""
         async with self.session.get(f"http://{self.group.list_addresses[name]}/api/targets") as answer:
             return answer.status, (await answer.json())["rev"] if answer.status == 200 else 0
 
@@ -368,7 +369,7 @@
 
 @pytest.mark.parametrize("role", ["the primary", "a follower"])
 async def test_replica_with_refusing_disk_serves_and_later_rejoins(group: Group, role: str) -> None:
-    """The disk of one of three replicas refuses writes; later this replica is needed for a majority."""
+    """The disk of one of three replicas refuses writes, and later a majority needs this replica."""
     async with asyncio.timeout(240), aiohttp.ClientSession() as session:
         writer = Writer(group, session)
         await writer.register_servers(10)
@@ -377,21 +378,21 @@
         group.refuse_writes(affected, True)
         # A follower responds with 503.
         await group.request(session, "PUT", affected, "/v1/servers/first-refused", BODY)
-        await writer.register_servers(30)  # enough for a compaction
-        await writer.wait_for_disk_refuses(affected, True)
+        await writer.register_servers(30)  # more entries than limits.compact
+        await writer.wait_for_disk_refusal(affected, True)
         deadline = time.monotonic() + 2 * STALE_S
         while time.monotonic() < deadline:
             await writer.register_servers(1)
             status = await writer.status(affected)
             assert not status["primary"] and status["role"] != "leader" and status["disk_refuses"]
-        await writer.wait_for_latest_version(affected)  # its initial list would be stale by now
+        await writer.wait_for_latest_version(affected)  # without updates, its list would be rejected as stale
 
         group.refuse_writes(affected, False)
-        await writer.wait_for_disk_refuses(affected, False)
+        await writer.wait_for_disk_refusal(affected, False)
         primary = await group.wait_for_primary(session)
         third = next(name for name in group.names if name not in (affected, primary))
         group.kill(third)
-        await writer.register_servers(5)  # there is no majority without it
+        await writer.register_servers(5)  # needs the affected replica for a majority
         primary = await group.wait_for_primary(session)
         group.kill(primary)
         group.start(third)
--- a/tests/test_registry_model.py
+++ b/tests/test_registry_model.py
@@ -17,7 +17,7 @@
 from applehub.registry.model.state import Bounds
 from applehub.registry.replica import Replica
 
-# Initial state, bounds and depth in which each mutant violates an invariant.
+# For each mutant: initial state, bounds and depth of an exploration that detects it.
 MUTANT_CASES = {
     "a vote not stored": ("two candidates of one term", Bounds(), 4),
     "an acknowledgement before the sync": ("nothing", Bounds(), 5),
@@ -48,7 +48,7 @@
     assert random_walks(FineModel(Replica, deep_bounds, delays_until_sync=False), 200, 150).violation
 
 
-# For each initial state with a refused write: the mutant that violates an invariant, and the depth.
+# For each initial state with a refused write: a mutant that the exploration detects, if any, and the depth.
 REFUSAL_CASES = {
     "a voter whose disk has refused a vote": ("a vote that the disk refused", 4),
     "a follower whose disk has refused an entry": ("an acknowledgement that the disk refused", 4),
--- a/tests/test_registry_stored.py
+++ b/tests/test_registry_stored.py
@@ -21,7 +21,7 @@
 )
 from applehub.registry.store import ReplicaStore
 
-# Written by the version at 0447801: eight commands to a group of one, compacted after the eighth.
+# Store written at commit 0447801: a single replica, eight commands, then a compaction.
 STORED = Path(__file__).parent / "stored" / "registry_0447801"
 FIELDS = {
     "endpoint": "127.0.0.1:1", "az": "a", "model": "m", "pod_group": 0, "capacity_hint": 1.0, "boot_ms": 7,
--- a/tests/test_registry_system.py
+++ b/tests/test_registry_system.py
@@ -17,7 +17,7 @@
 from applehub.registry.listener import Listener
 from applehub.registry.store import ReplicaStore
 
-OUTAGE = 0.1  # seconds
+OUTAGE = 0.1  # seconds during which accept fails
 RESUME_TIMEOUT = 0.05  # maximum seconds between an outage and the next accept
 BODY = {"endpoint": "127.0.0.1:1", "az": "a", "model": "m"}
 
@@ -26,7 +26,7 @@
 async def test_accept_resumes_soon_after_a_failure(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch, error: str
 ) -> None:
-    """Clients connect while accept fails and afterwards; with asyncio's retry delay they would time out."""
+    """Clients that connect during and after the failure are served, without asyncio's retry delay."""
     monkeypatch.setattr(constants, "ACCEPT_RETRY_DELAY", 3600)
     async with run_replica(tmp_path) as replica:
         port = replica.list_address.rpartition(":")[2]
@@ -92,7 +92,7 @@
 async def test_stepped_wall_clock_ends_no_lease_lock_or_watch(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step_s: int
 ) -> None:
-    """The wall clock is stepped during a server lease, a lock and a watch of 60 s each."""
+    """A step of the wall clock must not shorten or extend a server lease, a lock lease or a watch."""
     async with run_replica(tmp_path) as replica:
         status, registered = await replica.request("PUT", "/v1/servers/s", {**BODY, "lease_ms": 60_000})
         assert status == 200
