--- a/applehub/peers/codec.py
+++ b/applehub/peers/codec.py
@@ -21,7 +21,7 @@
 MAX_KINDS_PER_RECORD = 16  # server kinds in a Shares record; an item has at most 255 bytes of content
 MAX_AGE_MS = 0xFFFF  # maximum of the 16-bit age field
 MAX_ATTEMPTS = 0xFFFF  # maximum of the 16-bit field for failed attempts
-MAX_RATE = 1e9  # tokens per second, from which a limit record is rejected
+MAX_RATE = 1e9  # tokens per second; limit records with this rate or more are rejected
 NS_PER_MS = 1_000_000
 FORMAT_VERSION_OFFSET = 2  # position of the format version in a datagram, in bytes
 HEADER = struct.Struct("!2sBBIQIQ")
@@ -41,7 +41,7 @@
     ACK = 2  # answers a ping; also relayed to the member that requested the ping
     PING_REQUEST = 3  # asks the receiver to ping the target on behalf of the sender
     LEAVE = 4  # announces the shutdown of the sender
-    GOSSIP = 5  # carries only peers and records; has no answer
+    GOSSIP = 5  # carries only peers and records; is not answered
 
 
 class ItemType(IntEnum):
--- a/applehub/peers/membership.py
+++ b/applehub/peers/membership.py
@@ -165,8 +165,8 @@
         """Adds peers to a datagram until `add` returns False or `max_peers` were added.
 
         The order is: the local process, changed members (least often sent first), then the other members in
-        round-robin order, which repairs lost changes. If one of these other members doesn't fit, it is the first
-        of them in the next datagram.
+        round-robin order, which repairs lost changes. If one of the other members doesn't fit, the next
+        datagram continues with this member.
         """
         add(self.local_peer)
         changed = nsmallest(
--- a/applehub/registry/__main__.py
+++ b/applehub/registry/__main__.py
@@ -35,7 +35,7 @@
     names = sorted(config.peers) or [config.name]
     options = HostOptions(
         replica_id=names.index(config.name),
-        addresses={replica_id: config.peers[name] for replica_id, name in enumerate(names) if config.peers},
+        addresses={member: config.peers[name] for member, name in enumerate(names) if config.peers},
         timing=config.timing.for_replica(),
         max_changes=config.limits.changes,
         compact_after=config.limits.compact,
--- a/applehub/registry/list_api.py
+++ b/applehub/registry/list_api.py
@@ -33,7 +33,7 @@
     """Handles requests of routers."""
 
     def __init__(self, config: Config, host: Host, events: EventWriter, metrics: Metrics) -> None:
-        """Needs a running event loop."""
+        """Creates the handlers. Requires a running event loop."""
         self.host = host
         self.watchers = Watchers()
         self.active_requests = 0  # requests in progress, including long polls
--- a/applehub/registry/peer_connection.py
+++ b/applehub/registry/peer_connection.py
@@ -6,7 +6,7 @@
 from applehub.node.discovery import read_endpoint
 
 MAX_UNSENT = 8 << 20  # bytes buffered for a peer, above which the connection is reset
-CONNECT_TIMEOUT = 1.0  # seconds
+CONNECT_TIMEOUT = 1.0  # seconds for one connection attempt
 RECONNECT_DELAY = 0.1  # seconds between connection attempts
 log = logging.getLogger("applehub.registry")
 
--- a/applehub/registry/service.py
+++ b/applehub/registry/service.py
@@ -26,7 +26,7 @@
     """Serves the HTTP APIs of one replica."""
 
     def __init__(self, config: Config, host: Host, events: EventWriter) -> None:
-        """Needs a running event loop."""
+        """Creates the APIs without listening. Requires a running event loop."""
         self.config = config
         self.host = host
         self.events = events
--- a/applehub/registry/watchers.py
+++ b/applehub/registry/watchers.py
@@ -11,7 +11,7 @@
     """Long polls that wait for a newer version of the list."""
 
     def __init__(self) -> None:
-        """Needs a running event loop."""
+        """Starts without watchers. Requires a running event loop."""
         self.loop = asyncio.get_running_loop()
         self.waiting: dict[asyncio.Future[None], None] = {}  # used as an ordered set
         self._waking = self._wake_again = False
--- a/tests/test_registry_disk.py
+++ b/tests/test_registry_disk.py
@@ -206,7 +206,7 @@
     command = [sys.executable, "-c", KILLED_SCRIPT, str(tmp_path)]
     assert subprocess.run(command, env=environment(), timeout=60).returncode == -signal.SIGKILL
     content = (tmp_path / "replica.sqlite").read_bytes()
-    assert b"y" * 1000 in content  # the write was incomplete
+    assert b"y" * 1000 in content  # the process was killed in the middle of the write
     assert (tmp_path / "replica.sqlite-journal").stat().st_size > 0
     store = ReplicaStore(tmp_path)
     assert store.load() == StoredState(1, None, NO_SNAPSHOT, (LogEntry(1, b"x" * 50_000),))
