--- a/applehub/peers/member_table.py
+++ b/applehub/peers/member_table.py
@@ -46,7 +46,7 @@
 
     @property
     def suspicion_timeout(self) -> int:
-        """Time, in ns, that a suspect has to refute before it is declared dead."""
+        """Time, in ns, during which a suspect can refute before the suspect is declared dead."""
         return max(MIN_SUSPICION_TIMEOUT, SUSPICION_MULTIPLIER * self.log_member_count * self.tick_interval)
 
     def merge(self, now: int, peer: Peer) -> bool:
--- a/applehub/peers/record_store.py
+++ b/applehub/peers/record_store.py
@@ -73,7 +73,7 @@
         return True
 
     def _evict_excess_subject(self, key: RecordKey) -> bool:
-        """Evicts the highest digest above the limit; returns whether that digest is the subject of the key."""
+        """Evicts the highest digest above the limit; returns whether this is the subject of the key."""
         if key.body_type is not Verdict or len(self.verdict_subjects) <= MAX_VERDICT_SUBJECTS:
             return False
         highest = max(self.verdict_subjects)
--- a/applehub/registry/lock_api.py
+++ b/applehub/registry/lock_api.py
@@ -62,7 +62,7 @@
         )
 
     async def unlock(self, request: web.Request) -> web.Response:
-        """Releases a lock held by the query parameter `holder`; else responds with a conflict."""
+        """Releases a lock if the query parameter `holder` names its holder; else responds with a conflict."""
         name = request.match_info["name"]
         if not self._tracks_renewals(time.monotonic_ns()):
             return self._replies.not_leader()
--- a/applehub/registry/locks.py
+++ b/applehub/registry/locks.py
@@ -34,7 +34,7 @@
     """The times of the last renewals, in nanoseconds of the monotonic clock of this replica."""
 
     renewed_at: dict[str, int] = field(default_factory=dict)
-    reset_at: int = 0  # start of the leases without a renewal
+    reset_at: int = 0  # start of every lease without a later renewal
 
     def reset(self, now: int) -> None:
         """Discards all renewals and starts complete leases; called when this replica becomes the leader."""
--- a/applehub/registry/replica.py
+++ b/applehub/registry/replica.py
@@ -74,7 +74,7 @@
                 self._compact(event, actions)
 
     def _handle_unsaved(self, event: Event) -> list[Action]:
-        """Handles an event while the disk refuses writes, without votes and acknowledgements.
+        """Handles an event while the disk refuses writes; sends neither votes nor acknowledgements.
 
         Entries that a leader reports as committed are on disk at a majority, so they are applied."""
         actions: list[Action] = []
--- a/applehub/registry/replication.py
+++ b/applehub/registry/replication.py
@@ -168,7 +168,7 @@
     # In any role
 
     def _compact(self, event: Compact, actions: list[Action]) -> None:
-        """Replaces the log entries that a snapshot of the host contains.
+        """Replaces the log up to `last_index` of the event by a snapshot of the host.
 
         The index may be below `last_applied`, because the host may not have executed all Apply actions."""
         term = self.term_at(event.last_index)
