--- a/applehub/checked.py
+++ b/applehub/checked.py
@@ -1,7 +1,7 @@
 """Loading of TOML files that are validated by pydantic models, for the programs other than the router.
 
 All errors of a file are reported together, one line each, with the file, the key and what was expected.
-Modules that `run` loads must not import this module, because importing pydantic delays the start.
+Modules that the `run` command loads must not import this module, because importing pydantic delays startup.
 """
 
 import tomllib
@@ -24,7 +24,7 @@
     """Returns one line for each validation error of a file."""
     lines = []
     for detail in error.errors():
-        key = ".".join(str(step) for step in detail["loc"]) or "the whole file"
+        key = ".".join(str(element) for element in detail["loc"]) or "the whole file"
         # The value is omitted if it is missing, or if the message of a model validator names it already.
         received = "" if detail["type"] in {"missing", "value_error"} else f", got {detail['input']!r}"
         lines.append(f"{file}: {key}: {detail['msg']}{received}")
@@ -32,13 +32,13 @@
 
 
 def read_toml(path: Path, error_class: type[ValueError]) -> RawTable:
-    """Returns the parsed file before validation. Raises `error_class` if it is unreadable or not TOML."""
+    """Returns a parsed TOML file before validation. Raises `error_class` if it is unreadable or not TOML."""
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
-    except OSError as problem:
-        raise error_class(f"{path}: {problem.strerror or problem}") from problem
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
-        raise error_class(f"{path}: not TOML: {problem}") from problem
+    except OSError as error:
+        raise error_class(f"{path}: {error.strerror or error}") from error
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise error_class(f"{path}: not TOML: {error}") from error
 
 
 def validate(file: str, model: type[Model], raw: RawTable, error_class: type[ValueError]) -> Model:
--- a/applehub/durable/folder.py
+++ b/applehub/durable/folder.py
@@ -11,7 +11,7 @@
     """Folder operations that a store uses. Names are file names; every method may raise OSError."""
 
     def read(self, name: str) -> bytes | None:
-        """Returns the content of a file, or None if it does not exist."""
+        """Returns the content of a file, or None if the file does not exist."""
 
     def write(self, name: str, data: bytes) -> None:
         """Writes a file, creating it if needed, without synchronising it to the disk."""
@@ -26,10 +26,10 @@
         """Makes the directory entries of all files durable."""
 
     def lock(self, name: str) -> bool:
-        """Locks a file until this process unlocks it or ends. Returns False if another process holds it."""
+        """Locks a file until this process unlocks it or ends. Returns False if it is locked already."""
 
     def unlock(self, name: str) -> None:
-        """Releases a lock, if it is held."""
+        """Releases the lock on a file, if this process holds it."""
 
 
 class Folder:
@@ -42,7 +42,7 @@
         self.path.mkdir(mode=0o700, parents=True, exist_ok=True)
 
     def read(self, name: str) -> bytes | None:
-        """Returns the content of a file, or None if it does not exist."""
+        """Returns the content of a file, or None if the file does not exist."""
         try:
             with open(self.path / name, "rb") as file:
                 return file.read()
@@ -67,20 +67,20 @@
         _sync(self.path)
 
     def lock(self, name: str) -> bool:
-        """Locks a file until this process unlocks it or ends. Returns False if another process holds it."""
+        """Locks a file until this process unlocks it or ends. Returns False if it is locked already."""
         file = open(self.path / name, "ab")  # noqa: SIM115 (closed by `unlock`)
         try:
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError as problem:
+        except OSError as error:
             file.close()
-            if problem.errno in (errno.EWOULDBLOCK, errno.EACCES):
+            if error.errno in (errno.EWOULDBLOCK, errno.EACCES):
                 return False
             raise
         self._locks[name] = file
         return True
 
     def unlock(self, name: str) -> None:
-        """Releases a lock, if it is held."""
+        """Releases the lock on a file, if this process holds it."""
         file = self._locks.pop(name, None)
         if file is not None:
             file.close()
--- a/applehub/durable/store.py
+++ b/applehub/durable/store.py
@@ -58,8 +58,8 @@
 class _Files:
     """Frames of a store's two files, by file index."""
 
-    known: dict[int, Frame] = field(default_factory=dict)  # in a format that this program reads
-    newer: dict[int, Frame] = field(default_factory=dict)  # in a format of a newer program
+    readable: dict[int, Frame] = field(default_factory=dict)  # frames in a format that this program reads
+    newer: dict[int, Frame] = field(default_factory=dict)  # frames in a format of a newer program
 
 
 class Store:
@@ -78,7 +78,7 @@
         self.is_open = False
         self._generation = 0  # highest generation in any file, in any format
         self._next_file = 0  # index of the file that the next save replaces
-        self._protects_newer_format = False  # the other file has a newer format and must not be overwritten
+        self._protects_newer_format = False  # whether the file other than `_next_file` has a newer format
 
     def open(self) -> LoadResult:
         """Locks the store for this process and loads it.
@@ -98,14 +98,15 @@
 
     def load(self) -> LoadResult:
         """Loads the value with the highest generation among the complete files. Raises OSError."""
-        contents = [self.disk.read(file) for file in self.files]  # all are read before any state changes
+        # Both files are read before the state changes, so that a read error leaves it unchanged.
+        contents = [self.disk.read(file) for file in self.files]
         loaded = LoadResult()
         files = self._decode(contents, loaded)
-        newest = _newest(files.known)
+        newest = _newest(files.readable)
         if newest is not None:
-            loaded.value = files.known[newest].value
-            loaded.generation = files.known[newest].generation
-        frames = [*files.known.values(), *files.newer.values()]
+            loaded.value = files.readable[newest].value
+            loaded.generation = files.readable[newest].generation
+        frames = [*files.readable.values(), *files.newer.values()]
         self._generation = max([self._generation, *(frame.generation for frame in frames)])
         protected = _newest(files.newer)
         self._protects_newer_format = protected is not None
@@ -122,11 +123,11 @@
                 continue
             try:
                 frame = decode(content)
-            except DamagedFrameError as problem:
-                loaded.skipped_files.append(f"{name}: {problem}")
+            except DamagedFrameError as error:
+                loaded.skipped_files.append(f"{name}: {error}")
                 continue
             if frame.format_version <= self.format_version:
-                files.known[index] = frame
+                files.readable[index] = frame
             else:
                 files.newer[index] = frame
                 versions = f"format {frame.format_version} is newer than {self.format_version}"
--- a/applehub/events.py
+++ b/applehub/events.py
@@ -2,7 +2,8 @@
 
 Each line has the fields `mono` (CLOCK_MONOTONIC in nanoseconds, shared by all processes of a machine), `wall`
 (Unix time in nanoseconds), `process`, `incarnation` (number of times the process was started), `event`,
-optionally `request`, and the fields of the event's kind. Neither `run` nor `sim` imports this module.
+optionally `request`, and the fields of the event's kind. The commands `run` and `sim` don't import
+this module.
 """
 
 import os
@@ -16,7 +17,7 @@
 
 import orjson
 
-MAX_BUFFERED_BYTES = 1 << 20  # of lines that are not written yet
+MAX_BUFFERED_BYTES = 1 << 20  # maximum size of the lines that are not written yet
 READ_BLOCK_BYTES = 1 << 16
 
 
@@ -27,9 +28,9 @@
     READY = "ready"  # address
     EXITED = "exited"  # code; planned: whether the test harness ended the process
     RESOURCE_SAMPLE = "sample"  # cpu_s, memory_mb, descriptors of the process since its start
-    FAULT_BEGUN = "fault"  # fault: its number; kind; processes, edges: what is affected
+    FAULT_BEGUN = "fault"  # fault: number of the fault; kind; processes, edges: what the fault affects
     FAULT_ENDED = "healed"  # fault
-    FAULT_NOT_BEGUN = "undone"  # fault, why: injection failed; of: the process that did not start
+    FAULT_NOT_BEGUN = "undone"  # fault; why: injection error; of: process that did not start
     REQUEST_SENT = "asked"  # request, router, cls, key, wait_ms: completely written to a router
     REQUEST_ANSWERED = "answered"  # request, router, how: served, refused or failed; ms: latency
     CLOSED_UNANSWERED = "closed"  # request, router: connection closed before a complete answer
@@ -38,10 +39,10 @@
     CLIENT_LEFT = "left"  # request, router: client closed its connection before the answer
     CONNECT_FAILED = "unreached"  # request, router: connection could not be established
     ATTEMPT_BEGUN = "attempt"  # request, router, server, cls: a server read the complete request
-    ATTEMPT_ENDED = "ended"  # request, router, server, how
+    ATTEMPT_ENDED = "ended"  # request, router, server; how: outcome of the attempt
     SERVER_OVERLOADED = "fell"  # server: received more requests than its slow start permits
     LIST_CHANGED = "listed"  # version, server, state: the endpoint list changed
-    LIST_POLLED = "list_asked"  # router, since: version that the router has, or none
+    LIST_POLLED = "list_asked"  # router; since: list version that the router has, or none
     LIST_SENT = "told"  # router, version, states: the list was sent to the router
     LEADERSHIP_WON = "leads"  # term: a replica of the list service became leader
     LEADERSHIP_LOST = "follows"  # term: the replica is no longer leader
@@ -68,8 +69,8 @@
 class EventRecord:
     """One decoded event. `fields` holds the fields of its kind."""
 
-    mono: int
-    wall: int
+    mono: int  # CLOCK_MONOTONIC in ns
+    wall: int  # Unix time in ns
     process: str
     incarnation: int
     event: EventKind
@@ -133,18 +134,18 @@
         self.flush()
 
     def flush(self) -> None:
-        """Writes as many buffered lines as the file accepts."""
+        """Writes the buffered lines, as far as the file accepts them."""
         try:
             while self._buffer:
                 written = self._write(bytes(self._buffer))
                 if not written:
-                    return  # a non-blocking stream that is full
+                    return  # the buffer of a non-blocking stream is full
                 del self._buffer[:written]
         except OSError:
             return  # the lines stay buffered and are written before the next one
 
     def close(self) -> None:
-        """Closes the file. Lines that can't be written by now are lost."""
+        """Closes the file. Buffered lines that still can't be written are lost."""
         self.flush()
         self._close()
 
--- a/applehub/release/__main__.py
+++ b/applehub/release/__main__.py
@@ -1,6 +1,6 @@
 """Command line of staged releases: `python -m applehub.release`.
 
-Exits with status 2 if a plan or folder is unusable, and 3 if the release is halted.
+Exits with status 2 if a plan or a release folder can't be used, and with 3 if the release is halted.
 """
 
 import asyncio
@@ -27,10 +27,10 @@
 from applehub.release.staff_requests import RequestKind
 from applehub.release.state_machine import ACTIVE_MODES, ReleaseMode, ReleaseRecord
 
-EXIT_UNUSABLE = 2  # a plan or folder is unusable
+EXIT_UNUSABLE = 2  # a plan or a release folder can't be used
 EXIT_HALTED = 3
 MAX_PORT = 65_535
-STATUS_INTERVAL_S = 1.0  # of `status --watch`
+STATUS_INTERVAL_S = 1.0  # between two outputs of `status --watch`
 STATE_OPTION = click.option(
     "--state",
     "folder",
@@ -44,7 +44,7 @@
 
 
 def reports_errors(command: Callable[Parameters, None]) -> Callable[Parameters, None]:
-    """Wraps a command so that expected errors are printed, one line each, and end it with status 2."""
+    """Wraps a command so that it prints an expected error and exits with EXIT_UNUSABLE."""
 
     @wraps(command)
     def wrapped(*arguments: Parameters.args, **options: Parameters.kwargs) -> None:
@@ -68,15 +68,16 @@
 @reports_errors
 def plan(file: Path, as_json: bool) -> None:
     """Validate the plan FILE and print its stages."""
-    loaded = load_plan(file)
-    stages = list(zip(loaded.stages, loaded.unit_names_by_stage(), strict=True))
+    release_plan = load_plan(file)
+    stages = list(zip(release_plan.stages, release_plan.unit_names_by_stage(), strict=True))
     if as_json:
-        shown = [{"stage": stage.name, "units": names, "watch_s": stage.watch_s} for stage, names in stages]
-        click.echo(orjson.dumps(shown).decode())
+        output = [{"stage": stage.name, "units": names, "watch_s": stage.watch_s} for stage, names in stages]
+        click.echo(orjson.dumps(output).decode())
         return
-    limit = loaded.limits.out_at_once
+    limit = release_plan.limits.out_at_once
     click.echo(
-        f"{loaded.name}: {loaded.what} from {loaded.old} to {loaded.new}, at most {limit} out of service"
+        f"{release_plan.name}: {release_plan.what} from {release_plan.old} to {release_plan.new}, "
+        f"at most {limit} out of service"
     )
     for stage, names in stages:
         click.echo(f"  {stage.name}: {', '.join(names)}; watched {stage.watch_s:g} s")
@@ -112,8 +113,8 @@
 @reports_errors
 def start(file: Path, folder: Path, again: bool, metrics: int | None) -> None:
     """Run the plan FILE through the agents of its units, continuing an interrupted release."""
-    loaded = load_plan(file)
-    controller = retry_disk_errors(lambda: _open_controller(folder, loaded, again))
+    release_plan = load_plan(file)
+    controller = retry_disk_errors(lambda: _open_controller(folder, release_plan, again))
     with controller.folder:
         if metrics is not None:
             start_http_server(metrics, "127.0.0.1", controller.metrics.registry)
@@ -196,7 +197,7 @@
 
 
 def _show_and_exit(record: ReleaseRecord) -> None:
-    """Prints a release that has ended or is halted, and exits."""
+    """Prints the record of a release and exits, with EXIT_HALTED if the release is halted."""
     _print_record(record)
     sys.exit(EXIT_HALTED if record.mode is ReleaseMode.HALTED else 0)
 
--- a/applehub/release/agent.py
+++ b/applehub/release/agent.py
@@ -25,23 +25,23 @@
 from applehub.release.messages import AgentStatus, LoadReport, OrderMessage, UnitStatus
 from applehub.release.state_machine import Order
 
-FORMAT_VERSION = 1  # of the agent's store
-REPORT_TIMEOUT_S = 1.0  # for a unit's metrics
+FORMAT_VERSION = 1  # of the encoding in which an agent stores its orders
+REPORT_TIMEOUT_S = 1.0  # maximum time to read one unit's metrics
 MAX_REQUEST_BYTES = 1 << 16
-SHUTDOWN_TIMEOUT_S = 0.5  # for requests in flight when the agent stops
+SHUTDOWN_TIMEOUT_S = 0.5  # maximum wait for requests in flight at a stop
 log = logging.getLogger("applehub.release")
 
 
 class UnitHost(Protocol):
-    """Runs the units of an agent. Steps must be idempotent, as a complete or partial one may be repeated."""
+    """Runs the units of an agent. Steps must be idempotent, because interrupted steps are executed again."""
 
     units: list[str]
 
     async def execute(self, order: Order) -> str:
-        """Executes a step. Returns the reason for a failure, or an empty string."""
+        """Executes a step. Returns the reason if the step fails, and an empty string otherwise."""
 
     async def load_report(self, unit: str) -> LoadReport | None:
-        """Returns the unit's metrics (see gates.py), or None if it does not respond."""
+        """Returns the unit's metrics (listed in gates.py), or None if the unit does not respond."""
 
 
 class Agent:
@@ -76,8 +76,8 @@
         await web.TCPSite(self._runner, host, port).start()
         for order in self.memory.unfinished():
             self._start_execution(order)
-        name, number = self._runner.addresses[0][:2]
-        return f"{name}:{number}"
+        bound_host, bound_port = self._runner.addresses[0][:2]
+        return f"{bound_host}:{bound_port}"
 
     async def stop(self) -> None:
         """Stops listening and cancels executions. Unfinished orders remain stored."""
@@ -106,7 +106,7 @@
             )
         memory = self.memory.copy()
         try:
-            new = memory.accept(message.release_id, message.fence, order)
+            is_new = memory.accept(message.release_id, message.fence, order)
             if memory != self.memory:
                 self._save(memory)
         except OrderRejectedError as error:
@@ -121,10 +121,10 @@
             return self._error_response(
                 HTTPStatus.SERVICE_UNAVAILABLE, f"order not executed because it can't be stored: {error}"
             )
-        if new:
+        if is_new:
             self._start_execution(order)
         return _json_response(
-            HTTPStatus.ACCEPTED if new else HTTPStatus.OK, orjson.dumps({"number": order.number})
+            HTTPStatus.ACCEPTED if is_new else HTTPStatus.OK, orjson.dumps({"number": order.number})
         )
 
     def _start_execution(self, order: Order) -> None:
@@ -135,7 +135,7 @@
     async def _execute(self, order: Order) -> None:
         try:
             failure = await self._host.execute(order)
-        except Exception as error:  # any error of the host is the order's outcome
+        except Exception as error:  # any exception of the host fails the step
             log.exception("step failed: unit %s, step %s", order.unit, order.step)
             failure = f"{type(error).__name__}: {error}"
         backoff = Backoff()
@@ -157,12 +157,12 @@
                 return
 
     async def _get_units(self, _: web.Request) -> web.Response:
-        names = self._host.units
-        reports = await asyncio.gather(*(self._load_report(name) for name in names))
+        unit_names = self._host.units
+        reports = await asyncio.gather(*(self._load_report(name) for name in unit_names))
         units = {}
-        for name, report in zip(names, reports, strict=True):
-            latest = self.memory.latest.get(name)
-            units[name] = UnitStatus(None if latest is None else latest.outcome, report)
+        for name, report in zip(unit_names, reports, strict=True):
+            record = self.memory.latest.get(name)
+            units[name] = UnitStatus(None if record is None else record.outcome, report)
         return _json_response(HTTPStatus.OK, AgentStatus(self.memory.fence, units).encode())
 
     async def _load_report(self, unit: str) -> LoadReport | None:
--- a/applehub/release/agent_client.py
+++ b/applehub/release/agent_client.py
@@ -14,7 +14,7 @@
 
 REQUEST_TIMEOUT = aiohttp.ClientTimeout(total=2.0)
 REQUEST_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, MessageError)
-# Errors of this machine, which lacks a resource or a network; they don't indicate a fault of an agent.
+# Errors caused by exhausted resources or a missing network on this machine, not by a fault of an agent.
 LOCAL_ERRORS = frozenset(
     (
         errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.ENETUNREACH,
@@ -29,7 +29,8 @@
     """The status of all units at one poll.
 
     `reports` maps unit names to load reports, or to None if the unit or its agent did not respond. Units that
-    could not be polled because of an error of this machine have no entry.
+    could not be polled because of an error of this machine have no entry. `silent_agents` is the number of
+    agents that did not respond.
     """
 
     outcomes: Mapping[str, OrderOutcome] = field(default_factory=dict)
@@ -66,7 +67,7 @@
     async def send(self, message: OrderMessage) -> str:
         """Sends an order. Returns the reason if the agent rejects it, and an empty string otherwise.
 
-        Connection errors are only logged, because the state machine sends the order again.
+        Connection errors are only logged, because the state machine sends an order without an outcome again.
         """
         order = message.order
         headers = {"Content-Type": "application/json"}
@@ -80,7 +81,7 @@
         return ""
 
     async def _poll_agent(self, address: str) -> AgentStatus | LocalFailureError | None:
-        """Returns an agent's status, None if it does not respond, or the error of this machine."""
+        """Returns an agent's status, None if the agent does not respond, or an error of this machine."""
         try:
             async with self.session.get(f"http://{address}/v1/units") as response:
                 return AgentStatus.decode(await response.read())
--- a/applehub/release/agent_memory.py
+++ b/applehub/release/agent_memory.py
@@ -35,11 +35,11 @@
 class AgentMemory:
     """The latest orders of one agent's units."""
 
-    latest: dict[str, OrderRecord] = field(default_factory=dict)  # by unit
-    fence: int = 0  # highest received
+    latest: dict[str, OrderRecord] = field(default_factory=dict)  # by unit name
+    fence: int = 0  # highest fencing token of any accepted order
 
     def accept(self, release_id: str, fence: int, order: Order) -> bool:
-        """Records an order. Returns whether it is new and must be executed. Raises OrderRejectedError."""
+        """Records an order. Returns whether it must be executed, as it is new. Raises OrderRejectedError."""
         if fence < self.fence:
             raise OrderRejectedError(f"expected fence {self.fence} or higher, got {fence}")
         previous = self.latest.get(order.unit)
@@ -57,12 +57,12 @@
         return True
 
     def record_outcome(self, unit: str, error: str) -> None:
-        """Records the outcome of a unit's latest order. `error` is empty if it succeeded."""
+        """Records the outcome of a unit's latest order. `error` is empty if the order succeeded."""
         self.latest[unit] = replace(self.latest[unit], succeeded=not error, error=error)
 
     def unfinished(self) -> list[Order]:
         """Returns the orders without an outcome, which are executed again when the agent starts."""
-        return [latest.order for latest in self.latest.values() if latest.succeeded is None]
+        return [record.order for record in self.latest.values() if record.succeeded is None]
 
     def copy(self) -> "AgentMemory":
         """Returns an independent copy."""
@@ -89,7 +89,7 @@
         """Decodes the result of `encode`. Raises StoredStateError."""
         try:
             fields = orjson.loads(content)
-            latest = {str(unit): _decoded(str(unit), stored) for unit, stored in fields["last"].items()}
+            latest = {str(unit): _decode_record(str(unit), stored) for unit, stored in fields["last"].items()}
             return cls(latest, int(fields["fence"]))
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             raise StoredStateError(f"stored orders of an agent can't be decoded: {error!r}") from error
@@ -105,7 +105,7 @@
         )
 
 
-def _decoded(unit: str, stored: Mapping[str, object]) -> OrderRecord:
+def _decode_record(unit: str, stored: Mapping[str, object]) -> OrderRecord:
     number, fence, succeeded = stored["number"], stored["fence"], stored.get("good")
     if not isinstance(number, int) or not isinstance(fence, int):
         raise TypeError(f"{unit}: expected integers, got number {number!r} and fence {fence!r}")
--- a/applehub/release/backoff.py
+++ b/applehub/release/backoff.py
@@ -23,17 +23,17 @@
 
 @dataclass(slots=True)
 class Backoff:
-    """Delays between attempts, which double with each failure up to MAX_DELAY_S."""
+    """Exponential backoff: the delay between attempts doubles with each failure, up to MAX_DELAY_S."""
 
-    failures: int = 0  # consecutive
-    next_at: float = 0.0  # time of the next attempt, by the caller's clock
+    failures: int = 0  # consecutive failed attempts
+    next_at: float = 0.0  # earliest time of the next attempt, in seconds of the caller's clock
 
     def due(self, now: float) -> bool:
         """Returns whether the next attempt may be made."""
         return not self.failures or now >= self.next_at
 
     def record_failure(self, now: float) -> float:
-        """Records a failed attempt. Returns the delay in seconds until the next one."""
+        """Records a failed attempt. Returns the delay in seconds until the next attempt."""
         delay = min(MAX_DELAY_S, INITIAL_DELAY_S * (1 << min(self.failures, 10)))
         self.failures += 1
         self.next_at = now + delay
@@ -45,14 +45,14 @@
 
 
 def retry_disk_errors(call: Callable[[], Result], sleep: Callable[[float], None] = time.sleep) -> Result:
-    """Calls a function until it raises no transient disk error, and returns its result."""
+    """Calls a function again with backoff while it raises transient disk errors, and returns its result."""
     backoff = Backoff()
     while True:
         try:
             return call()
-        except OSError as problem:
-            if problem.errno not in TRANSIENT_ERRORS:
+        except OSError as error:
+            if error.errno not in TRANSIENT_ERRORS:
                 raise
             if not backoff.failures:
-                log.warning("disk operation failed, retrying: error %r", problem)
+                log.warning("disk operation failed, retrying: error %r", error)
             sleep(backoff.record_failure(0.0))
--- a/applehub/release/clock.py
+++ b/applehub/release/clock.py
@@ -1,9 +1,9 @@
 """Clocks that measure the durations of a release.
 
 Durations are measured by CLOCK_BOOTTIME, which is monotonic and includes the time in which the machine is
-suspended, as the list service's clock does. It counts from the start of the machine, so readings of two
-processes are comparable only within one boot and one time namespace (time_namespaces(7)). `Clock.identity`
-identifies both.
+suspended, like the clock by which the list service (endpoint discovery) measures its leases. The clock starts
+at 0 when the machine boots, so readings of two processes are comparable only within one boot and one time
+namespace (time_namespaces(7)). `Clock.identity` identifies both.
 """
 
 import time
@@ -15,11 +15,11 @@
 
 
 class Clock(Protocol):
-    """A monotonic clock, and the wall clock for display and for records of older versions."""
+    """A monotonic clock, and a wall clock for display and for the record format of older versions."""
 
     @property
     def identity(self) -> str:
-        """Equal for clocks whose readings are comparable. Empty if comparable with no other clock."""
+        """Identifier, equal for clocks with comparable readings. Empty if no other clock is comparable."""
 
     def now(self) -> float:
         """Returns monotonic seconds since an unspecified moment."""
@@ -33,7 +33,7 @@
 
     def __init__(self) -> None:
         """Reads the identity of the boot and the time namespace."""
-        self.identity = _identity()
+        self.identity = _system_clock_identity()
 
     def now(self) -> float:
         """Returns seconds since the start of the machine."""
@@ -48,7 +48,7 @@
     """A clock that runs `factor` times as fast as another one."""
 
     def __init__(self, clock: Clock, factor: float) -> None:
-        """Wraps `clock`. `factor` is the number of scaled seconds in one of its seconds."""
+        """Wraps `clock`. `factor` is the number of scaled seconds per second of `clock`."""
         self._clock, self._factor = clock, factor
         self.identity = clock.identity and f"{clock.identity} times {factor:g}"
 
@@ -61,7 +61,7 @@
         return self._clock.unix_time()
 
 
-def _identity() -> str:
+def _system_clock_identity() -> str:
     """Returns the boot id and the time namespace, or an empty string if they are not available."""
     try:
         return f"{BOOT_ID.read_text().strip()} {TIME_NAMESPACE.readlink()}"
--- a/applehub/release/controller.py
+++ b/applehub/release/controller.py
@@ -27,7 +27,7 @@
 from applehub.release.staff_requests import StaffRequests, apply_new
 from applehub.release.state_machine import ENDED_MODES, Order, ReleaseMode, ReleaseStateMachine
 
-EVIDENCE_SAVE_INTERVAL_S = 1.0  # maximum age of the evidence that a crash loses
+EVIDENCE_SAVE_INTERVAL_S = 1.0  # longest period of the gates' evidence that a crash may lose
 log = logging.getLogger("applehub.release")
 
 
@@ -43,7 +43,7 @@
         self.record = folder.record
         self.metrics = ControllerMetrics()
         self.lock_held = True
-        self.hold_reason = ""  # why no further unit is upgraded at present
+        self.hold_reason = ""  # reason for which upgrades of further units are paused; empty if none
         self._plan = plan
         self._agents = _agent_addresses(plan, list(self.record.units))
         self._clock = folder.clock
@@ -52,7 +52,7 @@
         self._requests = StaffRequests(folder.path)
         if self.record.last_request is None:
             self.record.last_request = self._requests.latest_number()
-        self._unsent: dict[int, Order] = {}  # by number
+        self._unsent: dict[int, Order] = {}  # orders to send once the record is stored, by number
         self._save_backoff = Backoff()
         self._evidence_saved_at = 0.0
 
@@ -70,7 +70,7 @@
 
     @asynccontextmanager
     async def connected(self) -> AsyncIterator[None]:
-        """Opens connections for the duration of the context, and queues the pending orders again."""
+        """Opens an HTTP session for the duration of the context, and queues the pending orders again."""
         async with aiohttp.ClientSession(timeout=REQUEST_TIMEOUT) as session:
             self.client = AgentClient(session, self._agents)
             self._lock = ControllerLock(session, self._plan.lists, self.record.release_id)
@@ -79,13 +79,16 @@
             yield
 
     async def poll_once(self, now: float) -> bool:
-        """Polls once and sends the resulting orders. Returns whether the release has ended or is halted."""
+        """Polls once and sends the resulting orders.
+
+        Returns whether the release has ended, or is halted with no unit in progress.
+        """
         self._update_lock(await self._lock.acquire(now))
         if not self.lock_held:
             return False
         self._queue(await self._poll())
         if not self._save(now):
-            return False  # orders and the end of the release must be stored first
+            return False  # no order is sent and no end is reported before the record is stored
         if self.record.finished():
             return True
         if self._lock.held_at(self._clock.now()):  # the lease may have expired during polling or saving
@@ -118,8 +121,8 @@
         return orders + self._machine.tick(self._clock.now(), not verdict.hold_reason, verdict.capacity)
 
     def _handle_outcome(self, unit: str, outcome: OrderOutcome) -> list[Order]:
-        pending = outcome.number == self.record.units[unit].order_number
-        if outcome.release_id != self.record.release_id or outcome.succeeded is None or not pending:
+        is_pending = outcome.number == self.record.units[unit].order_number
+        if outcome.release_id != self.record.release_id or outcome.succeeded is None or not is_pending:
             return []
         self.folder.events.write(
             EventKind.ORDER_OUTCOME,
@@ -143,13 +146,13 @@
         self.hold_reason = verdict.hold_reason
 
     def _queue(self, orders: list[Order]) -> None:
-        """Queues orders until the record is stored, and drops queued orders that have an outcome."""
+        """Queues orders until the record is stored, and drops queued orders that are no longer pending."""
         self._unsent.update((order.number, order) for order in orders)
         pending = {unit.order_number for unit in self.record.units.values()}
         self._unsent = {number: order for number, order in self._unsent.items() if number in pending}
 
     def _save(self, now: float) -> bool:
-        """Stores the record. Returns False if this fails; later polls retry after a backoff."""
+        """Stores the record. Returns whether it is stored; later polls retry a failed save with backoff."""
         backoff = self._save_backoff
         if not backoff.due(now):
             return False
@@ -170,7 +173,7 @@
         return not backoff.failures
 
     async def _send(self, order: Order) -> None:
-        """Sends an order. The state machine sends it again if it has no outcome after the plan's step_s."""
+        """Sends an order. The state machine resends an order without an outcome after the plan's `step_s`."""
         self.metrics.orders.labels(order.step).inc()
         events = self.folder.events
         events.write(
--- a/applehub/release/errors.py
+++ b/applehub/release/errors.py
@@ -18,7 +18,7 @@
 
 
 class OrderRejectedError(ReleaseError):
-    """An agent rejects an order. The message has the reason."""
+    """An agent rejected an order. The message is the reason."""
 
 
 class LocalFailureError(ReleaseError):
--- a/applehub/release/evidence.py
+++ b/applehub/release/evidence.py
@@ -8,13 +8,13 @@
 origin, don't change it.
 
 Small differences must not halt a release, so `negligible_rate` failures per request are added to those of the
-old version. As the added count is not random and log x <= x - 1, the mean still does not grow under equal
-rates.
+old version. As the added count is not random and log x <= x - 1, the mean is then a supermartingale under
+equal rates, and the bound still holds.
 
-Units differ in their failure rates, so the requests of each are weighted by its failure rate relative to the
-others under the old version, shrunk towards 1 while there are few observations. As failures come in bursts,
-the log-likelihoods are divided by the dispersion among the units of the old version (Pearson's chi-squared by
-its degrees of freedom, as in quasi-likelihood; Wedderburn 1974).
+Units differ in their failure rates, so the requests of each unit are weighted by its failure rate relative to
+the other units under the old version, shrunk towards 1 while observations are few. As failures occur in
+bursts, the log-likelihoods are divided by the dispersion among the units of the old version (Pearson's
+chi-squared by its degrees of freedom, as in quasi-likelihood; Wedderburn 1974).
 """
 
 import math
@@ -24,8 +24,8 @@
 from typing import NamedTuple
 
 RATE_RATIOS = (1.25, 1.5, 2.0, 4.0, 16.0)  # tested ratios of the new version's failure rate to the old one's
-PRIOR_FAILURES = 10.0  # expected failures at which a unit's observed count has half of the weight
-MAX_LOG = 600.0  # bound that keeps math.exp from overflowing
+PRIOR_FAILURES = 10.0  # expected failures at which a unit's observations and the prior weigh equally
+MAX_LOG_LIKELIHOOD = 600.0  # keeps math.exp from overflowing
 
 
 class FailureKind(StrEnum):
@@ -47,7 +47,7 @@
 class UnitBaseline(NamedTuple):
     """Failures of a unit under the old version."""
 
-    expected: float  # by the failure rate of all units of the old version
+    expected: float  # failures expected from the common failure rate of the old version's units
     observed: int
 
 
@@ -56,9 +56,9 @@
     """Accumulated state of a test."""
 
     log_likelihoods: list[float] = field(default_factory=lambda: [0.0] * len(RATE_RATIOS))
-    chi_squared: float = 0.0  # of the old version's units, against their common failure rate
+    chi_squared: float = 0.0  # Pearson's statistic of the old version's units against their common rate
     degrees_of_freedom: int = 0
-    baselines: dict[str, UnitBaseline] = field(default_factory=dict)  # by unit
+    baselines: dict[str, UnitBaseline] = field(default_factory=dict)  # by unit name
 
     def copy(self) -> "EvidenceState":
         """Returns an independent copy."""
@@ -67,9 +67,9 @@
 
 @dataclass(frozen=True, slots=True)
 class GateState:
-    """Accumulated state of the gates, stored so that a restarted controller continues with it."""
+    """Accumulated state of the gates, which is stored so that a restarted controller continues from it."""
 
-    watched_s: float = 0.0  # time in which the old version was polled, over all controllers
+    watched_s: float = 0.0  # time for which the old version was polled, including by earlier controllers
     evidence: Mapping[FailureKind, EvidenceState] = field(default_factory=dict)
 
 
@@ -87,7 +87,7 @@
         self.state = EvidenceState() if state is None else state.copy()
 
     def add(self, new: Mapping[str, RequestCounts], old: Mapping[str, RequestCounts]) -> None:
-        """Adds the counts of one poll, by unit name."""
+        """Adds the request counts of one poll, by unit name, for the new and the old version."""
         old_requests = sum(counts.requests for counts in old.values())
         if not old_requests:
             return  # no requests to compare with
@@ -96,9 +96,11 @@
         }
         old_failures = sum(counts.failures for counts in old.values())
         new_failures = sum(counts.failures for counts in new.values())
-        new_share = sum(weighted[name] for name in new) / sum(weighted.values())
-        if new_share:
-            self._add_likelihoods(new_share, new_failures, old_failures + self.negligible_rate * old_requests)
+        new_fraction = sum(weighted[name] for name in new) / sum(weighted.values())
+        if new_fraction:
+            self._add_likelihoods(
+                new_fraction, new_failures, old_failures + self.negligible_rate * old_requests
+            )
         if old_failures and len(old) > 1:
             common_rate = old_failures / sum(weighted[name] for name in old)
             self._update_baselines(old, weighted, common_rate, old_failures / old_requests)
@@ -108,18 +110,21 @@
         baseline = self.state.baselines.get(name, UnitBaseline(0.0, 0))
         return (baseline.observed + PRIOR_FAILURES) / (baseline.expected + PRIOR_FAILURES)
 
-    def _add_likelihoods(self, new_share: float, new_failures: int, old_failures: float) -> None:
+    def _add_likelihoods(self, new_fraction: float, new_failures: int, old_failures: float) -> None:
         for index, ratio in enumerate(RATE_RATIOS):
-            share_if_worse = ratio * new_share / (ratio * new_share + 1 - new_share)
-            self.state.log_likelihoods[index] += new_failures * math.log(share_if_worse / new_share)
+            fraction_if_worse = ratio * new_fraction / (ratio * new_fraction + 1 - new_fraction)
+            self.state.log_likelihoods[index] += new_failures * math.log(fraction_if_worse / new_fraction)
             self.state.log_likelihoods[index] += old_failures * math.log(
-                (1 - share_if_worse) / (1 - new_share)
+                (1 - fraction_if_worse) / (1 - new_fraction)
             )
 
     def _update_baselines(
         self, old: Mapping[str, RequestCounts], weighted: Mapping[str, float], common_rate: float, rate: float
     ) -> None:
-        """Takes the failures per weighted request (`common_rate`) and per request (`rate`)."""
+        """Adds the failures of one poll of the old version to the units' baselines and to the dispersion.
+
+        `common_rate` is the number of failures per weighted request, and `rate` per request.
+        """
         state = self.state
         for name, counts in old.items():
             if not counts.requests:
@@ -134,7 +139,7 @@
 
     @property
     def dispersion(self) -> float:
-        """Variance of the failures among the old version's units relative to chance, at least 1."""
+        """Variance of the failures of the old version's units relative to a Poisson variance, at least 1."""
         if not self.state.degrees_of_freedom:
             return 1.0
         return max(1.0, self.state.chi_squared / self.state.degrees_of_freedom)
@@ -144,7 +149,7 @@
         """Likelihood of the observations if the new version is worse, relative to equal failure rates."""
         dispersion = self.dispersion
         logs = self.state.log_likelihoods
-        return sum(math.exp(min(MAX_LOG, log / dispersion)) for log in logs) / len(logs)
+        return sum(math.exp(min(MAX_LOG_LIKELIHOOD, log / dispersion)) for log in logs) / len(logs)
 
     @property
     def is_worse(self) -> bool:
--- a/applehub/release/lock.py
+++ b/applehub/release/lock.py
@@ -1,30 +1,32 @@
-"""Lease-based lock at the list service that admits at most one controller over all folders and machines."""
+"""Lease-based lock at the list service (endpoint discovery), which at most one controller of all folders and
+machines holds.
+"""
 
 from http import HTTPStatus
 
 import aiohttp
 
-LOCK_NAME = "release"  # one for the fleet, as effects of concurrent releases can't be told apart
+LOCK_NAME = "release"  # one lock for the fleet: effects of concurrent releases can't be distinguished
 LEASE_S = 8.0
-RENEW_BELOW_S = LEASE_S * 2 / 3  # remaining lease at which it is renewed
-SAFE_LEASE_FRACTION = 0.9  # margin for a faster clock of the list service
+RENEW_BELOW_S = LEASE_S * 2 / 3  # remaining time below which the lease is renewed
+SAFE_LEASE_FRACTION = 0.9  # fraction of a lease that is trusted, in case the list service's clock is faster
 REQUEST_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, ValueError)
 
 
 class ControllerLock:
-    """The lock of one controller. Without addresses it is always held, with fence 0."""
+    """The lock of one controller. Without a list service the lock is always held, with fence 0."""
 
     def __init__(self, session: aiohttp.ClientSession, addresses: list[str], holder: str) -> None:
         """Takes the addresses of the list service's replicas and the id of this lock holder."""
-        self.fence = 0  # fencing token, which increases with each holder
+        self.fence = 0  # fencing token, which increases with each lock holder
         self._session = session
         self._addresses = list(addresses)
         self._holder = holder
-        self._held_until = 0.0
+        self._lease_expires_at = 0.0
 
     async def acquire(self, now: float) -> bool:
-        """Acquires or renews the lock. Returns whether it is held at `now`, in monotonic seconds."""
-        if not self._addresses or self._held_until - now > RENEW_BELOW_S:
+        """Acquires or renews the lock. Returns whether the lease is valid at `now`, in monotonic seconds."""
+        if not self._addresses or self._lease_expires_at - now > RENEW_BELOW_S:
             return True
         for address in list(self._addresses):
             if await self._request(address, now):
@@ -33,7 +35,7 @@
 
     def held_at(self, now: float) -> bool:
         """Returns whether the lease is valid at `now`, in monotonic seconds."""
-        return not self._addresses or self._held_until > now
+        return not self._addresses or self._lease_expires_at > now
 
     async def release(self) -> None:
         """Releases the lock, so that the next controller need not wait until the lease expires."""
@@ -47,7 +49,7 @@
                 continue
 
     async def _request(self, address: str, now: float) -> bool:
-        """Requests the lock from one replica. Returns whether it decided. The lease counts from `now`."""
+        """Requests a lease from `now` from one replica. Returns whether the replica granted or denied it."""
         body = {"holder": self._holder, "lease_ms": int(LEASE_S * 1000)}
         try:
             async with self._session.put(f"http://{address}/v1/locks/{LOCK_NAME}", json=body) as response:
@@ -58,7 +60,7 @@
             return False
         if status == HTTPStatus.OK:
             self.fence = fence
-            self._held_until = now + LEASE_S * SAFE_LEASE_FRACTION
+            self._lease_expires_at = now + LEASE_S * SAFE_LEASE_FRACTION
             self._addresses.remove(address)
-            self._addresses.insert(0, address)  # the leader is tried first from now on
+            self._addresses.insert(0, address)  # the leader, which is asked first from now on
         return status in (HTTPStatus.OK, HTTPStatus.CONFLICT)
--- a/applehub/release/messages.py
+++ b/applehub/release/messages.py
@@ -61,17 +61,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """The metrics that a unit reports (see gates.py). Metrics that the unit does not have are absent."""
+    """The metrics that a unit reports, as listed in gates.py. Any metric may be absent."""
 
     metrics: Mapping[str, float]
 
     @property
     def incarnation(self) -> float | None:
-        """Value that changes at each start of the unit, or None if it is not reported."""
+        """Value that changes at each start of the unit, or None if the unit does not report it."""
         return self.metrics.get(INCARNATION)
 
     def value(self, name: str) -> float:
-        """Returns a metric, or 0 if it is not reported."""
+        """Returns a metric, or 0 if the unit does not report it."""
         return self.metrics.get(name, 0.0)
 
 
--- a/applehub/release/model_checker.py
+++ b/applehub/release/model_checker.py
@@ -30,8 +30,8 @@
 
 OLD_VERSION = "old"
 NEW_VERSION = "new"
-DUE = 1.0  # a time at which every timer is due
-MAX_TERMINATION_ROUNDS = 60  # rounds without faults within which a release must end
+DUE = 1.0  # time at which every timer is due
+MAX_TERMINATION_ROUNDS = 60  # rounds of deliveries without faults within which a release must end
 MAX_STATES = 1 << 20
 ControllerEvent = Callable[[ReleaseStateMachine], list[Order]]
 Transition = tuple[str, ModelState]  # name and next state
@@ -44,7 +44,7 @@
     machine: Callable[[ReleaseRecord], ReleaseStateMachine] = ReleaseStateMachine
     fencing: bool = True  # whether agents reject orders by their fence and number
     waits_for_disk: bool = True  # whether orders are sent only after their record is stored
-    after_crash: Callable[[ReleaseRecord], None] = lambda _: None  # modifies the stored record
+    after_crash: Callable[[ReleaseRecord], None] = lambda _: None  # modifies the loaded record
 
 
 class ModelChecker:
@@ -53,31 +53,31 @@
     def __init__(
         self, rules: ModelRules, budget: FaultBudget, zones: str = "aab", rollback_on_halt: bool = False
     ) -> None:
-        """Takes the zone of each unit as one letter of `zones`. The first unit is a stage of its own."""
-        self.violations: list[str] = []  # each with the path of transitions that leads to it
+        """Creates one unit in each zone of `zones`, a letter each. The first unit is a stage of its own."""
+        self.violations: list[str] = []  # descriptions, each with the transitions that lead to the violation
         self.states = 0
         self.max_depth = 0
         self._rules = rules
         self._initial = _initial_state(zones, budget, rollback_on_halt)
 
     def explore(self, depth: int, max_states: int = MAX_STATES) -> None:
-        """Searches breadth first until the first violation, which therefore has a shortest path."""
+        """Searches breadth-first, so that the first violation, at which it stops, has a shortest path."""
         seen = {self._initial.key()}
         queue = deque([(self._initial, 0, "")])
         while queue and not self.violations and self.states < max_states:
-            state, transitions, path = queue.popleft()
+            state, path_length, path = queue.popleft()
             self.states += 1
-            self.max_depth = transitions
+            self.max_depth = path_length
             violation = self._violation(state)
             if violation:
                 self.violations.append(f"{violation}, after:{path}")
-            if transitions == depth:
+            if path_length == depth:
                 continue
             for name, next_state in self._transitions(state):
                 key = next_state.key()
                 if key not in seen:
                     seen.add(key)
-                    queue.append((next_state, transitions + 1, f"{path} {name}"))
+                    queue.append((next_state, path_length + 1, f"{path} {name}"))
 
     # Transitions
 
@@ -89,23 +89,23 @@
         if state.budget.crashes:
             yield "crash", self._crashed(state.copy())
         if state.budget.halts and state.record.mode in (ReleaseMode.RUNNING, ReleaseMode.ROLLING_BACK):
-            after = state.copy()
-            after.budget.halts -= 1
-            yield from self._controller_event(after, "halt", _halt)
+            next_state = state.copy()
+            next_state.budget.halts -= 1
+            yield from self._controller_event(next_state, "halt", _halt)
         if state.budget.rollbacks and state.record.mode is not ReleaseMode.RETURNED:
-            after = state.copy()
-            after.budget.rollbacks -= 1
-            yield from self._controller_event(after, "back", _roll_back)
+            next_state = state.copy()
+            next_state.budget.rollbacks -= 1
+            yield from self._controller_event(next_state, "back", _roll_back)
 
     def _order_transitions(self, state: ModelState) -> Iterator[Transition]:
-        for sent in sorted(state.orders, key=_by_number):
-            order = sent[0]
+        for sent_order in sorted(state.orders, key=_number_and_fence):
+            order = sent_order[0]
             name = f"{order.number}({order.unit})"
-            yield f"{order.step}#{name}", self._delivered(state.copy(), sent, False)
+            yield f"{order.step}#{name}", self._delivered(state.copy(), sent_order, False)
             if state.budget.failed_steps:
-                yield f"fail#{name}", self._delivered(state.copy(), sent, True)
+                yield f"fail#{name}", self._delivered(state.copy(), sent_order, True)
             lost = state.copy()
-            lost.orders.discard(sent)
+            lost.orders.discard(sent_order)
             yield f"lose#{name}", lost
 
     def _outcome_transitions(self, state: ModelState) -> Iterator[Transition]:
@@ -119,12 +119,12 @@
         """Yields the states after a controller event, with a successful and with a failed save."""
         yield name, self._applied(state.copy(), event, stored=True)
         if state.budget.failed_saves:
-            after = state.copy()
-            after.budget.failed_saves -= 1
-            yield f"{name} with failed save", self._applied(after, event, stored=False)
+            next_state = state.copy()
+            next_state.budget.failed_saves -= 1
+            yield f"{name} with failed save", self._applied(next_state, event, stored=False)
 
     def _crashed(self, state: ModelState) -> ModelState:
-        """Replaces the controller by one that takes over its lock and the stored record."""
+        """Replaces the controller by another one, which takes over the lock and the stored record."""
         state.budget.crashes -= 1
         state.fence += 1
         state.record = copy_record(state.stored)
@@ -132,23 +132,23 @@
         self._rules.after_crash(state.record)
         return self._applied(state, lambda machine: machine.resend_pending(DUE), stored=True)
 
-    def _delivered(self, state: ModelState, sent: tuple[Order, int], fails: bool) -> ModelState:
-        """Delivers an order to its agent. The order stays in flight, so that it may be delivered again."""
-        order, fence = sent
+    def _delivered(self, state: ModelState, sent_order: tuple[Order, int], fails: bool) -> ModelState:
+        """Delivers an order to its agent. The order stays in flight, to be delivered again as a duplicate."""
+        order, fence = sent_order
         memory = state.memories[order.unit]
         try:
-            new = memory.accept(RELEASE_ID, fence, order)
+            is_new = memory.accept(RELEASE_ID, fence, order)
         except OrderRejectedError:
             if self._rules.fencing:
                 return state
             memory.latest[order.unit] = OrderRecord(RELEASE_ID, fence, order)
-            new = True
-        if new:
+            is_new = True
+        if is_new:
             state.budget.failed_steps -= fails
-            problem = state.units[order.unit].execute(order, fails)
+            violation = state.units[order.unit].execute(order, fails)
             memory.record_outcome(order.unit, "failed" if fails else "")
-            if problem and not state.violation:
-                state.violation = f"{order.unit}: {problem}"
+            if violation and not state.violation:
+                state.violation = f"{order.unit}: {violation}"
         succeeded = bool(memory.latest[order.unit].succeeded)
         state.outcomes.add((order.unit, order.number, succeeded))
         return state
@@ -178,20 +178,20 @@
         return state.violation or _limit_violation(state) or self._termination_violation(state)
 
     def _termination_violation(self, state: ModelState) -> str:
-        """Checks that without further faults the release ends with no unit in progress."""
-        after = state.copy()
-        after.budget.failed_steps = 0
+        """Returns a violation if the release does not end without further faults, or an empty string."""
+        final_state = state.copy()
+        final_state.budget.failed_steps = 0
         for _ in range(MAX_TERMINATION_ROUNDS):
-            for sent in sorted(after.orders, key=_by_number):
-                self._delivered(after, sent, False)
-            for outcome in sorted(after.outcomes):
-                self._applied(after, _outcome_event(outcome), stored=True)
-            after.orders.clear()
-            after.outcomes.clear()
-            if after.record.finished():
+            for sent_order in sorted(final_state.orders, key=_number_and_fence):
+                self._delivered(final_state, sent_order, False)
+            for outcome in sorted(final_state.outcomes):
+                self._applied(final_state, _outcome_event(outcome), stored=True)
+            final_state.orders.clear()
+            final_state.outcomes.clear()
+            if final_state.record.finished():
                 return ""
-            self._applied(after, lambda machine: machine.tick(DUE), stored=True)
-        return f"release does not end: mode {after.record.mode}"
+            self._applied(final_state, lambda machine: machine.tick(DUE), stored=True)
+        return f"release does not end: mode {final_state.record.mode}"
 
 
 def _initial_state(zones: str, budget: FaultBudget, rollback_on_halt: bool) -> ModelState:
@@ -219,19 +219,19 @@
 
 
 def _limit_violation(state: ModelState) -> str:
-    """Checks the limits on units out of service, and the units' versions after the end of the release."""
+    """Returns a violation of the limits on units out of service or of the versions at the end, if any."""
     record = state.record
-    out = state.out_of_service()
-    if len({record.units[name].zone for name in out}) > 1:
-        return f"units out of service in two zones: {out}"
-    if len(out) > record.max_unavailable:
-        return f"too many units out of service: {out}"
+    out_of_service = state.out_of_service()
+    if len({record.units[name].zone for name in out_of_service}) > 1:
+        return f"units out of service in two zones: {out_of_service}"
+    if len(out_of_service) > record.max_unavailable:
+        return f"too many units out of service: {out_of_service}"
     if record.mode in ENDED_MODES:
         version = record.new_version if record.mode is ReleaseMode.DONE else record.old_version
-        others = [name for name, unit in state.units.items() if unit.version != version]
-        wrong = sorted({*others, *out})
-        if wrong:
-            return f"mode {record.mode}, but units at another version or out of service: {wrong}"
+        at_other_version = [name for name, unit in state.units.items() if unit.version != version]
+        inconsistent = sorted({*at_other_version, *out_of_service})
+        if inconsistent:
+            return f"mode {record.mode}, but units at another version or out of service: {inconsistent}"
     return ""
 
 
@@ -243,8 +243,8 @@
         record.watch_started = 0.0
 
 
-def _by_number(sent: tuple[Order, int]) -> tuple[int, int]:
-    return sent[0].number, sent[1]
+def _number_and_fence(sent_order: tuple[Order, int]) -> tuple[int, int]:
+    return sent_order[0].number, sent_order[1]
 
 
 def _outcome_event(outcome: Outcome) -> ControllerEvent:
--- a/applehub/release/model_state.py
+++ b/applehub/release/model_state.py
@@ -8,13 +8,13 @@
 from applehub.release.simulated_unit import SimulatedUnit
 from applehub.release.state_machine import Order, ReleaseRecord
 
-RELEASE_ID = "r"  # of the only release
+RELEASE_ID = "r"  # id of the only release of the model
 Outcome = tuple[str, int, bool]  # unit, order number, whether it succeeded
 
 
 @dataclass(slots=True)
 class FaultBudget:
-    """How often each fault and each staff request may still occur."""
+    """Number of times that each fault and each staff request may still occur."""
 
     failed_steps: int = 0
     crashes: int = 0
@@ -25,18 +25,18 @@
 
 @dataclass(slots=True)
 class ModelState:
-    """One state. Delivered messages stay in flight until they are lost, so that they may be duplicated."""
+    """One state of the model. Delivered messages stay in flight until they are lost, to model duplicates."""
 
-    record: ReleaseRecord  # in the memory of the controller
-    stored: ReleaseRecord  # on the disk
+    record: ReleaseRecord  # as held in the controller's memory
+    stored: ReleaseRecord  # as stored on the controller's disk
     units: dict[str, SimulatedUnit]
-    memories: dict[str, AgentMemory]  # each unit has its own agent
+    memories: dict[str, AgentMemory]  # stored orders of each unit's own agent
     budget: FaultBudget
-    orders: set[tuple[Order, int]] = field(default_factory=set)  # in flight, with the fence of the controller
-    unsent: set[Order] = field(default_factory=set)  # waiting for the record to be stored
-    outcomes: set[Outcome] = field(default_factory=set)
-    fence: int = 1
-    violation: str = ""
+    orders: set[tuple[Order, int]] = field(default_factory=set)  # in flight, with their fencing tokens
+    unsent: set[Order] = field(default_factory=set)  # orders that wait for the record to be stored
+    outcomes: set[Outcome] = field(default_factory=set)  # in flight
+    fence: int = 1  # fencing token of the current controller
+    violation: str = ""  # first invariant violated by a transition; empty if none
 
     def copy(self) -> "ModelState":
         """Returns an independent copy."""
@@ -75,6 +75,6 @@
 
 
 def copy_record(record: ReleaseRecord) -> ReleaseRecord:
-    """Returns a copy that shares no part that the state machine modifies."""
+    """Returns a copy that shares no object that the state machine modifies."""
     units = {name: replace(unit) for name, unit in record.units.items()}
     return replace(record, stuck_units=list(record.stuck_units), units=units)
--- a/applehub/release/plan.py
+++ b/applehub/release/plan.py
@@ -26,17 +26,17 @@
 
     name: Name
     zone: Name
-    agent: Address | None = None  # of the unit's agent; not needed by `rehearse`
+    agent: Address | None = None  # address of the unit's agent; not needed by `rehearse`
 
 
 class Stage(Table):
-    """A group of units, given by their number or as a fraction of the units not in earlier stages."""
+    """A group of units, given as a number or as a fraction of the units that are in no earlier stage."""
 
     name: Name
-    zones: list[Name] = Field(default=[])  # empty: all zones, one after another
+    zones: list[Name] = Field(default=[])  # zones from which units are taken; empty for all zones
     count: Count | None = None
     part: Annotated[float, Field(gt=0, le=1)] | None = None
-    watch_s: Seconds = 60.0  # between the last upgrade of this stage and the next stage
+    watch_s: Seconds = 60.0  # from the last upgrade of this stage until the next stage starts
 
     @model_validator(mode="after")
     def _check_size(self) -> "Stage":
@@ -46,32 +46,32 @@
 
 
 class Limits(Table):
-    """Limits on units out of service, and on attempts at a step."""
+    """Limits on the number of units out of service, and on the attempts at a step."""
 
-    out_at_once: Count = 1
+    out_at_once: Count = 1  # maximum number of units out of service
     tries: Annotated[int, Field(ge=1, le=10)] = 2  # attempts at a step before the unit is rolled back
-    step_s: Annotated[float, Field(gt=0, le=3600)] = 60.0  # until an order without an outcome is sent again
+    step_s: Annotated[float, Field(gt=0, le=3600)] = 60.0  # after which an order without an outcome is resent
 
 
 class GateSettings(Table):
     """Settings of the health gates, which compare the two versions while both are in service."""
 
-    look_s: Annotated[float, Field(ge=0.05, le=60)] = 1.0  # between polls
+    look_s: Annotated[float, Field(ge=0.05, le=60)] = 1.0  # interval between polls
     alpha: Annotated[float, Field(gt=0, le=0.1)] = 0.01  # maximum probability of halting an equal version
     least: Annotated[float, Field(gt=0, lt=1)] = 0.005  # tolerated additional failures per request
-    silent_s: Positive = 10.0  # without a report of a unit of the new version, until a halt
-    before_s: Seconds = 300.0  # of polling the old version before the first upgrade
-    settle_s: Seconds = 0.0  # after a unit enters service, until its misses and costs count
+    silent_s: Positive = 10.0  # silence of a unit of the new version that halts the release
+    before_s: Seconds = 300.0  # duration of polling the old version before the first upgrade
+    settle_s: Seconds = 0.0  # time in service before a unit's misses and costs count
     cost: Annotated[float, Field(gt=1)] = (
-        2.0  # maximum ratio of the CPU time, work and memory of the versions
+        2.0  # maximum ratio of the new version's CPU time, work or memory to the old version's
     )
-    cost_s: Positive = 10.0  # for which `cost` must be exceeded without interruption
-    unwell: Fraction = 0.2  # failed fraction of the old version's recent requests that pauses upgrades
-    busy: Annotated[float, Field(gt=0, le=1)] = 0.8  # maximum load of the remaining units, as a fraction
+    cost_s: Positive = 10.0  # time for which `cost` must be exceeded without interruption to halt
+    unwell: Fraction = 0.2  # fraction of failed requests at the old version above which upgrades are paused
+    busy: Annotated[float, Field(gt=0, le=1)] = 0.8  # maximum load fraction of the units in service
 
 
 class Plan(Table):
-    """A complete plan."""
+    """The plan of one release."""
 
     name: Name
     what: ReleaseKind
@@ -79,8 +79,8 @@
     new: Name
     limits: Limits = Limits()
     gates: GateSettings = GateSettings()
-    lists: list[Address] = Field(default=[])  # staff addresses of the list service, for the lock
-    back_on_halt: bool = False  # rolls a rejected version back automatically
+    lists: list[Address] = Field(default=[])  # staff addresses of the list service's replicas, for the lock
+    back_on_halt: bool = False  # whether a rejected version is rolled back automatically
     stages: Annotated[list[Stage], Field(min_length=1)]
     fleet: Annotated[list[PlannedUnit], Field(min_length=1)]
 
--- a/applehub/release/rehearsal.py
+++ b/applehub/release/rehearsal.py
@@ -21,7 +21,7 @@
 from applehub.release.simulated_unit import SimulatedUnit
 from applehub.release.state_machine import ACTIVE_MODES, Order, ReleaseMode, ReleaseStateMachine, Step
 
-MAX_IDLE_S = 0.2  # between two ticks while no order is being executed
+MAX_IDLE_S = 0.2  # maximum real time between two ticks without an order
 INSTALL_STEPS = frozenset((Step.ADMIT, Step.UPGRADE, Step.RELOAD))  # steps that fail on a broken unit
 
 
@@ -30,8 +30,8 @@
     """Options of a rehearsal.
 
     `pace` is the number of plan seconds in one real second, and `step_s` the duration of a step in plan
-    seconds. On `broken` units the new version fails to start. `again` permits a version that was rolled back
-    before.
+    seconds. On `broken` units the new version fails to start. `again` permits releasing a version that was
+    rolled back before.
     """
 
     pace: float
@@ -41,7 +41,7 @@
 
 
 class SimulatedFleet:
-    """Simulated units, stored beside the record. A context manager that closes their store."""
+    """Simulated units, stored in the release's folder. As a context manager, closes the store on exit."""
 
     def __init__(self, folder: ReleaseFolder) -> None:
         """Opens and loads the store. Raises StoreError, StoredStateError or OSError."""
@@ -63,7 +63,7 @@
         self._store.close()
 
     def provision(self, names: list[str], version: str) -> None:
-        """Creates the missing units and drops those not named, without saving."""
+        """Creates missing units at `version` and removes units that are not in `names`, without saving."""
         self.units = {name: self.units.get(name, SimulatedUnit(version)) for name in names}
 
     def save(self) -> None:
@@ -75,7 +75,7 @@
     """Executes a release on simulated units in accelerated time."""
 
     def __init__(self, folder: ReleaseFolder, fleet: SimulatedFleet, options: RehearsalOptions) -> None:
-        """Takes an open folder whose release has begun and whose clock is scaled by the pace."""
+        """Takes an open folder with a started release and with a clock that is scaled by the pace."""
         self._folder = folder
         self._fleet = fleet
         self._options = options
@@ -97,7 +97,7 @@
                 orders = self._machine.tick(now())
 
     def _execute_all(self, orders: list[Order]) -> list[Order]:
-        """Executes orders and returns the resulting ones."""
+        """Executes orders and returns the orders that follow from their outcomes."""
         for order in orders:
             self._folder.events.write(
                 EventKind.ORDER_SENT,
@@ -123,16 +123,16 @@
         unit = self._fleet.units[order.unit]
         if order.number > unit.last_number:
             broken = order.unit in self._options.broken and order.version == self._folder.record.new_version
-            problem = unit.execute(order, broken and order.step in INSTALL_STEPS)
-            if problem:
+            violation = unit.execute(order, broken and order.step in INSTALL_STEPS)
+            if violation:
                 raise StoredStateError(
-                    f"{order.unit}: {problem}: records of the controller and the units are inconsistent"
+                    f"{order.unit}: {violation}: records of the controller and the units are inconsistent"
                 )
         return unit.succeeded and order.number == unit.last_number
 
 
 def rehearse(path: Path, plan: Plan, options: RehearsalOptions) -> ReleaseFolder:
-    """Starts or continues a rehearsal in a folder. Returns the folder, closed.
+    """Runs a new or interrupted rehearsal in a folder until it ends or is halted. Returns the closed folder.
 
     Raises StoreError, PlanError, StoredStateError or OSError.
     """
--- a/applehub/release/release_folder.py
+++ b/applehub/release/release_folder.py
@@ -1,4 +1,4 @@
-"""The folder of a release, with its record and events. Only one process at a time may write to it."""
+"""The folder of a release, with its record and events. One process at a time may write to the folder."""
 
 import time
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 )
 from applehub.release.stored_record import RecordCodec
 
-FORMAT_VERSION = 1  # of the release's stores
+FORMAT_VERSION = 1  # of the values in a release's stores
 RECORD_STORE = "release"
 EVENTS_FILE = "events.jsonl"
 State = TypeVar("State")
@@ -73,10 +73,13 @@
 
 
 class ReleaseFolder:
-    """A release's folder, locked for writing. A context manager that closes it."""
+    """A release's folder, locked for writing. As a context manager, it is closed on exit."""
 
     def __init__(self, path: Path, clock: Clock | None = None) -> None:
-        """Locks and loads the folder. Raises StoreError if it is locked, StoredStateError or OSError."""
+        """Locks and loads the folder.
+
+        Raises StoreError if another process has locked the folder, StoredStateError or OSError.
+        """
         self.path = path
         self.clock = SystemClock() if clock is None else clock
         self.disk = Folder(str(path))
@@ -88,7 +91,7 @@
         except BaseException:
             self._store.close()  # releases the lock, so that this process can open the store again
             raise
-        self._stored = b"" if self._record is None else self._codec.encode(self._record)
+        self._stored_content = b"" if self._record is None else self._codec.encode(self._record)
         self._logged_mode: ReleaseMode | None = None if self._record is None else self._record.mode
 
     def __enter__(self) -> Self:
@@ -109,7 +112,7 @@
         return self._record
 
     def begin(self, plan: Plan, again: bool) -> bool:
-        """Begins the release of a plan, or continues it. Returns whether it begins.
+        """Starts the release of a plan, or continues it. Returns whether a new release was started.
 
         `again` permits a version that was rolled back before. Raises PlanError if another release has not
         ended, or if the version was rolled back and `again` is not set.
@@ -134,9 +137,9 @@
         """Stores the record if it has changed, and logs a new mode. Raises StoreError or OSError."""
         record = self.record
         content = self._codec.encode(record)
-        if content != self._stored:
+        if content != self._stored_content:
             self._store.save(content)
-            self._stored = content
+            self._stored_content = content
         if record.mode is not self._logged_mode:
             self._logged_mode = record.mode
             self.events.write(EventKind.RELEASE_MODE, mode=record.mode, why=record.reason)
@@ -150,8 +153,8 @@
 def submit_request(path: Path, kind: RequestKind, reason: str) -> bool:
     """Executes a staff request, or stores it for the controller that has the folder open.
 
-    Returns whether it was executed. Raises StoreError or StoredStateError. After an OSError the request may
-    or may not have been stored.
+    Returns whether the request was executed. Raises StoreError or StoredStateError. After an OSError the
+    request may or may not have been stored.
     """
     requests = StaffRequests(path)
     try:
--- a/applehub/release/simulated_unit.py
+++ b/applehub/release/simulated_unit.py
@@ -17,12 +17,12 @@
     succeeded: bool = True
 
     def execute(self, order: Order, fails: bool) -> str:
-        """Executes or fails an order. Returns why it was invalid, or an empty string."""
+        """Executes or fails an order. Returns why the order is invalid, or an empty string if it is not."""
         self.last_number = order.number
         self.succeeded = not fails
-        expects_out = order.step in (Step.REPLACE, Step.ADMIT)
-        misplaced = order.step is not Step.UPGRADE and self.out_of_service is not expects_out
-        problem = f"step {order.step} while out of service is {self.out_of_service}" if misplaced else ""
+        requires_out_of_service = order.step in (Step.REPLACE, Step.ADMIT)
+        is_invalid = order.step is not Step.UPGRADE and self.out_of_service is not requires_out_of_service
+        violation = f"step {order.step} while out of service is {self.out_of_service}" if is_invalid else ""
         if not fails:
             match order.step:
                 case Step.DRAIN:
@@ -31,7 +31,7 @@
                     self.version = order.version
                 case Step.ADMIT:
                     self.out_of_service = False
-        return problem
+        return violation
 
     def to_json(self) -> Mapping[str, object]:
         """Returns the fields of the stored form."""
--- a/applehub/release/staff_requests.py
+++ b/applehub/release/staff_requests.py
@@ -1,9 +1,9 @@
 """Staff requests to a running release, stored until its controller executes them.
 
-The store has the latest request in the keys `what` and `why`, which older controllers read,
-and the previous ones in `earlier`, as a controller may have ended before it executed them. The number of a
-request is the store's generation at which it was added; the record has the number of the last executed
-request.
+The stored value has the latest request in the keys `what` and `why`, which older controllers read, and the
+previous requests in `earlier`, because a controller may end before it executes them. The number of a request
+is the store's generation at which the request was added. The release's record has the number of the last
+executed request.
 """
 
 from collections.abc import Callable, Mapping
@@ -18,7 +18,7 @@
 from applehub.release.state_machine import ReleaseRecord, ReleaseStateMachine
 
 FORMAT_VERSION = 1
-MAX_EARLIER = 16  # requests that are stored besides the latest one
+MAX_EARLIER = 16  # previous requests that are stored in addition to the latest one
 
 
 class RequestKind(StrEnum):
@@ -59,14 +59,14 @@
     def add(self, kind: RequestKind, reason: str) -> None:
         """Stores a request.
 
-        Raises StoreError if another process is adding one. After an OSError the request may or may not have
-        been stored.
+        Raises StoreError if another process is adding a request. After an OSError the request may or may
+        not have been stored.
         """
         try:
             loaded = self._store.open()
             earlier = [
                 {"number": request.number, "what": request.kind, "why": request.reason}
-                for request in _decoded(loaded)[-MAX_EARLIER:]
+                for request in _decode_requests(loaded)[-MAX_EARLIER:]
             ]
             self._store.save(orjson.dumps({"what": kind, "why": reason, "earlier": earlier}))
         finally:
@@ -74,25 +74,25 @@
 
     def after(self, number: int) -> list[StaffRequest]:
         """Returns the requests with higher numbers, in order. Raises OSError."""
-        return [request for request in _decoded(self._store.load()) if request.number > number]
+        return [request for request in _decode_requests(self._store.load()) if request.number > number]
 
 
 def apply_new(record: ReleaseRecord, requests: StaffRequests) -> list[StaffRequest]:
-    """Executes the requests that follow the record's last one and returns them.
+    """Executes the requests that follow the last request in the record, and returns them.
 
     If the record has no number, as in a new record or one of an older controller, existing requests are
-    skipped. Raises OSError, in which case none is executed.
+    skipped. Raises OSError, in which case no request is executed.
     """
     if record.last_request is None:
         record.last_request = requests.latest_number()
-    found = requests.after(record.last_request)
-    for request in found:
+    new_requests = requests.after(record.last_request)
+    for request in new_requests:
         ACTIONS[request.kind](ReleaseStateMachine(record), request.reason)
         record.last_request = request.number
-    return found
+    return new_requests
 
 
-def _decoded(loaded: LoadResult) -> list[StaffRequest]:
+def _decode_requests(loaded: LoadResult) -> list[StaffRequest]:
     """Returns all stored requests in order, or none if they can't be decoded."""
     if loaded.value is None:
         return []
--- a/applehub/release/state_machine.py
+++ b/applehub/release/state_machine.py
@@ -1,10 +1,10 @@
 """State machine of a release. It is free of I/O: it takes events and returns orders, and its complete state
-is one record.
+is one `ReleaseRecord`.
 
 The caller stores the record before it sends the returned orders, and sends pending orders again after a
 restart. Agents execute each order number once, report the outcome of a known number, and reject lower
-numbers. So no crash and no duplicated or late message causes a step to be executed twice. Each `now` is in
-seconds of a monotonic clock (see clock.py).
+numbers. So a crash or a duplicated or late message does not cause a completed step to be executed again. Each
+`now` is in seconds of a monotonic clock (see clock.py).
 
 A unit in progress is completed even while the release is halted. If that fails, the unit is rolled back to
 the old version. A rollback has the same steps with the versions swapped, in reverse order and without
@@ -19,7 +19,7 @@
 
 
 class ReleaseKind(StrEnum):
-    """The kind of component that is released."""
+    """The kind of component that a release upgrades."""
 
     SERVERS = "servers"
     ROUTERS = "routers"
@@ -74,21 +74,21 @@
     zone: str
     version: str
     target_version: str = ""  # empty if the unit is in service and not being upgraded
-    step_index: int = 0
-    order_number: int = 0  # of the pending order; 0 if there is none
-    attempts: int = 0
-    sent_at: float = 0.0
+    step_index: int = 0  # index in STEPS of the step in progress
+    order_number: int = 0  # number of the pending order; 0 if there is none
+    attempts: int = 0  # failed attempts at the step in progress
+    sent_at: float = 0.0  # time at which the pending order was last sent
 
 
 @dataclass(slots=True)
 class ReleaseRecord:
     """The complete state of a release, from which a restarted controller continues."""
 
-    release_id: str  # distinguishes orders of different releases
+    release_id: str  # distinguishes the orders of different releases
     kind: ReleaseKind
     old_version: str
     new_version: str
-    stages: list[list[str]]  # unit names
+    stages: list[list[str]]  # names of each stage's units
     stage_watch_s: list[float]
     max_unavailable: int
     max_attempts: int
@@ -96,10 +96,10 @@
     units: dict[str, UnitState]
     rollback_on_halt: bool = False
     mode: ReleaseMode = ReleaseMode.RUNNING
-    stage: int = 0
-    watch_started: float | None = None  # of the current stage
+    stage: int = 0  # index of the current stage
+    watch_started: float | None = None  # start of the current stage's watch; None before it
     last_order_number: int = 0
-    reason: str = ""
+    reason: str = ""  # why the release was halted; empty if it was not
     stuck_units: list[str] = field(default_factory=list)  # units whose rollback failed
     gate_state: GateState = field(default_factory=GateState)
     last_request: int | None = None  # number of the last executed staff request; None if not recorded
@@ -129,13 +129,13 @@
             self.record.reason = reason
 
     def reject_version(self, reason: str) -> None:
-        """Halts the release because the new version failed, and rolls back if the plan says so."""
+        """Halts the release because the new version failed, and rolls back if `rollback_on_halt` is set."""
         self.halt(reason)
         if self.record.rollback_on_halt and self.record.mode is ReleaseMode.HALTED:
             self.roll_back()
 
     def resume(self) -> None:
-        """Continues a halted release with the new version, also after a rollback was halted."""
+        """Continues a halted release, or one whose rollback was halted, by upgrading the remaining units."""
         if self.record.mode is ReleaseMode.HALTED:
             self.record.mode = ReleaseMode.RUNNING
             self.record.reason = ""
@@ -161,8 +161,8 @@
         """Advances the release and sends overdue orders again.
 
         If the fleet is not `healthy`, only a rollback starts further units. `capacity` is the number of units
-        that the present load permits to take out of service, None if unknown. A rollback always takes one,
-        because the new version may cause the lack of capacity.
+        that the present load permits to take out of service, None if unknown. A rollback with no unit in
+        progress starts one in any case, because the new version may cause the lack of capacity.
         """
         record = self.record
         orders = []
@@ -239,15 +239,15 @@
             record.stage = 0
             record.watch_started = None
             return []
-        at_least = None if capacity is None else max(capacity, 0 if in_progress else 1)
-        return self._start_units(now, waiting, record.old_version, at_least)
+        permitted_capacity = None if capacity is None else max(capacity, 0 if in_progress else 1)
+        return self._start_units(now, waiting, record.old_version, permitted_capacity)
 
     def _needs(self, name: str, version: str) -> bool:
         unit = self.record.units[name]
         return unit.version != version or unit.target_version != ""
 
     def _start_units(self, now: float, waiting: list[str], version: str, capacity: int | None) -> list[Order]:
-        """Starts as many units as the limits permit: one zone at a time, and max_unavailable in progress."""
+        """Starts units within the limits: one zone at a time, and at most max_unavailable in progress."""
         record = self.record
         orders: list[Order] = []
         started = 0
@@ -256,7 +256,7 @@
             in_progress = record.units_in_progress()
             zones = {record.units[other].zone for other in in_progress}
             if unit.target_version:
-                # A unit that was stuck until staff resumed or rolled back.
+                # Staff resumed or rolled back the release after the rollback of this unit had failed.
                 if not unit.order_number and name not in record.stuck_units:
                     self._retarget(unit, version)
                     orders += self._next_order(now, name)
--- a/applehub/release/stored_record.py
+++ b/applehub/release/stored_record.py
@@ -1,9 +1,9 @@
 """JSON encoding of a release's record, compatible with older controllers in both directions.
 
 Older controllers store Unix times (`watched`, and `sent` of each unit), and reject unknown keys except in
-`evidence`. These keys are therefore kept, and additions are stored in `evidence`: `clock`, a clock reading
-from which a restarted controller on the same machine continues the watch of a stage, and `request_taken`.
-Older controllers drop both when they write the record.
+`evidence`. These keys are therefore still written, and later additions are stored in `evidence`: `clock`, a
+clock reading from which a restarted controller on the same machine continues the watch of a stage, and
+`request_taken`. Older controllers remove both when they write the record.
 
 If the stored reading is not comparable with the clock (after a reboot, on another machine, or in a record of
 an older controller), the watch of the stage restarts, so that it may take longer than planned but never less.
@@ -21,7 +21,7 @@
 from applehub.release.evidence import EvidenceState, FailureKind, GateState, UnitBaseline
 from applehub.release.state_machine import ReleaseKind, ReleaseMode, ReleaseRecord, UnitState
 
-NOT_WATCHED = -1.0  # stored if the watch of the stage has not begun
+NOT_WATCHED = -1.0  # value of `watched` while no stage is being watched
 Json = Mapping[str, Any]
 
 
@@ -29,7 +29,7 @@
 class _StoredReading:
     """A clock reading with the identity of its clock, as stored in `evidence`."""
 
-    identity: str  # of the clock
+    identity: str  # identifier of the clock
     reading: float
     unix_time: float  # equals `watched` unless an older controller has written the record since
 
@@ -42,12 +42,12 @@
 
 
 class RecordCodec:
-    """Encodes and decodes records whose times are readings of one clock."""
+    """Encodes and decodes records, whose times are readings of one clock."""
 
     def __init__(self, clock: Clock) -> None:
         """Takes the clock of the records' times."""
         self._clock = clock
-        # Cached by reading, so that steps of the wall clock don't change stored records.
+        # Unix times by clock reading, cached so that steps of the wall clock don't change stored records.
         self._unix_times: dict[float, float] = {}
 
     def encode(self, record: ReleaseRecord) -> bytes:
--- a/tests/release_support.py
+++ b/tests/release_support.py
@@ -18,7 +18,7 @@
 from applehub.release.release_folder import ReleaseFolder
 from applehub.release.state_machine import Order
 
-WALL_STEPS_S = (-3600.0, -3.0, 3.0, 3600.0)
+WALL_CLOCK_STEPS_S = (-3600.0, -3.0, 3.0, 3600.0)
 
 
 @dataclass
@@ -56,7 +56,7 @@
 
 
 def make_plan(units: int = 2, **overrides: Any) -> Plan:
-    """Returns a plan without agents: units u0, u1, ... in one zone and one stage, watched for 20 s."""
+    """Returns a plan without agents, for units u0, u1, ... in one zone and one stage, watched for 20 s."""
     gates = {"look_s": 0.05, "before_s": 0.0, **overrides.pop("gates", {})}
     return Plan.model_validate(
         {
@@ -76,7 +76,7 @@
 async def running_agent(
     host: FakeUnitHost, folder: Path, sleep: Callable[[float], Awaitable[None]] = asyncio.sleep
 ) -> AsyncIterator[tuple[Agent, str]]:
-    """Runs an agent on loopback; yields it and its address."""
+    """Yields an agent that listens on loopback, and its address."""
     agent = Agent(host, Store(Folder(str(folder)), "orders", FORMAT_VERSION), sleep)
     try:
         yield agent, await agent.start("127.0.0.1", 0)
@@ -103,7 +103,7 @@
 
 @asynccontextmanager
 async def running_list_service() -> AsyncIterator[tuple[FakeListService, str]]:
-    """Runs the service on loopback; yields it and its address."""
+    """Yields a fake list service that listens on loopback, and its address."""
     service, app = FakeListService(), web.Application()
     app.router.add_put("/v1/locks/release", service.put)
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
@@ -119,7 +119,7 @@
 async def running_controller(
     path: Path, plan: Plan, clock: FakeClock, agent: str
 ) -> AsyncIterator[Controller]:
-    """Yields a connected controller whose units share one agent. Tests call its `poll_once`."""
+    """Yields a connected controller whose units share one agent. Tests call `poll_once` themselves."""
     units = [unit.model_copy(update={"agent": agent}) for unit in plan.fleet]
     plan = plan.model_copy(update={"fleet": units})
     with ReleaseFolder(path, clock) as folder:
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -221,9 +221,13 @@
     for step in (0, 3, -3, 3_600, -3_600):  # steps of the wall clock in s, which must not change the age
         monkeypatch.setattr(time, "time_ns", lambda step=step: wall + step * 1_000_000_000)
         monkeypatch.setattr(time, "monotonic_ns", lambda: now + 7_000_000_000)
-        found = PersistedStatistics(str(tmp_path), statistics.get_statistics).load()
-        assert found is not None and found.servers == seen and 7_000 <= found.age // 1_000_000 < 8_000
-    monkeypatch.setattr(time, "monotonic_ns", lambda: now - 7_000_000_000)  # as on another machine
+        loaded_statistics = PersistedStatistics(str(tmp_path), statistics.get_statistics).load()
+        assert (
+            loaded_statistics is not None
+            and loaded_statistics.servers == seen
+            and 7_000 <= loaded_statistics.age // 1_000_000 < 8_000
+        )
+    monkeypatch.setattr(time, "monotonic_ns", lambda: now - 7_000_000_000)  # as if on another machine
     assert PersistedStatistics(str(tmp_path), statistics.get_statistics).load() is None
     monkeypatch.undo()
     for identifier in ("", "of the time before a restart"):
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -65,7 +65,7 @@
 
 
 def test_file_with_only_a_partial_line_is_emptied(tmp_path: Path) -> None:
-    """The file has no complete line, so that nothing of it remains."""
+    """The file has no complete line, so the new writer removes all of its content."""
     path = tmp_path / "events.jsonl"
     path.write_bytes(b'{"mono":1')
     writer = EventWriter(path, "me", 1)
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -63,7 +63,7 @@
 
 
 def test_model_checker_detects_orders_sent_before_their_record_is_stored() -> None:
-    """The faulty controller sends orders although saving their record failed."""
+    """The faulty controller sends orders although it failed to store their record."""
     model = ModelChecker(ModelRules(waits_for_disk=False), FaultBudget(1, 1, 1))
     model.explore(depth=14, max_states=9_000)
     assert model.violations, model.states
@@ -119,7 +119,7 @@
     ids=["ignores zones", "starts while halted", "forgets pending", "no fencing", "numbers restart"],
 )
 def test_model_checker_detects_each_mutant(mutant: ModelRules, crashes: int) -> None:
-    """The state machine or the agents have one fault."""
+    """Each mutant has one fault in the state machine, the agents or the recovery after a crash."""
     model = ModelChecker(mutant, FaultBudget(crashes, crashes))
     model.explore(depth=14, max_states=9_000)
     assert model.violations, model.states
@@ -176,6 +176,7 @@
     assert_each_step_was_ordered_once(state)
 
 
+# System call, error, and number of the first call that fails.
 FAILING_CALLS: list[tuple[SystemCall, str, int]] = [
     ("write", "ENOSPC", 1),  # fails the first save of the release
     ("open", "EMFILE", 3),
@@ -191,15 +192,15 @@
     state = tmp_path / "state"
     command = [sys.executable, "-m", "applehub.lab.fleet.system_call_faults", "applehub.release", "rehearse"]
     command += [str(plan), "--state", str(state), "--pace", "2000"]
-    for number, (call, error, stored) in enumerate(FAILING_CALLS):
-        record = tmp_path / f"injected-{number}"
+    for number, (call, error, first_failing_call) in enumerate(FAILING_CALLS):
+        fault_log = tmp_path / f"injected-{number}"
         prefix = f"{state}/release.new"
-        faults = [SystemCallFault("write", short=100, from_call=stored, times=1, path=prefix)]
-        faults += [SystemCallFault(call, error, from_call=stored, path=prefix)]
+        faults = [SystemCallFault("write", short=100, from_call=first_failing_call, times=1, path=prefix)]
+        faults += [SystemCallFault(call, error, from_call=first_failing_call, path=prefix)]
         process = subprocess.Popen(
-            command, env={**os.environ, **in_environment(faults, record)}, stdout=subprocess.DEVNULL
+            command, env={**os.environ, **in_environment(faults, fault_log)}, stdout=subprocess.DEVNULL
         )
-        while recorded(record)[call, error] < 4:  # more calls than one save makes, so that it was retried
+        while recorded(fault_log)[call, error] < 4:  # more calls than one save makes, so that it was retried
             assert process.poll() is None
         process.kill()
         process.wait()
@@ -224,7 +225,7 @@
 
 
 def test_version_with_higher_failure_rate_is_detected() -> None:
-    """Of 20 units 4 have the new version. Failures that both versions share at some polls are no evidence."""
+    """Four of 20 units have the new version. Failures that affect both versions at some polls are ignored."""
 
     def polls_until_detection(generator: random.Random, additional_rate: float) -> int:
         evidence = FailureEvidence(0.005, 0.0025)
@@ -264,7 +265,7 @@
 
 
 def test_new_version_is_halted_by_silence_missing_metrics_and_costs(plan: Path) -> None:
-    """Faults that units of both versions share pause the release but don't halt it."""
+    """Faults that affect units of both versions pause the release but don't halt it."""
     gates, record = make_gates(plan)
     all_reports: dict[str, LoadReport | None] = {name: make_report(1) for name in record.units}
     assert gates.evaluate(1.0, all_reports) == Verdict("", "", 3)
--- a/tests/test_release_disk.py
+++ b/tests/test_release_disk.py
@@ -1,4 +1,4 @@
-"""Tests of releases with disk errors: nothing is done before it is stored, and storing is retried."""
+"""Tests of releases with disk errors: state is stored before messages are sent, and saves are retried."""
 
 import asyncio
 import json
@@ -97,7 +97,7 @@
 async def test_controller_replaced_during_disk_errors_repeats_no_step(
     tmp_path: Path, call: SystemCall, error: str
 ) -> None:
-    """Eight controllers are replaced, each after a partial write."""
+    """Eight controllers are replaced one after another, each after a partial write."""
     state, clock, host = tmp_path / "state", FakeClock(), FakeUnitHost(["u0", "u1"])
     host.before_execute = require_stored_order(state, clock, host.executed)
     async with running_agent(host, tmp_path / "agent") as (_, address):
@@ -193,8 +193,8 @@
     assert not submit_request(state, RequestKind.HALT, "")
     folder.close()
     assert submit_request(state, RequestKind.RESUME, "")
-    found = load_release(state)
-    assert found.record.mode is ReleaseMode.RUNNING and found.record.last_request == 1
+    stored_release = load_release(state)
+    assert stored_release.record.mode is ReleaseMode.RUNNING and stored_release.record.last_request == 1
 
 
 def test_request_that_can_not_be_stored_is_reported_as_failed(tmp_path: Path) -> None:
@@ -225,7 +225,7 @@
     assert stored is not None and json.loads(stored)["what"] == "back"
 
 
-# Start
+# Start of a controller
 
 
 @pytest.mark.parametrize("call", ["open", "read"])
@@ -304,7 +304,7 @@
         assert await client.send_order(4) == 202
         await asyncio.gather(*agent.executions)
         with SystemCallFaults(SystemCallFault("write", "ENOSPC", path=str(tmp_path / "agent"))):
-            assert await client.send_order(4) == 200  # nothing to store
+            assert await client.send_order(4) == 200  # the repeated order changes nothing that is stored
             assert await client.send_order(4, fence=2) == 503  # the new fence must be stored
             assert await client.send_order(4, fence=1) == 200
 
--- a/tests/test_release_messages.py
+++ b/tests/test_release_messages.py
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("content", [b"", b"{}", b"[]", ORDER.replace(b"drain", b"dance")])
 def test_malformed_order_raises_message_error(content: bytes) -> None:
-    """Empty, incomplete and wrongly typed bodies and an unknown step are rejected."""
+    """Covers an empty, an incomplete and a wrongly typed body, and an unknown step."""
     with pytest.raises(MessageError):
         OrderMessage.decode(content)
 
--- a/tests/test_release_time.py
+++ b/tests/test_release_time.py
@@ -6,7 +6,7 @@
 
 import pytest
 from release_support import (
-    WALL_STEPS_S,
+    WALL_CLOCK_STEPS_S,
     FakeClock,
     FakeUnitHost,
     make_plan,
@@ -29,18 +29,18 @@
 
 
 def mode_of(record: ReleaseRecord) -> ReleaseMode:
-    """Returns the mode. The call prevents type narrowing across successive assertions."""
+    """Returns the mode of a release. The call prevents type narrowing across successive assertions."""
     return record.mode
 
 
 async def run_until_watched(controller: Controller, host: FakeUnitHost, clock: FakeClock) -> None:
-    """Polls until all units have the new version and the watch of the stage has begun."""
+    """Polls until all units have the new version and the watch of the stage has started."""
     while controller.record.watch_started is None:
         assert not await controller.poll_once(clock.now())
         assert len(host.executed) <= 3 * len(host.units)
 
 
-@pytest.mark.parametrize("step_s", WALL_STEPS_S)
+@pytest.mark.parametrize("step_s", WALL_CLOCK_STEPS_S)
 async def test_stage_watch_ignores_wall_clock_steps(tmp_path: Path, step_s: float) -> None:
     """The wall clock steps 10 s into a watch of 20 s."""
     clock, host = FakeClock(), FakeUnitHost(["u0", "u1"])
@@ -60,7 +60,7 @@
         assert await controller.poll_once(clock.now()) and mode_of(controller.record) is ReleaseMode.DONE
 
 
-@pytest.mark.parametrize("step_s", WALL_STEPS_S)
+@pytest.mark.parametrize("step_s", WALL_CLOCK_STEPS_S)
 async def test_order_resend_ignores_wall_clock_steps(
     tmp_path: Path, step_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -78,13 +78,13 @@
         await controller.poll_once(clock.now())
         clock.reading += 29.9
         await controller.poll_once(clock.now())
-        assert len(sent) == 1  # 60 s is the plan's step_s
+        assert len(sent) == 1  # the plan's step_s is 60 s
         clock.reading += 0.2
         await controller.poll_once(clock.now())
         assert len(sent) == 2 and sent[0] == sent[1]
 
 
-@pytest.mark.parametrize("step_s", WALL_STEPS_S)
+@pytest.mark.parametrize("step_s", WALL_CLOCK_STEPS_S)
 async def test_lock_lease_ignores_wall_clock_steps(tmp_path: Path, step_s: float) -> None:
     """The controller trusts 7.2 s of the lease of 8 s, and sends no order after that."""
     clock, host = FakeClock(), FakeUnitHost(["u0"])
@@ -99,7 +99,7 @@
         assert controller.lock_held and service.acquisitions == 1
         service.rejects = True
         clock.offset += step_s
-        clock.reading += 7.1  # just before the end of the trusted lease
+        clock.reading += 7.1  # 0.1 s before the end of the trusted lease
         await controller.poll_once(clock.now())
         assert controller.lock_held
         clock.reading += 0.2
@@ -126,7 +126,7 @@
     }
 
 
-@pytest.mark.parametrize("step_s", WALL_STEPS_S)
+@pytest.mark.parametrize("step_s", WALL_CLOCK_STEPS_S)
 def test_gate_timers_ignore_wall_clock_steps(step_s: float) -> None:
     """The wall clock steps in the middle of silent_s, cost_s, before_s and settle_s."""
     clock = FakeClock()
@@ -170,7 +170,7 @@
 
 
 def make_watched_record(clock: FakeClock) -> ReleaseRecord:
-    """Returns a record in which all units have the new version and the watch begins now."""
+    """Returns a record in which all units have the new version and the watch starts now."""
     record = new_record(make_plan())
     for unit in record.units.values():
         unit.version = "1.8"
@@ -178,7 +178,7 @@
     return record
 
 
-@pytest.mark.parametrize("step_s", WALL_STEPS_S)
+@pytest.mark.parametrize("step_s", WALL_CLOCK_STEPS_S)
 def test_restarted_controller_continues_stage_watch(step_s: float) -> None:
     """The record is read 15 s into a watch of 20 s, which ends 5 s later."""
     clock = FakeClock()
@@ -201,7 +201,7 @@
     ids=["restarted, longer uptime", "restarted", "unknown", "reading in the future"],
 )
 def test_stage_watch_restarts_if_clocks_are_not_comparable(identity: str, reading: float) -> None:
-    """The watch takes the full 20 s again."""
+    """After the restart, the watch takes the full 20 s again."""
     first = FakeClock()
     stored = RecordCodec(first).encode(make_watched_record(first))
     clock = FakeClock(identity, reading)
@@ -226,7 +226,7 @@
 
 
 def test_record_encoding_ignores_wall_clock_steps() -> None:
-    """Otherwise each poll would store the record, and older controllers would see another start time."""
+    """Guards against a save at each poll, and against a changing start time in older controllers."""
     clock = FakeClock()
     record, codec = make_watched_record(clock), RecordCodec(clock)
     first = codec.encode(record)
