--- a/applehub/durable/folder.py
+++ b/applehub/durable/folder.py
@@ -26,7 +26,10 @@
         """Makes the directory entries of all files durable."""
 
     def lock(self, name: str) -> bool:
-        """Locks a file until this process unlocks it or ends. Returns False if it is locked already."""
+        """Locks a file until this process unlocks it or ends.
+
+        Returns False if another process has locked the file.
+        """
 
     def unlock(self, name: str) -> None:
         """Releases the lock on a file, if this process holds it."""
@@ -67,7 +70,10 @@
         _sync(self.path)
 
     def lock(self, name: str) -> bool:
-        """Locks a file until this process unlocks it or ends. Returns False if it is locked already."""
+        """Locks a file until this process unlocks it or ends.
+
+        Returns False if another process has locked the file.
+        """
         file = open(self.path / name, "ab")  # noqa: SIM115 (closed by `unlock`)
         try:
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
--- a/applehub/events.py
+++ b/applehub/events.py
@@ -134,7 +134,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Writes the buffered lines, as far as the file accepts them."""
+        """Writes as many buffered lines as the file accepts."""
         try:
             while self._buffer:
                 written = self._write(bytes(self._buffer))
--- a/applehub/release/agent_memory.py
+++ b/applehub/release/agent_memory.py
@@ -39,7 +39,7 @@
     fence: int = 0  # highest fencing token of any accepted order
 
     def accept(self, release_id: str, fence: int, order: Order) -> bool:
-        """Records an order. Returns whether it must be executed, as it is new. Raises OrderRejectedError."""
+        """Records an order. Returns False if the order was accepted before. Raises OrderRejectedError."""
         if fence < self.fence:
             raise OrderRejectedError(f"expected fence {self.fence} or higher, got {fence}")
         previous = self.latest.get(order.unit)
--- a/applehub/release/gates.py
+++ b/applehub/release/gates.py
@@ -203,12 +203,12 @@
     def _cost_reason(self, now: float, reporting: _Groups, deltas: Deltas) -> str:
         """Returns the reason to halt if CPU time or work per request, or median memory, exceeds its limit."""
         settle_s = self.settings.settle_s
-        new = [name for name in reporting.new if now - self._observations[name].in_service_since >= settle_s]
+        new = [unit for unit in reporting.new if now - self._observations[unit].in_service_since >= settle_s]
         costs: dict[str, Callable[[list[str]], float]] = {
             "processor time": lambda names: _per_request(deltas, names, "cpu_s"),
             "work": lambda names: _per_request(deltas, names, "work_s"),
             "memory": lambda names: median(
-                self._observations[name].report.value("memory_mb") for name in names
+                self._observations[unit].report.value("memory_mb") for unit in names
             ),
         }
         for name, cost in costs.items():
--- a/applehub/release/model_checker.py
+++ b/applehub/release/model_checker.py
@@ -53,7 +53,7 @@
     def __init__(
         self, rules: ModelRules, budget: FaultBudget, zones: str = "aab", rollback_on_halt: bool = False
     ) -> None:
-        """Creates one unit in each zone of `zones`, a letter each. The first unit is a stage of its own."""
+        """Takes one letter of `zones` for each unit, its zone. The first unit is a stage of its own."""
         self.violations: list[str] = []  # descriptions, each with the transitions that lead to the violation
         self.states = 0
         self.max_depth = 0
--- a/applehub/release/model_state.py
+++ b/applehub/release/model_state.py
@@ -27,8 +27,8 @@
 class ModelState:
     """One state of the model. Delivered messages stay in flight until they are lost, to model duplicates."""
 
-    record: ReleaseRecord  # as held in the controller's memory
-    stored: ReleaseRecord  # as stored on the controller's disk
+    record: ReleaseRecord  # record in the controller's memory
+    stored: ReleaseRecord  # record on the controller's disk
     units: dict[str, SimulatedUnit]
     memories: dict[str, AgentMemory]  # stored orders of each unit's own agent
     budget: FaultBudget
--- a/applehub/release/state_machine.py
+++ b/applehub/release/state_machine.py
@@ -6,6 +6,8 @@
 numbers. So a crash or a duplicated or late message does not cause a completed step to be executed again. Each
 `now` is in seconds of a monotonic clock (see clock.py).
 
+The next stage starts when the current one has been watched for `stage_watch_s` without a halt.
+
 A unit in progress is completed even while the release is halted. If that fails, the unit is rolled back to
 the old version. A rollback has the same steps with the versions swapped, in reverse order and without
 watching the stages.
@@ -89,11 +91,11 @@
     old_version: str
     new_version: str
     stages: list[list[str]]  # names of each stage's units
-    stage_watch_s: list[float]
-    max_unavailable: int
-    max_attempts: int
-    step_timeout_s: float
-    units: dict[str, UnitState]
+    stage_watch_s: list[float]  # for each stage, time from its last upgrade until the next stage
+    max_unavailable: int  # maximum number of units in progress
+    max_attempts: int  # attempts at a step before the unit is rolled back
+    step_timeout_s: float  # time after which a pending order is sent again
+    units: dict[str, UnitState]  # by unit name
     rollback_on_halt: bool = False
     mode: ReleaseMode = ReleaseMode.RUNNING
     stage: int = 0  # index of the current stage
--- a/applehub/release/stored_record.py
+++ b/applehub/release/stored_record.py
@@ -22,7 +22,7 @@
 from applehub.release.state_machine import ReleaseKind, ReleaseMode, ReleaseRecord, UnitState
 
 NOT_WATCHED = -1.0  # value of `watched` while no stage is being watched
-Json = Mapping[str, Any]
+JsonObject = Mapping[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,11 +33,11 @@
     reading: float
     unix_time: float  # equals `watched` unless an older controller has written the record since
 
-    def encode(self) -> Json:
+    def encode(self) -> JsonObject:
         return {"identity": self.identity, "watched": self.reading, "unix": self.unix_time}
 
     @classmethod
-    def decode(cls, fields: Json) -> "_StoredReading":
+    def decode(cls, fields: JsonObject) -> "_StoredReading":
         return cls(str(fields["identity"]), float(fields["watched"]), float(fields["unix"]))
 
 
@@ -86,7 +86,7 @@
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             raise StoredStateError(f"stored record of a release can't be decoded: {error!r}") from error
 
-    def _decoded(self, fields: Json) -> ReleaseRecord:
+    def _decoded(self, fields: JsonObject) -> ReleaseRecord:
         evidence = fields.get("evidence", {})
         request = evidence.get("request_taken")
         return ReleaseRecord(
@@ -111,7 +111,7 @@
             last_request=None if request is None else int(request),
         )
 
-    def _encoded_unit(self, unit: UnitState) -> Json:
+    def _encoded_unit(self, unit: UnitState) -> JsonObject:
         return {
             "zone": unit.zone,
             "version": unit.version,
@@ -122,7 +122,7 @@
             "sent": self._unix_times[unit.sent_at],
         }
 
-    def _encoded_evidence(self, record: ReleaseRecord) -> Json:
+    def _encoded_evidence(self, record: ReleaseRecord) -> JsonObject:
         fields: dict[str, object] = {
             kind.value: _encoded_state(state) for kind, state in record.gate_state.evidence.items()
         }
@@ -137,7 +137,7 @@
     def _stored_watch(self, record: ReleaseRecord) -> float:
         return NOT_WATCHED if record.watch_started is None else self._unix_times[record.watch_started]
 
-    def _watch_started(self, unix_time: float, clock: Json | None) -> float | None:
+    def _watch_started(self, unix_time: float, clock: JsonObject | None) -> float | None:
         """Returns the reading at which the watch of the stage began, or None if it must restart."""
         if unix_time < 0 or clock is None:
             return None
@@ -158,7 +158,7 @@
         return self._clock.unix_time() - (self._clock.now() - reading)
 
 
-def _decoded_unit(fields: Json) -> UnitState:
+def _decoded_unit(fields: JsonObject) -> UnitState:
     return UnitState(
         zone=str(fields["zone"]),
         version=str(fields["version"]),
@@ -169,7 +169,7 @@
     )
 
 
-def _encoded_state(state: EvidenceState) -> Json:
+def _encoded_state(state: EvidenceState) -> JsonObject:
     return {
         "logs": state.log_likelihoods,
         "chi": state.chi_squared,
@@ -178,7 +178,7 @@
     }
 
 
-def _decoded_gate_state(fields: Json) -> GateState:
+def _decoded_gate_state(fields: JsonObject) -> GateState:
     evidence = {
         kind: EvidenceState(
             log_likelihoods=[float(log) for log in fields[kind]["logs"]],
--- a/tests/release_support.py
+++ b/tests/release_support.py
@@ -26,8 +26,8 @@
     """A monotonic clock with a separately settable wall clock."""
 
     identity: str = "boot-1"
-    reading: float = 5_000.0
-    offset: float = 1_790_000_000.0
+    reading: float = 5_000.0  # monotonic time in s
+    offset: float = 1_790_000_000.0  # Unix time minus `reading`, in s
 
     def now(self) -> float:
         return self.reading
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -166,9 +166,9 @@
     ]  # fmt: skip
     events = state / "events.jsonl"
     for _ in range(12):
-        before = events.stat().st_size if events.exists() else 0
+        size_before = events.stat().st_size if events.exists() else 0
         process = subprocess.Popen([*command, "200"], stdout=subprocess.DEVNULL)
-        while process.poll() is None and (not events.exists() or events.stat().st_size == before):
+        while process.poll() is None and (not events.exists() or events.stat().st_size == size_before):
             pass
         process.kill()
         process.wait()
--- a/tests/test_release_disk.py
+++ b/tests/test_release_disk.py
@@ -85,9 +85,9 @@
                 if call == "fsync_folder":
                     faults.replace(SystemCallFault(call, error, path=str(state)))
                 assert not await poll_for(controller, clock, 1)
-                before = list(host.executed)
+                executed_before = list(host.executed)
                 assert not await poll_for(controller, clock, 30)
-                assert host.executed == before and 5 <= faults.count(call) <= 31
+                assert host.executed == executed_before and 5 <= faults.count(call) <= 31
             clock.reading += 5.0  # the maximum delay between two attempts
         assert await poll_for(controller, clock, 60) and controller.record.mode is ReleaseMode.DONE
     assert [order.step for order in host.executed] == [*STEPS, *STEPS]
--- a/tests/test_release_time.py
+++ b/tests/test_release_time.py
@@ -105,10 +105,10 @@
         clock.reading += 0.2
         await controller.poll_once(clock.now())
         assert not controller.lock_held
-        before = len(host.executed)
+        executed_before = len(host.executed)
         clock.reading += 100.0  # the order is overdue by now
         await controller.poll_once(clock.now())
-        assert len(host.executed) == before
+        assert len(host.executed) == executed_before
 
 
 def make_gates(settings: GateSettings) -> tuple[HealthGates, ReleaseRecord]:
@@ -226,7 +226,7 @@
 
 
 def test_record_encoding_ignores_wall_clock_steps() -> None:
-    """Guards against a save at each poll, and against a changing start time in older controllers."""
+    """A changed encoding would cause a save at each poll and a changed start time in older controllers."""
     clock = FakeClock()
     record, codec = make_watched_record(clock), RecordCodec(clock)
     first = codec.encode(record)
