--- a/applehub/release/model_checker.py
+++ b/applehub/release/model_checker.py
@@ -44,7 +44,7 @@
     machine: Callable[[ReleaseRecord], ReleaseStateMachine] = ReleaseStateMachine
     fencing: bool = True  # whether agents reject orders by their fence and number
     waits_for_disk: bool = True  # whether orders are sent only after their record is stored
-    after_crash: Callable[[ReleaseRecord], None] = lambda _: None  # modifies the loaded record
+    after_crash: Callable[[ReleaseRecord], None] = lambda _: None  # fault in the record loaded after a crash
 
 
 class ModelChecker:
@@ -53,7 +53,7 @@
     def __init__(
         self, rules: ModelRules, budget: FaultBudget, zones: str = "aab", rollback_on_halt: bool = False
     ) -> None:
-        """Takes one letter of `zones` for each unit, its zone. The first unit is a stage of its own."""
+        """Creates a unit for each letter of `zones`, its zone. The first unit is a stage of its own."""
         self.violations: list[str] = []  # descriptions, each with the transitions that lead to the violation
         self.states = 0
         self.max_depth = 0
--- a/applehub/release/model_state.py
+++ b/applehub/release/model_state.py
@@ -34,7 +34,7 @@
     budget: FaultBudget
     orders: set[tuple[Order, int]] = field(default_factory=set)  # in flight, with their fencing tokens
     unsent: set[Order] = field(default_factory=set)  # orders that wait for the record to be stored
-    outcomes: set[Outcome] = field(default_factory=set)  # in flight
+    outcomes: set[Outcome] = field(default_factory=set)  # outcomes in flight
     fence: int = 1  # fencing token of the current controller
     violation: str = ""  # first invariant violated by a transition; empty if none
 
--- a/applehub/release/state_machine.py
+++ b/applehub/release/state_machine.py
@@ -6,11 +6,11 @@
 numbers. So a crash or a duplicated or late message does not cause a completed step to be executed again. Each
 `now` is in seconds of a monotonic clock (see clock.py).
 
-The next stage starts when the current one has been watched for `stage_watch_s` without a halt.
+After its last upgrade, a stage is watched for its `stage_watch_s` before the next stage starts.
 
-A unit in progress is completed even while the release is halted. If that fails, the unit is rolled back to
-the old version. A rollback has the same steps with the versions swapped, in reverse order and without
-watching the stages.
+A unit in progress is completed even while the release is halted. If a step fails in all attempts, the unit is
+rolled back to the old version. A rollback has the same steps with the versions swapped, in reverse order and
+without watching the stages.
 """
 
 from collections.abc import Mapping
--- a/tests/test_checked.py
+++ b/tests/test_checked.py
@@ -10,7 +10,7 @@
 
 
 class InvalidFileError(ValueError):
-    """The error class passed by the caller."""
+    """The error class that the tests pass to the functions."""
 
 
 class NestedTable(Table):
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -110,7 +110,7 @@
 @pytest.mark.parametrize(
     ("mutant", "crashes"),
     [
-        (ModelRules(IgnoresZones), 0),  # its violation is too deep for a search with crashes
+        (ModelRules(IgnoresZones), 0),  # with crashes, the search would not reach the depth of the violation
         (ModelRules(StartsUnitsWhileHalted), 1),
         (ModelRules(ForgetsPendingOrders), 1),
         (ModelRules(fencing=False), 1),
