--- a/applehub/release/agent.py
+++ b/applehub/release/agent.py
@@ -25,7 +25,7 @@
 from applehub.release.messages import AgentStatus, LoadReport, OrderMessage, UnitStatus
 from applehub.release.state_machine import Order
 
-FORMAT_VERSION = 1  # of the encoding in which an agent stores its orders
+FORMAT_VERSION = 1  # version of the encoding in which an agent stores its orders
 REPORT_TIMEOUT_S = 1.0  # maximum time to read one unit's metrics
 MAX_REQUEST_BYTES = 1 << 16
 SHUTDOWN_TIMEOUT_S = 0.5  # maximum wait for requests in flight on shutdown
--- a/applehub/release/gates.py
+++ b/applehub/release/gates.py
@@ -28,7 +28,7 @@
 IMMEDIATE_KINDS = frozenset((FailureKind.FAILED, FailureKind.REFUSED, FailureKind.LATE))
 HEALTH_WINDOW_POLLS = 10  # polls over which the failure rate of the old version is measured
 MIN_HEALTH_REQUESTS = 20  # requests in the window below which the failure rate is ignored
-MAX_SILENT_FRACTION = 0.25  # of old units; above it, the network or the agents are assumed faulty
+MAX_SILENT_FRACTION = 0.25  # fraction of old units; above it, the network or the agents are assumed faulty
 NO_REPORT = LoadReport({})
 Deltas = Mapping[str, LoadReport]  # increase of each metric since the previous poll, by unit
 
--- a/applehub/release/release_folder.py
+++ b/applehub/release/release_folder.py
@@ -23,7 +23,7 @@
 )
 from applehub.release.stored_record import RecordCodec
 
-FORMAT_VERSION = 1  # of the values in a release's stores
+FORMAT_VERSION = 1  # version of the encoding of the values in a release's stores
 RECORD_STORE = "release"
 EVENTS_FILE = "events.jsonl"
 State = TypeVar("State")
