--- a/applehub/events.py
+++ b/applehub/events.py
@@ -31,7 +31,7 @@
     FAULT_BEGUN = "fault"  # fault: number of the fault; kind; processes, edges: what the fault affects
     FAULT_ENDED = "healed"  # fault
     FAULT_NOT_BEGUN = "undone"  # fault; why: injection error; of: process that did not start
-    REQUEST_SENT = "asked"  # request, router, cls, key, wait_ms: the request was written to a router
+    REQUEST_SENT = "asked"  # request, router, cls, key, wait_ms: the complete request was written to a router
     REQUEST_ANSWERED = "answered"  # request, router, how: served, refused or failed; ms: latency
     CLOSED_UNANSWERED = "closed"  # request, router: connection closed before a complete answer
     REQUEST_TIMED_OUT = "gave_up"  # request, router: no answer within the deadline and its margin
