--- a/applehub/release/stored_record.py
+++ b/applehub/release/stored_record.py
@@ -1,9 +1,9 @@
 """JSON encoding of a release's record, compatible with older controllers in both directions.
 
 Older controllers store Unix times (`watched`, and `sent` of each unit), and reject unknown keys except in
-`evidence`. These keys are therefore kept, and additions are stored in `evidence`: `clock`, a clock reading
-from which a restarted controller on the same machine continues the watch of a stage, and `request_taken`.
-Older controllers drop both when they write the record.
+`evidence`. These keys are therefore still written, and later additions are stored in `evidence`: `clock`, a
+clock reading from which a restarted controller on the same machine continues the watch of a stage, and
+`request_taken`. Older controllers remove both when they write the record.
 
 If the stored reading is not comparable with the clock (after a reboot, on another machine, or in a record of
 an older controller), the watch of the stage restarts, so that it may take longer than planned but never less.
@@ -21,33 +21,33 @@
 from applehub.release.evidence import EvidenceState, FailureKind, GateState, UnitBaseline
 from applehub.release.state_machine import ReleaseKind, ReleaseMode, ReleaseRecord, UnitState
 
-NOT_WATCHED = -1.0  # stored if the watch of the stage has not begun
-Json = Mapping[str, Any]
+NOT_WATCHED = -1.0  # value of `watched` while no stage is being watched
+JsonObject = Mapping[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class _StoredReading:
     """A clock reading with the identity of its clock, as stored in `evidence`."""
 
-    identity: str  # of the clock
+    identity: str  # identifier of the clock
     reading: float
     unix_time: float  # equals `watched` unless an older controller has written the record since
 
-    def encode(self) -> Json:
+    def encode(self) -> JsonObject:
         return {"identity": self.identity, "watched": self.reading, "unix": self.unix_time}
 
     @classmethod
-    def decode(cls, fields: Json) -> "_StoredReading":
+    def decode(cls, fields: JsonObject) -> "_StoredReading":
         return cls(str(fields["identity"]), float(fields["watched"]), float(fields["unix"]))
 
 
 class RecordCodec:
-    """Encodes and decodes records whose times are readings of one clock."""
+    """Encodes and decodes records, whose times are readings of one clock."""
 
     def __init__(self, clock: Clock) -> None:
         """Takes the clock of the records' times."""
         self._clock = clock
-        # Cached by reading, so that steps of the wall clock don't change stored records.
+        # Unix times by clock reading, cached so that steps of the wall clock don't change stored records.
         self._unix_times: dict[float, float] = {}
 
     def encode(self, record: ReleaseRecord) -> bytes:
@@ -86,7 +86,7 @@
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             raise StoredStateError(f"stored record of a release can't be decoded: {error!r}") from error
 
-    def _decoded(self, fields: Json) -> ReleaseRecord:
+    def _decoded(self, fields: JsonObject) -> ReleaseRecord:
         evidence = fields.get("evidence", {})
         request = evidence.get("request_taken")
         return ReleaseRecord(
@@ -111,7 +111,7 @@
             last_request=None if request is None else int(request),
         )
 
-    def _encoded_unit(self, unit: UnitState) -> Json:
+    def _encoded_unit(self, unit: UnitState) -> JsonObject:
         return {
             "zone": unit.zone,
             "version": unit.version,
@@ -122,7 +122,7 @@
             "sent": self._unix_times[unit.sent_at],
         }
 
-    def _encoded_evidence(self, record: ReleaseRecord) -> Json:
+    def _encoded_evidence(self, record: ReleaseRecord) -> JsonObject:
         fields: dict[str, object] = {
             kind.value: _encoded_state(state) for kind, state in record.gate_state.evidence.items()
         }
@@ -137,7 +137,7 @@
     def _stored_watch(self, record: ReleaseRecord) -> float:
         return NOT_WATCHED if record.watch_started is None else self._unix_times[record.watch_started]
 
-    def _watch_started(self, unix_time: float, clock: Json | None) -> float | None:
+    def _watch_started(self, unix_time: float, clock: JsonObject | None) -> float | None:
         """Returns the reading at which the watch of the stage began, or None if it must restart."""
         if unix_time < 0 or clock is None:
             return None
@@ -158,7 +158,7 @@
         return self._clock.unix_time() - (self._clock.now() - reading)
 
 
-def _decoded_unit(fields: Json) -> UnitState:
+def _decoded_unit(fields: JsonObject) -> UnitState:
     return UnitState(
         zone=str(fields["zone"]),
         version=str(fields["version"]),
@@ -169,7 +169,7 @@
     )
 
 
-def _encoded_state(state: EvidenceState) -> Json:
+def _encoded_state(state: EvidenceState) -> JsonObject:
     return {
         "logs": state.log_likelihoods,
         "chi": state.chi_squared,
@@ -178,7 +178,7 @@
     }
 
 
-def _decoded_gate_state(fields: Json) -> GateState:
+def _decoded_gate_state(fields: JsonObject) -> GateState:
     evidence = {
         kind: EvidenceState(
             log_likelihoods=[float(log) for log in fields[kind]["logs"]],
