--- a/applehub/lab/__main__.py
+++ b/applehub/lab/__main__.py
@@ -14,7 +14,6 @@
 from rich.table import Table
 
 from applehub import wirehost
-from applehub.checked import read_toml
 from applehub.lab import cost, throttle_analysis
 from applehub.lab.clock import MILLI
 from applehub.lab.command_errors import report_errors
@@ -40,6 +39,7 @@
 from applehub.lab.spec import SpecError
 from applehub.lab.warmup_load import cold
 from applehub.settings import Json
+from applehub.validation import read_toml
 
 MIN_SHOWN_LOSS = 0.001  # fraction of the weight; causes with a smaller loss under every policy are summed
 PLOT_SUFFIXES = (".png", ".svg", ".pdf")
--- a/applehub/lab/fleet/datagrams.py
+++ b/applehub/lab/fleet/datagrams.py
@@ -7,7 +7,7 @@
 import random
 from typing import Any
 
-from applehub.lab.fleet.rule import Rule
+from applehub.lab.fleet.edge_rule import Rule
 
 
 class DatagramEdge(asyncio.DatagramProtocol):
--- a/applehub/lab/fleet/failing_calls.py
+++ b/applehub/lab/fleet/failing_calls.py
@@ -1,4 +1,4 @@
-"""Injects the system call faults of a plan within a router's process; started by the shim.
+"""Injects the system call faults of a plan within a router's process; started by `fault_environment`.
 
 The test harness writes a file for each active fault into the router's folder `control` and removes it when
 the fault ends. The router's process polls the folder and lists the active faults in the file `seen`."""
--- a/applehub/lab/fleet/shim.py
+++ b/applehub/lab/fleet/fault_environment.py
@@ -1,4 +1,4 @@
-"""Starts a router with fault injection into its environment: `python -m applehub.lab.fleet.shim JSON`.
+"""Starts a router with faults in its environment: `python -m applehub.lab.fleet.fault_environment JSON`.
 
 Before the router's main runs, this patches the wall clock and writes to the router's disk, keeps a copy of
 what was synced (so that the test harness can simulate a power loss), and installs system call faults and a
--- a/applehub/lab/fleet/faults.py
+++ b/applehub/lab/fleet/faults.py
@@ -12,10 +12,10 @@
 
 from applehub.events import EventKind
 from applehub.lab.fleet import plan as spec
+from applehub.lab.fleet.edge_rule import Rule
 from applehub.lab.fleet.failing_calls import ACTIVE_FAULTS_FILE, FAULT_FILE_PREFIX
+from applehub.lab.fleet.fault_environment import restore_durable
 from applehub.lab.fleet.processes import KILL_DELAY_S, Process, RouterProcess, Standin
-from applehub.lab.fleet.rule import Rule
-from applehub.lab.fleet.shim import restore_durable
 
 if TYPE_CHECKING:
     from applehub.lab.fleet.harness import Harness
@@ -224,7 +224,7 @@
 
 
 class EnvironmentInjection(Injection):
-    """Changes the wall clock of routers, or makes their disk writes fail, through the shim."""
+    """Changes the wall clock of routers, or makes their disk writes fail, through `fault_environment`."""
 
     def __init__(self, harness: "Harness", number: int, fault: spec.ClockFault | spec.DiskFault) -> None:
         super().__init__(harness, number)
--- a/applehub/lab/fleet/keeper.py
+++ b/applehub/lab/fleet/folder_cleanup.py
@@ -1,4 +1,4 @@
-"""Removes the folder of a test harness after its exit: `python -m applehub.lab.fleet.keeper FOLDER`.
+"""Removes the folder of a test harness after its exit: `python -m applehub.lab.fleet.folder_cleanup FOLDER`.
 
 Waits for the end of standard input, which closes even if the harness is killed. It retries, because child
 processes of the harness may still write files while they exit."""
--- a/applehub/lab/fleet/harness.py
+++ b/applehub/lab/fleet/harness.py
@@ -28,7 +28,7 @@
 VALUE_BYTES = 64
 SHIM_FAULTS = frozenset(
     ("clock", "power", "full", "readonly", "torn", "slow_disk")
-)  # faults that need the shim
+)  # faults that need `fault_environment`
 READY_TIMEOUT_S = 6.0  # time allowed for the new process of an upgrade to become ready
 ADDRESS_BLOCKS, CLAIM_PORT = (
     range(100, 250),
@@ -350,8 +350,8 @@
         inherited = self.listeners.get(router.name)
         if self.plan.fleet.peers:
             self.addresses[f"{router.name}.peers"] = config["peers"]["listen"]
-        shim = self.shim(router.name)
-        await router.start(config, shim, None if inherited is None else inherited.fileno())
+        fault_options = self.fault_options(router.name)
+        await router.start(config, fault_options, None if inherited is None else inherited.fileno())
         if inherited is None:
             self.addresses[router.name] = router.listen
         if inherited is None or self.plan.fleet.peers:
@@ -368,7 +368,9 @@
         ready = False
         with suppress(LiveError):
             await router.start(
-                self.router_config(router), self.shim(router.name), self.listeners[router.name].fileno()
+                self.router_config(router),
+                self.fault_options(router.name),
+                self.listeners[router.name].fileno(),
             )
             ready = await router.ready(READY_TIMEOUT_S)
         exiting_process = old_process if ready else router.process
@@ -473,8 +475,8 @@
             "routers": {name: self.edges[f"{router.name}>{name}"] for name in others},
         }
 
-    def shim(self, router: str) -> Json | None:
-        """Returns the options of the shim, or None if the plan needs none."""
+    def fault_options(self, router: str) -> Json | None:
+        """Returns the options of `fault_environment`, or None if the plan needs none."""
         kinds, release = {fault.kind for fault in self.plan.faults}, self.plan.release
         if release is not None and release.what == "routers" and release.bad:
             return {"variant": release.bad if self.versions.get(router) == NEW_VERSION else ""}
--- a/applehub/lab/fleet/uptake.py
+++ b/applehub/lab/fleet/list_propagation.py
@@ -2,7 +2,7 @@
 
 Each router must apply each change within `limit_s` seconds from when the list service has the change and can
 be reached. `limit_s` is 6 s or, if longer, the time that ideal callers need
-(`turns.ideal_completion_time`), so calls that routers waste do not extend the limit.
+(`service_queue.ideal_completion_time`), so calls that routers waste do not extend the limit.
 
 - An outage that begins within the limit, before the router has applied the change, restarts the time at the
   end of the outage.
@@ -14,7 +14,7 @@
 from bisect import bisect_left
 from dataclasses import dataclass
 
-from applehub.lab.fleet.turns import ServiceBehavior, ideal_completion_time
+from applehub.lab.fleet.service_queue import ServiceBehavior, ideal_completion_time
 
 PROPAGATION_LIMIT_S = 6.0  # maximum time from when the list service has a change and can be reached
 NEVER = math.inf
--- a/applehub/lab/fleet/plan.py
+++ b/applehub/lab/fleet/plan.py
@@ -5,11 +5,11 @@
 
 from pydantic import Field, model_validator
 
-from applehub.checked import Table, read_toml, validate
 from applehub.events import EventKind
 from applehub.lab.fleet.system_calls import FILE_CALLS, SystemCall, SystemCallFault
 from applehub.lab.spec import SpecError
 from applehub.release.plan import GateSettings, Limits, Stage
+from applehub.validation import Table, read_toml, validate
 
 Positive = Annotated[float, Field(gt=0)]
 NonNegative = Annotated[float, Field(ge=0)]
--- a/applehub/lab/fleet/processes.py
+++ b/applehub/lab/fleet/processes.py
@@ -2,7 +2,7 @@
 
 No child process outlives the harness: the kernel sends each SIGKILL when the harness exits
 (PR_SET_PDEATHSIG), and a stand-in also exits at the end of its standard input. A separate
-process, keeper.py, removes the files."""
+process, folder_cleanup.py, removes the files."""
 
 import asyncio
 import ctypes
@@ -49,7 +49,7 @@
 
 def start_folder_cleanup(folder: Path) -> "subprocess.Popen[bytes]":
     """Starts a process that removes the folder once this process has ended for any reason."""
-    arguments = [sys.executable, "-m", "applehub.lab.fleet.keeper", str(folder)]
+    arguments = [sys.executable, "-m", "applehub.lab.fleet.folder_cleanup", str(folder)]
     return subprocess.Popen(arguments, stdin=subprocess.PIPE, env=environment(), start_new_session=True)
 
 
@@ -257,7 +257,7 @@
 
 
 class RouterProcess(Process):
-    """A router, started directly or through the fault injection shim."""
+    """A router, started directly or through `fault_environment`."""
 
     def __init__(self, name: str, folder: Path, events: EventWriter) -> None:
         super().__init__(name, folder, events)
@@ -272,7 +272,7 @@
     def write_config(self, config: Json) -> None:
         (self.folder / "config.json").write_bytes(orjson.dumps(config))
 
-    async def start(self, config: Json, shim: Json | None, inherited: int | None) -> None:
+    async def start(self, config: Json, fault_options: Json | None, inherited: int | None) -> None:
         """Starts the next incarnation and waits until it listens. Raises LiveError on exit or timeout.
 
         inherited: descriptor of the listening socket, if the harness owns it."""
@@ -285,9 +285,13 @@
         if inherited is not None:
             variables["BALANCER_INHERITED_FD"] = str(inherited)
         arguments = ["-m", "applehub"]
-        if shim is not None:
+        if fault_options is not None:
             folders = {"disk": str(self.disk), "durable": str(self.durable), "control": str(self.control)}
-            arguments = ["-m", "applehub.lab.fleet.shim", orjson.dumps({**shim, **folders}).decode()]
+            arguments = [
+                "-m",
+                "applehub.lab.fleet.fault_environment",
+                orjson.dumps({**fault_options, **folders}).decode(),
+            ]
         fds = () if inherited is None else (inherited,)
         process = await self.spawn(arguments, environment(**variables), fds)
         listening = asyncio.get_running_loop().create_future()
--- a/applehub/lab/fleet/relay.py
+++ b/applehub/lab/fleet/relay.py
@@ -15,7 +15,7 @@
 
 from applehub.lab.fleet.control import Handler, Json
 from applehub.lab.fleet.datagrams import DatagramEdge
-from applehub.lab.fleet.rule import Rule
+from applehub.lab.fleet.edge_rule import Rule
 from applehub.node.discovery import read_endpoint
 
 BACKLOG = 512
--- a/applehub/lab/fleet/slow_registry.py
+++ b/applehub/lab/fleet/slow_registry.py
@@ -10,7 +10,7 @@
 import h11
 import orjson
 
-from applehub.lab.fleet.turns import CallQueue, QueuedCall, ServiceBehavior
+from applehub.lab.fleet.service_queue import CallQueue, QueuedCall, ServiceBehavior
 from applehub.lab.live.fake_servers import HttpConnection, Reply
 from applehub.node.pool import Endpoint
 from applehub.settings import Json
--- a/applehub/lab/fleet/standin.py
+++ b/applehub/lab/fleet/standin.py
@@ -7,7 +7,8 @@
 from applehub.lab.fleet.control import serve
 
 MODULES_BY_ROLE = {
-    "relay": "relay", "cache": "servers", "origin": "servers", "list": "listing", "clients": "clients",
+    "relay": "relay", "cache": "servers", "origin": "servers", "list": "list_service_standin",
+    "clients": "clients",
 }  # fmt: skip
 
 if __name__ == "__main__":
--- a/applehub/lab/fleet/watch_commands.py
+++ b/applehub/lab/fleet/watch_commands.py
@@ -11,8 +11,8 @@
 import orjson
 
 from applehub.lab.command_errors import report_errors
-from applehub.lab.fleet.turns import ServiceBehavior
-from applehub.lab.fleet.watch_play import WatchPlan, run_isolated, summary
+from applehub.lab.fleet.service_queue import ServiceBehavior
+from applehub.lab.fleet.watch_scenario import WatchPlan, run_isolated, summary
 from applehub.lab.spec import SpecError
 from applehub.settings import Json
 
--- a/applehub/lab/fleet/watch_play.py
+++ b/applehub/lab/fleet/watch_scenario.py
@@ -11,10 +11,7 @@
 
 import psutil
 
-from applehub.lab.fleet.hollow import Caller, CallerFactory, WatchOnlyRouter, list_entries
-from applehub.lab.fleet.slow_registry import CallCounts, SlowRegistry
-from applehub.lab.fleet.turns import ServiceBehavior
-from applehub.lab.fleet.uptake import (
+from applehub.lab.fleet.list_propagation import (
     PROPAGATION_LIMIT_S,
     AppliedVersion,
     Change,
@@ -25,6 +22,9 @@
     percentile,
     propagation_limit,
 )
+from applehub.lab.fleet.service_queue import ServiceBehavior
+from applehub.lab.fleet.slow_registry import CallCounts, SlowRegistry
+from applehub.lab.fleet.watch_only_router import Caller, CallerFactory, WatchOnlyRouter, list_entries
 from applehub.lab.live.bench import LiveError
 from applehub.settings import Json
 
--- a/applehub/lab/spec.py
+++ b/applehub/lab/spec.py
@@ -10,8 +10,8 @@
 
 from pydantic import Field, ValidationError, model_validator
 
-from applehub.checked import Table, format_validation_errors, validate
 from applehub.settings import Json
+from applehub.validation import Table, format_validation_errors, validate
 
 Share = Annotated[float, Field(ge=0, le=1)]
 Positive = Annotated[float, Field(gt=0)]
--- a/applehub/registry/config.py
+++ b/applehub/registry/config.py
@@ -5,11 +5,11 @@
 
 from pydantic import Field, field_validator, model_validator
 
-from applehub.checked import Table, read_toml, validate
 from applehub.node.discovery import ListError, read_endpoint
 from applehub.registry.errors import ConfigError
 from applehub.registry.replica_state import MILLI
 from applehub.registry.replica_state import Timing as ReplicaTiming
+from applehub.validation import Table, read_toml, validate
 
 Positive = Annotated[float, Field(gt=0)]
 Count = Annotated[int, Field(ge=1)]
--- a/applehub/release/plan.py
+++ b/applehub/release/plan.py
@@ -9,9 +9,9 @@
 
 from pydantic import Field, model_validator
 
-from applehub.checked import Table, read_toml, validate
 from applehub.release.errors import PlanError
 from applehub.release.state_machine import ReleaseKind
+from applehub.validation import Table, read_toml, validate
 
 Count = Annotated[int, Field(ge=1)]
 Seconds = Annotated[float, Field(ge=0, le=86_400)]
--- a/tests/measure_sizes.py
+++ b/tests/measure_sizes.py
@@ -14,8 +14,8 @@
 from statistics import median
 
 import psutil
-from peers import entry, info
 from popularity_trials import run_trial
+from router_bench import entry, info
 from support import MILLI, SECOND
 
 from applehub import interface as api
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -1,6 +1,6 @@
 """Connections are accepted again after failures of accept, while the listener is open and while it closes.
 
-Unless noted otherwise, the tests run in virtual time (see `virtual`).
+Unless noted otherwise, the tests run in virtual time (see `virtual_time`).
 """
 
 import asyncio
@@ -11,12 +11,12 @@
 from pathlib import Path
 
 import pytest
-from peers import WAIT_TIMEOUT, Bench, entry, hit, router, wait_until
+from router_bench import WAIT_TIMEOUT, Bench, entry, hit, router, wait_until
 from test_arrivals import DEADLINE_MS, get, notified_deadlines
 from test_closes import PING, PONG, RawClient, raw_client
 from test_descriptors import connect_client, running_program
 from test_discovery import listing
-from virtual import run_in_virtual_time
+from virtual_time import run_in_virtual_time
 
 from applehub.lab.fleet.system_call_faults import SystemCallFault, SystemCallFaults, recorded
 from applehub.node import accepting, arrivals, console
--- a/tests/test_arrivals.py
+++ b/tests/test_arrivals.py
@@ -13,9 +13,9 @@
 from typing import Any
 
 import pytest
-from peers import MISS, WAIT_TIMEOUT, Bench, Cache, Json, Web, entry, hit, http, router, wait_until
+from router_bench import MISS, WAIT_TIMEOUT, Bench, Cache, Json, Web, entry, hit, http, router, wait_until
 from test_attempt_start import delay_connects
-from virtual import VirtualTimeLoop, run_in_virtual_time
+from virtual_time import VirtualTimeLoop, run_in_virtual_time
 
 from applehub.node import arrivals, clients, resp
 from applehub.node.listener import ClientListener
--- a/tests/test_attempt_start.py
+++ b/tests/test_attempt_start.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 import pytest
-from peers import MISS, Bench, entry, hit, router
-from virtual import run_in_virtual_time
+from router_bench import MISS, Bench, entry, hit, router
+from virtual_time import run_in_virtual_time
 
 from applehub import interface as api
 from applehub.node.pool import Connection, Pool
--- a/tests/test_broken_clients.py
+++ b/tests/test_broken_clients.py
@@ -10,10 +10,10 @@
 from types import SimpleNamespace
 
 import pytest
-from peers import WAIT_TIMEOUT, Bench, hit, router, wait_until
+from router_bench import WAIT_TIMEOUT, Bench, hit, router, wait_until
 from test_arrivals import get
 from test_closes import PING, PONG, RawClient, raw_client
-from virtual import run_in_virtual_time
+from virtual_time import run_in_virtual_time
 
 from applehub.lab.fleet.system_call_faults import SystemCallFault, SystemCallFaults
 from applehub.node import listener, resp
--- a/tests/test_broken_connections.py
+++ b/tests/test_broken_connections.py
@@ -8,8 +8,8 @@
 from typing import Any, cast
 
 import pytest
-from peers import MISS, Bench, Caller, hit, http, router
-from virtual import run_in_virtual_time
+from router_bench import MISS, Bench, Caller, hit, http, router
+from virtual_time import run_in_virtual_time
 
 from applehub import interface as api
 from applehub.lab.fleet.system_call_faults import SystemCall, SystemCallFault, SystemCallFaults
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -11,8 +11,8 @@
 from contextlib import asynccontextmanager
 
 import pytest
-from peers import MISS, Bench, hit, http, router, wait_until
-from virtual import run_in_virtual_time
+from router_bench import MISS, Bench, hit, http, router, wait_until
+from virtual_time import run_in_virtual_time
 
 from applehub.node import clients, listener, resp
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -7,7 +7,7 @@
 
 import orjson
 import pytest
-from peers import MISS, WAIT_TIMEOUT, info, router, wait_until
+from router_bench import MISS, WAIT_TIMEOUT, info, router, wait_until
 
 from applehub.node import console
 from applehub.node.configuration import ConfigurationError, read_configuration
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 import pytest
-from peers import MISS, Bench, Caller, hit, http, router
-from virtual import run_in_virtual_time
+from router_bench import MISS, Bench, Caller, hit, http, router
+from virtual_time import run_in_virtual_time
 
 from applehub.node import clients, resp
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -12,7 +12,7 @@
 
 import psutil
 import pytest
-from peers import WAIT_TIMEOUT, Cache, Caller, Web, entry, hit, http, wait_until
+from router_bench import WAIT_TIMEOUT, Cache, Caller, Web, entry, hit, http, wait_until
 from test_discovery import ROOT, configuration, http_list, listing
 
 from applehub.lab.fleet.system_call_faults import SystemCallFault, in_environment
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -8,8 +8,8 @@
 from typing import Any, cast
 
 import pytest
-from peers import Bench, Caller, Web, entry, hit, http, router
-from virtual import run_in_virtual_time
+from router_bench import Bench, Caller, Web, entry, hit, http, router
+from virtual_time import run_in_virtual_time
 
 from applehub import interface as api
 from applehub.lab.fleet.system_call_faults import SystemCall, SystemCallFault, SystemCallFaults
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from peers import WAIT_TIMEOUT, Cache, Caller, Web, entry, hit, http, info, router, wait_until
+from router_bench import WAIT_TIMEOUT, Cache, Caller, Web, entry, hit, http, info, router, wait_until
 
 from applehub import interface as api
 from applehub.node import call_schedule, pool
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 import pytest
-from peers import info
+from router_bench import info
 from support import MILLI, SECOND, Router, settings
 
 from applehub import interface as api
--- a/tests/test_fault_scenarios.py
+++ b/tests/test_fault_scenarios.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from peers import MISS, Cache, Web, entry, hit, http, router, wait_until
+from router_bench import MISS, Cache, Web, entry, hit, http, router, wait_until
 from test_closes import GET, raw_client, reset_connection
 from test_list_propagation import (
     ANSWERING,
@@ -18,7 +18,7 @@
     WatchHarness,
 )
 from test_watch import SlowDiscovery, routers
-from virtual import run_in_virtual_time
+from virtual_time import run_in_virtual_time
 
 from applehub.node import resp
 from applehub.node.clients import MAX_PIPELINED_COMMANDS
--- a/tests/test_list_propagation.py
+++ b/tests/test_list_propagation.py
@@ -7,8 +7,8 @@
 from urllib.parse import parse_qs, urlsplit
 
 import pytest
-from peers import entry, http, info
-from virtual import run_in_virtual_time
+from router_bench import entry, http, info
+from virtual_time import run_in_virtual_time
 
 from applehub.node import call_schedule
 from applehub.node.discovery import Directory
--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from peers import MISS, Bench, entry, hit, router, wait_until
+from router_bench import MISS, Bench, entry, hit, router, wait_until
 from support import MILLI, SECOND, Router, settings
 
 from applehub import interface as api
--- a/tests/test_override_file.py
+++ b/tests/test_override_file.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from peers import entry, info
+from router_bench import entry, info
 
 from applehub import interface as api
 from applehub.lab.fleet.system_call_faults import SystemCall, SystemCallFault, SystemCallFaults
--- a/tests/test_persisted.py
+++ b/tests/test_persisted.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from peers import wait_until
+from router_bench import wait_until
 
 from applehub import interface as api
 from applehub.durable.folder import Folder
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from peers import entry, hit, info, router, wait_until
+from router_bench import entry, hit, info, router, wait_until
 from support import SECOND, Router, settings
 
 from applehub import interface as api
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -9,7 +9,7 @@
 
 import hiredis
 import pytest
-from peers import (
+from router_bench import (
     ACCEPTS_PER_ITERATION,
     MISS,
     WAIT_TIMEOUT,
--- a/tests/test_shutdown_under_load.py
+++ b/tests/test_shutdown_under_load.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from peers import WAIT_TIMEOUT, Cache, Caller, Web, entry, hit, http, info, wait_until
+from router_bench import WAIT_TIMEOUT, Cache, Caller, Web, entry, hit, http, info, wait_until
 from test_descriptors import connect_client, running_program
 from test_discovery import configuration, listing
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -13,11 +13,11 @@
 
 import psutil
 import pytest
-from peers import WAIT_TIMEOUT, Cache, Caller, Web, entry, hit, http, info, router, wait_until
+from router_bench import WAIT_TIMEOUT, Cache, Caller, Web, entry, hit, http, info, router, wait_until
 from support import MILLI, SECOND, Router, fleet, settings
 from test_descriptors import connect_client, running_program
 from test_discovery import ROOT, http_list, listing
-from virtual import run_in_virtual_time
+from virtual_time import run_in_virtual_time
 
 from applehub import interface as api
 from applehub.events import EventKind
--- a/tests/test_slow_registry.py
+++ b/tests/test_slow_registry.py
@@ -13,16 +13,16 @@
 import orjson
 import psutil
 import pytest
-import virtual
+import virtual_time
 from click.testing import CliRunner
 
 from applehub.lab.__main__ import main
-from applehub.lab.fleet import uptake, watch_commands
-from applehub.lab.fleet.hollow import OnApplied, WatchOnlyRouter, list_entries
+from applehub.lab.fleet import list_propagation, watch_commands
+from applehub.lab.fleet.list_propagation import NEVER, AppliedVersion, Change, Outage, propagation_seconds
+from applehub.lab.fleet.service_queue import CallQueue, ServiceBehavior, ideal_completion_time
 from applehub.lab.fleet.slow_registry import SlowRegistry
-from applehub.lab.fleet.turns import CallQueue, ServiceBehavior, ideal_completion_time
-from applehub.lab.fleet.uptake import NEVER, AppliedVersion, Change, Outage, propagation_seconds
-from applehub.lab.fleet.watch_play import (
+from applehub.lab.fleet.watch_only_router import OnApplied, WatchOnlyRouter, list_entries
+from applehub.lab.fleet.watch_scenario import (
     RunResult,
     WatchPlan,
     draw_schedule,
@@ -184,7 +184,7 @@
         await test(registry)
         await registry.close()
 
-    virtual.run_in_virtual_time(monkeypatch, run)
+    virtual_time.run_in_virtual_time(monkeypatch, run)
 
 
 def now() -> float:
@@ -369,7 +369,7 @@
         await asyncio.sleep(0.01)  # lets the other ends of closed connections close
         assert psutil.Process().num_fds() == before
 
-    virtual.run_in_virtual_time(monkeypatch, run)
+    virtual_time.run_in_virtual_time(monkeypatch, run)
     return results[0]
 
 
@@ -387,7 +387,7 @@
     results = summary(run_on_virtual_clock(monkeypatch, WatchPlan(10, TWO_SECONDS_LATENCY), timeout_s=5.0))
     assert (results["breaches"], results["no_list"], results["in_time"]) == (0, 0, 1.0)
     assert results["calls"]["wasted"] == 0
-    assert 2.0 < results["worst_s"] <= results["patience_s"] == uptake.PROPAGATION_LIMIT_S
+    assert 2.0 < results["worst_s"] <= results["patience_s"] == list_propagation.PROPAGATION_LIMIT_S
 
 
 def test_summary_names_the_router_that_missed_a_change(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -1,7 +1,7 @@
 """Stalls of the process for 0.15 s between reading the clock and writing to a socket.
 
-The tests run in virtual time (see `virtual`): at the point of the stall the clock advances in one step, and
-the test performs there what other processes do in the meantime.
+The tests run in virtual time (see `virtual_time`): at the point of the stall the clock advances in one step,
+and the test performs there what other processes do in the meantime.
 """
 
 import asyncio
@@ -13,9 +13,9 @@
 from typing import Any
 
 import pytest
-from peers import MISS, Bench, Caller, Peer, entry, hit, http, router
+from router_bench import MISS, Bench, Caller, Peer, entry, hit, http, router
 from test_list_propagation import FaultyDiscovery
-from virtual import VirtualTimeLoop, run_in_virtual_time
+from virtual_time import VirtualTimeLoop, run_in_virtual_time
 
 from applehub.node.caches import CacheConnection
 from applehub.node.call import Exchange
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from peers import entry, info
+from router_bench import entry, info
 from support import Router, settings
 
 from applehub import interface as api
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from peers import MISS, WAIT_TIMEOUT, Bench, Caller, hit, http, router, wait_until
+from router_bench import MISS, WAIT_TIMEOUT, Bench, Caller, hit, http, router, wait_until
 from support import MILLI, SECOND, Router
 
 from applehub import interface as api
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -4,8 +4,8 @@
 from typing import Any
 
 import pytest
-from peers import MISS, Bench, hit, http, router
-from virtual import run_in_virtual_time
+from router_bench import MISS, Bench, hit, http, router
+from virtual_time import run_in_virtual_time
 
 CLIENT_TIMEOUT_MS = 900  # time that the clients allow for a request
 
--- a/tests/test_checked.py
+++ b/tests/test_validation.py
@@ -6,7 +6,7 @@
 import pytest
 from pydantic import Field, ValidationError
 
-from applehub.checked import Table, read_toml, validate
+from applehub.validation import Table, read_toml, validate
 
 
 class InvalidFileError(ValueError):
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -9,8 +9,8 @@
 from urllib.parse import parse_qs, urlsplit
 
 import pytest
-from peers import entry, http, info
-from virtual import run_in_virtual_time
+from router_bench import entry, http, info
+from virtual_time import run_in_virtual_time
 
 from applehub.node import call_schedule, watch
 from applehub.node.call_schedule import CallBudget, CallSchedule
