--- a/applehub/lab/attempts.py
+++ b/applehub/lab/attempts.py
@@ -23,7 +23,7 @@
     watch_started_at: int
     max_attempts: int
 
-    def withdraw(self, client_attempt: "ClientAttempt") -> None:
+    def cancel(self, client_attempt: "ClientAttempt") -> None:
         """Handles a client that cancelled its attempt."""
 
     def answered(self, attempt: "Attempt", status: api.Status, note: int) -> None:
--- a/applehub/lab/clients.py
+++ b/applehub/lab/clients.py
@@ -141,7 +141,7 @@
     def _abandon(self, client_attempt: ClientAttempt) -> None:
         if not client_attempt.client_done:
             client_attempt.client_done = True
-            client_attempt.router.withdraw(client_attempt)
+            client_attempt.router.cancel(client_attempt)
             self.account.record_lost(client_attempt.demand, "left early")
 
     def _time_out(self, client_attempt: ClientAttempt) -> None:
--- a/applehub/lab/fleet/clients.py
+++ b/applehub/lab/fleet/clients.py
@@ -89,11 +89,11 @@
         if len(self.connections) + len(self.dial_tasks) >= MAX_CONNECTIONS:
             self.clients.fail_connect(request, "no connection free")
             return
-        task = self.clients.loop.create_task(self._dial(request))
+        task = self.clients.loop.create_task(self._open_connection(request))
         self.dial_tasks.add(task)
         task.add_done_callback(self.dial_tasks.discard)
 
-    async def _dial(self, request: Request) -> None:
+    async def _open_connection(self, request: Request) -> None:
         try:
             async with asyncio.timeout(1.0):
                 connection = await self._connect()
--- a/applehub/lab/fleet/variants.py
+++ b/applehub/lab/fleet/variants.py
@@ -178,7 +178,7 @@
 
 def works_for_nobody() -> None:
     """Keeps processing and retrying requests of a client that has left."""
-    Driver.withdraw = lambda self, request: None  # type: ignore[method-assign]
+    Driver.cancel = lambda self, request: None  # type: ignore[method-assign]
 
 
 def hears_late() -> None:
--- a/applehub/lab/fleet/watch_commands.py
+++ b/applehub/lab/fleet/watch_commands.py
@@ -69,7 +69,7 @@
             capacity, *latency, most_wait, most_waiting, not drop_abandoned,
             0.0 if every_call_turns else ServiceBehavior().continue_window_s, late_watches,
         )  # fmt: skip
-        return WatchPlan(routers, service, seed + number, must_ask=must_ask)
+        return WatchPlan(routers, service, seed + number, list_on_request=must_ask)
 
     rows = run_all([plan(*pair, pairs[:number].count(pair)) for number, pair in enumerate(pairs)], jobs)
     output = orjson.dumps(rows, option=orjson.OPT_INDENT_2)
--- a/applehub/lab/fleet/watch_only_router.py
+++ b/applehub/lab/fleet/watch_only_router.py
@@ -35,19 +35,24 @@
 class WatchOnlyRouter:
     """Runs the watch and the directory of a real router.
 
-    With `must_ask` it also runs the router's policy, which decides when to poll again after a
+    With `list_on_request` it also runs the router's policy, which decides when to poll again after a
     failure. Otherwise the policy is left out, so that one process can run more routers."""
 
-    def __init__(self, endpoint: Endpoint, seed: int, on_applied: OnApplied, must_ask: bool = False) -> None:
-        router_settings = {**settings(CLIENT_WAIT_MS), "registryMode": "on_request" if must_ask else "pushed"}
+    def __init__(
+        self, endpoint: Endpoint, seed: int, on_applied: OnApplied, list_on_request: bool = False
+    ) -> None:
+        router_settings = {
+            **settings(CLIENT_WAIT_MS),
+            "registryMode": "on_request" if list_on_request else "pushed",
+        }
         pools = Pools(MAX_SOCKETS, DIAL_TIMEOUT_S, KEEPALIVE_S)
         self.driver: Driver | None = None
-        if must_ask:
+        if list_on_request:
             self.driver = Driver(Balancer(read_settings(router_settings), seed), pools, 1, Metrics())
         notify = self.driver.notify if self.driver else lambda members: None
         self.directory = Directory(read_names(router_settings), ORIGIN_KIND, pools, notify)
         self.directory.on_update = lambda answer, complete: on_applied(self.directory.rev)
-        self.watch = Watch([endpoint], self.directory, seed, must_ask)
+        self.watch = Watch([endpoint], self.directory, seed, list_on_request)
         if self.driver:
             self.driver.start_watch = self.watch.start
 
--- a/applehub/lab/fleet/watch_scenario.py
+++ b/applehub/lab/fleet/watch_scenario.py
@@ -50,7 +50,7 @@
     service: ServiceBehavior
     seed: int = 1
     servers: int = 20
-    must_ask: bool = False  # routers poll lists, and their policy decides when to poll again
+    list_on_request: bool = False  # routers poll lists, and their policy decides when to poll again
 
 
 @dataclass(frozen=True, slots=True)
@@ -177,7 +177,9 @@
 
 async def run_scenario(plan: WatchPlan, make_caller: CallerFactory | None = None) -> RunResult:
     """Runs a plan with real routers' watches, or with the callers that the factory makes."""
-    return await _ScenarioRun(plan, make_caller or partial(WatchOnlyRouter, must_ask=plan.must_ask)).run()
+    return await _ScenarioRun(
+        plan, make_caller or partial(WatchOnlyRouter, list_on_request=plan.list_on_request)
+    ).run()
 
 
 def run_isolated(plan: WatchPlan) -> RunResult:
@@ -227,7 +229,7 @@
         "routers": result.plan.routers,
         "late_s": [result.plan.service.min_latency_s, result.plan.service.max_latency_s],
         "seed": result.plan.seed,
-        "must_ask": result.plan.must_ask,
+        "must_ask": result.plan.list_on_request,
         "seconds": round(result.seconds, 1),
         "changes": len(result.changes),
         "p50_s": _rounded_seconds(percentile(values, 0.5)),
--- a/applehub/lab/gossip.py
+++ b/applehub/lab/gossip.py
@@ -217,7 +217,7 @@
     return round(values[min(len(values) - 1, int(len(values) * fraction))], 1) if values else None
 
 
-def figures(plan: GossipPlan, measured: Measurements) -> Json:
+def summarize_run(plan: GossipPlan, measured: Measurements) -> Json:
     """Returns the measurements by name; each pair holds the median and the 99th percentile."""
     ages_by_type = sorted(measured.ages_ms.items())
     ages = {
--- a/applehub/lab/gossip_command.py
+++ b/applehub/lab/gossip_command.py
@@ -9,7 +9,7 @@
 from rich.table import Table
 
 from applehub.lab.command_errors import report_errors
-from applehub.lab.gossip import GossipPlan, GossipSimulation, figures
+from applehub.lab.gossip import GossipPlan, GossipSimulation, summarize_run
 from applehub.lab.sizes import counts
 from applehub.settings import Json
 
@@ -67,7 +67,7 @@
     results = []
     for count in sizes:
         plan = GossipPlan(count, period, loss, seconds=seconds, cut_s=cut, kill=kill)
-        results.append(figures(plan, GossipSimulation(plan, seed).simulate()))
+        results.append(summarize_run(plan, GossipSimulation(plan, seed).simulate()))
         if as_json:
             click.echo(orjson.dumps(results[-1]).decode())
     if not as_json:
--- a/applehub/lab/routers.py
+++ b/applehub/lab/routers.py
@@ -238,7 +238,7 @@
         self._record_event(client_attempt, f"received by router {self.index}")
         self.deliver(request, self.request_cost)
 
-    def withdraw(self, client_attempt: ClientAttempt) -> None:
+    def cancel(self, client_attempt: ClientAttempt) -> None:
         """Reports to the decision module that the client has closed the request early."""
         if self.up and client_attempt.answered_at < 0 and client_attempt.id in self.pending:
             self.deliver(api.RequestCancelled(client_attempt.id), self.timer_cost)
--- a/applehub/node/clients.py
+++ b/applehub/node/clients.py
@@ -44,7 +44,7 @@
         self.request: PendingRequest | None = None
         self.stream: Stream | None = None
 
-    def fill(self, answer: bytes) -> None:
+    def set_answer(self, answer: bytes) -> None:
         """Sets the complete answer, unless there is one already."""
         if self.answer is None:
             self.answer = answer
@@ -63,7 +63,7 @@
         if stream is not None and stream.started:
             self.client.abort_stream()
         else:
-            self.fill(resp.FAILED)
+            self.set_answer(resp.FAILED)
 
 
 class ConnectionOwner(Protocol):
@@ -172,7 +172,7 @@
         slots, self.slots = self.slots, deque()
         for slot in slots:
             if slot.request is not None:
-                self.owner.driver.withdraw(slot.request)
+                self.owner.driver.cancel(slot.request)
 
     def _discard_input(self) -> None:
         """Discards unprocessed input and releases its memory."""
@@ -405,7 +405,7 @@
             slot.request = request if slot.answer is None else None
         except Exception:
             log.exception("failed to start a request")
-            slot.fill(resp.FAILED)
+            slot.set_answer(resp.FAILED)
 
     def _append_answer(self, answer: bytes) -> None:
         self._new_slot().answer = answer
--- a/applehub/node/driver.py
+++ b/applehub/node/driver.py
@@ -29,8 +29,8 @@
 class Reply(Protocol):
     """The destination of the answer to a request."""
 
-    def fill(self, answer: bytes) -> None:
-        """Sends the complete answer."""
+    def set_answer(self, answer: bytes) -> None:
+        """Sets the complete answer, which is sent after the earlier answers of the connection."""
 
     def begin_stream(self, stream: Stream) -> None:
         """Starts to stream a long answer."""
@@ -74,9 +74,9 @@
 class Driver:
     """Passes events to one Balancer and executes its actions."""
 
-    def __init__(self, balancer: Balancer, pools: Pools, max_requests: int, figures: Metrics) -> None:
+    def __init__(self, balancer: Balancer, pools: Pools, max_requests: int, metrics: Metrics) -> None:
         self.balancer, self.pools, self.max_requests = balancer, pools, max_requests
-        self.figures = figures
+        self.metrics = metrics
         self.loop = asyncio.get_running_loop()
         self.requests: dict[str, PendingRequest] = {}
         self.memory = MemoryBudget()
@@ -96,8 +96,8 @@
         """
         request_id = call.id.decode()
         if request_id in self.requests:
-            self.figures.count_response(call.class_name, ResponseResult.ERRORS)
-            reply.fill(resp.error("this id is in use"))
+            self.metrics.count_response(call.class_name, ResponseResult.ERRORS)
+            reply.set_answer(resp.error("this id is in use"))
             return None
         request_class = self.balancer.settings.classes[call.class_index]
         answer_by = received_at + (
@@ -108,9 +108,9 @@
         over_limit = call.value is resp.DISCARDED or len(self.requests) >= self.max_requests
         if time_left < MIN_TIME_LEFT or over_limit or not self.memory.reserve(call.size):
             log.debug("request %s rejected: %d ms left", request_id, (time_left + ANSWER_MARGIN) // NS_PER_MS)
-            self.figures.count_response(call.class_name, ResponseResult.SHED)
+            self.metrics.count_response(call.class_name, ResponseResult.SHED)
             # No attempt was started, so the client may retry.
-            reply.fill(resp.busy(-(-self.balancer.client_retry_after // NS_PER_MS)))
+            reply.set_answer(resp.busy(-(-self.balancer.client_retry_after // NS_PER_MS)))
             return None
         request = self.requests[request_id] = PendingRequest(
             request_id, call, reply, answer_by - ANSWER_MARGIN
@@ -133,7 +133,7 @@
         )
         return request
 
-    def withdraw(self, request: PendingRequest) -> None:
+    def cancel(self, request: PendingRequest) -> None:
         """Cancels a request whose client has disconnected.
 
         An attempt that was sent completely continues, so that its connection can be reused. An attempt that
@@ -178,9 +178,9 @@
     def stop(self, seconds: float) -> None:
         """Fails every request that is still open after the given number of seconds."""
         self.answer_all_by = time.monotonic_ns() + int(seconds * NS_PER_S)
-        self.loop.call_later(seconds - ANSWER_MARGIN / NS_PER_S, self._end_all)
+        self.loop.call_later(seconds - ANSWER_MARGIN / NS_PER_S, self._fail_all)
 
-    def _end_all(self) -> None:
+    def _fail_all(self) -> None:
         for request in list(self.requests.values()):
             self._fail_overdue(request)
 
@@ -283,7 +283,7 @@
         """
         if attempt.request.reply.client_is_connected():
             return True
-        self.withdraw(attempt.request)
+        self.cancel(attempt.request)
         return False
 
     def _timeout(self, attempt: Attempt) -> None:
@@ -325,11 +325,11 @@
     def _end_stream(self, request: PendingRequest, stream: Stream, status: api.Status) -> None:
         request.stream = None
         if status is api.Status.OK:
-            self.figures.count_response(request.call.class_name, ResponseResult.OK)
+            self.metrics.count_response(request.call.class_name, ResponseResult.OK)
             stream.end()
         elif status is not api.Status.CANCELLED:  # a cancellation by the client is not counted as an error
             log.debug("request %s: stream aborted: %s", request.id, status)
-            self.figures.count_response(request.call.class_name, ResponseResult.ERRORS)
+            self.metrics.count_response(request.call.class_name, ResponseResult.ERRORS)
             request.reply.abort_stream()
 
     def _attempt_ended(self, attempt: Attempt, result: AttemptResult) -> None:
@@ -375,10 +375,10 @@
         )
 
     def _answer(self, request: PendingRequest, answer: bytes, outcome: ResponseResult) -> None:
-        self.figures.count_response(request.call.class_name, outcome)
+        self.metrics.count_response(request.call.class_name, outcome)
         log.debug("request %s answered: %.16r", request.id, answer)
         self._close(request)
-        request.reply.fill(answer)
+        request.reply.set_answer(answer)
 
     @property
     def active(self) -> int:
--- a/applehub/node/pool.py
+++ b/applehub/node/pool.py
@@ -276,7 +276,7 @@
         self.pools.open_count += 1
         connection.exchange, exchange.carrier = exchange, connection
         connection.opened_at = asyncio.get_running_loop().time()
-        connection.connect_task = asyncio.get_running_loop().create_task(self._dial(connection))
+        connection.connect_task = asyncio.get_running_loop().create_task(self._open_connection(connection))
         return True
 
     def _take_idle(self) -> Connection | None:
@@ -294,7 +294,7 @@
                 return connection
         return None
 
-    async def _dial(self, connection: Connection) -> None:
+    async def _open_connection(self, connection: Connection) -> None:
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(self.pools.dial_timeout):
--- a/applehub/node/router.py
+++ b/applehub/node/router.py
@@ -195,7 +195,7 @@
         self.metrics.add_classes(list(names.classes))
         self.driver.max_requests = limits.max_in_flight
         self.pools.set_timeouts(limits.dial_timeout / NS_PER_S, limits.keepalive / NS_PER_S)
-        self.watch.must_ask = settings.list_on_request
+        self.watch.list_on_request = settings.list_on_request
         self._apply_limits(self.processes)
         if self.peering is not None:
             settings.peers = True
--- a/applehub/node/watch.py
+++ b/applehub/node/watch.py
@@ -81,11 +81,13 @@
     fails. The watch has failed only if all addresses have failed. Calls carry the current version, so that
     another address sends what has changed since; older versions are ignored.
 
-    must_ask: whether the balancer decides when to call again once all addresses have failed.
+    list_on_request: whether the balancer decides when to call again once all addresses have failed.
     """
 
-    def __init__(self, endpoints: list[Endpoint], directory: Directory, seed: int, must_ask: bool) -> None:
-        self.endpoints, self.directory, self.must_ask = endpoints, directory, must_ask
+    def __init__(
+        self, endpoints: list[Endpoint], directory: Directory, seed: int, list_on_request: bool
+    ) -> None:
+        self.endpoints, self.directory, self.list_on_request = endpoints, directory, list_on_request
         self.random = random.Random(seed)
         self.endpoint_index = self.random.randrange(len(endpoints)) if len(endpoints) > 1 else 0
         self.schedule = CallSchedule(self.random, len(endpoints))
@@ -261,7 +263,7 @@
             self.next_call_at = now
         elif any(not older.hold for older in self.calls):
             self.next_call_at = self.schedule.call_due(now, call.jitter)
-        elif self.calls or not self.must_ask:
+        elif self.calls or not self.list_on_request:
             self.next_call_at = now + self.schedule.backoff(self.consecutive_failures // len(self.endpoints))
         else:
             self.next_call_at = None
--- a/tests/test_attempt_start.py
+++ b/tests/test_attempt_start.py
@@ -20,7 +20,7 @@
 
 def delay_connects(monkeypatch: pytest.MonkeyPatch, delay: float = CONNECT_TIME) -> list[int]:
     """Delays all later connections to servers; returns the ports connected to, in order."""
-    connect = Pool._dial
+    connect = Pool._open_connection
     connected_ports: list[int] = []
 
     async def connect_slowly(pool: Pool, connection: Connection) -> None:
@@ -28,7 +28,7 @@
         await asyncio.sleep(delay)
         await connect(pool, connection)
 
-    monkeypatch.setattr(Pool, "_dial", connect_slowly)
+    monkeypatch.setattr(Pool, "_open_connection", connect_slowly)
     return connected_ports
 
 
@@ -155,7 +155,7 @@
 ) -> None:
     async def test() -> None:
         async with router(lambda request, writer: MISS) as bench:
-            connect = Pool._dial
+            connect = Pool._open_connection
             broken: list[Connection] = []
 
             async def break_first_connection(pool: Pool, connection: Connection) -> None:
@@ -166,7 +166,7 @@
                     return
                 await connect(pool, connection)
 
-            monkeypatch.setattr(Pool, "_dial", break_first_connection)
+            monkeypatch.setattr(Pool, "_open_connection", break_first_connection)
             caller = await bench.caller()
             caller.get()
             assert await caller.answer() == b"from origin"
@@ -198,14 +198,14 @@
 
     async def test() -> None:
         async with router(lambda request, writer: MISS) as bench:
-            connect = Pool._dial
+            connect = Pool._open_connection
 
             async def connect_slowly_to_origin(pool: Pool, connection: Connection) -> None:
                 if pool is bench.pools.pools["o"]:
                     await asyncio.sleep(CONNECT_TIME)
                 await connect(pool, connection)
 
-            monkeypatch.setattr(Pool, "_dial", connect_slowly_to_origin)
+            monkeypatch.setattr(Pool, "_open_connection", connect_slowly_to_origin)
             monitor = bench.driver.balancer.monitor
             for n in range(40):
                 caller = await bench.caller()
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -129,7 +129,7 @@
         assert str(await client.answer()) == "ERR failed"
         client.get(b"near", b"i3")
         await wait_until(lambda: len(bench.cache.received) == 3)
-        metrics = dict(line.split("=") for line in bench.driver.figures.lines())
+        metrics = dict(line.split("=") for line in bench.driver.metrics.lines())
         counts = {name: int(metrics[f"edge_balancer.responses.{name}"]) for name in ("read.ok", "put.shed")}
         assert counts == {"read.ok": 1, "put.shed": 1}
         assert metrics["edge_balancer.responses.once.errors"] == "1"
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -143,7 +143,7 @@
     await web.start()
     directory, events = make_directory()
     host, _, port = web.address.partition(":")
-    watch = Watch([(host, int(port))], directory, 1, must_ask=False)
+    watch = Watch([(host, int(port))], directory, 1, list_on_request=False)
     watch.start()
     await wait_until(lambda: directory.rev == 10 and len(web.received) > 8)
     targets = [request[1] for request in web.received[:9]]
@@ -175,7 +175,7 @@
         await web.start()
     directory, events = make_directory()
     endpoints = [read_endpoint(web.address) for web in webs.values()]
-    watch = Watch(endpoints, directory, 1, must_ask=True)
+    watch = Watch(endpoints, directory, 1, list_on_request=True)
     watch.endpoint_index = 0
     watch.start()
     # A failure is reported only after both addresses have failed.
@@ -187,7 +187,9 @@
         b"/api/targets?from=7&hold_ms=0",
         b"/api/targets?from=7&hold_ms=2500",
     ]
-    start_indexes = {Watch(endpoints, directory, seed, must_ask=True).endpoint_index for seed in range(20)}
+    start_indexes = {
+        Watch(endpoints, directory, seed, list_on_request=True).endpoint_index for seed in range(20)
+    }
     assert start_indexes == {0, 1}
     watch.stop()
     for web in webs.values():
@@ -199,7 +201,7 @@
     await web.start()
     directory, events = make_directory()
     host, _, port = web.address.partition(":")
-    watch = Watch([(host, int(port))], directory, 1, must_ask=True)
+    watch = Watch([(host, int(port))], directory, 1, list_on_request=True)
     watch.start()
     await wait_until(lambda: events)
     assert events[0].kind is api.ListKind.FAILED and len(web.received) == 1
@@ -218,7 +220,7 @@
     directory, events = make_directory()
     directory.apply(listing(41, entry("c0", "127.0.0.1:1")), cached=True)
     host, _, port = web.address.partition(":")
-    watch = Watch([(host, int(port))], directory, 1, must_ask=True)
+    watch = Watch([(host, int(port))], directory, 1, list_on_request=True)
     for failures in (1, 2, 3):
         watch.start()
         await wait_until(lambda n=failures: len(web.received) == n)  # type: ignore[misc]
--- a/tests/test_list_propagation.py
+++ b/tests/test_list_propagation.py
@@ -85,12 +85,12 @@
 class WatchHarness:
     """A watch with its directory and balancer."""
 
-    def __init__(self, must_ask: bool, *endpoints: tuple[str, int]) -> None:
-        settings_json = {**info(), "registryMode": "on_request" if must_ask else "pushed"}
+    def __init__(self, list_on_request: bool, *endpoints: tuple[str, int]) -> None:
+        settings_json = {**info(), "registryMode": "on_request" if list_on_request else "pushed"}
         settings = read_settings(settings_json)
         self.driver = Driver(Balancer(settings, 1), Pools(64, 0.25, 60.0), 100, Metrics())
         self.directory = Directory(read_names(settings_json), 1, self.driver.pools, self.driver.notify)
-        self.watch = Watch(list(endpoints), self.directory, 1, must_ask)
+        self.watch = Watch(list(endpoints), self.directory, 1, list_on_request)
         self.driver.start_watch = self.watch.start
         self.directory.apply({"rev": 1, "targets": [entry("c0", "127.0.0.1:1")]}, cached=True)
         self.applied = asyncio.Event()
@@ -113,7 +113,7 @@
             await service.call_event.wait()
 
 
-@pytest.mark.parametrize("must_ask", [False, True])
+@pytest.mark.parametrize("list_on_request", [False, True])
 @pytest.mark.parametrize(
     "behaviours",
     [
@@ -130,12 +130,12 @@
     ids=" then ".join,
 )
 def test_change_after_failed_call_arrives_in_time(
-    monkeypatch: pytest.MonkeyPatch, behaviours: list[str], must_ask: bool
+    monkeypatch: pytest.MonkeyPatch, behaviours: list[str], list_on_request: bool
 ) -> None:
     async def test() -> None:
         service = FaultyDiscovery()
         service.behaviours = list(behaviours)
-        harness = WatchHarness(must_ask, await service.start())
+        harness = WatchHarness(list_on_request, await service.start())
         await wait_for_calls(service, 1 + (behaviours[0] == ANSWERING))
         changed_at = asyncio.get_running_loop().time()
         service.rev += 1  # a silent call does not return this change
@@ -148,11 +148,11 @@
     run_in_virtual_time(monkeypatch, test)
 
 
-@pytest.mark.parametrize("must_ask", [False, True])
+@pytest.mark.parametrize("list_on_request", [False, True])
 @pytest.mark.parametrize("outage", [DOWN, CUT_OFF, SILENT, TRICKLING])
 @pytest.mark.parametrize("later_behaviours", [[ANSWERING], [SILENT, ANSWERING]], ids=" then ".join)
 def test_change_during_outage_arrives_in_time_after_recovery(
-    monkeypatch: pytest.MonkeyPatch, outage: str, later_behaviours: list[str], must_ask: bool
+    monkeypatch: pytest.MonkeyPatch, outage: str, later_behaviours: list[str], list_on_request: bool
 ) -> None:
     """Discovery recovers at various moments between the failed calls."""
 
@@ -161,7 +161,7 @@
         for delay in range(0, 40, 5):
             service = FaultyDiscovery()
             service.behaviours = [outage]
-            harness = WatchHarness(must_ask, await service.start())
+            harness = WatchHarness(list_on_request, await service.start())
             await asyncio.sleep(20 + delay / 10)
             service.rev += 1
             service.behaviours, recovered_at = list(later_behaviours), loop.time()
@@ -172,7 +172,7 @@
     run_in_virtual_time(monkeypatch, test)
 
 
-@pytest.mark.parametrize("must_ask", [False, True])
+@pytest.mark.parametrize("list_on_request", [False, True])
 @pytest.mark.parametrize("old_behaviour", [ANSWERING, SILENT, DOWN])
 @pytest.mark.parametrize(
     "new_behaviours",
@@ -180,14 +180,14 @@
     ids=" then ".join,
 )
 def test_list_of_new_address_arrives_in_time_after_reload(
-    monkeypatch: pytest.MonkeyPatch, old_behaviour: str, new_behaviours: list[str], must_ask: bool
+    monkeypatch: pytest.MonkeyPatch, old_behaviour: str, new_behaviours: list[str], list_on_request: bool
 ) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         for delay in range(0, 40, 7):
             old, new = FaultyDiscovery(), FaultyDiscovery()
             old.behaviours, new.behaviours, new.rev = [old_behaviour], list(new_behaviours), 2
-            harness = WatchHarness(must_ask, await old.start())
+            harness = WatchHarness(list_on_request, await old.start())
             address = await new.start()
             await asyncio.sleep(10 + delay / 10)
             reloaded_at = loop.time()
@@ -200,9 +200,9 @@
     run_in_virtual_time(monkeypatch, test)
 
 
-@pytest.mark.parametrize("must_ask", [False, True])
+@pytest.mark.parametrize("list_on_request", [False, True])
 def test_connect_that_never_completes_is_replaced_in_time(
-    monkeypatch: pytest.MonkeyPatch, must_ask: bool
+    monkeypatch: pytest.MonkeyPatch, list_on_request: bool
 ) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -219,7 +219,7 @@
 
         monkeypatch.setattr(loop, "create_connection", never_connect_first)
         started_at = loop.time()
-        harness = WatchHarness(must_ask, address)
+        harness = WatchHarness(list_on_request, address)
         service.rev += 1
         assert await harness.wait_for_version(2) - started_at <= CHANGE_DEADLINE
         assert connect_count == 3
@@ -229,11 +229,11 @@
     run_in_virtual_time(monkeypatch, test)
 
 
-@pytest.mark.parametrize("must_ask", [False, True])
-def test_all_addresses_share_one_deadline(monkeypatch: pytest.MonkeyPatch, must_ask: bool) -> None:
+@pytest.mark.parametrize("list_on_request", [False, True])
+def test_all_addresses_share_one_deadline(monkeypatch: pytest.MonkeyPatch, list_on_request: bool) -> None:
     async def test() -> None:
         services = [FaultyDiscovery() for _ in range(3)]
-        harness = WatchHarness(must_ask, *[await service.start() for service in services])
+        harness = WatchHarness(list_on_request, *[await service.start() for service in services])
         first_index = await first_called(*services)
         changed_at = asyncio.get_running_loop().time()
         for service in services:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -199,7 +199,7 @@
         bench.driver.notify(api.SettingsChanged(settings(classes=[api.RequestClass(SECOND, SECOND)])))
         bench.cache.writers[0].write(hit())
         assert await caller.answer() == b"v"
-        assert bench.driver.figures.responses["read"]["ok"] == 1  # type: ignore[index]
+        assert bench.driver.metrics.responses["read"]["ok"] == 1  # type: ignore[index]
         caller.get(name=b"i2")
         assert str(await caller.answer()) == "ERR unknown class"
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -55,7 +55,7 @@
     return statuses
 
 
-async def dial_forever(connection: Any) -> None:
+async def never_open_connection(connection: Any) -> None:
     """Simulates a connection attempt that never completes."""
     await asyncio.Event().wait()
 
@@ -478,13 +478,13 @@
     """Prevents a server from working past the client's deadline, since the connect takes time too."""
     async with router() as bench:
         pool = bench.pools.pools["c0"]
-        dial = pool._dial
+        open_connection = pool._open_connection
 
-        async def dial_slowly(connection: Any) -> None:
+        async def open_connection_slowly(connection: Any) -> None:
             await asyncio.sleep(0.2)
-            await dial(connection)
+            await open_connection(connection)
 
-        pool._dial = dial_slowly  # type: ignore[method-assign]
+        pool._open_connection = open_connection_slowly  # type: ignore[method-assign]
         caller = await bench.caller()
         caller.get()
         assert await caller.answer() == b"v"
@@ -514,11 +514,11 @@
     async with router() as bench:
         pool = bench.pools.pools["c0"]
         statuses = record_statuses(bench)
-        pool._dial = dial_forever  # type: ignore[method-assign]
+        pool._open_connection = never_open_connection  # type: ignore[method-assign]
         caller = await bench.caller()
         caller.get()
         (connection,) = await wait_until(lambda: list(pool.connections))
-        del pool._dial
+        del pool._open_connection
         connection.accepted = True  # the connection is lost before the command is written
         connection.handle_loss()
         assert await caller.answer() == b"v"
--- a/tests/test_slow_registry.py
+++ b/tests/test_slow_registry.py
@@ -400,9 +400,13 @@
     assert results["worst"] == {"router": 1, "change": "outage"} and results["worst_s"] is None
 
 
-@pytest.mark.parametrize("must_ask", [False, True])
-def test_routers_are_in_time_with_a_fast_service(monkeypatch: pytest.MonkeyPatch, must_ask: bool) -> None:
-    results = summary(run_on_virtual_clock(monkeypatch, WatchPlan(5, ServiceBehavior(), must_ask=must_ask)))
+@pytest.mark.parametrize("list_on_request", [False, True])
+def test_routers_are_in_time_with_a_fast_service(
+    monkeypatch: pytest.MonkeyPatch, list_on_request: bool
+) -> None:
+    results = summary(
+        run_on_virtual_clock(monkeypatch, WatchPlan(5, ServiceBehavior(), list_on_request=list_on_request))
+    )
     assert (results["breaches"], results["no_list"]) == (0, 0)
     assert results["changes"] == 6 and results["calls"]["answered"] > 5 * results["seconds"] / HOLD_S / 2
 
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -378,13 +378,13 @@
     """An answer may arrive up to half a second after the deadline."""
 
     async def test() -> None:
-        fill = Slot.fill
+        set_answer = Slot.set_answer
 
-        def stall_and_fill(slot: Slot, answer: bytes) -> None:
+        def stall_and_set_answer(slot: Slot, answer: bytes) -> None:
             stall_process()
-            fill(slot, answer)
+            set_answer(slot, answer)
 
-        monkeypatch.setattr(Slot, "fill", stall_and_fill)
+        monkeypatch.setattr(Slot, "set_answer", stall_and_set_answer)
         async with router(lambda request, writer: None) as bench:
             caller = await bench.caller()
             started_at = now()
@@ -399,13 +399,13 @@
     """The router reserves 0.3 s between the last answers and SIGKILL."""
 
     async def test() -> None:
-        end_all = Driver._end_all
+        fail_all = Driver._fail_all
 
-        def stall_and_end(driver: Driver) -> None:
+        def stall_and_fail(driver: Driver) -> None:
             stall_process()
-            end_all(driver)
+            fail_all(driver)
 
-        monkeypatch.setattr(Driver, "_end_all", stall_and_end)
+        monkeypatch.setattr(Driver, "_fail_all", stall_and_fail)
         async with router(lambda request, writer: None) as bench:
             caller = await bench.caller()
             caller.get(info=b"c=read,t=acme,d=9000")
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -46,7 +46,7 @@
             assert await caller.answer() == value
         assert len(bench.cache.writers) == 1 and len(bench.origin.writers) == int(from_origin)
         await wait_until(lambda: not bench.driver.requests)
-        assert bench.driver.figures.responses["read"]["ok"] == 3  # type: ignore[index]
+        assert bench.driver.metrics.responses["read"]["ok"] == 3  # type: ignore[index]
 
 
 async def test_long_answer_may_arrive_in_chunks_of_any_size() -> None:
@@ -68,7 +68,7 @@
         caller.get()
         head = b"$%d\r\n" % len(LONG)
         assert await read_exactly(caller, len(head) + 90_000) == head + LONG[:90_000]
-        assert bench.driver.active == 1 and not bench.driver.figures.responses
+        assert bench.driver.active == 1 and not bench.driver.metrics.responses
         (pending_request,) = bench.driver.requests.values()
         # The deadline no longer applies once the answer has started.
         assert pending_request.deadline_timer is not None and pending_request.deadline_timer.cancelled()
@@ -93,7 +93,7 @@
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
             await read_exactly(caller, len(LONG))
         assert len(bench.cache.received) == 1 and not bench.driver.requests
-        assert bench.driver.figures.responses["read"]["errors"] == 1  # type: ignore[index]
+        assert bench.driver.metrics.responses["read"]["errors"] == 1  # type: ignore[index]
 
 
 async def test_server_disconnect_before_value_is_written_fails_only_that_request() -> None:
@@ -191,7 +191,9 @@
         yield bench, caller
 
 
-@pytest.mark.parametrize("stop", [lambda bench: bench.driver._end_all(), lambda bench: bench.clients.close()])
+@pytest.mark.parametrize(
+    "stop", [lambda bench: bench.driver._fail_all(), lambda bench: bench.clients.close()]
+)
 async def test_started_answer_continues_after_stop(stop: Callable[[Bench], Any]) -> None:
     async with router_in_mid_stream() as (bench, caller):
         stop(bench)
@@ -240,7 +242,7 @@
         assert str(await caller.answer()) == "BUSY 70"
         assert [await caller.answer() for _ in range(2)] == [b"from origin", b"PONG"]
         assert [body for _, _, _, body in bench.origin.received] == [b"short"]
-        assert bench.driver.figures.responses["put"]["shed"] == 1  # type: ignore[index]
+        assert bench.driver.metrics.responses["put"]["shed"] == 1  # type: ignore[index]
         await wait_until(lambda: not bench.driver.requests)
         assert bench.driver.memory.used == 0
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -114,13 +114,13 @@
 class WatchHarness:
     """A watch with its directory and balancer, and no other part of a router."""
 
-    def __init__(self, endpoint: tuple[str, int], must_ask: bool, seed: int = 1) -> None:
-        settings_json = {**info(), "registryMode": "on_request" if must_ask else "pushed"}
+    def __init__(self, endpoint: tuple[str, int], list_on_request: bool, seed: int = 1) -> None:
+        settings_json = {**info(), "registryMode": "on_request" if list_on_request else "pushed"}
         self.driver = Driver(
             Balancer(read_settings(settings_json), seed), Pools(64, 0.25, 60.0), 100, Metrics()
         )
         self.directory = Directory(read_names(settings_json), 1, self.driver.pools, self.driver.notify)
-        self.watch = Watch([endpoint], self.directory, seed, must_ask)
+        self.watch = Watch([endpoint], self.directory, seed, list_on_request)
         self.driver.start_watch = self.watch.start
         self.applied_at: dict[int, float] = {}  # time at which each version was applied
         self.applied = asyncio.Event()
@@ -142,9 +142,11 @@
 
 
 @contextlib.asynccontextmanager
-async def routers(service: SlowDiscovery, count: int, must_ask: bool) -> AsyncIterator[list[WatchHarness]]:
+async def routers(
+    service: SlowDiscovery, count: int, list_on_request: bool
+) -> AsyncIterator[list[WatchHarness]]:
     endpoint = await service.start()
-    harnesses = [WatchHarness(endpoint, must_ask, seed) for seed in range(count)]
+    harnesses = [WatchHarness(endpoint, list_on_request, seed) for seed in range(count)]
     try:
         yield harnesses
     finally:
@@ -153,19 +155,19 @@
         service.server.close()
 
 
-MUST_ASK = pytest.mark.parametrize("must_ask", [False, True])
+LIST_ON_REQUEST = pytest.mark.parametrize("list_on_request", [False, True])
 
 
-@MUST_ASK
+@LIST_ON_REQUEST
 @pytest.mark.parametrize("delay", [0.5, 1.4, 2.0, 3.0, 4.0])
 def test_change_arrives_in_time_from_slow_discovery(
-    monkeypatch: pytest.MonkeyPatch, delay: float, must_ask: bool
+    monkeypatch: pytest.MonkeyPatch, delay: float, list_on_request: bool
 ) -> None:
     """A call that is late is not cancelled, so that the list arrives even if discovery is slow."""
 
     async def test() -> None:
         service = SlowDiscovery(delay=delay)
-        async with routers(service, 1, must_ask) as (router,):
+        async with routers(service, 1, list_on_request) as (router,):
             await asyncio.sleep(10.0)
             for wait in (0.1, 1.0, 2.6, 5.3):
                 await asyncio.sleep(wait)
@@ -175,14 +177,14 @@
     run_in_virtual_time(monkeypatch, test)
 
 
-@MUST_ASK
+@LIST_ON_REQUEST
 @pytest.mark.parametrize("delay", [0.0, 0.5, 1.4])
 def test_lost_watch_is_replaced_in_time(
-    monkeypatch: pytest.MonkeyPatch, delay: float, must_ask: bool
+    monkeypatch: pytest.MonkeyPatch, delay: float, list_on_request: bool
 ) -> None:
     async def test() -> None:
         service = SlowDiscovery(delay=delay)
-        async with routers(service, 1, must_ask) as (router,):
+        async with routers(service, 1, list_on_request) as (router,):
             await asyncio.sleep(20.0)
             for wait in (0.1, 1.0, 2.0):
                 await asyncio.sleep(wait)
@@ -196,17 +198,17 @@
     run_in_virtual_time(monkeypatch, test)
 
 
-@MUST_ASK
+@LIST_ON_REQUEST
 @pytest.mark.parametrize("count", [5, 30, 230])
 def test_all_routers_get_list_after_simultaneous_start(
-    monkeypatch: pytest.MonkeyPatch, count: int, must_ask: bool
+    monkeypatch: pytest.MonkeyPatch, count: int, list_on_request: bool
 ) -> None:
     """Repeated calls do not take up discovery's capacity, so that every router gets the list."""
 
     async def test() -> None:
         service = SlowDiscovery(rate=count / 4.5)
         service.rev = 2
-        async with routers(service, count, must_ask) as harnesses:
+        async with routers(service, count, list_on_request) as harnesses:
             started_at = asyncio.get_running_loop().time()
             last_arrival = max([await harness.wait_for_version(2) for harness in harnesses])
             # Discovery needs 4.5 s for the calls. The queue may be empty during backoffs after rejections.
@@ -216,15 +218,15 @@
     run_in_virtual_time(monkeypatch, test)
 
 
-@MUST_ASK
+@LIST_ON_REQUEST
 @pytest.mark.parametrize("count", [30, 230])
 def test_all_routers_get_list_in_time_after_outage(
-    monkeypatch: pytest.MonkeyPatch, count: int, must_ask: bool
+    monkeypatch: pytest.MonkeyPatch, count: int, list_on_request: bool
 ) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         service = SlowDiscovery(rate=count / 3)
-        async with routers(service, count, must_ask) as harnesses:
+        async with routers(service, count, list_on_request) as harnesses:
             await asyncio.sleep(15.0)
             service.reject_all()
             await asyncio.sleep(8.0)
@@ -241,7 +243,7 @@
     async def test() -> None:
         service = SlowDiscovery()
         service.lost = True
-        async with routers(service, 1, must_ask=True):
+        async with routers(service, 1, list_on_request=True):
             await asyncio.sleep(120.0)
             assert service.max_connections <= watch.MAX_CALLS
             assert 40 <= len(service.call_times) <= 120
@@ -259,7 +261,7 @@
     async def test() -> None:
         service = SlowDiscovery()
         service.reject_all()
-        async with routers(service, 1, must_ask=False):
+        async with routers(service, 1, list_on_request=False):
             await asyncio.sleep(60.0)
             assert 30 <= service.rejected <= 60 * watch.CALLS_PER_SECOND + watch.CALL_BURST
 
@@ -272,7 +274,7 @@
     async def test() -> None:
         service = SlowDiscovery(delay=5.0)
         service.rev = 2
-        async with routers(service, 1, must_ask=False) as (router,):
+        async with routers(service, 1, list_on_request=False) as (router,):
             started_at = asyncio.get_running_loop().time()
             # The first call takes 5 s and is not replaced.
             assert await router.wait_for_version(2) - started_at <= 5.0 + 0.01
@@ -291,7 +293,7 @@
 
     async def test() -> None:
         service, seconds, interval = SlowDiscovery(), 5.0, 0.004
-        async with routers(service, 1, must_ask=False) as (router,):
+        async with routers(service, 1, list_on_request=False) as (router,):
             await asyncio.sleep(3.0)
             calls_before = len(service.call_times)
             change_times = {}
@@ -313,7 +315,7 @@
 def test_change_after_quiet_period_arrives_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         service = SlowDiscovery()
-        async with routers(service, 1, must_ask=False) as (router,):
+        async with routers(service, 1, list_on_request=False) as (router,):
             for wait in (3.0, 0.4, call_schedule.MIN_WATCH_INTERVAL * 2):
                 await asyncio.sleep(wait)
                 changed_at = service.change()
@@ -327,7 +329,7 @@
 ) -> None:
     async def test() -> None:
         service = SlowDiscovery()
-        async with routers(service, 1, must_ask=False) as (router,):
+        async with routers(service, 1, list_on_request=False) as (router,):
             await asyncio.sleep(3.0)
             service.change()
             await router.wait_for_version(service.rev)
@@ -351,7 +353,7 @@
     async def test() -> None:
         old, new = SlowDiscovery(), SlowDiscovery()
         new.rev = 9
-        async with routers(old, 1, must_ask=False) as (router,):
+        async with routers(old, 1, list_on_request=False) as (router,):
             await asyncio.sleep(3.0)
             for service in (old, new):
                 for _ in range(2):
@@ -374,7 +376,7 @@
     """The response to a parallel call contains only changes and may lack those of the invalid response."""
     directory = Directory(read_names(info()), 1, Pools(64, 0.25, 60.0), lambda members: None)
     directory.apply({"rev": 1, "targets": [entry("c0", "127.0.0.1:1")]}, cached=True)
-    watch_under_test = Watch([("127.0.0.1", 1)], directory, 1, must_ask=False)
+    watch_under_test = Watch([("127.0.0.1", 1)], directory, 1, list_on_request=False)
     changes = json.dumps({"rev": 2, "all": False, "targets": []}).encode()
     with pytest.raises(ListError):
         watch_under_test._apply(
