--- a/applehub/lab/fleet/checks.py
+++ b/applehub/lab/fleet/checks.py
@@ -118,36 +118,37 @@
             attempts[record.request].append(record)
         else:
             ends[record.request, record.fields["server"]].append(record)
-    for request, begun_attempts in attempts.items():
-        if len(begun_attempts) < 2:
+    for request, started_attempts in attempts.items():
+        if len(started_attempts) < 2:
             continue
         # A request has one attempt at a time, so a server's ends come in the order of its attempts.
         remaining = {
-            key: iter(ends[key]) for key in {(request, record.fields["server"]) for record in begun_attempts}
+            key: iter(ends[key])
+            for key in {(request, record.fields["server"]) for record in started_attempts}
         }
-        ended = [next(remaining[request, record.fields["server"]], None) for record in begun_attempts]
+        ended = [next(remaining[request, record.fields["server"]], None) for record in started_attempts]
         events = sorted(
-            [*begun_attempts, *(end for end in ended if end is not None)], key=lambda record: record.mono
+            [*started_attempts, *(end for end in ended if end is not None)], key=lambda record: record.mono
         )
         maybe_executed = [
-            record for record, end in zip(begun_attempts, ended, strict=True)
+            record for record, end in zip(started_attempts, ended, strict=True)
             if end is None or end.fields["how"] not in NOT_EXECUTED_OUTCOMES
         ]  # fmt: skip
-        cls, router = begun_attempts[0].fields["cls"], begun_attempts[0].fields["router"]
-        if len(begun_attempts) > MAX_ATTEMPTS:
-            yield Violation("resends", f"{len(begun_attempts)} attempts, more than the maximum", events)
+        cls, router = started_attempts[0].fields["cls"], started_attempts[0].fields["router"]
+        if len(started_attempts) > MAX_ATTEMPTS:
+            yield Violation("resends", f"{len(started_attempts)} attempts, more than the maximum", events)
         elif any(
             fault.kind in PROCESS_ENDING_FAULTS
-            for fault in history.faults_affecting(begun_attempts[0].mono, begun_attempts[-1].mono, router)
+            for fault in history.faults_affecting(started_attempts[0].mono, started_attempts[-1].mono, router)
         ):
             continue  # the connection closed, and the client sent the request again to a new process
-        elif cls == "once" and maybe_executed and maybe_executed[0] is not begun_attempts[-1]:
+        elif cls == "once" and maybe_executed and maybe_executed[0] is not started_attempts[-1]:
             yield Violation("resends", "retried after an attempt that may have executed", events)
         elif (
             cls == "put"
             and maybe_executed
-            and begun_attempts[-1].mono - maybe_executed[0].mono
-            > window + _max_delay(history, begun_attempts[-1])
+            and started_attempts[-1].mono - maybe_executed[0].mono
+            > window + _max_delay(history, started_attempts[-1])
         ):
             yield Violation("resends", "retried after the idempotency window", events)
 
--- a/applehub/lab/fleet/clients.py
+++ b/applehub/lab/fleet/clients.py
@@ -78,7 +78,7 @@
         self.available, self.draining = True, False
         self.idle: list[Connection] = []
         self.connections: set[Connection] = set()
-        self.dial_tasks: set[asyncio.Task[None]] = set()
+        self.connect_tasks: set[asyncio.Task[None]] = set()
 
     def submit(self, request: Request, new_connection: bool = False) -> None:
         while self.idle and not new_connection:
@@ -86,12 +86,12 @@
             if connection.transport is not None and not connection.transport.is_closing():
                 self._send(connection, request)
                 return
-        if len(self.connections) + len(self.dial_tasks) >= MAX_CONNECTIONS:
+        if len(self.connections) + len(self.connect_tasks) >= MAX_CONNECTIONS:
             self.clients.fail_connect(request, "no connection free")
             return
         task = self.clients.loop.create_task(self._open_connection(request))
-        self.dial_tasks.add(task)
-        task.add_done_callback(self.dial_tasks.discard)
+        self.connect_tasks.add(task)
+        task.add_done_callback(self.connect_tasks.discard)
 
     async def _open_connection(self, request: Request) -> None:
         try:
@@ -117,8 +117,8 @@
 
     def _start_health_check(self) -> None:
         task = self.clients.loop.create_task(self._check_health())
-        self.dial_tasks.add(task)
-        task.add_done_callback(self.dial_tasks.discard)
+        self.connect_tasks.add(task)
+        task.add_done_callback(self.connect_tasks.discard)
 
     async def _check_health(self) -> None:
         """Marks a router as up if it answers PING, else schedules another health check."""
--- a/applehub/lab/fleet/watch_scenario.py
+++ b/applehub/lab/fleet/watch_scenario.py
@@ -28,10 +28,8 @@
 from applehub.lab.live.bench import LiveError
 from applehub.settings import Json
 
-CALM_CHANGES, CALM_PERIOD_S = (
-    3,
-    4.0,
-)  # number of changes without faults, and the period in which they are made
+# Number of changes without faults, and the period in which they are made.
+CALM_CHANGES, CALM_PERIOD_S = 3, 4.0
 OUTAGE_S = 3.0
 MAX_SILENT_CHANGE_DELAY_S = 1.0  # maximum time from when watches become unresponsive until the next change
 END_MARGIN_S = 0.5  # added to a run, so that changes applied just after the limit are recorded
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -27,13 +27,13 @@
     "test_killed_controller_repeats_no_step",
     "test_removed_server_moves_its_own_keys_at_once_and_other_keys_gradually",
     "test_all_of_many_servers_are_reached_within_the_connection_limit",
-    "test_a_listed_test_is_left_out_and_run_and_printed",
+    "test_listed_test_is_deselected_then_run_and_reported",
     "test_store_recovers_from_every_power_loss_state",
     "test_acknowledged_changes_survive_killed_and_suspended_leaders",
 )
 # Tests in real time, whose result depends on how soon a process gets a core.
 EXCLUSIVE_TESTS = (
-    "test_a_good_router_holds_and_each_bad_variant_is_found",
+    "test_unmodified_router_passes_and_each_bad_variant_is_detected",
     "test_load_counts_each_request_once",
     "test_demo_prints_the_answers_and_counters",
     "test_routers_apply_lists_on_the_real_clock",
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -171,7 +171,7 @@
     assert fault.breaks_client_connections is breaks
 
 
-def test_invalid_fault_is_rejected() -> None:
+def test_plan_with_invalid_fault_is_rejected() -> None:
     for changes in ({"call": "accept"}, {"call": "accept", "error": "ENOTHING"}, {"call": "bind"}):
         raw = {"kind": "system_call", "target": ["router-0"], "at": 1, **changes}
         with pytest.raises(SpecError):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -61,7 +61,7 @@
     return text.replace("stale_ms = 15000", loose).replace("wait_ms = 3000", "wait_ms = 20000")
 
 
-def test_a_good_router_holds_and_each_bad_variant_is_found(tmp_path: Path) -> None:
+def test_unmodified_router_passes_and_each_bad_variant_is_detected(tmp_path: Path) -> None:
     good_runs: list[tuple[str, ...]] = [("peers",), ("--quick",), ("variants",), ("power",), ("primary",)]
     bad_runs = {name: (plan, "--variant", name) for name, (plan, _) in DETECTIONS.items()}
     loose = tmp_path / "crossing.toml"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -30,7 +30,7 @@
     assert run_script(folder, "run").stdout == ""
 
 
-def test_a_listed_test_is_left_out_and_run_and_printed(folder: Path) -> None:
+def test_listed_test_is_deselected_then_run_and_reported(folder: Path) -> None:
     (folder / "KNOWN-RED.txt").write_text(LISTED_LINE + "\n")
     checked = run_script(folder, "check")
     assert (checked.returncode, checked.stdout.strip()) == (0, "--deselect=tests/test_x.py::test_red")
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -245,7 +245,7 @@
         await wait_until(lambda: not bench.driver.requests)
 
 
-async def test_disconnected_client_is_withdrawn_and_its_attempt_completes() -> None:
+async def test_request_of_disconnected_client_is_cancelled_and_its_attempt_completes() -> None:
     async with router(lambda command, writer: None if command[2] == b"i1" else hit()) as bench:
         caller = await bench.caller()
         caller.get(name=b"i1")
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -247,6 +247,6 @@
         {"call": "send", "short": 1, "error": "EIO"},
     ],
 )
-def test_invalid_fault_is_rejected(fields: dict[str, object]) -> None:
+def test_fault_with_invalid_fields_is_rejected(fields: dict[str, object]) -> None:
     with pytest.raises(ValueError):
         SystemCallFault(**fields)  # type: ignore[arg-type]
