--- a/applehub/__main__.py
+++ b/applehub/__main__.py
@@ -24,7 +24,7 @@
     router = Router(configuration, path)
     await router.start()
     await router.stopping.wait()
-    log.info("told to stop")
+    log.info("stopping: received SIGTERM")
     await router.stop()
 
 
--- a/applehub/lab/__main__.py
+++ b/applehub/lab/__main__.py
@@ -290,7 +290,7 @@
         f"{class_name} for {demand.key}, {demand.work / MILLI:.1f} ms of work, from zone {demand.zone}"
     )
     for client_attempt in simulation.client_attempts:
-        click.echo(f"try {client_attempt.id}, due {client_attempt.deadline / MILLI:.3f} ms")
+        click.echo(f"attempt {client_attempt.id}, due {client_attempt.deadline / MILLI:.3f} ms")
         for at, text in client_attempt.events:
             click.echo(f"  {at / MILLI:12.3f} ms  {text}")
 
--- a/applehub/lab/fleet/processes.py
+++ b/applehub/lab/fleet/processes.py
@@ -310,9 +310,9 @@
             while line := await process.stderr.readline():
                 log.write(line)
                 log.flush()
-                if b" listening on " in line:
+                if b" INFO listening on " in line:
                     self.listen = line.split()[-1].decode()
-                elif b" operators call at " in line:
+                elif b" INFO console listening on " in line:
                     self.console = line.split()[-1].decode()
                     if not listening.done():
                         listening.set_result(None)
--- a/applehub/lab/live/commands.py
+++ b/applehub/lab/live/commands.py
@@ -31,7 +31,7 @@
     ),
     ("the same read again, a cache hit", command(b"C.GET", b"pedal", b"02", b"c=read,d=900")),
     ("a write goes to the origin", command(b"C.SET", b"pedal", b"03", b"c=put,d=900,k=1", b"new")),
-    ("a class that nobody told of", command(b"C.GET", b"pedal", b"04", b"c=none,d=900")),
+    ("an unknown request class", command(b"C.GET", b"pedal", b"04", b"c=none,d=900")),
 )
 
 
@@ -122,10 +122,10 @@
         click.echo(f"  {description}: {answer[:24]!r}{'...' if len(answer) > 24 else ''}")
     counts = deployment.counts()
     click.echo(
-        f"  behind it: {counts.misses} miss, {counts.hits} hit, "
+        f"  fake servers: {counts.misses} miss, {counts.hits} hit, "
         f"{counts.reads} origin read, {counts.writes} write"
     )
     show(await run_load_test(deployment, LoadSpec(200, seconds, 500, 0.04, 64, 1000, 50, 1)))
     metrics = await read_metrics(deployment)
     for name in ("responses.read.ok", "responses.put.ok", "tries", "pool_size", "pool_ejected"):
-        click.echo(f"its own figures (DUMP): {name} {metrics['edge_balancer.' + name]}")
+        click.echo(f"router metrics (DUMP): {name} {metrics['edge_balancer.' + name]}")
--- a/applehub/node/listener.py
+++ b/applehub/node/listener.py
@@ -23,10 +23,10 @@
     try:
         listener = socket.socket(fileno=descriptor)
     except OSError as error:
-        raise OSError(f"the inherited descriptor {descriptor} is no socket: {error.strerror}") from None
+        raise OSError(f"the inherited descriptor {descriptor} is not a socket: {error.strerror}") from None
     if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         listener.detach()  # the descriptor belongs to the parent process
-        raise OSError(f"the inherited descriptor {descriptor} is a socket that listens nowhere")
+        raise OSError(f"the inherited descriptor {descriptor} is not a listening socket")
     return listener
 
 
--- a/applehub/node/peering.py
+++ b/applehub/node/peering.py
@@ -111,7 +111,7 @@
             )
             self.timer = loop.call_later(BIND_RETRY_INTERVAL, self._retry_start)
             return
-        log.info("peers are heard at %s:%d", *self.config.listen)
+        log.info("gossip listening on %s:%d", *self.config.listen)
         self._tick()
 
     def _retry_start(self) -> None:
--- a/applehub/node/router.py
+++ b/applehub/node/router.py
@@ -178,10 +178,10 @@
             configuration = read_configuration(self.path, self.initial_source)
         except ConfigurationError as error:
             self.metrics.config_rejected += 1
-            log.error("told to reload, but the configuration is of no use: %s", error)
+            log.error("reload failed, configuration rejected: %s", error)
             return
         self.metrics.config_applied += 1
-        log.info("told to reload: discovery at %s:%d", *configuration.discovery[0])
+        log.info("configuration reloaded: discovery at %s:%d", *configuration.discovery[0])
         self._apply(configuration)
         self.watch.set_endpoints(configuration.discovery)
 
@@ -253,7 +253,7 @@
             host, port = await self.clients.listen(*configuration.listen, configuration.inherited_descriptor)
             log.info("listening on %s:%d", host, port)
             if configuration.console is not None:
-                log.info("operators call at %s:%d", *await self.console.listen(*configuration.console))
+                log.info("console listening on %s:%d", *await self.console.listen(*configuration.console))
         except OSError as error:
             raise ConfigurationError(f"can't listen: {error}") from None
 
--- a/applehub/node/watch.py
+++ b/applehub/node/watch.py
@@ -168,7 +168,7 @@
             self.next_call_at = now + wait
             return
         if self.calls:
-            log.warning("discovery did not answer in time: %s", self.phase)
+            log.warning("discovery call timed out: %s", self.phase)
             self.phase = Phase.CATCH_UP
             self.endpoint_index = (self.endpoint_index + 1) % len(self.endpoints)
         if len(self.calls) >= MAX_CALLS:
@@ -217,7 +217,7 @@
         try:
             self._apply(call.task.result(), call.full_list)
         except CALL_ERRORS as error:
-            log.warning("discovery did not answer: %s: %s", type(error).__name__, error)
+            log.warning("discovery call failed: %s: %s", type(error).__name__, error)
             if isinstance(error, RejectedError):
                 self.schedule.rejected()
             self._call_failed(call, position, now)
--- a/applehub/release/__main__.py
+++ b/applehub/release/__main__.py
@@ -188,7 +188,7 @@
     try:
         executed = submit_request(folder, kind, reason)
     except OSError as error:
-        text = f"{kind}: not kept for sure: {error}; check `status` or submit the request again"
+        text = f"{kind}: outcome unknown: {error}; check `status` or submit the request again"
         raise OSError(text) from error
     if executed:
         _print_record(load_release(folder).record)
@@ -211,7 +211,7 @@
         f"{name} to {unit.target_version}" for name, unit in record.units.items() if unit.target_version
     ]
     if in_progress:
-        click.echo("  on the way: " + ", ".join(in_progress))
+        click.echo("  in progress: " + ", ".join(in_progress))
 
 
 if __name__ == "__main__":
--- a/applehub/release/plan.py
+++ b/applehub/release/plan.py
@@ -93,14 +93,14 @@
             name for stage in self.unit_names_by_stage() for name in stage
         }
         if not errors and remaining:
-            errors.append(f"stages: {len(remaining)} units are in none, {min(remaining)} among them")
+            errors.append(f"stages: {len(remaining)} units are in no stage, {min(remaining)} among them")
         if errors:
             raise ValueError("; ".join(errors))
         return self
 
     def _duplicates(self) -> list[str]:
         counts = Counter(unit.name for unit in self.fleet)
-        return [f"fleet: {name} stands there twice" for name in sorted(counts) if counts[name] > 1]
+        return [f"fleet: {name} is listed twice" for name in sorted(counts) if counts[name] > 1]
 
     def _unknown_zones(self) -> list[str]:
         zones = {unit.zone for unit in self.fleet}
--- a/applehub/settings.py
+++ b/applehub/settings.py
@@ -36,14 +36,14 @@
             raise SettingError(f"setting {path} is missing")
         return default
     if not isinstance(value, expected_type) or (isinstance(value, bool) and expected_type is not bool):
-        raise SettingError(f"setting {path} makes no sense: {value!r}")
+        raise SettingError(f"setting {path} is invalid: {value!r}")
     return value
 
 
 def _number(source: Json, path: str, minimum: float, default: float | None = None) -> float:
     value = float(setting(source, path, (int, float), default))
     if not minimum <= value < 1e19:
-        raise SettingError(f"setting {path} makes no sense: {value:g}")
+        raise SettingError(f"setting {path} is invalid: {value:g}")
     return value
 
 
@@ -54,14 +54,14 @@
 def _choice(source: Json, path: str, choices: tuple[str, ...], default: str) -> str:
     value = setting(source, path, str, default)
     if value not in choices:
-        raise SettingError(f"setting {path} makes no sense: {value!r}")
+        raise SettingError(f"setting {path} is invalid: {value!r}")
     return str(value)
 
 
 def _object_list(source: Json, path: str, default: list[Json] | None = None) -> list[Json]:
     value: list[Json] = setting(source, path, list, default)
     if not all(isinstance(item, dict) for item in value):
-        raise SettingError(f"setting {path} makes no sense: not a list of objects")
+        raise SettingError(f"setting {path} is invalid: expected a list of objects")
     return value
 
 
@@ -83,10 +83,10 @@
 def read_settings(info: Json) -> io.Settings:
     """Converts settings from their wire form to the policy's `Settings`. Raises SettingError."""
     if not isinstance(info, dict):
-        raise SettingError("setting info makes no sense: not an object")
+        raise SettingError("setting info is invalid: expected an object")
     classes, tenants = _object_list(info, "classes"), _object_list(info, "tenants", [])
     if not classes:
-        raise SettingError("setting classes makes no sense: it is empty")
+        raise SettingError("setting classes is invalid: expected at least one class")
     ceilings, safety = setting(info, "ceilings", dict), setting(info, "safety", dict)
     specifics = setting(info, "specifics", dict, {})
     return io.Settings(
@@ -147,7 +147,7 @@
 def _indexes(source: Json, path: str, default: list[str]) -> dict[str, int]:
     names = setting(source, path, list, default)
     if not all(isinstance(item, str) for item in names) or len(set(names)) < len(names):
-        raise SettingError(f"setting {path} makes no sense: {names!r}")
+        raise SettingError(f"setting {path} is invalid: {names!r}")
     return {name: index for index, name in enumerate(names)}
 
 
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -265,7 +265,7 @@
         addresses,
         lines,
     ):
-        caller = await connect_client(addresses["listening on"])
+        caller = await connect_client(addresses["INFO listening on"])
         caller.send(b"PING")
         await wait_until(lambda: [line for line in lines if "accept fails" in line])
         running.terminate()
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -61,10 +61,13 @@
 
 def test_inherited_descriptor_that_does_not_listen_is_rejected(tmp_path: os.PathLike[str]) -> None:
     with socket.socket() as idle, socket.create_server(("127.0.0.1", 0)) as listener:
-        with pytest.raises(OSError, match=f"descriptor {idle.fileno()} is a socket that listens nowhere"):
+        with pytest.raises(OSError, match=f"descriptor {idle.fileno()} is not a listening socket"):
             inherited_listener(idle.fileno())
         assert idle.getsockname()  # the descriptor stays open
-        with open(os.path.join(tmp_path, "file"), "wb") as file, pytest.raises(OSError, match="is no socket"):
+        with (
+            open(os.path.join(tmp_path, "file"), "wb") as file,
+            pytest.raises(OSError, match="is not a socket"),
+        ):
             inherited_listener(file.fileno())
         assert inherited_listener(listener.fileno()).detach() == listener.fileno()
 
@@ -168,7 +171,7 @@
         async with asyncio.timeout(WAIT_TIMEOUT):
             assert await reader.readline() == b"+PONG\r\n"
         async with asyncio.timeout(WAIT_TIMEOUT):
-            while b"operators call at" not in (line := await process.stderr.readline()):
+            while b"console listening on" not in (line := await process.stderr.readline()):
                 assert line
         port = int(line.rpartition(b":")[2])
         assert await send_command(port, b"HEALTH\n") == "+OK\n"
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -65,7 +65,7 @@
     async def read_log(stream: asyncio.StreamReader) -> None:
         while line := (await stream.readline()).decode():
             lines.append(line)
-            for phrase in ("listening on", "operators call at"):
+            for phrase in ("INFO listening on", "INFO console listening on"):
                 if phrase in line:
                     host, _, port = line.rsplit(" ", 1)[1].strip().rpartition(":")
                     addresses[phrase] = host, int(port)
@@ -104,7 +104,7 @@
         addresses,
         lines,
     ):
-        idle = [await connect_client(addresses["listening on"]) for _ in range(300)]
+        idle = [await connect_client(addresses["INFO listening on"]) for _ in range(300)]
         for caller in idle:
             caller.send(b"PING")
         rejected = 0
@@ -117,7 +117,7 @@
         discovery_server = Web(lambda request, writer: http_list(9, entry("c0", cache.address)))
         discovery_server.server = await asyncio.start_server(discovery_server._serve, "127.0.0.1", port)
         await wait_until(lambda: discovery_server.received)
-        console = await connect_client(addresses["operators call at"])
+        console = await connect_client(addresses["INFO console listening on"])
         console.writer.write(b"HEALTH\n")
         assert await asyncio.wait_for(console.reader.readline(), WAIT_TIMEOUT) == b"+OK\n"
         open_caller = next(caller for caller in idle if not caller.reader.at_eof())
@@ -141,7 +141,7 @@
         lines,
     ):
         process = psutil.Process(running.pid)
-        callers = [await connect_client(addresses["listening on"]) for _ in range(80)]
+        callers = [await connect_client(addresses["INFO listening on"]) for _ in range(80)]
         for caller in callers[:10]:
             caller.send(b"PING")
             assert await caller.answer() == b"PONG"
@@ -152,7 +152,7 @@
         assert len([line for line in lines if "accept" in line]) == 1
         for caller in callers:
             caller.writer.transport.abort()
-        new_caller = await connect_client(addresses["listening on"])
+        new_caller = await connect_client(addresses["INFO listening on"])
         new_caller.send(b"PING")
         assert await new_caller.answer() == b"PONG"
         assert running.returncode is None and os.getpid() != running.pid
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -314,7 +314,7 @@
     process.send_signal(signal.SIGHUP)
     async with asyncio.timeout(WAIT_TIMEOUT):
         while line := await process.stderr.readline():
-            if b"the configuration is of no use" in line:
+            if b"reload failed, configuration rejected" in line:
                 break
     configuration(tmp_path, discovery=new.address)
     process.send_signal(signal.SIGHUP)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -68,7 +68,7 @@
     assert run_command("plot", str(partial), "--out", str(tmp_path / "tiny.txt"))[0] == 2
     request_id = records[0]["result"]["examples"]["late"]
     code, text = run_command("trace", str(partial), request_id)
-    assert code == 0 and f"try {request_id}" in text and "received by router" in text
+    assert code == 0 and f"attempt {request_id}" in text and "received by router" in text
     assert run_command("trace", str(partial), "zz") == (
         2,
         "zz: expected the id of a request, 16 hex digits\n",
--- a/tests/test_lab_live.py
+++ b/tests/test_lab_live.py
@@ -30,9 +30,9 @@
     for line in (
         "  PING: b'+PONG",
         "  a write goes to the origin: b'$6",
-        "  a class that nobody told of: b'-ERR unknown class",
-        "  behind it: 1 miss, 1 hit, 1 origin read, 1 write",
-        "its own figures (DUMP): pool_size 3",
+        "  an unknown request class: b'-ERR unknown class",
+        "  fake servers: 1 miss, 1 hit, 1 origin read, 1 write",
+        "router metrics (DUMP): pool_size 3",
         "ended with code 0",
     ):
         assert line in result.output
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -131,10 +131,10 @@
     with pytest.raises(PlanError, match="more"):
         load_plan(plan)
     plan.write_text(PLAN.replace('new = "1.8"', 'new = "1.7"').replace('"c1"', '"c0"'))
-    with pytest.raises(PlanError, match=r"c0 stands there twice; new: expected another version"):
+    with pytest.raises(PlanError, match=r"c0 is listed twice; new: expected another version"):
         load_plan(plan)
     plan.write_text(PLAN.replace("part = 1.0", "count = 1"))
-    with pytest.raises(PlanError, match="3 units are in none, c2 among them"):
+    with pytest.raises(PlanError, match="3 units are in no stage, c2 among them"):
         load_plan(plan)
     assert CliRunner().invoke(main, ["plan", str(plan)]).exit_code == 2
 
@@ -149,7 +149,7 @@
     """After the rollback the version is rejected unless --again is given."""
     state = ["--state", str(tmp_path / "state")]
     exit_code, output = run_command("rehearse", str(plan), *state, "--pace", "5000", "--broken", "c2")
-    assert exit_code == 3 and "c2: admit failed 2 times" in output and "on the way" not in output
+    assert exit_code == 3 and "c2: admit failed 2 times" in output and "in progress" not in output
     assert run_command("back", *state)[0] == 0
     exit_code, output = run_command("rehearse", str(plan), *state, "--pace", "5000")
     assert exit_code == 0 and "returned" in output and "5 at 1.7" in output
--- a/tests/test_release_disk.py
+++ b/tests/test_release_disk.py
@@ -206,7 +206,7 @@
     folder.close()
     with SystemCallFaults(SystemCallFault("write", "ENOSPC", path=f"{state}/release")):
         result = CliRunner().invoke(main, ["halt", "--state", str(state)])
-    assert result.exit_code == 2 and "not kept for sure" in result.output and "ENOSPC" not in result.output
+    assert result.exit_code == 2 and "outcome unknown" in result.output and "ENOSPC" not in result.output
     assert load_release(state).record.mode is ReleaseMode.RUNNING
 
 
--- a/tests/test_shutdown_under_load.py
+++ b/tests/test_shutdown_under_load.py
@@ -65,7 +65,7 @@
     known = listing(3, entry("c0", cache.address))
     settings = settings_with_deadline(deadline)
     async with running_program(tmp_path, 1024, known=known, settings=settings) as (running, addresses, _):
-        address = addresses["listening on"]
+        address = addresses["INFO listening on"]
         waiting_callers = [await connect_client(address) for _ in range(10)]
         for number, caller in enumerate(waiting_callers):
             for position in range(pipelined):
@@ -108,7 +108,7 @@
         lost_requests, answered = [], 0
         while running.returncode is None:
             try:
-                caller = await connect_client(addresses["listening on"])
+                caller = await connect_client(addresses["INFO listening on"])
             except OSError:
                 break
             caller.get(name=b"n%d" % answered, info=b"c=read,t=acme")
@@ -144,7 +144,7 @@
         addresses,
         lines,
     ):
-        sender = Sender(await connect_client(addresses["listening on"]), "s")
+        sender = Sender(await connect_client(addresses["INFO listening on"]), "s")
         send_task = asyncio.create_task(sender.run(0.005))
         for number in range(30):
             configuration(tmp_path, known=known, discovery=discovery_servers[number % 3].address)
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -555,7 +555,7 @@
         "settings": {**info(), "balancers": FLEET_SIZE},
     }
     async with running_program(tmp_path, sockets, **changes) as (running, addresses, lines):
-        caller = await connect_client(addresses["listening on"])
+        caller = await connect_client(addresses["INFO listening on"])
         process, max_descriptors = psutil.Process(running.pid), 0
         for start in range(0, requests, CONCURRENT_REQUESTS):
             await request_keys(
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -148,14 +148,14 @@
     ("change", "error"),
     [
         ({"classes": None}, "classes is missing"),
-        ({"classes": []}, "classes makes no sense"),
-        ({"classes": [{"aim": 0, "deadline": 5}]}, "classes[0].aim makes no sense"),
-        ({"classes": [{"aim": 1, "deadline": 5, "effect": "odd"}]}, "classes[0].effect makes no sense"),
+        ({"classes": []}, "classes is invalid"),
+        ({"classes": [{"aim": 0, "deadline": 5}]}, "classes[0].aim is invalid"),
+        ({"classes": [{"aim": 1, "deadline": 5, "effect": "odd"}]}, "classes[0].effect is invalid"),
         ({"ceilings": None}, "ceilings is missing"),
-        ({"safety": {"rampTime": "soon"}}, "safety.rampTime makes no sense"),
-        ({"specifics": {"mode": "sideways"}}, "specifics.mode makes no sense"),
-        ({"registryMode": 3}, "registryMode makes no sense"),
-        ({"tenants": [3]}, "tenants makes no sense"),
+        ({"safety": {"rampTime": "soon"}}, "safety.rampTime is invalid"),
+        ({"specifics": {"mode": "sideways"}}, "specifics.mode is invalid"),
+        ({"registryMode": 3}, "registryMode is invalid"),
+        ({"tenants": [3]}, "tenants is invalid"),
     ],
 )
 def test_invalid_setting_is_named_and_stops_only_its_instance(change: Json, error: str) -> None:
