--- a/tests/router_bench.py
+++ b/tests/router_bench.py
@@ -1,4 +1,4 @@
-"""Scripted loopback peers of the router under test: clients, cache servers, an origin and discovery."""
+"""A router under test with scripted clients, cache servers, origin and discovery on loopback."""
 
 import asyncio
 import contextlib
