--- a/applehub/lab/fleet/harness.py
+++ b/applehub/lab/fleet/harness.py
@@ -26,7 +26,7 @@
 from applehub.settings import Json
 
 VALUE_BYTES = 64
-SHIM_FAULTS = frozenset(
+ENVIRONMENT_FAULTS = frozenset(
     ("clock", "power", "full", "readonly", "torn", "slow_disk")
 )  # faults that need `fault_environment`
 READY_TIMEOUT_S = 6.0  # time allowed for the new process of an upgrade to become ready
@@ -481,7 +481,7 @@
         if release is not None and release.what == "routers" and release.bad:
             return {"variant": release.bad if self.versions.get(router) == NEW_VERSION else ""}
         has_system_call_faults = "system_call" in kinds
-        if self.plan.fleet.variant or has_system_call_faults or kinds & SHIM_FAULTS:
+        if self.plan.fleet.variant or has_system_call_faults or kinds & ENVIRONMENT_FAULTS:
             return {"variant": self.plan.fleet.variant, "system_calls": has_system_call_faults}
         return None
 
--- a/applehub/lab/fleet/plan_generator.py
+++ b/applehub/lab/fleet/plan_generator.py
@@ -187,9 +187,9 @@
             continue
         if peers and number % 2:
             peer_fault = PEER_FAULT_GENERATORS[draws.below(len(PEER_FAULT_GENERATORS))](draws, routers)
-            begins_at, duration = draws.between(1.0, max(1.1, seconds - 4)), draws.between(0.5, 5)
+            starts_at, duration = draws.between(1.0, max(1.1, seconds - 4)), draws.between(0.5, 5)
             generated.append(
-                {"edges": ["router-*>router-*"], "at": begins_at, "for_s": duration, **peer_fault}
+                {"edges": ["router-*>router-*"], "at": starts_at, "for_s": duration, **peer_fault}
             )
             continue
         remaining = draws.uniform() * total_weight
@@ -242,13 +242,13 @@
 
 def _delay_past_earlier_faults(fault: Json, earlier_faults: list[Json]) -> Json:
     """Delays a fault until earlier faults of the same process or of the list service are over."""
-    begins_at = fault["at"]
+    starts_at = fault["at"]
     for earlier in earlier_faults:
         shared_targets = set(earlier.get("target", [])) & set(fault.get("target", []))
         shared_targets |= {"list"} if _affects_registry(earlier) and _affects_registry(fault) else set()
         if shared_targets or {earlier["kind"], fault["kind"]} == {"overload", "kill"}:
-            begins_at = max(begins_at, earlier["at"] + earlier.get("for_s", 0.0) + 4.5)
-    fault["at"] = begins_at
+            starts_at = max(starts_at, earlier["at"] + earlier.get("for_s", 0.0) + 4.5)
+    fault["at"] = starts_at
     return fault
 
 
--- a/applehub/lab/fleet/variants.py
+++ b/applehub/lab/fleet/variants.py
@@ -23,32 +23,34 @@
 from applehub.peers.records import Body, Record, RecordKey
 from applehub.settings import Json
 
-SPOILED_EVERY = 20  # every n-th answer is spoiled
+REPLACED_ANSWER_INTERVAL = 20  # every n-th answer is replaced
 
 
-def _spoil_answers(spoil: Callable[[Driver, PendingRequest, bytes, ResponseResult, Any], None]) -> None:
-    """Passes every SPOILED_EVERY-th answer to `spoil`, together with the original method."""
+def _replace_answers(
+    replace_answer: Callable[[Driver, PendingRequest, bytes, ResponseResult, Any], None],
+) -> None:
+    """Passes every n-th answer to `replace_answer`, together with the original method."""
     original, count = Driver._answer, 0
 
     def answer(self: Driver, request: PendingRequest, answer: bytes, outcome: ResponseResult) -> None:
         nonlocal count
         count += 1
-        if count % SPOILED_EVERY:
+        if count % REPLACED_ANSWER_INTERVAL:
             original(self, request, answer, outcome)
         else:
-            spoil(self, request, answer, outcome, original)
+            replace_answer(self, request, answer, outcome, original)
 
     Driver._answer = answer  # type: ignore[method-assign]
 
 
 def loses() -> None:
     """Closes some connections instead of answering."""
-    _spoil_answers(lambda self, request, answer, outcome, original: self._close(request))
+    _replace_answers(lambda self, request, answer, outcome, original: self._close(request))
 
 
 def answers_twice() -> None:
     """Sends a second answer after some answers."""
-    _spoil_answers(
+    _replace_answers(
         lambda self, request, answer, outcome, original: original(
             self, request, answer + resp.FAILED, outcome
         )
@@ -65,7 +67,7 @@
         delay_s = (request.call.wait_ms or 0) / 1000 + 3600
         asyncio.get_running_loop().call_later(delay_s, original, self, request, answer, outcome)
 
-    _spoil_answers(answer_late)
+    _replace_answers(answer_late)
 
 
 def resends() -> None:
@@ -162,7 +164,7 @@
     ) -> None:
         original(self, request, resp.FAILED, ResponseResult.ERRORS)
 
-    _spoil_answers(fail)
+    _replace_answers(fail)
 
 
 def burns() -> None:
@@ -192,7 +194,7 @@
 
 def crashes() -> None:
     """Exits while it serves requests."""
-    _spoil_answers(lambda self, request, answer, outcome, original: os._exit(3))
+    _replace_answers(lambda self, request, answer, outcome, original: os._exit(3))
 
 
 def never_buries() -> None:
--- a/applehub/lab/fleet/watch_commands.py
+++ b/applehub/lab/fleet/watch_commands.py
@@ -133,7 +133,7 @@
 
 HEADINGS = [
     "routers", "late s", "seed", "p50 s", "p99 s", "worst s", "which", "in 6 s", "no list", "allowed s",
-    "breaches", "calls/s", "answered", "503", "wasted turns", "lapsed", "lag s",
+    "breaches", "calls/s", "answered", "503", "wasted calls", "lapsed", "lag s",
 ]  # fmt: skip
 
 
--- a/applehub/lab/rules.py
+++ b/applehub/lab/rules.py
@@ -14,7 +14,7 @@
 from applehub.settings import Json
 
 MAX_RECORDED = 20  # violations recorded in full; later ones are only counted
-INFORMED_FRACTION = 2 / 3  # minimum share of an overload from routers informed of the start, for a violation
+INFORMED_FRACTION = 2 / 3  # minimum fraction of the load from routers that knew of the start, for a violation
 
 
 @dataclass(slots=True)
--- a/applehub/lab/workload.py
+++ b/applehub/lab/workload.py
@@ -109,7 +109,7 @@
     count = keys.per_server * scenario.topology.servers
     popularity = _cumulative_popularity(keys, count)
     ranks = np.searchsorted(popularity, random_generator.random(len(times)))
-    # The key of each rank is replaced at its own times: a key number encodes its rank and its generation.
+    # A key number encodes the rank and the generation, because the key of each rank is replaced separately.
     generations = np.floor(times * keys.drift_per_s + random_generator.random(count)[ranks]).astype(np.int64)
     numbers: Ints = generations * count + ranks
     for index, fault in enumerate(scenario.faults):
--- a/applehub/node/shared_state.py
+++ b/applehub/node/shared_state.py
@@ -36,10 +36,10 @@
 
     def has_other_process(self) -> bool:
         """Returns whether another process of this router runs, or the previous result if the query fails."""
-        whole_file = struct.pack(FLOCK_FORMAT, fcntl.F_WRLCK, os.SEEK_SET, 0, 0, 0)
+        lock_query = struct.pack(FLOCK_FORMAT, fcntl.F_WRLCK, os.SEEK_SET, 0, 0, 0)
         try:
             lock_type: int = struct.unpack(
-                FLOCK_FORMAT, fcntl.fcntl(self.lock_file, fcntl.F_GETLK, whole_file)
+                FLOCK_FORMAT, fcntl.fcntl(self.lock_file, fcntl.F_GETLK, lock_query)
             )[0]
         except OSError as error:
             if not self._query_failed:  # logs only the first of consecutive failures
