--- a/applehub/node/watch.py
+++ b/applehub/node/watch.py
@@ -81,11 +81,13 @@
     fails. The watch has failed only if all addresses have failed. Calls carry the current version, so that
     another address sends what has changed since; older versions are ignored.
 
-    must_ask: whether the balancer decides when to call again once all addresses have failed.
+    list_on_request: whether the balancer decides when to call again once all addresses have failed.
     """
 
-    def __init__(self, endpoints: list[Endpoint], directory: Directory, seed: int, must_ask: bool) -> None:
-        self.endpoints, self.directory, self.must_ask = endpoints, directory, must_ask
+    def __init__(
+        self, endpoints: list[Endpoint], directory: Directory, seed: int, list_on_request: bool
+    ) -> None:
+        self.endpoints, self.directory, self.list_on_request = endpoints, directory, list_on_request
         self.random = random.Random(seed)
         self.endpoint_index = self.random.randrange(len(endpoints)) if len(endpoints) > 1 else 0
         self.schedule = CallSchedule(self.random, len(endpoints))
@@ -166,7 +168,7 @@
             self.next_call_at = now + wait
             return
         if self.calls:
-            log.warning("discovery did not answer in time: %s", self.phase)
+            log.warning("discovery call timed out: %s", self.phase)
             self.phase = Phase.CATCH_UP
             self.endpoint_index = (self.endpoint_index + 1) % len(self.endpoints)
         if len(self.calls) >= MAX_CALLS:
@@ -215,7 +217,7 @@
         try:
             self._apply(call.task.result(), call.full_list)
         except CALL_ERRORS as error:
-            log.warning("discovery did not answer: %s: %s", type(error).__name__, error)
+            log.warning("discovery call failed: %s: %s", type(error).__name__, error)
             if isinstance(error, RejectedError):
                 self.schedule.rejected()
             self._call_failed(call, position, now)
@@ -261,7 +263,7 @@
             self.next_call_at = now
         elif any(not older.hold for older in self.calls):
             self.next_call_at = self.schedule.call_due(now, call.jitter)
-        elif self.calls or not self.must_ask:
+        elif self.calls or not self.list_on_request:
             self.next_call_at = now + self.schedule.backoff(self.consecutive_failures // len(self.endpoints))
         else:
             self.next_call_at = None
--- a/applehub/release/plan.py
+++ b/applehub/release/plan.py
@@ -9,9 +9,9 @@
 
 from pydantic import Field, model_validator
 
-from applehub.checked import Table, read_toml, validate
 from applehub.release.errors import PlanError
 from applehub.release.state_machine import ReleaseKind
+from applehub.validation import Table, read_toml, validate
 
 Count = Annotated[int, Field(ge=1)]
 Seconds = Annotated[float, Field(ge=0, le=86_400)]
@@ -93,14 +93,14 @@
             name for stage in self.unit_names_by_stage() for name in stage
         }
         if not errors and remaining:
-            errors.append(f"stages: {len(remaining)} units are in none, {min(remaining)} among them")
+            errors.append(f"stages: {len(remaining)} units are in no stage, {min(remaining)} among them")
         if errors:
             raise ValueError("; ".join(errors))
         return self
 
     def _duplicates(self) -> list[str]:
         counts = Counter(unit.name for unit in self.fleet)
-        return [f"fleet: {name} stands there twice" for name in sorted(counts) if counts[name] > 1]
+        return [f"fleet: {name} is listed twice" for name in sorted(counts) if counts[name] > 1]
 
     def _unknown_zones(self) -> list[str]:
         zones = {unit.zone for unit in self.fleet}
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -13,11 +13,11 @@
 
 import psutil
 import pytest
-from peers import WAIT_TIMEOUT, Cache, Caller, Web, entry, hit, http, info, router, wait_until
+from router_bench import WAIT_TIMEOUT, Cache, Caller, Web, entry, hit, http, info, router, wait_until
 from support import MILLI, SECOND, Router, fleet, settings
 from test_descriptors import connect_client, running_program
 from test_discovery import ROOT, http_list, listing
-from virtual import run_in_virtual_time
+from virtual_time import run_in_virtual_time
 
 from applehub import interface as api
 from applehub.events import EventKind
@@ -555,7 +555,7 @@
         "settings": {**info(), "balancers": FLEET_SIZE},
     }
     async with running_program(tmp_path, sockets, **changes) as (running, addresses, lines):
-        caller = await connect_client(addresses["listening on"])
+        caller = await connect_client(addresses["INFO listening on"])
         process, max_descriptors = psutil.Process(running.pid), 0
         for start in range(0, requests, CONCURRENT_REQUESTS):
             await request_keys(
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -1,7 +1,7 @@
 """Stalls of the process for 0.15 s between reading the clock and writing to a socket.
 
-The tests run in virtual time (see `virtual`): at the point of the stall the clock advances in one step, and
-the test performs there what other processes do in the meantime.
+The tests run in virtual time (see `virtual_time`): at the point of the stall the clock advances in one step,
+and the test performs there what other processes do in the meantime.
 """
 
 import asyncio
@@ -13,9 +13,9 @@
 from typing import Any
 
 import pytest
-from peers import MISS, Bench, Caller, Peer, entry, hit, http, router
+from router_bench import MISS, Bench, Caller, Peer, entry, hit, http, router
 from test_list_propagation import FaultyDiscovery
-from virtual import VirtualTimeLoop, run_in_virtual_time
+from virtual_time import VirtualTimeLoop, run_in_virtual_time
 
 from applehub.node.caches import CacheConnection
 from applehub.node.call import Exchange
@@ -378,13 +378,13 @@
     """An answer may arrive up to half a second after the deadline."""
 
     async def test() -> None:
-        fill = Slot.fill
+        set_answer = Slot.set_answer
 
-        def stall_and_fill(slot: Slot, answer: bytes) -> None:
+        def stall_and_set_answer(slot: Slot, answer: bytes) -> None:
             stall_process()
-            fill(slot, answer)
+            set_answer(slot, answer)
 
-        monkeypatch.setattr(Slot, "fill", stall_and_fill)
+        monkeypatch.setattr(Slot, "set_answer", stall_and_set_answer)
         async with router(lambda request, writer: None) as bench:
             caller = await bench.caller()
             started_at = now()
@@ -399,13 +399,13 @@
     """The router reserves 0.3 s between the last answers and SIGKILL."""
 
     async def test() -> None:
-        end_all = Driver._end_all
+        fail_all = Driver._fail_all
 
-        def stall_and_end(driver: Driver) -> None:
+        def stall_and_fail(driver: Driver) -> None:
             stall_process()
-            end_all(driver)
+            fail_all(driver)
 
-        monkeypatch.setattr(Driver, "_end_all", stall_and_end)
+        monkeypatch.setattr(Driver, "_fail_all", stall_and_fail)
         async with router(lambda request, writer: None) as bench:
             caller = await bench.caller()
             caller.get(info=b"c=read,t=acme,d=9000")
