--- a/applehub/policy/balancer.py
+++ b/applehub/policy/balancer.py
@@ -90,7 +90,7 @@
 
     @property
     def client_retry_after(self) -> int:
-        """Time, in nanoseconds, after which a rejected client may retry; 0 if rejections carry none."""
+        """Time, in nanoseconds, after which a rejected client may retry; 0 if rejections carry no time."""
         enabled, limit = self.context.settings.retry_after, self.context.settings.max_retry_after
         return min(self.context.shortest_objective, limit) if enabled else 0
 
--- a/applehub/policy/failed_starts.py
+++ b/applehub/policy/failed_starts.py
@@ -12,7 +12,7 @@
 from applehub.policy.job import Job
 from applehub.policy.rates import SECOND
 
-MIN_DELAY = SECOND // 200  # minimum delay between two batches of retries
+MIN_DELAY = SECOND // 200  # minimum delay, in ns, between two batches of retries
 MAX_DELAY = SECOND // 20
 MAX_BATCH_SIZE = 4
 MAX_FAILED_STARTS = 64  # maximum number of failed starts of one request
--- a/applehub/policy/job.py
+++ b/applehub/policy/job.py
@@ -17,17 +17,17 @@
     request: api.Request
     spec: api.RequestClass
     objective_deadline: int  # end of the latency objective, or the deadline if that is earlier
-    over_quota: bool = False  # exceeds its tenant's quota
-    # The key was not hit recently or, in cache-through mode, not requested recently.
+    over_quota: bool = False  # whether the request exceeds its tenant's quota
+    # Whether the key was not hit recently or, in cache-through mode, not requested recently.
     likely_miss: bool = False
     skip_owners: int = 0  # number of range owners to skip, to spread a hot key
     at_origin: bool = False  # whether to send to the origin: a write, or a read that missed
-    detached: bool = False  # the result of its origin read does not affect the caches
+    detached: bool = False  # whether its origin read does not affect the caches
     attempts_made: int = 0
     not_started: int = 0  # attempts that this machine could not start
     unreachable: set[str] = field(default_factory=set)  # servers to skip since no attempt could be started
-    waiting_to_start: bool = False  # queued until this machine can start an attempt
-    has_token: bool = False  # whether it has a token that no attempt has used yet
+    waiting_to_start: bool = False  # whether it is queued until this machine can start an attempt
+    has_token: bool = False  # whether the job has a token that no attempt has used yet
     # Attempts that may have been executed: server and send time, by attempt number.
     may_have_run: dict[int, tuple[Server, int]] = field(default_factory=dict)
     in_flight: set[int] = field(default_factory=set)  # numbers of the attempts in flight
--- a/applehub/policy/placement.py
+++ b/applehub/policy/placement.py
@@ -9,7 +9,7 @@
 from applehub.policy.server_table import ServerTable
 from applehub.policy.servers import SLOW_FRACTION, Server
 
-SLOW_FRACTION_OVER_QUOTA = 1 / 4  # SLOW_FRACTION for requests over quota, which are shed first
+SLOW_FRACTION_OVER_QUOTA = 1 / 4  # replaces SLOW_FRACTION for requests over quota, which are shed first
 # A server is overloaded above this multiple of its base latency; the second value is for requests over quota.
 QUEUEING_FACTOR, QUEUEING_FACTOR_OVER_QUOTA = 4, 2
 MAX_WARMUP_TOKENS = 2  # maximum number of saved tokens for one warming server, over all processes of a router
--- a/applehub/policy/replicas.py
+++ b/applehub/policy/replicas.py
@@ -20,7 +20,7 @@
     def __init__(self, context: EventContext, server_table: ServerTable) -> None:
         self.context, self.server_table = context, server_table
         self.popularity = Popularity()
-        # By key: the number of additional ranges, and the time of the measurement that last raised it.
+        # By key: the number of additional ranges, and the time of the response that last raised it.
         self.replica_counts: dict[str, tuple[int, int]] = {}
 
     def choose_replica(self, key: str) -> int:
--- a/applehub/policy/servers.py
+++ b/applehub/policy/servers.py
@@ -19,8 +19,8 @@
 
     lowest_base_latency: float = 0.0  # lowest base latency of a server of the kind, ns
     range_fraction: float = 1.0  # fraction of an equal range that a server of the kind takes
-    # Base latency, sequence number (as servers have no order), server and its kind. Outdated entries are
-    # removed when they reach the top.
+    # Base latency, sequence number (breaks ties, since servers cannot be compared), server and its kind.
+    # Outdated entries are removed when they reach the top.
     heap: "list[tuple[float, int, Server, int]]" = field(default_factory=list)
     push_count: int = 0
     max_heap_size: int = MIN_HEAP_SIZE  # heap size above which all outdated entries are removed
