--- a/applehub/node/clients.py
+++ b/applehub/node/clients.py
@@ -17,7 +17,7 @@
 from applehub.node.unread import PEER_CLOSED, UnreadInput
 from applehub.settings import Names
 
-MAX_PIPELINED_COMMANDS = 32  # commands of one connection in progress; further commands are not processed
+MAX_PIPELINED_COMMANDS = 32  # maximum commands of one connection in progress; later commands wait
 WRITE_STALL_TIMEOUT = 10.0  # seconds for which a client may leave answers unread
 COMMAND_TIMEOUT = 2.5  # seconds for a complete command, from the connection or from the command's first byte
 LINGER_TIMEOUT = 1.0  # seconds for which input is still read after the last answer
--- a/applehub/node/console.py
+++ b/applehub/node/console.py
@@ -8,7 +8,7 @@
 
 from applehub.node.accepting import Acceptor
 
-MAX_CONNECTIONS = 16  # connections that have not sent a complete line; beyond that the oldest is closed
+MAX_CONNECTIONS = 16  # maximum connections without a complete line; above it the oldest is closed
 BACKLOG = 100  # connections that wait to be accepted
 # A connection whose line has arrived needs three ticks of the event loop to finish, so a burst of such
 # connections never reaches MAX_CONNECTIONS.
@@ -75,7 +75,7 @@
 
     def __init__(self, commands: dict[str, Handler]) -> None:
         self.commands = commands
-        self.connections: dict[ConsoleConnection, None] = {}  # oldest first; without a complete line
+        self.connections: dict[ConsoleConnection, None] = {}  # without a complete line, oldest first
         self._acceptor: Acceptor | None = None
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
--- a/applehub/node/resp.py
+++ b/applehub/node/resp.py
@@ -6,13 +6,13 @@
 
 import hiredis
 
-MAX_BUFFERED_VALUE = 64 * 1024  # bytes of a key, an id, a list or a value that is buffered completely
-MAX_LONG_VALUE = 8 << 20  # bytes of a value that is forwarded in chunks
-MAX_LINE = 1024  # bytes of one line, which contains no part of a bulk string
-MAX_ITEMS = 8  # items of an array
+MAX_BUFFERED_VALUE = 64 * 1024  # maximum bytes of a key, id, parameter list or value that is not streamed
+MAX_LONG_VALUE = 8 << 20  # maximum bytes of a value that is forwarded in chunks
+MAX_LINE = 1024  # maximum bytes of one line, which contains no part of a bulk string
+MAX_ITEMS = 8  # maximum items of an array
 WRITE_ITEMS = 5  # items of a C.SET command, the value last
 WRITE_COMMAND = re.compile(rb"\*5\r\n\$5\r\nC\.SET\r\n", re.IGNORECASE)
-MAX_FRAME = 5 * MAX_BUFFERED_VALUE  # bytes of a command; a C.SET command has at most four large items
+MAX_FRAME = 5 * MAX_BUFFERED_VALUE  # maximum bytes of a command; C.SET has at most four large items
 DISCARDED = bytearray()  # replaces a long value that was not admitted
 INCOMPLETE = object()  # returned while no complete value is buffered
 FAILED = b"-ERR failed\r\n"
