--- a/applehub/events.py
+++ b/applehub/events.py
@@ -27,7 +27,7 @@
     STARTED = "started"  # pid
     READY = "ready"  # address
     EXITED = "exited"  # code; planned: whether the test harness ended the process
-    RESOURCE_SAMPLE = "sample"  # cpu_s, memory_mb, descriptors of the process since its start
+    RESOURCE_SAMPLE = "sample"  # cpu_s: CPU time since the start of the process; memory_mb; descriptors
     FAULT_BEGUN = "fault"  # fault: number of the fault; kind; processes, edges: what the fault affects
     FAULT_ENDED = "healed"  # fault
     FAULT_NOT_BEGUN = "undone"  # fault; why: injection error; of: process that did not start
@@ -50,8 +50,8 @@
     CONFIG_RELOADED = "reloaded"  # taken: whether the file was applied; why: reason if it was not
     STORE_DAMAGED = "damaged"  # why: stored data is unusable
     CHANGE_ACKNOWLEDGED = "acked"  # server, entry, version: the list service acknowledged a change
-    ENTRIES_HELD = "held"  # of, servers: versions of all entries at the leader at the end of a run
-    PEER_FIGURES = "peers"  # router, figures: statistics that it received from other routers
+    ENTRIES_HELD = "held"  # of: leader; version; servers: version of each entry at the end of a run
+    PEER_FIGURES = "peers"  # router, figures: statistics that the router received from its peers
     PEERS_AGREED = "agreed"  # routers: number of running routers, each of which knows all of them
     RELEASE_MODE = "release"  # mode, why: a release entered this mode
     ORDER_SENT = "ordered"  # unit, number, step, version: an order was sent to an agent
--- a/applehub/release/__main__.py
+++ b/applehub/release/__main__.py
@@ -30,7 +30,7 @@
 EXIT_UNUSABLE = 2  # a plan or a release folder can't be used
 EXIT_HALTED = 3
 MAX_PORT = 65_535
-STATUS_INTERVAL_S = 1.0  # between two outputs of `status --watch`
+STATUS_INTERVAL_S = 1.0  # interval between two outputs of `status --watch`
 STATE_OPTION = click.option(
     "--state",
     "folder",
--- a/applehub/release/gates.py
+++ b/applehub/release/gates.py
@@ -28,7 +28,8 @@
 IMMEDIATE_KINDS = frozenset((FailureKind.FAILED, FailureKind.REFUSED, FailureKind.LATE))
 HEALTH_WINDOW_POLLS = 10  # polls over which the failure rate of the old version is measured
 MIN_HEALTH_REQUESTS = 20  # requests in the window below which the failure rate is ignored
-MAX_SILENT_FRACTION = 0.25  # fraction of old units; above it, the network or the agents are assumed faulty
+# Silent fraction of the units of the old version above which the network or the agents are assumed faulty.
+MAX_SILENT_FRACTION = 0.25
 NO_REPORT = LoadReport({})
 Deltas = Mapping[str, LoadReport]  # increase of each metric since the previous poll, by unit
 
@@ -80,7 +81,7 @@
         }
         self._observations: dict[str, _UnitObservation] = {}
         self._recent_counts: list[RequestCounts] = []  # requests of the old version at the latest polls
-        self._expensive_since: dict[str, float] = {}  # start of exceeding the limit, by name of the cost
+        self._expensive_since: dict[str, float] = {}  # by cost: time since which it exceeds its limit
         self._polled_at: float | None = None
 
     def state(self) -> GateState:
--- a/applehub/release/lock.py
+++ b/applehub/release/lock.py
@@ -49,7 +49,7 @@
                 continue
 
     async def _request(self, address: str, now: float) -> bool:
-        """Requests a lease from `now` from one replica. Returns whether the replica granted or denied it."""
+        """Requests a lease that starts at `now`; returns whether the replica granted or denied it."""
         body = {"holder": self._holder, "lease_ms": int(LEASE_S * 1000)}
         try:
             async with self._session.put(f"http://{address}/v1/locks/{LOCK_NAME}", json=body) as response:
--- a/applehub/release/plan.py
+++ b/applehub/release/plan.py
@@ -36,7 +36,7 @@
     zones: list[Name] = Field(default=[])  # zones from which units are taken; empty for all zones
     count: Count | None = None
     part: Annotated[float, Field(gt=0, le=1)] | None = None
-    watch_s: Seconds = 60.0  # from the last upgrade of this stage until the next stage starts
+    watch_s: Seconds = 60.0  # time from the last upgrade of this stage until the next stage
 
     @model_validator(mode="after")
     def _check_size(self) -> "Stage":
@@ -50,16 +50,17 @@
 
     out_at_once: Count = 1  # maximum number of units out of service
     tries: Annotated[int, Field(ge=1, le=10)] = 2  # attempts at a step before the unit is rolled back
-    step_s: Annotated[float, Field(gt=0, le=3600)] = 60.0  # after which an order without an outcome is resent
+    step_s: Annotated[float, Field(gt=0, le=3600)] = 60.0  # time after which a pending order is sent again
 
 
 class GateSettings(Table):
     """Settings of the health gates, which compare the two versions while both are in service."""
 
     look_s: Annotated[float, Field(ge=0.05, le=60)] = 1.0  # interval between polls
-    alpha: Annotated[float, Field(gt=0, le=0.1)] = 0.01  # maximum probability of halting an equal version
+    # Maximum probability of halting a release whose new version is as good as the old one.
+    alpha: Annotated[float, Field(gt=0, le=0.1)] = 0.01
     least: Annotated[float, Field(gt=0, lt=1)] = 0.005  # tolerated additional failures per request
-    silent_s: Positive = 10.0  # silence of a unit of the new version that halts the release
+    silent_s: Positive = 10.0  # the release is halted if a unit of the new version is silent for longer
     before_s: Seconds = 300.0  # duration of polling the old version before the first upgrade
     settle_s: Seconds = 0.0  # time in service before a unit's misses and costs count
     cost: Annotated[float, Field(gt=1)] = (
@@ -79,7 +80,7 @@
     new: Name
     limits: Limits = Limits()
     gates: GateSettings = GateSettings()
-    lists: list[Address] = Field(default=[])  # staff addresses of the list service's replicas, for the lock
+    lists: list[Address] = Field(default=[])  # admin addresses of the list service's replicas, for the lock
     back_on_halt: bool = False  # whether a rejected version is rolled back automatically
     stages: Annotated[list[Stage], Field(min_length=1)]
     fleet: Annotated[list[PlannedUnit], Field(min_length=1)]
--- a/applehub/release/state_machine.py
+++ b/applehub/release/state_machine.py
@@ -208,7 +208,7 @@
         reason = f"{name}: {STEPS[record.kind][unit.step_index]} failed {unit.attempts} times"
         if unit.target_version == record.old_version:
             self.halt(reason)
-            record.stuck_units.append(name)  # remains out of service until staff resume or roll back
+            record.stuck_units.append(name)  # the unit stays out of service until staff resume or roll back
             return []
         self.reject_version(reason)
         self._retarget(unit, record.old_version)
--- a/applehub/release/stored_record.py
+++ b/applehub/release/stored_record.py
@@ -31,7 +31,7 @@
 
     identity: str  # identifier of the clock
     reading: float
-    unix_time: float  # equals `watched` unless an older controller has written the record since
+    unix_time: float  # equals the record's `watched` unless an older controller changed it
 
     def encode(self) -> JsonObject:
         return {"identity": self.identity, "watched": self.reading, "unix": self.unix_time}
@@ -45,7 +45,7 @@
     """Encodes and decodes records, whose times are readings of one clock."""
 
     def __init__(self, clock: Clock) -> None:
-        """Takes the clock of the records' times."""
+        """clock: the clock that all times in the records were read from."""
         self._clock = clock
         # Unix times by clock reading, cached so that steps of the wall clock don't change stored records.
         self._unix_times: dict[float, float] = {}
