--- a/applehub/registry/config.py
+++ b/applehub/registry/config.py
@@ -73,7 +73,7 @@
     listen: str = "127.0.0.1:0"  # HOST:PORT for requests of routers
     staff: str = "127.0.0.1:0"  # HOST:PORT for writers, operators and metrics
     peers: dict[str, str] = Field(default={})  # addresses of all replicas by name, including this one
-    views: dict[str, str] = Field(default={})  # view of a router by its IP address
+    views: dict[str, str] = Field(default={})  # by IP address of a router: the view, which selects endpoints
     log_calls: bool = False  # whether requests of routers are logged as events
     timing: Timing = Timing()
     leases: Leases = Leases()
