--- a/applehub/lab/fleet/checks.py
+++ b/applehub/lab/fleet/checks.py
@@ -29,7 +29,7 @@
 CATCH_UP_NS = 500 * NS_PER_MS  # time after a fault's end until delayed data has been read
 NOT_EXECUTED_OUTCOMES = frozenset({"full", "rejected", "miss"})
 LIST_SERVICES = ("list", "list-0", "list-1", "list-2")  # the stand-in, or the replicas, of the list service
-# Time from the start of a hang until messages that were lost on the connection count as delivered.
+# Time from the start of a hang after which it no longer excuses a delay, since new connections work.
 HANG_DETECTION_NS = 6000 * NS_PER_MS
 TERM_GRACE_NS = 700 * NS_PER_MS  # time after SIGTERM in which new requests must still be served
 MAX_ATTEMPTS = 4
--- a/applehub/lab/fleet/clients.py
+++ b/applehub/lab/fleet/clients.py
@@ -18,7 +18,7 @@
 from applehub.node.resp import command
 
 HEALTH_CHECK_DELAY_S = 0.25  # delay until the next health check of a router that is down
-MAX_CONNECTIONS = 40  # to each router
+MAX_CONNECTIONS = 40  # maximum number of connections to each router
 
 
 class Request:
--- a/applehub/lab/fleet/plan.py
+++ b/applehub/lab/fleet/plan.py
@@ -48,7 +48,8 @@
     """Open-loop load: requests are sent on schedule, independent of responses."""
 
     rate: Annotated[float, Field(gt=0, le=5000)] = 100.0
-    seconds: Annotated[float, Field(gt=0, le=3600)] = 10.0  # minimum; extended until all faults are over
+    # Minimum duration, which is extended until all faults are over.
+    seconds: Annotated[float, Field(gt=0, le=3600)] = 10.0
     most_s: Annotated[float, Field(gt=0, le=3600)] = (
         120.0  # maximum time until all faults and the release are over
     )
@@ -72,7 +73,7 @@
     told_ms: Positive = 6000.0  # maximum time from when a router's path to the list service is free of faults
     departed_ms: Positive = 100.0  # maximum time from a client disconnect to the start of an attempt
     keyed_window_ms: Positive = 2050.0
-    peers_ms: Positive = 10_000.0  # from the end of a fault until all routers agree on the live routers
+    peers_ms: Positive = 10_000.0  # maximum time after a fault until routers agree on the live routers
 
 
 OLD_VERSION, NEW_VERSION = "v1", "v2"  # versions in a release
--- a/applehub/lab/fleet/report.py
+++ b/applehub/lab/fleet/report.py
@@ -7,7 +7,8 @@
 
 NS_PER_S = 1_000_000_000
 WINDOW_NS = NS_PER_S // 4  # window over which the served fraction is computed, ns
-RECOVERY_FRACTION = 0.95  # of the served fraction before the fault; below it, service is degraded
+# Service is degraded below this multiple of the served fraction before the fault.
+RECOVERY_FRACTION = 0.95
 BASELINE_NS, MAX_RECOVERY_NS = (
     5 * NS_PER_S,
     20 * NS_PER_S,
--- a/applehub/lab/fleet/service_queue.py
+++ b/applehub/lab/fleet/service_queue.py
@@ -14,7 +14,7 @@
     """The capacity, latency and queue limits of a list service."""
 
     capacity: float = 100.0  # calls per second
-    min_latency_s: float = 0.0  # from the start of a call until it is handled; drawn uniformly
+    min_latency_s: float = 0.0  # minimum time from the start of a call until it is handled
     max_latency_s: float = 0.0
     max_wait_s: float = 2.0  # a call that would queue for longer is rejected
     max_queued: int | None = None  # a call that finds this many in the queue is rejected as well
--- a/applehub/lab/fleet/watch_only_router.py
+++ b/applehub/lab/fleet/watch_only_router.py
@@ -28,7 +28,7 @@
         """Stops the client and closes its connections."""
 
 
-# Takes the endpoint of the list service, a seed and the callback.
+# Creates a caller from the endpoint of the list service, a seed and the callback.
 CallerFactory = Callable[[Endpoint, int, OnApplied], Caller]
 
 
--- a/applehub/lab/live/wide.py
+++ b/applehub/lab/live/wide.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricLimit:
-    """One row of the table of limits: derives a metric's limit from its value at the usual size."""
+    """Limit of a metric at the wide size, derived from the value of the metric at the usual size."""
 
     label: str
     unit: str
@@ -50,8 +50,7 @@
 CPU_LIMIT = MetricLimit("CPU seconds", "s", 1.4, 0.02, 0.12)
 METRIC_LIMITS = {
     "cpu_s": CPU_LIMIT,
-    # Not in the documented table: excludes the CPU time of the start, which is independent of the number of
-    # servers.
+    # Excludes the CPU time of the start, which is independent of the number of servers.
     "cpu_ready_s": MetricLimit(
         "CPU seconds once ready",
         CPU_LIMIT.unit,
--- a/applehub/lab/policies.py
+++ b/applehub/lab/policies.py
@@ -28,7 +28,7 @@
     request: api.Request
     at_origin: bool
     attempts_made: int = 0
-    retry_unsafe: bool = False  # an attempt may have executed a request that is not safe to repeat
+    retry_unsafe: bool = False  # whether an attempt may have executed a non-idempotent request
     tried_servers: set[str] = field(default_factory=set)
 
 
--- a/applehub/lab/routers.py
+++ b/applehub/lab/routers.py
@@ -56,7 +56,7 @@
         self.idle_connections: dict[str, deque[tuple[int, int]]] = {}
         self.known: dict[str, api.Member] = {}
         self.list_version = 0
-        self.drain_reported_at: dict[str, int] = {}  # time (ns) of the first report, by id
+        self.drain_reported_at: dict[str, int] = {}  # by server id: time (ns) of the first drain update
         self.watch_started_at = 0  # start of the latest watch, ns
         self.subscribed = False
         self.max_attempts = context.spec.max_attempts
--- a/applehub/lab/spec.py
+++ b/applehub/lab/spec.py
@@ -55,11 +55,11 @@
 class Servers(Table):
     """Settings that all cache servers share."""
 
-    memory: Positive = 1.3  # keys that all servers store, relative to one pooled cache
+    memory: Positive = 1.3  # number of keys that all servers can store, relative to one pooled cache
     choke: NonNegative = 0  # congestion: relative slowdown per choke_at jobs above choke_at
     choke_at: Positive = 8  # jobs per core above which congestion starts
     miss_work: Share = 0.1  # work of a miss, as a fraction of the request's work
-    drops_abandoned: bool = False  # drop queued requests that the router no longer waits for
+    drops_abandoned: bool = False  # whether servers drop queued requests that no router waits for
     error_share: Share = 0.0003
     report_ms: Positive = 860  # interval between updates of the load report
     report_noise: Share = 0.03  # maximum relative error of the load report
@@ -77,7 +77,7 @@
     work_of_aim: Positive = 0.15  # mean work of a read, relative to the shortest latency objective
     queue_s: Positive = 2  # queue limit, in seconds at full rate
     choke: NonNegative = 0.05
-    coalesce: bool = False  # concurrent reads of a key share one job
+    coalesce: bool = False  # whether concurrent reads of a key share one job
     error_share: Share = 0
     capacity_rps: NonNegative = 0  # 0: derived from headroom
 
@@ -182,8 +182,8 @@
     period_ms: Positive = 100  # interval between health checks of a router
     loss: Share = 0  # fraction of datagrams lost
     datagram_us: NonNegative = 100  # processor time per datagram sent or received
-    shares: bool = True  # the decision module receives the gossiped range fractions
-    verdicts: bool = True  # the decision module receives the gossiped failure reports
+    shares: bool = True  # whether the decision module receives gossiped range fractions
+    verdicts: bool = True  # whether the decision module receives gossiped failure reports
     liars: Share = 0  # fraction of routers that gossip failures and minimal fractions for every server
 
 
@@ -355,7 +355,7 @@
     kind: Literal["reload"]
     at_s: NonNegative
     max_attempts: Annotated[int, Field(ge=1, le=16)] = 4
-    moves: bool = False  # the discovery address changes
+    moves: bool = False  # whether the discovery address changes
 
 
 class DiscoveryFault(Table):
