--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,7 @@
 
 from applehub.node import arrivals
 
-# Tests that take more than half a minute on a busy machine, the slowest first.
+# The slowest tests, by descending duration; they start first in a parallel run.
 SLOW_TESTS = (
     "test_invariants_hold_and_each_mutant_is_detected",
     "test_all_routers_get_list_in_time_after_outage",
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The README example and the log lines on the on-call page match the program."""
+"""Tests that the README example and the log lines documented for operators match the program."""
 
 import contextlib
 import io
--- a/tests/test_hot_keys.py
+++ b/tests/test_hot_keys.py
@@ -51,7 +51,7 @@
         detections[number * 20 // requests] += (
             popularity.count_fair_shares(f"k{rng.randrange(keys)}", servers) > 0
         )
-    # Limits per twentieth of the requests, and in total.
+    # At most two false detections per twentieth of the requests, and five in total.
     assert max(detections.values()) <= 2 and sum(detections.values()) <= 5
 
 
--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -76,7 +76,7 @@
 
 def test_two_processes_share_the_tokens_of_a_warming_server() -> None:
     def tokens_taken(process_count: int) -> int:
-        # The window is long, so that the number of tokens limits the requests rather than the traffic.
+        # The window is long, so that the tokens, and not the traffic, limit the requests to the server.
         router = Router(settings(slow_start_time=60 * SECOND, overload_window=60 * SECOND))
         servers_sent_to(router, 200)
         router.deliver(api.ProcessCount(process_count))
--- a/tests/test_registry_disk.py
+++ b/tests/test_registry_disk.py
@@ -376,7 +376,7 @@
         primary = await group.wait_for_primary(session)
         affected = primary if role == "the primary" else next(peer for peer in group.names if peer != primary)
         group.refuse_writes(affected, True)
-        # A follower responds with 503.
+        # The disk refuses this write at the primary; a follower responds with 503 instead.
         await group.request(session, "PUT", affected, "/v1/servers/first-refused", BODY)
         await writer.register_servers(30)  # more entries than limits.compact
         await writer.wait_for_disk_refusal(affected, True)
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -1,4 +1,4 @@
-"""Regression tests of the policy, one for each failure found in simulation."""
+"""Regression tests of the policy; each test guards against one failure."""
 
 import pytest
 from support import MILLI, ORIGIN_KIND, SECOND, START, Router, fleet, settings
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -392,7 +392,7 @@
     response_time = ResponseTime(initial=2.0, minimum=0.5, maximum=4.0)
     assert (response_time.mean, response_time.timeout) == (2.0, 2.0)
     response_time.observe(1.0)
-    # RFC 6298: mean + 4 * deviation, which is at first half of the mean.
+    # RFC 6298: timeout = mean + 4 * deviation; the initial deviation is half of the mean.
     assert (response_time.mean, response_time.timeout) == (1.0, 3.0)
     for _ in range(50):
         response_time.observe(1.0)
--- a/tests/test_wide.py
+++ b/tests/test_wide.py
@@ -25,7 +25,7 @@
     "list_kb": 60.0,
     "served": 0.8,
 }
-# Limits that STANDING.md gives for these values at 3,200 cache servers.
+# Limits of these metrics at the wide size, with 3,200 cache servers, derived from USUAL_METRICS.
 EXPECTED_LIMITS = {
     "cpu_s": 1.4 + 0.02 + 3 * 0.12,
     "cpu_ready_s": 0.7 + 0.02 + 3 * 0.12,
