--- a/applehub/policy/throttle.py
+++ b/applehub/policy/throttle.py
@@ -104,7 +104,7 @@
             1.0, samples * EXPECTED_SLOW_FRACTION + 2 * math.sqrt(samples * EXPECTED_SLOW_FRACTION)
         )
         fraction = self.unhealthy_count / max(1, samples)
-        # With few misses, the counts are kept until there are enough samples.
+        # With few misses, the counts accumulate until there are enough samples.
         if overloaded or samples >= MIN_SAMPLES:
             self.healthy_count = self.unhealthy_count = 0
         throttle = self.throttle
