--- a/applehub/release/lock.py
+++ b/applehub/release/lock.py
@@ -62,5 +62,5 @@
             self.fence = fence
             self._lease_expires_at = now + LEASE_S * SAFE_LEASE_FRACTION
             self._addresses.remove(address)
-            self._addresses.insert(0, address)  # the leader, which is asked first from now on
+            self._addresses.insert(0, address)  # the leader, which gets the next requests first
         return status in (HTTPStatus.OK, HTTPStatus.CONFLICT)
--- a/applehub/release/state_machine.py
+++ b/applehub/release/state_machine.py
@@ -46,7 +46,7 @@
 
 
 class ReleaseMode(StrEnum):
-    """The mode of a release."""
+    """Whether a release proceeds, is halted, is being rolled back, or has ended."""
 
     RUNNING = "running"
     HALTED = "halted"
