--- a/applehub/registry/metrics.py
+++ b/applehub/registry/metrics.py
@@ -4,7 +4,7 @@
 
 
 class Metrics:
-    """The counters and gauges of a replica. Their names are documented for operators."""
+    """The counters and gauges of a replica. Operators' tools depend on their names."""
 
     def __init__(self) -> None:
         """Creates the metrics in a Prometheus registry of their own."""
