--- a/applehub/peers/codec.py
+++ b/applehub/peers/codec.py
@@ -39,7 +39,7 @@
 
     PING = 1
     ACK = 2  # answers a ping; also relayed to the member that requested the ping
-    PING_REQUEST = 3  # asks the receiver to ping the target on behalf of the sender
+    PING_REQUEST = 3  # requests that the receiver ping the target on behalf of the sender
     LEAVE = 4  # announces the shutdown of the sender
     GOSSIP = 5  # carries only peers and records; is not answered
 
