--- a/applehub/lab/live/fake_servers.py
+++ b/applehub/lab/live/fake_servers.py
@@ -1,4 +1,4 @@
-"""Fake cache servers, origin and discovery service on loopback, which speak the documented protocols.
+"""Fake cache servers, origin and discovery service on loopback, which speak the protocols of the real ones.
 
 They answer immediately unless a plan sets a service time, so that clients measure only the time of the router
 and the sockets.
--- a/applehub/lab/spec.py
+++ b/applehub/lab/spec.py
@@ -93,7 +93,7 @@
 
 
 class Discovery(Table):
-    """The discovery service."""
+    """Delays and capacity of the emulated discovery service."""
 
     notice_s: NonNegative = 3  # delay until a stopped server is reported
     add_s: NonNegative = 1.4  # delay until a started server is reported
