--- a/applehub/interface.py
+++ b/applehub/interface.py
@@ -188,7 +188,7 @@
     status: Status
     closed: bool  # the request has its final answer
     elapsed: int
-    detail: int = 0  # status-specific number
+    detail: int = 0  # code that adds to the status, such as a cache server's note; 0: none
     load: LoadReport | None = None
     connected: bool = False  # a new connection to the server was established for this attempt
 
