--- a/applehub/node/persisted_list.py
+++ b/applehub/node/persisted_list.py
@@ -25,7 +25,7 @@
         self.saver = Saver(folder, "list", FORMAT_VERSION, "server list")
         self.rev = 0
         self.targets: dict[str, Json] = {}
-        self.changes = 0  # number of answers merged
+        self.changes = 0  # number of discovery's answers merged into the list
         self.saved_changes = 0  # number of merged answers whose result is on disk
         self.save_task: asyncio.Task[None] | None = None
 
