--- a/applehub/release/model_state.py
+++ b/applehub/release/model_state.py
@@ -32,7 +32,7 @@
     units: dict[str, SimulatedUnit]
     memories: dict[str, AgentMemory]  # stored orders of each unit's own agent
     budget: FaultBudget
-    orders: set[tuple[Order, int]] = field(default_factory=set)  # in flight, with their fencing tokens
+    orders: set[tuple[Order, int]] = field(default_factory=set)  # orders in flight, with their fencing tokens
     unsent: set[Order] = field(default_factory=set)  # orders that wait for the record to be stored
     outcomes: set[Outcome] = field(default_factory=set)  # outcomes in flight
     fence: int = 1  # fencing token of the current controller
--- a/applehub/release/stored_record.py
+++ b/applehub/release/stored_record.py
@@ -29,7 +29,7 @@
 class _StoredReading:
     """A clock reading with the identity of its clock, as stored in `evidence`."""
 
-    identity: str  # identifier of the clock
+    identity: str  # `Clock.identity` of the clock that was read
     reading: float
     unix_time: float  # equals the record's `watched` unless an older controller changed it
 
