--- a/applehub/lab/fleet/clients.py
+++ b/applehub/lab/fleet/clients.py
@@ -39,7 +39,7 @@
     def __init__(self, name: str, router: str, cls: str, key: str, payload: bytes) -> None:
         self.name, self.router, self.cls, self.key, self.payload = name, router, cls, key, payload
         self.sent_at, self.retried = 0, False  # time of the first attempt, ns
-        self.disconnect_after_s = 0.0  # from sending until the client disconnects; 0: the client stays
+        self.disconnect_after_s = 0.0  # time from sending to the disconnect; 0: the client stays
         self.timer: asyncio.TimerHandle | None = None
 
 
--- a/applehub/lab/fleet/report.py
+++ b/applehub/lab/fleet/report.py
@@ -26,7 +26,7 @@
     before: float  # served fraction before the fault
     back_s: (
         float | None
-    )  # from the start of the fault until lasting recovery; None if there was none in MAX_RECOVERY_NS
+    )  # seconds from the start of the fault until lasting recovery; None if there was none in MAX_RECOVERY_NS
 
 
 def outcomes_of(history: History, objective_ms: float) -> list[tuple[int, str]]:
--- a/applehub/lab/fleet/scale.py
+++ b/applehub/lab/fleet/scale.py
@@ -36,7 +36,7 @@
     what: str
     servers: int
     watchers: int
-    first_lists_s: float  # from the first call until all watchers have the complete list
+    first_lists_s: float  # time from the first call until all watchers have the complete list
     one_by_one: float  # sequential changes per second
     together: float  # changes per second with CONCURRENT_CHANGES in flight
     told_p50: float
--- a/applehub/lab/routers.py
+++ b/applehub/lab/routers.py
@@ -65,7 +65,8 @@
         self.timer_cost, self.list_entry_cost = int(costs.alarm_us * 1000), int(costs.member_us * 1000)
         self.idle_timeout = int(costs.idle_s * SECOND)
         self.save_interval = int(costs.keeps_s * SECOND)
-        self.saved_statistics: tuple[int, api.SavedStatistics] | None = None  # with the time of the save, ns
+        # Time of the latest save (ns), and the statistics saved.
+        self.saved_statistics: tuple[int, api.SavedStatistics] | None = None
         self.decider: DecisionModule
 
     # Process lifetime
