--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -192,7 +192,7 @@
             caches = [entry(f"c{n}", f"127.0.0.{n + 1}:{port}") for n in range(4)]
             return [*caches, entry("o", web.address, model="origin")]
 
-        monkeypatch.setattr("peers.Cache.start", _start_everywhere)
+        monkeypatch.setattr("router_bench.Cache.start", _start_everywhere)
         async with router(entries=listed) as bench:
             callers = [await bench.caller() for _ in range(60)]
             bench.pools.set_timeouts(20.0, 0.01)  # idle connections are not reused, so each attempt opens one
