--- a/applehub/lab/__main__.py
+++ b/applehub/lab/__main__.py
@@ -14,7 +14,6 @@
 from rich.table import Table
 
 from applehub import wirehost
-from applehub.checked import read_toml
 from applehub.lab import cost, throttle_analysis
 from applehub.lab.clock import MILLI
 from applehub.lab.command_errors import report_errors
@@ -40,6 +39,7 @@
 from applehub.lab.spec import SpecError
 from applehub.lab.warmup_load import cold
 from applehub.settings import Json
+from applehub.validation import read_toml
 
 MIN_SHOWN_LOSS = 0.001  # fraction of the weight; causes with a smaller loss under every policy are summed
 PLOT_SUFFIXES = (".png", ".svg", ".pdf")
@@ -290,7 +290,7 @@
         f"{class_name} for {demand.key}, {demand.work / MILLI:.1f} ms of work, from zone {demand.zone}"
     )
     for client_attempt in simulation.client_attempts:
-        click.echo(f"try {client_attempt.id}, due {client_attempt.deadline / MILLI:.3f} ms")
+        click.echo(f"attempt {client_attempt.id}, due {client_attempt.deadline / MILLI:.3f} ms")
         for at, text in client_attempt.events:
             click.echo(f"  {at / MILLI:12.3f} ms  {text}")
 
--- a/applehub/lab/fleet/clients.py
+++ b/applehub/lab/fleet/clients.py
@@ -18,7 +18,7 @@
 from applehub.node.resp import command
 
 HEALTH_CHECK_DELAY_S = 0.25  # delay until the next health check of a router that is down
-MAX_CONNECTIONS = 40  # to each router
+MAX_CONNECTIONS = 40  # maximum number of connections to each router
 
 
 class Request:
@@ -39,7 +39,7 @@
     def __init__(self, name: str, router: str, cls: str, key: str, payload: bytes) -> None:
         self.name, self.router, self.cls, self.key, self.payload = name, router, cls, key, payload
         self.sent_at, self.retried = 0, False  # time of the first attempt, ns
-        self.disconnect_after_s = 0.0  # from sending until the client disconnects; 0: the client stays
+        self.disconnect_after_s = 0.0  # time from sending to the disconnect; 0: the client stays
         self.timer: asyncio.TimerHandle | None = None
 
 
@@ -78,7 +78,7 @@
         self.available, self.draining = True, False
         self.idle: list[Connection] = []
         self.connections: set[Connection] = set()
-        self.dial_tasks: set[asyncio.Task[None]] = set()
+        self.connect_tasks: set[asyncio.Task[None]] = set()
 
     def submit(self, request: Request, new_connection: bool = False) -> None:
         while self.idle and not new_connection:
@@ -86,14 +86,14 @@
             if connection.transport is not None and not connection.transport.is_closing():
                 self._send(connection, request)
                 return
-        if len(self.connections) + len(self.dial_tasks) >= MAX_CONNECTIONS:
+        if len(self.connections) + len(self.connect_tasks) >= MAX_CONNECTIONS:
             self.clients.fail_connect(request, "no connection free")
             return
-        task = self.clients.loop.create_task(self._dial(request))
-        self.dial_tasks.add(task)
-        task.add_done_callback(self.dial_tasks.discard)
+        task = self.clients.loop.create_task(self._open_connection(request))
+        self.connect_tasks.add(task)
+        task.add_done_callback(self.connect_tasks.discard)
 
-    async def _dial(self, request: Request) -> None:
+    async def _open_connection(self, request: Request) -> None:
         try:
             async with asyncio.timeout(1.0):
                 connection = await self._connect()
@@ -117,8 +117,8 @@
 
     def _start_health_check(self) -> None:
         task = self.clients.loop.create_task(self._check_health())
-        self.dial_tasks.add(task)
-        task.add_done_callback(self.dial_tasks.discard)
+        self.connect_tasks.add(task)
+        task.add_done_callback(self.connect_tasks.discard)
 
     async def _check_health(self) -> None:
         """Marks a router as up if it answers PING, else schedules another health check."""
--- a/applehub/lab/fleet/report.py
+++ b/applehub/lab/fleet/report.py
@@ -7,7 +7,8 @@
 
 NS_PER_S = 1_000_000_000
 WINDOW_NS = NS_PER_S // 4  # window over which the served fraction is computed, ns
-RECOVERY_FRACTION = 0.95  # of the served fraction before the fault; below it, service is degraded
+# Service is degraded below this multiple of the served fraction before the fault.
+RECOVERY_FRACTION = 0.95
 BASELINE_NS, MAX_RECOVERY_NS = (
     5 * NS_PER_S,
     20 * NS_PER_S,
@@ -25,7 +26,7 @@
     before: float  # served fraction before the fault
     back_s: (
         float | None
-    )  # from the start of the fault until lasting recovery; None if there was none in MAX_RECOVERY_NS
+    )  # seconds from the start of the fault until lasting recovery; None if there was none in MAX_RECOVERY_NS
 
 
 def outcomes_of(history: History, objective_ms: float) -> list[tuple[int, str]]:
--- a/applehub/lab/fleet/watch_commands.py
+++ b/applehub/lab/fleet/watch_commands.py
@@ -11,8 +11,8 @@
 import orjson
 
 from applehub.lab.command_errors import report_errors
-from applehub.lab.fleet.turns import ServiceBehavior
-from applehub.lab.fleet.watch_play import WatchPlan, run_isolated, summary
+from applehub.lab.fleet.service_queue import ServiceBehavior
+from applehub.lab.fleet.watch_scenario import WatchPlan, run_isolated, summary
 from applehub.lab.spec import SpecError
 from applehub.settings import Json
 
@@ -69,7 +69,7 @@
             capacity, *latency, most_wait, most_waiting, not drop_abandoned,
             0.0 if every_call_turns else ServiceBehavior().continue_window_s, late_watches,
         )  # fmt: skip
-        return WatchPlan(routers, service, seed + number, must_ask=must_ask)
+        return WatchPlan(routers, service, seed + number, list_on_request=must_ask)
 
     rows = run_all([plan(*pair, pairs[:number].count(pair)) for number, pair in enumerate(pairs)], jobs)
     output = orjson.dumps(rows, option=orjson.OPT_INDENT_2)
@@ -133,7 +133,7 @@
 
 HEADINGS = [
     "routers", "late s", "seed", "p50 s", "p99 s", "worst s", "which", "in 6 s", "no list", "allowed s",
-    "breaches", "calls/s", "answered", "503", "wasted turns", "lapsed", "lag s",
+    "breaches", "calls/s", "answered", "503", "wasted calls", "lapsed", "lag s",
 ]  # fmt: skip
 
 
--- a/applehub/lab/fleet/watch_play.py
+++ b/applehub/lab/fleet/watch_scenario.py
@@ -11,10 +11,7 @@
 
 import psutil
 
-from applehub.lab.fleet.hollow import Caller, CallerFactory, WatchOnlyRouter, list_entries
-from applehub.lab.fleet.slow_registry import CallCounts, SlowRegistry
-from applehub.lab.fleet.turns import ServiceBehavior
-from applehub.lab.fleet.uptake import (
+from applehub.lab.fleet.list_propagation import (
     PROPAGATION_LIMIT_S,
     AppliedVersion,
     Change,
@@ -25,13 +22,14 @@
     percentile,
     propagation_limit,
 )
+from applehub.lab.fleet.service_queue import ServiceBehavior
+from applehub.lab.fleet.slow_registry import CallCounts, SlowRegistry
+from applehub.lab.fleet.watch_only_router import Caller, CallerFactory, WatchOnlyRouter, list_entries
 from applehub.lab.live.bench import LiveError
 from applehub.settings import Json
 
-CALM_CHANGES, CALM_PERIOD_S = (
-    3,
-    4.0,
-)  # number of changes without faults, and the period in which they are made
+# Number of changes without faults, and the period in which they are made.
+CALM_CHANGES, CALM_PERIOD_S = 3, 4.0
 OUTAGE_S = 3.0
 MAX_SILENT_CHANGE_DELAY_S = 1.0  # maximum time from when watches become unresponsive until the next change
 END_MARGIN_S = 0.5  # added to a run, so that changes applied just after the limit are recorded
@@ -50,7 +48,7 @@
     service: ServiceBehavior
     seed: int = 1
     servers: int = 20
-    must_ask: bool = False  # routers poll lists, and their policy decides when to poll again
+    list_on_request: bool = False  # routers poll lists, and their policy decides when to poll again
 
 
 @dataclass(frozen=True, slots=True)
@@ -177,7 +175,9 @@
 
 async def run_scenario(plan: WatchPlan, make_caller: CallerFactory | None = None) -> RunResult:
     """Runs a plan with real routers' watches, or with the callers that the factory makes."""
-    return await _ScenarioRun(plan, make_caller or partial(WatchOnlyRouter, must_ask=plan.must_ask)).run()
+    return await _ScenarioRun(
+        plan, make_caller or partial(WatchOnlyRouter, list_on_request=plan.list_on_request)
+    ).run()
 
 
 def run_isolated(plan: WatchPlan) -> RunResult:
@@ -227,7 +227,7 @@
         "routers": result.plan.routers,
         "late_s": [result.plan.service.min_latency_s, result.plan.service.max_latency_s],
         "seed": result.plan.seed,
-        "must_ask": result.plan.must_ask,
+        "must_ask": result.plan.list_on_request,
         "seconds": round(result.seconds, 1),
         "changes": len(result.changes),
         "p50_s": _rounded_seconds(percentile(values, 0.5)),
--- a/applehub/lab/routers.py
+++ b/applehub/lab/routers.py
@@ -56,7 +56,7 @@
         self.idle_connections: dict[str, deque[tuple[int, int]]] = {}
         self.known: dict[str, api.Member] = {}
         self.list_version = 0
-        self.drain_reported_at: dict[str, int] = {}  # time (ns) of the first report, by id
+        self.drain_reported_at: dict[str, int] = {}  # by server id: time (ns) of the first drain update
         self.watch_started_at = 0  # start of the latest watch, ns
         self.subscribed = False
         self.max_attempts = context.spec.max_attempts
@@ -65,7 +65,8 @@
         self.timer_cost, self.list_entry_cost = int(costs.alarm_us * 1000), int(costs.member_us * 1000)
         self.idle_timeout = int(costs.idle_s * SECOND)
         self.save_interval = int(costs.keeps_s * SECOND)
-        self.saved_statistics: tuple[int, api.SavedStatistics] | None = None  # with the time of the save, ns
+        # Time of the latest save (ns), and the statistics saved.
+        self.saved_statistics: tuple[int, api.SavedStatistics] | None = None
         self.decider: DecisionModule
 
     # Process lifetime
@@ -238,7 +239,7 @@
         self._record_event(client_attempt, f"received by router {self.index}")
         self.deliver(request, self.request_cost)
 
-    def withdraw(self, client_attempt: ClientAttempt) -> None:
+    def cancel(self, client_attempt: ClientAttempt) -> None:
         """Reports to the decision module that the client has closed the request early."""
         if self.up and client_attempt.answered_at < 0 and client_attempt.id in self.pending:
             self.deliver(api.RequestCancelled(client_attempt.id), self.timer_cost)
--- a/applehub/node/clients.py
+++ b/applehub/node/clients.py
@@ -17,7 +17,7 @@
 from applehub.node.unread import PEER_CLOSED, UnreadInput
 from applehub.settings import Names
 
-MAX_PIPELINED_COMMANDS = 32  # commands of one connection in progress; further commands are not processed
+MAX_PIPELINED_COMMANDS = 32  # maximum commands of one connection in progress; later commands wait
 WRITE_STALL_TIMEOUT = 10.0  # seconds for which a client may leave answers unread
 COMMAND_TIMEOUT = 2.5  # seconds for a complete command, from the connection or from the command's first byte
 LINGER_TIMEOUT = 1.0  # seconds for which input is still read after the last answer
@@ -44,7 +44,7 @@
         self.request: PendingRequest | None = None
         self.stream: Stream | None = None
 
-    def fill(self, answer: bytes) -> None:
+    def set_answer(self, answer: bytes) -> None:
         """Sets the complete answer, unless there is one already."""
         if self.answer is None:
             self.answer = answer
@@ -63,7 +63,7 @@
         if stream is not None and stream.started:
             self.client.abort_stream()
         else:
-            self.fill(resp.FAILED)
+            self.set_answer(resp.FAILED)
 
 
 class ConnectionOwner(Protocol):
@@ -172,7 +172,7 @@
         slots, self.slots = self.slots, deque()
         for slot in slots:
             if slot.request is not None:
-                self.owner.driver.withdraw(slot.request)
+                self.owner.driver.cancel(slot.request)
 
     def _discard_input(self) -> None:
         """Discards unprocessed input and releases its memory."""
@@ -405,7 +405,7 @@
             slot.request = request if slot.answer is None else None
         except Exception:
             log.exception("failed to start a request")
-            slot.fill(resp.FAILED)
+            slot.set_answer(resp.FAILED)
 
     def _append_answer(self, answer: bytes) -> None:
         self._new_slot().answer = answer
--- a/applehub/registry/config.py
+++ b/applehub/registry/config.py
@@ -5,11 +5,11 @@
 
 from pydantic import Field, field_validator, model_validator
 
-from applehub.checked import Table, read_toml, validate
 from applehub.node.discovery import ListError, read_endpoint
 from applehub.registry.errors import ConfigError
 from applehub.registry.replica_state import MILLI
 from applehub.registry.replica_state import Timing as ReplicaTiming
+from applehub.validation import Table, read_toml, validate
 
 Positive = Annotated[float, Field(gt=0)]
 Count = Annotated[int, Field(ge=1)]
@@ -73,7 +73,7 @@
     listen: str = "127.0.0.1:0"  # HOST:PORT for requests of routers
     staff: str = "127.0.0.1:0"  # HOST:PORT for writers, operators and metrics
     peers: dict[str, str] = Field(default={})  # addresses of all replicas by name, including this one
-    views: dict[str, str] = Field(default={})  # view of a router by its IP address
+    views: dict[str, str] = Field(default={})  # by IP address of a router: the view, which selects endpoints
     log_calls: bool = False  # whether requests of routers are logged as events
     timing: Timing = Timing()
     leases: Leases = Leases()
--- a/applehub/release/lock.py
+++ b/applehub/release/lock.py
@@ -49,7 +49,7 @@
                 continue
 
     async def _request(self, address: str, now: float) -> bool:
-        """Requests a lease from `now` from one replica. Returns whether the replica granted or denied it."""
+        """Requests a lease that starts at `now`; returns whether the replica granted or denied it."""
         body = {"holder": self._holder, "lease_ms": int(LEASE_S * 1000)}
         try:
             async with self._session.put(f"http://{address}/v1/locks/{LOCK_NAME}", json=body) as response:
@@ -62,5 +62,5 @@
             self.fence = fence
             self._lease_expires_at = now + LEASE_S * SAFE_LEASE_FRACTION
             self._addresses.remove(address)
-            self._addresses.insert(0, address)  # the leader, which is asked first from now on
+            self._addresses.insert(0, address)  # the leader, which gets the next requests first
         return status in (HTTPStatus.OK, HTTPStatus.CONFLICT)
